--- a/share/completion/shaletray.bash
+++ b/share/completion/shaletray.bash
@@ -3,7 +3,7 @@
 _shaletray() {
 	local current=${COMP_WORDS[COMP_CWORD]}
 	local words=("${COMP_WORDS[@]:1:COMP_CWORD-1}")
-	COMPREPLY=($(compgen -W "$("${COMP_WORDS[0]}" __complete "${words[@]}" 2>/dev/null)" -- "$current"))
-	[[ ${#COMPREPLY[@]} -gt 0 ]] || COMPREPLY=($(compgen -f -- "$current"))
+	mapfile -t COMPREPLY < <(compgen -W "$("${COMP_WORDS[0]}" __complete "${words[@]}" 2>/dev/null)" -- "$current")
+	[[ ${#COMPREPLY[@]} -gt 0 ]] || mapfile -t COMPREPLY < <(compgen -f -- "$current")
 }
 complete -o filenames -F _shaletray shaletray
