--- a/cmake/system.cmake
+++ b/cmake/system.cmake
@@ -4,6 +4,17 @@
 find_package(gflags REQUIRED)
 find_library(LEVELDB_LIBRARY leveldb REQUIRED)
 
+# All headers that are generated: what a tool needs beside the sources to read them, without a build.
+add_custom_target(generated_sources COMMENT "Generated all headers")
+
+# Has headers (the further arguments) generated before a target is compiled, and by generated_sources too,
+# which waits for none of the target's libraries.
+function(generated_headers target)
+  add_custom_target(${target}_headers DEPENDS ${ARGN} COMMENT "Generated the headers of ${target}")
+  add_dependencies(${target} ${target}_headers)
+  add_dependencies(generated_sources ${target}_headers)
+endfunction()
+
 # Makes a library's sources from its schema; what is generated is not ours to mend, so it is compiled without
 # warnings. Included as "signal/mail.capnp.h".
 function(system_schema target file)
@@ -12,6 +23,7 @@
   capnp_generate_cpp(sources headers ${file})
   set_source_files_properties(${sources} PROPERTIES COMPILE_OPTIONS -w)
   target_sources(${target} PRIVATE ${sources} ${headers})
+  generated_headers(${target} ${headers})
   target_include_directories(${target} SYSTEM PUBLIC ${CMAKE_BINARY_DIR}/generated)
   target_link_libraries(${target} PUBLIC CapnProto::capnp)
 endfunction()
