--- a/Makefile
+++ b/Makefile
@@ -1,17 +1,24 @@
 # deps, build, test, lint; `make run` is a whole demonstration, `make run-balancer` one of the balancer alone;
 # `make example` starts the toy servers that `make serve` is tried with.
-JOBS ?= 4
+JOBS ?= $(shell nproc)
+# Of tests at a time: some measure times, and wait for one another on a full machine.
+TEST_JOBS ?= 4
 SOURCES = $(shell git ls-files --cached --others --exclude-standard '*.h' '*.cpp')
+CMAKE_FILES = $(shell git ls-files --cached --others --exclude-standard '*.cmake' '*CMakeLists.txt' ':!journal')
+# All code and all tests.
+TEST_BUILD = -DVALEHALL_TESTS=ON -DSHALETRAY_LAB=ON -DSHALETRAY_SYSTEM=ON
+CONFIGURE_TEST = cmake -B build-test -DCMAKE_BUILD_TYPE=Release -DSHALETRAY_EXAMPLE=ON $(TEST_BUILD)
 
 PACKAGES = cmake g++ make git libpoco-dev libfmt-dev nlohmann-json3-dev tao-pegtl-dev libcli11-dev libhiredis-dev \
   libxxhash-dev libsqlite3-dev libspdlog-dev
 # For the whole system (deploy/system.toml): pilot and lighthouse.
 SYSTEM_PACKAGES = ninja-build libgflags-dev libboost1.81-dev libboost-log1.81-dev libboost-json1.81-dev \
   libboost-program-options1.81-dev libcapnp-dev capnproto libleveldb-dev
-# For the tests, the laboratory and its reports, and the format.
-MORE_PACKAGES = libgtest-dev libcriterion-dev gnuplot-nox clang-format
+# For the tests, the laboratory and its reports, and the linters.
+MORE_PACKAGES = libgtest-dev libcriterion-dev gnuplot-nox clang-format clang-tidy shellcheck cmake-format
 
-.PHONY: deps experiment mutations build test test-plain test-sanitize lint format run run-balancer serve example clean
+.PHONY: deps experiment mutations build test test-plain test-sanitize lint lint-format lint-shell lint-cmake \
+  lint-nolint format run run-balancer serve example clean
 
 # Needs the right to install packages.
 deps:
@@ -25,17 +32,29 @@
 test: test-sanitize test-plain
 
 test-plain:
-	cmake -B build-test -DCMAKE_BUILD_TYPE=Release -DVALEHALL_TESTS=ON -DSHALETRAY_EXAMPLE=ON -DSHALETRAY_LAB=ON -DSHALETRAY_SYSTEM=ON
+	$(CONFIGURE_TEST)
 	cmake --build build-test -j$(JOBS)
-	ctest --test-dir build-test --output-on-failure -j$(JOBS)
+	ctest --test-dir build-test --output-on-failure -j$(TEST_JOBS)
 
 test-sanitize:
-	cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DVALEHALL_TESTS=ON -DVALEHALL_SANITIZE=ON -DSHALETRAY_LAB=ON -DSHALETRAY_SYSTEM=ON
+	cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DVALEHALL_SANITIZE=ON $(TEST_BUILD)
 	cmake --build build-sanitize -j$(JOBS)
-	ctest --test-dir build-sanitize --output-on-failure -j$(JOBS)
+	ctest --test-dir build-sanitize --output-on-failure -j$(TEST_JOBS)
 
-lint:
-	clang-format --dry-run --Werror $(SOURCES)
+lint: lint-format lint-shell lint-cmake lint-nolint
+
+lint-format:
+	@clang-format --dry-run --Werror $(SOURCES)
+
+lint-shell:
+	tools/lint/shell_scripts.sh
+
+lint-cmake:
+	@cmake-lint --suppress-decorations $(CMAKE_FILES)
+
+# Prints how many findings of clang-tidy are silenced, and demands a reason for each.
+lint-nolint:
+	tools/lint/nolint.sh
 
 format:
 	clang-format -i $(SOURCES)
