--- /dev/null
+++ b/tests/compatibility/register_samples.cpp
@@ -0,0 +1,244 @@
+// The replicated register: its messages, the head of its state, and its data folders.
+#include <chrono>
+#include <stdexcept>
+#include <thread>
+
+#include "compatibility/field_list.h"
+#include "compatibility/samples.h"
+#include "lamp/lamp_message.h"
+#include "lamp/store.h"
+
+namespace shaletray::compatibility {
+namespace {
+
+using namespace std::chrono_literals;
+using lamp::Ballot;
+using lamp::Decree;
+using lamp::Head;
+using lamp::Message;
+using lamp::Saved;
+
+constexpr std::uint64_t kDisk = 0xd15c000000000024;
+
+Decree decree(std::uint64_t number, std::uint64_t version, std::string text, std::size_t earlier) {
+    Decree sample{number,
+                  {{"10.1.0.24:7100", 0}, {"10.1.0.25:7100", kDisk}, {"10.2.0.24:7100", 0xd15c000000000025}},
+                  version,
+                  std::move(text),
+                  {}};
+    for (std::uint64_t i = 1; i <= earlier; ++i)
+        sample.earlier.push_back({i, 0x1000000000000000 + i, 0x2000000000000000 + i});
+    return sample;
+}
+
+void add(FieldList& fields, const std::string& name, const Ballot& ballot) {
+    fields.add(name + ".round", ballot.round).add(name + ".proposer", ballot.proposer);
+}
+
+void add(FieldList& fields, const std::string& name, const std::optional<Decree>& decree) {
+    fields.add(name + ".present", decree.has_value());
+    if (!decree) return;
+    fields.add(name + ".number", decree->number).add(name + ".version", decree->version);
+    fields.add(name + ".text", decree->text).add(name + ".voters", decree->voters.size());
+    for (const auto& voter : decree->voters)
+        fields.add(name + ".voter.address", voter.address).add(name + ".voter.disk", voter.disk);
+    fields.add(name + ".earlier", decree->earlier.size());
+    for (const auto& digest : decree->earlier)
+        fields.add(name + ".earlier.version", digest.version)
+            .add(name + ".earlier.low", digest.low)
+            .add(name + ".earlier.high", digest.high);
+}
+
+void add(FieldList& fields, const Saved& saved) {
+    fields.add("disk", saved.disk);
+    add(fields, "decree", saved.decree);
+    add(fields, "promised", saved.promised);
+    add(fields, "accepted", saved.accepted);
+    add(fields, "pending", saved.pending);
+}
+
+void add(FieldList& fields, const std::string& name, const Head::TextAt& at) {
+    fields.add(name + ".slot", at.slot).add(name + ".size", at.size);
+    fields.add(name + ".low", at.low).add(name + ".high", at.high);
+}
+
+std::string fields_of(const Message& message) {
+    FieldList fields;
+    fields.add("kind", message.kind).add("disk", message.disk).add("at", message.at);
+    fields.add("instance", message.instance).add("nonce", message.nonce);
+    add(fields, "ballot", message.ballot);
+    add(fields, "other", message.other);
+    fields.add("pending", message.pending).add("text_as_before", message.text_as_before);
+    add(fields, "value", message.value);
+    return fields.text();
+}
+
+std::string fields_of(const Head& head) {
+    FieldList fields;
+    add(fields, head.saved);
+    fields.add("sequence", head.sequence);
+    add(fields, "decree_text", head.decree);
+    add(fields, "pending_text", head.pending);
+    return fields.text();
+}
+
+std::string read_message(std::string_view bytes) {
+    const auto message = lamp::decode(bytes);
+    return message ? fields_of(*message) : std::string(kUnreadable);
+}
+
+std::string read_head(std::string_view bytes) {
+    const auto head = lamp::decode_head(bytes);
+    return head ? fields_of(*head) : std::string(kUnreadable);
+}
+
+MessageSample sample(const std::string& name, const Message& message) {
+    return {"register-" + name, encode(message), fields_of(message), read_message};
+}
+
+Message message(Message::Kind kind) {
+    Message sample;
+    sample.kind = kind;
+    sample.disk = kDisk;
+    sample.at = 7;
+    sample.instance = 7;
+    return sample;
+}
+
+const Ballot kBallot{12, "10.1.0.25:7100/91"}, kOther{11, "10.2.0.24:7100/17"};
+
+std::vector<MessageSample> ballot_samples() {
+    using Kind = Message::Kind;
+    Message prepare = message(Kind::Prepare), promise = message(Kind::Promise),
+            accept = message(Kind::Accept), accepted = message(Kind::Accepted),
+            refused = message(Kind::Refused);
+    for (Message* with_ballot : {&prepare, &promise, &accept, &accepted, &refused})
+        with_ballot->ballot = kBallot;
+    for (Message* with_other : {&prepare, &promise, &refused}) with_other->other = kOther;
+    Message promise_of_value = promise, accept_text_as_before = accept, accept_nothing_before = accept;
+    promise_of_value.value = decree(7, 41, "pending text", 3);
+    accept.value = decree(7, 42, "{\"version\": 42}", lamp::kMostEarlier);
+    accept_text_as_before.value = decree(7, 41, "", 5);
+    accept_text_as_before.text_as_before = true;
+    accept_nothing_before.value = decree(1, 1, std::string("a text\0with\xff", 11), 0);
+    return {sample("prepare", prepare),
+            sample("promise", promise),
+            sample("promise-of-value", promise_of_value),
+            sample("accept", accept),
+            sample("accept-text-as-before", accept_text_as_before),
+            sample("accept-without-earlier", accept_nothing_before),
+            sample("accepted", accepted),
+            sample("refused", refused)};
+}
+
+std::vector<MessageSample> learning_samples() {
+    using Kind = Message::Kind;
+    Message ask = message(Kind::Ask), state = message(Kind::State), notice = message(Kind::Notice),
+            wanted = message(Kind::Wanted), learn = message(Kind::Learn), kept = message(Kind::Kept);
+    ask.nonce = 0xfedcba9876543210;
+    state.nonce = 0xfedcba9876543210;
+    state.pending = true;
+    notice.ballot = kBallot;
+    wanted.nonce = 40;
+    wanted.at = 0;
+    learn.ballot = kBallot;
+    learn.nonce = 40;
+    learn.value = decree(6, 41, "{\"version\": 41}", 2);
+    Message learn_text_as_before = learn;
+    learn_text_as_before.value->text.clear();
+    learn_text_as_before.text_as_before = true;
+    return {sample("ask", ask),       sample("state", state),
+            sample("notice", notice), sample("wanted", wanted),
+            sample("learn", learn),   sample("learn-text-as-before", learn_text_as_before),
+            sample("kept", kept)};
+}
+
+// Texts are kept apart from the head: they are empty in it.
+std::vector<MessageSample> head_samples() {
+    Head head;
+    head.saved.disk = kDisk;
+    head.saved.decree = decree(6, 41, "", lamp::kMostEarlier);
+    head.saved.promised = kBallot;
+    head.saved.accepted = kOther;
+    head.sequence = 99;
+    head.decree = lamp::text_at(14, "{\"version\": 41}");
+    Head with_pending = head;
+    with_pending.saved.pending = decree(7, 42, "", 4);
+    with_pending.pending = lamp::text_at(199, "{\"version\": 42}");
+    return {{"register-head", encode(head), fields_of(head), read_head},
+            {"register-head-pending", encode(with_pending), fields_of(with_pending), read_head}};
+}
+
+std::unique_ptr<lamp::Store> opened(const std::string& folder) {
+    auto store = lamp::Store::open(folder, true);
+    if (!store) throw std::runtime_error("the register cannot be opened");
+    return std::move(*store);
+}
+
+void put(lamp::Store& store, std::uint64_t token, const Saved& saved) {
+    store.put({token, saved});
+    for (int tries = 0; tries < 1000; ++tries) {
+        for (const std::uint64_t done : store.done())
+            if (done == token) return;
+        std::this_thread::sleep_for(10ms);
+    }
+    throw std::runtime_error("the register was not written in time");
+}
+
+// Voters changed, a promise given, the next decree accepted but not known to be chosen.
+Saved voter() {
+    Saved saved;
+    saved.disk = kDisk;
+    saved.decree = decree(6, 65, "{\"version\": 65, \"routes\": []}", lamp::kMostEarlier);
+    saved.promised = kBallot;
+    saved.accepted = kOther;
+    saved.pending = decree(7, 66, "{\"version\": 66, \"routes\": [1]}", lamp::kMostEarlier);
+    saved.pending->voters.push_back({"10.2.0.25:7100", 77});
+    return saved;
+}
+
+Saved before() {
+    Saved saved;
+    saved.decree = decree(5, 65, voter().decree.text, 39);
+    saved.decree.voters = {{"10.1.0.24:7100", 0}};
+    saved.promised = kOther;
+    return saved;
+}
+
+// Opened twice, so that a table holds the text of the decree, and a log the head and the pending text.
+void record_voter(const std::string& folder) {
+    put(*opened(folder), 1, before());
+    put(*opened(folder), 2, voter());
+}
+
+std::string fields_of(const Saved& saved, const std::string& given_up) {
+    FieldList fields;
+    add(fields, saved);
+    fields.add("given_up", given_up);
+    return fields.text();
+}
+
+std::string read_folder(const std::string& folder) {
+    const auto store = opened(folder);
+    return fields_of(store->loaded(), store->given_up());
+}
+
+}    // namespace
+
+std::vector<MessageSample> register_message_samples() {
+    std::vector<MessageSample> all = ballot_samples();
+    for (auto& sample : learning_samples()) all.push_back(std::move(sample));
+    for (auto& sample : head_samples()) all.push_back(std::move(sample));
+    return all;
+}
+
+std::vector<FolderSample> register_folder_samples() {
+    return {{"register-founder",
+             [](const std::string& folder) { opened(folder); },
+             fields_of(Saved{}, ""),
+             read_folder,
+             {"MARK"}},
+            {"register-voter", record_voter, fields_of(voter(), ""), read_folder, {"MARK"}}};
+}
+
+}    // namespace shaletray::compatibility
--- /dev/null
+++ b/tests/compatibility/registry_samples.cpp
@@ -0,0 +1,203 @@
+// Changes of the service registry, their relay between coordinators, and what coordinators and gateways tell
+// each other.
+#include "compatibility/field_list.h"
+#include "compatibility/samples.h"
+#include "lighthouse/relay.capnp.h"
+#include "lighthouse/relay.h"
+#include "lighthouse/watch.h"
+#include "muster/muster.h"
+
+namespace shaletray::compatibility {
+namespace {
+
+using namespace std::chrono_literals;
+using muster::Muster;
+using muster::Server;
+using muster::State;
+
+const std::string kTeller = "10.1.0.24:7100", kOther = "10.1.0.25:7100", kReader = "10.2.0.24:7100";
+constexpr std::uint64_t kTellerLife = 41, kOtherLife = 52, kOtherNextLife = 53, kReaderLife = 90;
+constexpr TimePoint kStart{1'000'000s}, kTold = kStart + 14s;
+
+Server server(const std::string& id, const std::string& address, State state, std::uint64_t calls) {
+    return {id, "orders", address, "room-a", "r17", 3, state, calls, 0ms, {}};
+}
+
+Muster teller() {
+    Muster muster({kTeller, kTellerLife});
+    Muster other({kOther, kOtherLife}), other_again({kOther, kOtherNextLife});
+    muster.beat({server("lost", "10.3.0.1:80", State::InService, 4)}, kStart);
+    muster.beat({server("leaves", "10.3.0.2:80", State::InService, 5)}, kStart);
+    muster.tick(kStart + 6s);
+    muster.deregister("leaves", kStart + 7s);
+    muster.deregister("never-called", kStart + 8s);
+    // Kept by a life of another coordinator that ended since.
+    other.beat({server("elsewhere", "10.3.0.3:80", State::Draining, 6)}, kStart + 9s);
+    muster.merge(kOther, other.changes(0, true, kStart + 10s), kStart + 10s);
+    muster.merge(kOther, other_again.changes(0, true, kStart + 11s), kStart + 11s);
+    Server warming = server("warming", "10.3.0.4:80", State::InService, 1);
+    warming.service = "search";
+    warming.zone = "room-b";
+    warming.revision = "";
+    warming.capacity = 200;
+    warming.ramp_left = 17'250ms;
+    muster.beat({warming}, kStart + 12'125ms);
+    return muster;
+}
+
+std::string fields_of(std::uint64_t spoilt, std::uint64_t known,
+                      const std::map<std::string, Server>& servers) {
+    FieldList fields;
+    fields.add("spoilt", spoilt).add("known", known);
+    for (const auto& [id, server] : servers) {
+        fields.within(id);
+        fields.add("id", server.id).add("service", server.service).add("address", server.address);
+        fields.add("zone", server.zone).add("revision", server.revision);
+        fields.add("capacity", server.capacity).add("state", server.state);
+        fields.add("calls", server.calls).add("ramp_left", server.ramp_left).add("at", server.at);
+    }
+    return fields.text();
+}
+
+std::string read_changes(std::string_view bytes) {
+    Muster reader({kReader, kReaderLife});
+    reader.merge(kTeller, bytes, kTold);
+    return fields_of(reader.spoilt(), reader.known(kTeller, kTellerLife), reader.servers());
+}
+
+// What a reader tells on shows all that it took from the changes, also what it keeps to itself.
+std::string told_on(std::string_view changes) {
+    Muster reader({kReader, kReaderLife});
+    reader.merge(kTeller, changes, kTold);
+    return reader.changes(0, false, kTold + 250ms);
+}
+
+std::map<std::string, Server> servers_of(const Muster& muster, const std::vector<std::string>& ids) {
+    std::map<std::string, Server> found;
+    for (const std::string& id : ids) found.emplace(id, muster.servers().at(id));
+    return found;
+}
+
+std::string read_told_on(std::string_view bytes) {
+    Muster reader({kOther, kOtherNextLife});
+    reader.merge(kReader, bytes, kTold + 250ms);
+    return fields_of(reader.spoilt(), reader.known(kReader, kReaderLife), reader.servers());
+}
+
+std::vector<MessageSample> change_samples() {
+    const Muster muster = teller();
+    const std::string all = muster.changes(0, false, kTold), own = teller().changes(0, true, kTold);
+    const std::uint64_t sequence = muster.sequence();
+    const auto kept = servers_of(muster, {"leaves", "lost", "never-called", "warming"});
+    const std::uint64_t told_on_sequence = muster.servers().size();    // one change each
+    return {
+        {"registry-all", all, fields_of(0, sequence, muster.servers()), read_changes},
+        {"registry-own", own, fields_of(0, sequence, kept), read_changes},
+        {"registry-latest", teller().changes(sequence - 1, false, kTold),
+         fields_of(0, 0, servers_of(muster, {"warming"})), read_changes},
+        {"registry-unchanged", teller().changes(sequence, false, kTold), fields_of(0, 0, {}), read_changes},
+        {"registry-told-on", told_on(all), fields_of(0, told_on_sequence, muster.servers()), read_told_on}};
+}
+
+std::string fields_of_relay(std::uint64_t known_life, std::uint64_t known_sequence,
+                            const std::string& changes, std::uint64_t spoilt, std::size_t servers) {
+    FieldList fields;
+    fields.add("known_life", known_life).add("known_sequence", known_sequence);
+    fields.add("relay.spoilt", spoilt).add("relay.servers", servers);
+    return fields.text() + changes;
+}
+
+std::string read_relay(std::string_view bytes) {
+    // The relay takes the same servers from it as the registry does.
+    Muster reader({kReader, kReaderLife});
+    lighthouse::Relay relay(reader);
+    relay.heard(kTeller, kTellerLife, bytes, kTold);
+    const auto fields = station::unpack<lighthouse::wire::Relay>(
+        bytes, [&](lighthouse::wire::Relay::Reader read) -> boost::leaf::result<std::string> {
+            return fields_of_relay(read.getKnownLife(), read.getKnownSequence(),
+                                   read_changes(station::text_of(read.getWords())), relay.spoilt(),
+                                   reader.servers().size());
+        });
+    return fields ? *fields : std::string(kUnreadable);
+}
+
+std::vector<MessageSample> relay_samples() {
+    Muster muster = teller();
+    const std::uint64_t sequence = muster.sequence();
+    lighthouse::Relay relay(muster);
+    relay.others({kReader});
+    std::vector<lighthouse::Relay::Send> first, later;
+    relay.tell(kTold, first);
+    Muster reader({kReader, kReaderLife});
+    reader.beat({server("remote", "10.3.0.9:80", State::InService, 2)}, kTold);
+    lighthouse::Relay reply(reader);
+    reply.others({kTeller});
+    std::vector<lighthouse::Relay::Send> replies;
+    reply.heard(kTeller, kTellerLife, first.at(0).bytes, kTold);
+    reply.tell(kTold, replies);
+    relay.heard(kReader, kReaderLife, replies.at(0).bytes, kTold);
+    relay.tick(kTold, later);
+    const auto own = servers_of(muster, {"leaves", "lost", "never-called", "warming"});
+    return {
+        {"registry-relay-first", first.at(0).bytes,
+         fields_of_relay(0, 0, fields_of(0, sequence, own), 0, own.size()), read_relay},
+        // To a life that was not heard before all is told anew.
+        {"registry-relay-later", later.at(0).bytes,
+         fields_of_relay(kReaderLife, reader.sequence(), fields_of(0, muster.sequence(), own), 0, own.size()),
+         read_relay}};
+}
+
+std::string fields_of(const watch::Have& have) {
+    FieldList fields;
+    fields.within("have");
+    fields.add("life", have.life).add("version", have.version).add("digest", have.digest);
+    fields.add("known_life", have.known_life).add("known_sequence", have.known_sequence);
+    return fields.add("counts", have.counts).text();
+}
+
+std::string fields_of(const watch::News& news) {
+    FieldList fields;
+    fields.within("news");
+    fields.add("life", news.life).add("confirmed", news.confirmed).add("version", news.version);
+    fields.add("digest", news.digest).add("update", news.update).add("since", news.since);
+    return fields.add("sequence", news.sequence).add("servers", news.servers).text();
+}
+
+std::string read_watch(std::string_view bytes) {
+    const auto message = watch::decode(bytes);
+    if (!message) return std::string(kUnreadable);
+    return std::visit([](const auto& read) { return fields_of(read); }, *message);
+}
+
+template <class Message>
+MessageSample watch_sample(const std::string& name, const Message& message) {
+    return {"watch-" + name, encode(message), fields_of(message), read_watch};
+}
+
+}    // namespace
+
+std::vector<MessageSample> registry_samples() {
+    std::vector<MessageSample> all = change_samples();
+    for (auto& sample : relay_samples()) all.push_back(std::move(sample));
+    return all;
+}
+
+std::vector<MessageSample> watch_samples() {
+    const watch::Have nothing_yet{1700000001, 0, 0, 0, 0, 0};
+    const watch::Have have{1700000001, 41, 0xa1b2c3d4e5f60718, 1700000002, 99, 12};
+    const watch::News unchanged{1700000002, true, 41, 0xa1b2c3d4e5f60718, "", 99, 99, ""};
+    const watch::News unconfirmed{1700000002, false, 0, 0, "", 0, 0, ""};
+    const watch::News news{1700000002,
+                           true,
+                           42,
+                           0x18f6e5d4c3b2a1,
+                           std::string("update\0\xff", 8),
+                           99,
+                           104,
+                           "changes of the registry"};
+    return {watch_sample("have-nothing", nothing_yet), watch_sample("have", have),
+            watch_sample("news-unchanged", unchanged), watch_sample("news-unconfirmed", unconfirmed),
+            watch_sample("news", news)};
+}
+
+}    // namespace shaletray::compatibility
--- /dev/null
+++ b/tests/compatibility/samples.cpp
@@ -0,0 +1,29 @@
+#include "compatibility/samples.h"
+
+#include <iterator>
+
+namespace shaletray::compatibility {
+namespace {
+
+template <class Sample>
+std::vector<Sample> joined(std::vector<std::vector<Sample>> groups) {
+    std::vector<Sample> all;
+    for (auto& group : groups)
+        all.insert(all.end(), std::make_move_iterator(group.begin()), std::make_move_iterator(group.end()));
+    return all;
+}
+
+}    // namespace
+
+std::vector<MessageSample> message_samples() {
+    return joined<MessageSample>({register_message_samples(), membership_packet_samples(), registry_samples(),
+                                  watch_samples(), quota_message_samples(), transport_samples(),
+                                  configuration_update_samples(), peer_datagram_samples(),
+                                  handover_samples()});
+}
+
+std::vector<FolderSample> folder_samples() {
+    return joined<FolderSample>({register_folder_samples(), usage_folder_samples(), plan_folder_samples()});
+}
+
+}    // namespace shaletray::compatibility
