--- a/lab/crowd.cpp
+++ b/lab/crowd.cpp
@@ -69,9 +69,10 @@
 }
 
 void Crowd::replace(int real) {
-    lives_[static_cast<std::size_t>(first_real_ + real)] += 1'000'000;
-    start(first_real_ + real);
-    carry(first_real_ + real, {});
+    const int member = first_real_ + real;
+    lives_[static_cast<std::size_t>(member)] += 1'000'000;
+    start(member);
+    carry(member, {});
 }
 
 void Crowd::post(int from, const std::string& to, std::string bytes) {
--- a/lab/draw_day.cpp
+++ b/lab/draw_day.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-std::mt19937_64 random_;
+std::mt19937_64 generator;
 
-std::size_t below(std::size_t n) { return random_() % n; }
-double between(double low, double high) { return std::uniform_real_distribution<>(low, high)(random_); }
+std::size_t below(std::size_t n) { return generator() % n; }
+double between(double low, double high) { return std::uniform_real_distribution<>(low, high)(generator); }
 template <class T>
 const T& one_of(const std::vector<T>& from) {
     return from[below(from.size())];
@@ -95,7 +95,7 @@
 
 int main(int argc, char** argv) {
     const std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
-    random_.seed(seed);
+    generator.seed(seed);
     const double length = argc > 2 ? std::strtod(argv[2], nullptr) : between(40, 120);
     std::printf(
         "# Drawn by lab/draw_day, seed %llu.\nname = \"drawn-%llu\"\nslot = \"trouble\"\nseed = %llu\n"
--- a/lab/harness.cpp
+++ b/lab/harness.cpp
@@ -4,12 +4,12 @@
 #include <Poco/Net/NetException.h>
 #include <fcntl.h>
 #include <fmt/format.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <cstdlib>
 #include <fstream>
 #include <iterator>
--- a/src/chart/values.cpp
+++ b/src/chart/values.cpp
@@ -86,8 +86,8 @@
 json::result<Whole> tag_invoke(Tag<Whole>, const json::value& value) {
     const json::result<double> number = whole_number(value);
     if (!number) return number.error();
-    constexpr double least = std::numeric_limits<int>::min(), most = std::numeric_limits<int>::max();
-    return Whole{static_cast<int>(std::clamp(*number, least, most))};
+    constexpr double kLeast = std::numeric_limits<int>::min(), kMost = std::numeric_limits<int>::max();
+    return Whole{static_cast<int>(std::clamp(*number, kLeast, kMost))};
 }
 json::result<Count> tag_invoke(Tag<Count>, const json::value& value) {
     const json::result<Whole> number = json::try_value_to<Whole>(value);
--- a/src/convoy/convoy.cpp
+++ b/src/convoy/convoy.cpp
@@ -544,7 +544,7 @@
             }
             case Kind::Answer: answered(from, p, now, out); break;
             case Kind::PingFor: relay(from, p, out); break;
-            case Kind::Told: break;
+            case Kind::Told:
             case Kind::Ask: break;
             case Kind::Page: page(from, p, news, now, out); break;
         }
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -202,6 +202,7 @@
     if (outcome == Outcome::Ok) {
         if (Front* const front = close(request)) {
             count(request.arrival.class_index, Verdict::Served);
+            // NOLINTNEXTLINE(bugprone-use-after-move): moved from above only where the outcome is an error
             front->served(std::move(answer));
         }
     } else if (attempt->began) {
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -146,7 +146,7 @@
     void handle(Message&& message, Context& context) override {
         context_ = &context;
         now_ = context.now();
-        std::visit([this](auto&& m) { take(std::move(m)); }, std::move(message));
+        std::visit([this](auto&& m) { take(std::forward<decltype(m)>(m)); }, std::move(message));
         if (!life_) return;
         life_->timers.run_due(now_);
         life_->done.clear();
--- a/src/lighthouse/lighthouse.cpp
+++ b/src/lighthouse/lighthouse.cpp
@@ -175,6 +175,7 @@
     if (!understood) return;
     if (!commands_.push(std::move(order))) {
         ++counts_.refused;
+        // NOLINTNEXTLINE(bugprone-use-after-move): a queue that refuses it has not moved from it
         return order.answer(come_back());
     }
     if (commands_timer_ == 0) commands_timer_ = reactor_.after(Duration(0), [this] { run_commands(); });
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -193,7 +193,8 @@
     Taken& taken = std::get<Taken>(request);
     taken.overlaps = taken.overlaps && whole && !http10;
     if (open_.empty() || taken.overlaps) return begin(std::move(taken), keep_alive, http10, whole);
-    parked_ = std::make_unique<Parked>(std::move(taken), keep_alive, http10, context_.reactor.clock().now());
+    parked_ = std::make_unique<Parked>(
+        Parked{std::move(taken), keep_alive, http10, context_.reactor.clock().now()});
     next_message();
 }
 
