--- a/tests/chart/update_test.cpp
+++ b/tests/chart/update_test.cpp
@@ -76,8 +76,11 @@
             cr_assert_neq(refused_update(from, std::string(good, 0, length)), "", "cut at %zu", length);
         for (int i = 0; i < 20000; ++i) {
             std::string bad = good;
-            for (int flips = 1 + draw.upto(3); flips > 0; --flips)
-                bad[draw.bits() % bad.size()] ^= static_cast<char>(1 << draw.upto(7));
+            for (int flips = 1 + draw.upto(3); flips > 0; --flips) {
+                const int flipped = 1 << draw.upto(7);
+                char& byte = bad[draw.bits() % bad.size()];
+                byte = static_cast<char>(byte ^ flipped);
+            }
             if (draw.once_in(10))
                 bad.insert(draw.bits() % bad.size(), std::string(1 + draw.bits() % 20, '\0'));
             if (refused_update(from, bad).empty())
--- a/tests/convoy/convoy_test.cpp
+++ b/tests/convoy/convoy_test.cpp
@@ -435,7 +435,9 @@
         if (random() % 10 != 0) return bytes;
         ++damaged;
         if (random() % 3 == 0) return bytes.substr(0, random() % bytes.size());
-        bytes[random() % bytes.size()] ^= static_cast<char>(1 + random() % 255);
+        const auto flipped = static_cast<int>(1 + random() % 255);
+        char& byte = bytes[random() % bytes.size()];
+        byte = static_cast<char>(byte ^ flipped);
         return bytes;
     };
     net.run(30s);
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -42,6 +42,8 @@
     void handleRequest(HTTPServerRequest& request, HTTPServerResponse& response) override {
         handle_(request, response);
     }
+
+private:
     Handle handle_;
 };
 
@@ -50,6 +52,8 @@
     Poco::Net::HTTPRequestHandler* createRequestHandler(const HTTPServerRequest&) override {
         return new Handler(handle_);    // the server owns it
     }
+
+private:
     Handle handle_;
 };
 
--- a/tests/helm/call_server_test.cpp
+++ b/tests/helm/call_server_test.cpp
@@ -216,8 +216,8 @@
             for (unsigned i = 0, count = 1 + random() % 4; i < count; ++i) {
                 const std::string path = (random() % 2 == 0 ? "/now/" : "/later/") + std::to_string(++number);
                 const std::string body(random() % 3000, 'b');
-                text += "POST " + path + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) +
-                        "\r\n\r\n" + body;
+                text += "POST " + path + " HTTP/1.1\r\nContent-Length: ";
+                text += std::to_string(body.size()) + "\r\n\r\n" + body;
                 line.expected.push_back("POST " + path + " " + std::to_string(body.size()));
             }
             say(line.socket, text);
--- a/tests/lamp/explore_test.cpp
+++ b/tests/lamp/explore_test.cpp
@@ -297,11 +297,11 @@
 
 void explore(const char* what, const Budget& budget) {
     const char* more = std::getenv("LAMP_STATES");
-    const std::size_t kMost = more ? std::strtoull(more, nullptr, 10) : 300'000 / (kLess * kLess);
+    const std::size_t most = more ? std::strtoull(more, nullptr, 10) : 300'000 / (kLess * kLess);
     Explorer explorer(budget);
-    const std::size_t states = explorer.run(kMost);
+    const std::size_t states = explorer.run(most);
     printf("%s: %zu states%s\n", what, states, explorer.exhausted() ? ", all" : "");
-    cr_assert(states > 1000 && (explorer.exhausted() || states >= kMost));
+    cr_assert(states > 1000 && (explorer.exhausted() || states >= most));
 }
 
 Test(explore, a_reader) {
