--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 SOURCES = $(shell git ls-files --cached --others --exclude-standard '*.h' '*.cpp')
 CMAKE_FILES = $(shell git ls-files --cached --others --exclude-standard '*.cmake' '*CMakeLists.txt' ':!journal')
 # All code and all tests.
-TEST_BUILD = -DVALEHALL_TESTS=ON -DSHALETRAY_LAB=ON -DSHALETRAY_SYSTEM=ON
+TEST_BUILD = -DSHALETRAY_TESTS=ON -DSHALETRAY_TESTBED=ON -DSHALETRAY_SYSTEM=ON
 CONFIGURE_TEST = cmake -B build-test -DCMAKE_BUILD_TYPE=Release -DSHALETRAY_EXAMPLE=ON $(TEST_BUILD)
 
 PACKAGES = cmake g++ make git libpoco-dev libfmt-dev nlohmann-json3-dev tao-pegtl-dev libcli11-dev libhiredis-dev \
@@ -26,7 +26,7 @@
 	apt-get install -y -qq --no-install-recommends $(PACKAGES) $(SYSTEM_PACKAGES) $(MORE_PACKAGES) > /dev/null
 
 build:
-	cmake -B build -DCMAKE_BUILD_TYPE=Release -DSHALETRAY_EXAMPLE=ON -DSHALETRAY_LAB=ON -DSHALETRAY_SYSTEM=ON
+	cmake -B build -DCMAKE_BUILD_TYPE=Release -DSHALETRAY_EXAMPLE=ON -DSHALETRAY_TESTBED=ON -DSHALETRAY_SYSTEM=ON
 	cmake --build build -j$(JOBS)
 
 test: test-sanitize test-plain
@@ -37,7 +37,7 @@
 	ctest --test-dir build-test --output-on-failure -j$(TEST_JOBS)
 
 test-sanitize:
-	cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DVALEHALL_SANITIZE=ON $(TEST_BUILD)
+	cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DSHALETRAY_SANITIZE=ON $(TEST_BUILD)
 	cmake --build build-sanitize -j$(JOBS)
 	ctest --test-dir build-sanitize --output-on-failure -j$(TEST_JOBS)
 
@@ -63,10 +63,10 @@
 experiment: build
 	exec build/experiment_$(NAME)
 
-# Breaks the code in each way that lab/mutations holds, and demands that the tests named there find it: make
+# Breaks the code in each way that testbed/mutations holds, and demands that the tests named there find it: make
 # mutations, or make mutations NAMES="vote-before-sync ...".
 mutations:
-	JOBS=$(JOBS) lab/mutations/play.sh build-mutations $(NAMES)
+	JOBS=$(JOBS) testbed/mutations/play.sh build-mutations $(NAMES)
 
 # The whole system on loopback for twenty seconds: three pilots and lighthouses, emulated servers, an operator
 # and clients, figures on the terminal. SEED=, LIGHTHOUSES= and LOAD= from the environment.
--- a/include/valehall/control.h
+++ b/include/decision/control.h
@@ -1,6 +1,6 @@
 // The decision module's interface: settings, events, actions and the Gateway that turns one into the other.
 // Plain values only: no clock, no threads, no I/O, so an operator's own gateway can load it.
-// Everything is decided in src/module/, one file a concern.
+// Everything is decided in src/decision/, one file a concern.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace valehall {
+namespace shaletray::decision {
 
 using Duration = std::chrono::microseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -238,4 +238,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/command/complete.cpp
+++ b/src/balancer/command/completion.cpp
@@ -1,4 +1,4 @@
-#include "command/complete.h"
+#include "balancer/command/completion.h"
 
 #include <fmt/format.h>
 
--- a/src/control_socket/server.cpp
+++ b/src/balancer/control_socket/control_server.cpp
@@ -1,8 +1,8 @@
-#include "control_socket/server.h"
+#include "balancer/control_socket/control_server.h"
 
 #include <unistd.h>
 
-#include "net/unix_socket.h"
+#include "base/net/unix_socket.h"
 
 namespace shaletray::control_socket {
 namespace {
--- a/src/control_socket/server.h
+++ b/src/balancer/control_socket/control_server.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
-#include "control_socket/office.h"
-#include "net/talk_server.h"
+#include "balancer/control_socket/plan_command_handler.h"
+#include "base/net/line_protocol_server.h"
 
 namespace shaletray::control_socket {
 
--- a/src/control_socket/office.cpp
+++ b/src/balancer/control_socket/plan_command_handler.cpp
@@ -1,4 +1,4 @@
-#include "control_socket/office.h"
+#include "balancer/control_socket/plan_command_handler.h"
 
 #include <fmt/format.h>
 
--- a/src/control_socket/office.h
+++ b/src/balancer/control_socket/plan_command_handler.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <string_view>
 
-#include "plans/desk.h"
+#include "data_plane/plans/plan_service.h"
 
 namespace shaletray::control_socket {
 
-using valehall::TimePoint;
+using decision::TimePoint;
 
 constexpr std::size_t kLongestLine = 16 * 1024;
 constexpr std::size_t kMostListed = 1000;    // in one answer; the next page is asked for by `after`
--- a/src/control_socket/ask.cpp
+++ b/src/balancer/control_socket/plans_command.cpp
@@ -1,4 +1,4 @@
-#include "control_socket/ask.h"
+#include "balancer/control_socket/plans_command.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/SocketAddress.h>
@@ -10,7 +10,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "settings/operator_settings.h"
+#include "balancer/settings/operator_settings.h"
 
 namespace shaletray::control_socket {
 namespace {
--- a/src/handover/place.cpp
+++ b/src/balancer/handover/handover_server.cpp
@@ -1,4 +1,4 @@
-#include "handover/place.h"
+#include "balancer/handover/handover_server.h"
 
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/StreamSocket.h>
@@ -10,8 +10,8 @@
 #include <thread>
 #include <utility>
 
-#include "core/log.h"
-#include "net/unix_socket.h"
+#include "base/common/log.h"
+#include "base/net/unix_socket.h"
 
 namespace shaletray::handover {
 namespace {
--- a/src/handover/place.h
+++ b/src/balancer/handover/handover_server.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "net/talk_server.h"
+#include "base/net/line_protocol_server.h"
 
 namespace shaletray::handover {
 
--- a/src/handover/handover.cpp
+++ b/src/balancer/handover/handover_state.cpp
@@ -1,4 +1,4 @@
-#include "handover/handover.h"
+#include "balancer/handover/handover_state.h"
 
 #include <fmt/format.h>
 
--- a/src/handover/handover.h
+++ b/src/balancer/handover/handover_state.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "platform/member_list.h"
+#include "balancer/platform/host_directory.h"
 
 namespace shaletray::handover {
 
--- a/src/main.cpp
+++ b/src/balancer/main.cpp
@@ -14,10 +14,10 @@
 #include <functional>
 #include <iterator>
 
-#include "command/complete.h"
-#include "control_socket/ask.h"
-#include "core/log.h"
-#include "service/service.h"
+#include "balancer/command/completion.h"
+#include "balancer/control_socket/plans_command.h"
+#include "balancer/service/gateway_service.h"
+#include "base/common/log.h"
 
 namespace {
 
--- a/src/operations/figures.cpp
+++ b/src/balancer/operations/metrics.cpp
@@ -1,4 +1,4 @@
-#include "operations/figures.h"
+#include "balancer/operations/metrics.h"
 
 #include <fmt/format.h>
 
--- a/src/operations/figures.h
+++ b/src/balancer/operations/metrics.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "core/counters.h"
+#include "base/common/counters.h"
 
 namespace shaletray::operations {
 
--- a/src/operations/router.cpp
+++ b/src/balancer/operations/router.cpp
@@ -1,10 +1,10 @@
-#include "operations/router.h"
+#include "balancer/operations/router.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "platform/messages.h"
+#include "balancer/platform/messages.h"
 
 namespace shaletray::operations {
 namespace {
--- a/src/operations/router.h
+++ b/src/balancer/operations/router.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
-#include "http/message.h"
-#include "http/talk.h"
+#include "base/http/line_protocol.h"
+#include "base/http/message.h"
 
 namespace shaletray::operations {
 
--- a/src/net/discovery_watch.cpp
+++ b/src/balancer/platform/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery_watch.h"
+#include "balancer/platform/discovery_watch.h"
 
 #include <algorithm>
 
@@ -34,7 +34,7 @@
 
 // From the list that the gateway had before its start, which may be old.
 void DiscoveryWatch::start() {
-    engine_.list_heard(hosts_.apply(config_.known, valehall::ListKind::Cached, reactor_.clock().now()));
+    engine_.list_heard(hosts_.apply(config_.known, decision::ListKind::Cached, reactor_.clock().now()));
     heard_();
     if (!config_.settings.ask_for_list) connect();
 }
@@ -108,7 +108,7 @@
     revision_ = list.revision;
     const bool full = list.complete;
     ++(full ? counters_.lists_full : counters_.lists_changed);
-    const auto kind = full ? valehall::ListKind::Full : valehall::ListKind::Delta;
+    const auto kind = full ? decision::ListKind::Full : decision::ListKind::Delta;
     engine_.list_heard(hosts_.apply(list, kind, reactor_.clock().now()));
     heard_();
 }
@@ -118,7 +118,7 @@
     stream_->close();
     reactor_.cancel(silence_timer_);
     if (config_.settings.ask_for_list) {
-        engine_.list_heard({valehall::ListKind::Failed, {}});    // the module says when to ask again
+        engine_.list_heard({decision::ListKind::Failed, {}});    // the module says when to ask again
         return;
     }
     backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kLongestBackoff);
--- a/src/net/discovery_watch.h
+++ b/src/balancer/platform/discovery_watch.h
@@ -3,10 +3,10 @@
 
 #include <memory>
 
-#include "core/engine.h"
-#include "core/log.h"
-#include "net/stream.h"
-#include "platform/messages.h"
+#include "balancer/platform/messages.h"
+#include "base/common/log.h"
+#include "base/net/stream.h"
+#include "data_plane/engine/engine.h"
 
 namespace shaletray {
 
--- a/src/platform/config.cpp
+++ b/src/balancer/platform/gateway_config.cpp
@@ -1,4 +1,4 @@
-#include "platform/config.h"
+#include "balancer/platform/gateway_config.h"
 
 #include <fmt/format.h>
 
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "wire_codec.h"
+#include "decision/wire/wire_codec.h"
 
 namespace shaletray {
 namespace {
@@ -90,8 +90,8 @@
 
 void read_settings(const Json& settings, Config& config) {
     try {
-        config.settings = valehall::wire::parse_settings(settings);
-    } catch (const valehall::wire::BadMessage& error) {
+        config.settings = decision::wire::parse_settings(settings);
+    } catch (const decision::wire::BadMessage& error) {
         throw BadConfig(error.what());
     }
     if (config.settings.classes.empty()) throw BadConfig("field settings.classes: missing or empty");
@@ -104,7 +104,7 @@
         config.streams.push_back(stream != item.end() && stream->is_boolean() && stream->get<bool>());
     }
     std::set<std::string> names;
-    for (const valehall::ClassSettings& c : config.settings.classes) {
+    for (const decision::ClassSettings& c : config.settings.classes) {
         if (c.name.empty()) throw BadConfig("field settings.classes.name: missing or empty");
         if (!names.insert(c.name).second)
             throw BadConfig(fmt::format("field settings.classes.name: {} twice", c.name));
--- a/src/platform/config.h
+++ b/src/balancer/platform/gateway_config.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "core/clock.h"
-#include "platform/member_list.h"
-#include "valehall/control.h"
+#include "balancer/platform/host_directory.h"
+#include "base/common/clock.h"
+#include "decision/control.h"
 
 namespace shaletray {
 
@@ -28,7 +28,7 @@
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
     double memory_mb = 32.0;
-    valehall::Settings settings;
+    decision::Settings settings;
     // What the settings say beyond what the module reads.
     PlaceNames places;
     std::vector<bool> streams;       // by class, as the settings list them
--- a/src/platform/member_list.cpp
+++ b/src/balancer/platform/host_directory.cpp
@@ -1,4 +1,4 @@
-#include "platform/member_list.h"
+#include "balancer/platform/host_directory.h"
 
 #include <arpa/inet.h>
 
@@ -11,9 +11,9 @@
 namespace {
 
 using Json = nlohmann::json;
-using valehall::HostId;
-using valehall::HostState;
-using valehall::ListKind;
+using decision::HostId;
+using decision::HostState;
+using decision::ListKind;
 
 int place_of(const std::vector<std::string>& names, const std::string& name) {
     const auto it = std::find(names.begin(), names.end(), name);
@@ -113,8 +113,8 @@
     return number;
 }
 
-valehall::HostList HostDirectory::apply(const MemberList& list, ListKind kind, TimePoint now) {
-    valehall::HostList result;
+decision::HostList HostDirectory::apply(const MemberList& list, ListKind kind, TimePoint now) {
+    decision::HostList result;
     result.kind = kind;
     if (kind != ListKind::Delta) {
         for (auto& [number, host] : hosts_) {
@@ -140,8 +140,8 @@
     return result;
 }
 
-valehall::HostEntry HostDirectory::settle(Host& host, TimePoint now) const {
-    valehall::HostEntry entry = host.listed;
+decision::HostEntry HostDirectory::settle(Host& host, TimePoint now) const {
+    decision::HostEntry entry = host.listed;
     if (entry.state == HostState::Healthy && out_.contains(host.id)) entry.state = HostState::Draining;
     // A list repeats that a server drains: its grace runs from when that was told first.
     if (entry.state == HostState::Healthy) host.left = TimePoint{};
@@ -150,20 +150,20 @@
     return entry;
 }
 
-std::optional<valehall::HostList> HostDirectory::take_out(const std::string& id, TimePoint now) {
+std::optional<decision::HostList> HostDirectory::take_out(const std::string& id, TimePoint now) {
     const auto number = numbers_.find(id);
     if (number == numbers_.end() && !out_.contains(id)) return std::nullopt;
     out_.emplace(id, now);
-    valehall::HostList told{ListKind::Delta, {}};
+    decision::HostList told{ListKind::Delta, {}};
     if (number != numbers_.end()) told.hosts.push_back(settle(hosts_.at(number->second), now));
     return told;
 }
 
-std::optional<valehall::HostList> HostDirectory::bring_back(const std::string& id, TimePoint now) {
+std::optional<decision::HostList> HostDirectory::bring_back(const std::string& id, TimePoint now) {
     const auto number = numbers_.find(id);
     const auto out = out_.find(id);
     if (number == numbers_.end() && out == out_.end()) return std::nullopt;
-    valehall::HostList told{ListKind::Delta, {}};
+    decision::HostList told{ListKind::Delta, {}};
     if (out == out_.end()) return told;
     const TimePoint since = out->second;
     out_.erase(out);
--- a/src/platform/member_list.h
+++ b/src/balancer/platform/host_directory.h
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/clock.h"
-#include "net/hosts.h"
-#include "valehall/control.h"
+#include "base/common/clock.h"
+#include "data_plane/proxy/host_table.h"
+#include "decision/control.h"
 
 namespace shaletray {
 
@@ -21,7 +21,7 @@
 
 struct Member {
     std::string id, address;
-    valehall::HostEntry entry;    // but for the host, which the directory numbers
+    decision::HostEntry entry;    // but for the host, which the directory numbers
 };
 
 struct MemberList {
@@ -48,35 +48,35 @@
 
     struct Host : Hosts::Host {
         std::string id;
-        valehall::HostState state = valehall::HostState::Healthy;
+        decision::HostState state = decision::HostState::Healthy;
         TimePoint left{};              // since when it is not healthy, or taken out
-        valehall::HostEntry listed;    // as last listed
+        decision::HostEntry listed;    // as last listed
     };
     // Takes the list in, and gives it as the module reads it.
-    valehall::HostList apply(const MemberList& list, valehall::ListKind kind, TimePoint now);
-    const Host* find(valehall::HostId host) const override;
-    bool may_begin(valehall::HostId host, TimePoint now) const override;
+    decision::HostList apply(const MemberList& list, decision::ListKind kind, TimePoint now);
+    const Host* find(decision::HostId host) const override;
+    bool may_begin(decision::HostId host, TimePoint now) const override;
     std::size_t size() const { return hosts_.size(); }
 
     // Maintenance by hand, by discovery's id. A server that is taken out counts as one that drains, whatever
     // the list says, until it is brought back; it then counts as started just now, unless the list has told a
     // start since: it was restarted while out, which the list may say seconds later. Gives what the module is
     // to hear; none where nothing of that id is listed or taken out.
-    std::optional<valehall::HostList> take_out(const std::string& id, TimePoint now);
-    std::optional<valehall::HostList> bring_back(const std::string& id, TimePoint now);
+    std::optional<decision::HostList> take_out(const std::string& id, TimePoint now);
+    std::optional<decision::HostList> bring_back(const std::string& id, TimePoint now);
     std::vector<TakenOut> out() const;
     void restore(const std::vector<TakenOut>& out);    // before any list
     std::size_t taken_out() const;                     // of those listed
     std::size_t listed() const;                        // but for those that are gone
 
 private:
-    valehall::HostId number_for(const std::string& id);
+    decision::HostId number_for(const std::string& id);
     // Takes the host's state over as it follows from the list and the operators' word, and gives its entry.
-    valehall::HostEntry settle(Host& host, TimePoint now) const;
+    decision::HostEntry settle(Host& host, TimePoint now) const;
 
     Duration drain_grace_;
-    std::unordered_map<valehall::HostId, Host> hosts_;
-    std::unordered_map<std::string, valehall::HostId> numbers_;
+    std::unordered_map<decision::HostId, Host> hosts_;
+    std::unordered_map<std::string, decision::HostId> numbers_;
     std::map<std::string, TimePoint> out_;    // taken out by hand, and since when
 };
 
--- a/src/platform/messages.cpp
+++ b/src/balancer/platform/messages.cpp
@@ -1,4 +1,4 @@
-#include "platform/messages.h"
+#include "balancer/platform/messages.h"
 
 #include <fmt/format.h>
 
@@ -47,7 +47,7 @@
     return true;
 }
 
-bool parse_customer(std::string_view cookie, valehall::CustomerId& customer) {
+bool parse_customer(std::string_view cookie, decision::CustomerId& customer) {
     std::string_view value;
     int named = 0;
     each_pair(cookie, ';', [&](std::string_view name, std::string_view v) {
@@ -60,12 +60,12 @@
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number, 16);
     if (value.size() != 16 || error != std::errc{} || end != value.data() + value.size()) return false;
     if (number >= kCustomers) return false;
-    customer = valehall::CustomerId{number};
+    customer = decision::CustomerId{number};
     return true;
 }
 
 // What no request can draw, or no set be, is refused here: in the module it would move a customer's store.
-bool parse_terms(std::string_view text, const valehall::Settings& settings, Arrival& arrival) {
+bool parse_terms(std::string_view text, const decision::Settings& settings, Arrival& arrival) {
     int units = 0, spread = 0, first = 0;    // how often each was given; once is right
     constexpr int kUnread = 2;
     const bool pairs = each_pair(text, ',', [&](std::string_view name, std::string_view value) {
@@ -134,7 +134,7 @@
     const auto& cls = config.settings.classes[at];
     arrival.class_index = config.class_index[at];
     // The class fixes the method; another one would promise something else about being repeated.
-    const bool safe = cls.repeat == valehall::Repeat::Safe;
+    const bool safe = cls.repeat == decision::Repeat::Safe;
     if (method != (safe ? "GET" : "POST")) return Rejection{405, "this class takes another method"};
     arrival.streams = config.streams[at];
 
@@ -145,7 +145,7 @@
     const std::string_view id = correlation_id(parser, buffer), key = parser.header(buffer, kKey);
     if (id.empty() || id.size() > kLongestId) return Rejection{400, "no correlation id, or too long a one"};
     if (safe && !parser.body(buffer).empty()) return Rejection{400, "this class takes no body"};
-    if (cls.repeat == valehall::Repeat::Keyed && key.empty()) return Rejection{400, "no idempotency key"};
+    if (cls.repeat == decision::Repeat::Keyed && key.empty()) return Rejection{400, "no idempotency key"};
     arrival.plan_index = place_of(config.settings.plans, parser.header(buffer, kPlan));
     if (arrival.plan_index < 0) return Rejection{400, "unknown plan"};
     if (!parse_customer(parser.header(buffer, kCookie), arrival.customer))
--- a/src/platform/messages.h
+++ b/src/balancer/platform/messages.h
@@ -5,12 +5,12 @@
 #include <string_view>
 #include <variant>
 
-#include "core/engine.h"
-#include "http/answer.h"
-#include "http/message.h"
-#include "net/dialect.h"
-#include "net/door.h"
-#include "platform/config.h"
+#include "balancer/platform/gateway_config.h"
+#include "base/http/answer.h"
+#include "base/http/message.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/proxy/request_mapping.h"
+#include "data_plane/proxy/upstream_protocol.h"
 
 namespace shaletray {
 
--- a/src/net/peer_socket.cpp
+++ b/src/balancer/platform/peer_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/peer_socket.h"
+#include "balancer/platform/peer_socket.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
--- a/src/net/peer_socket.h
+++ b/src/balancer/platform/peer_socket.h
@@ -8,9 +8,9 @@
 #include <map>
 #include <vector>
 
-#include "core/engine.h"
-#include "net/reactor.h"
-#include "platform/config.h"
+#include "balancer/platform/gateway_config.h"
+#include "base/net/reactor.h"
+#include "data_plane/engine/engine.h"
 
 namespace shaletray {
 
--- a/src/service/service.cpp
+++ b/src/balancer/service/gateway_service.cpp
@@ -1,11 +1,11 @@
-#include "service/service.h"
+#include "balancer/service/gateway_service.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "operations/figures.h"
+#include "balancer/operations/metrics.h"
 
 namespace shaletray {
 namespace {
@@ -43,7 +43,7 @@
 }
 
 limits::LedgerSettings ledger_settings(const settings::OperatorSettings& settings,
-                                       const valehall::Settings& s, TimePoint now) {
+                                       const decision::Settings& s, TimePoint now) {
     limits::LedgerSettings l;
     l.me = s.me;
     l.gateways = s.gateways;
@@ -67,11 +67,11 @@
     return l;
 }
 
-counter::ExchangeSettings exchange_settings(const settings::CounterSettings& c, const valehall::Settings& s,
-                                            std::uint64_t seed) {
-    counter::ExchangeSettings e;
+shared_counter::ExchangeSettings exchange_settings(const settings::CounterSettings& c,
+                                                   const decision::Settings& s, std::uint64_t seed) {
+    shared_counter::ExchangeSettings e;
     for (const settings::StoreSettings& store : c.stores) {
-        counter::SessionSettings one;
+        shared_counter::SessionSettings one;
         one.address = store.address;
         one.username = store.username;
         one.password = store.password;
@@ -117,7 +117,7 @@
     engine_.connect(*pool_, *peers_, *watch_);
     if (ledger_) engine_.share_by(*ledger_);
     if (settings.counter) {
-        shared_counter_ = std::make_unique<counter::Client>(
+        shared_counter_ = std::make_unique<shared_counter::Client>(
             exchange_settings(*settings.counter, config_.settings, config_.seed), *ledger_, engine_,
             reactor_);
     }
@@ -232,7 +232,7 @@
     return true;
 }
 
-bool Service::tell(std::optional<valehall::HostList>&& change) {
+bool Service::tell(std::optional<decision::HostList>&& change) {
     if (!change) return false;
     if (!change->hosts.empty()) engine_.list_heard(std::move(*change));
     return true;
@@ -260,17 +260,17 @@
         log(LogLevel::Error, Event::BookDamaged,
             {kv("book", s.book), kv("version", loaded.changes), kv("why", loaded.damage)});
     log(LogLevel::Info, Event::BookRead, {kv("book", s.book), kv("version", loaded.changes)});
-    tallies_ = std::make_unique<journal::Tallies>(fmt::format("{}.redeemed", s.book));
+    tallies_ = std::make_unique<usage_log::Tallies>(fmt::format("{}.redeemed", s.book));
     std::map<std::uint64_t, double> redeemed;
     for (const auto& [version, units] : tallies_->read()) {
         const plans::Reservation* r = book.reservation(book.reservation_name(version));
         if (r == nullptr || r->end <= clock_.now()) tallies_->drop(version);
-        else redeemed[version] = static_cast<double>(units) / journal::kMillionths;
+        else redeemed[version] = static_cast<double>(units) / usage_log::kMillionths;
     }
     desk_ = std::make_unique<plans::Desk>(std::move(book), *ledger_, clock_.now(), std::move(redeemed));
     engine_.rule_by(*desk_);
     desk_->on_redeemed([this](std::uint64_t version, double units) {
-        if (!tallies_->put(version, journal::millionths(units)) && gate_.open())
+        if (!tallies_->put(version, usage_log::millionths(units)) && gate_.open())
             log(LogLevel::Warning, Event::PlansRedeemedFull);
     });
     if (shared_counter_) {
@@ -349,10 +349,10 @@
                  s.segment_rows, s.most_segments}) {}
 
 void UseLog::admitted(const Admission& a) {
-    journal::Use use;
+    usage_log::Use use;
     use.at = a.at;
     use.customer = a.customer;
-    use.units = journal::millionths(a.units);
+    use.units = usage_log::millionths(a.units);
     use.plan_version = static_cast<std::uint32_t>(a.plan_version);
     use.plan = static_cast<std::uint16_t>(a.plan_index);
     use.class_index = static_cast<std::uint16_t>(a.class_index);
@@ -400,16 +400,16 @@
 
 // Requests under way keep their class, whatever the file says of it now.
 bool Service::take_terms(const Config& changed) {
-    valehall::Settings& now = config_.settings;
-    const valehall::Settings& next = changed.settings;
-    valehall::RequestLimits& limits = now;
+    decision::Settings& now = config_.settings;
+    const decision::Settings& next = changed.settings;
+    decision::RequestLimits& limits = now;
     if (now.classes == next.classes && limits == next && config_.streams == changed.streams) return false;
     config_.class_index = engine_.adopt(next);
     config_.streams = changed.streams;
     now.classes = next.classes;
     limits = next;
     std::string names;
-    for (const valehall::ClassSettings& c : now.classes) names += (names.empty() ? "" : ",") + c.name;
+    for (const decision::ClassSettings& c : now.classes) names += (names.empty() ? "" : ",") + c.name;
     log(LogLevel::Info, Event::TermsChanged, {kv("classes", names), kv("attempts", now.send_cap)});
     return true;
 }
@@ -417,7 +417,7 @@
 std::string Service::counters_text() const {
     std::string out = counters_.text();
     if (use_log_) {
-        const journal::WriterStats& u = use_log_->stats();
+        const usage_log::WriterStats& u = use_log_->stats();
         out += fmt::format("use: recorded={} unrecorded={} segments={}\n", u.rows, u.unrecorded, u.segments);
     }
     if (desk_) {
@@ -434,7 +434,7 @@
                            p.foreign, p.bad_values, p.behind);
     }
     if (!shared_counter_) return out;
-    const counter::CounterStats& c = shared_counter_->stats();
+    const shared_counter::CounterStats& c = shared_counter_->stats();
     const limits::LedgerStats l = ledger_->stats(clock_.now());
     out += fmt::format(
         "counter: up={} of={} calls={} rows_written={} rows_read={} late={} errors={} bad_values={} "
--- a/src/service/service.h
+++ b/src/balancer/service/gateway_service.h
@@ -4,24 +4,24 @@
 #include <memory>
 #include <string>
 
-#include "control_socket/server.h"
-#include "core/engine.h"
-#include "counter/client.h"
-#include "handover/handover.h"
-#include "handover/place.h"
-#include "journal/segment.h"
-#include "journal/tallies.h"
-#include "net/discovery_watch.h"
-#include "net/listener.h"
-#include "net/peer_socket.h"
-#include "net/reactor.h"
-#include "net/server_pool.h"
-#include "net/talk_server.h"
-#include "operations/router.h"
-#include "plans/spread.h"
-#include "platform/messages.h"
-#include "service/book_file.h"
-#include "settings/operator_settings.h"
+#include "balancer/control_socket/control_server.h"
+#include "balancer/handover/handover_server.h"
+#include "balancer/handover/handover_state.h"
+#include "balancer/operations/router.h"
+#include "balancer/platform/discovery_watch.h"
+#include "balancer/platform/messages.h"
+#include "balancer/platform/peer_socket.h"
+#include "balancer/service/plan_table_file.h"
+#include "balancer/settings/operator_settings.h"
+#include "balancer/shared_counter/shared_counter_client.h"
+#include "balancer/usage_log/persistent_counters.h"
+#include "balancer/usage_log/segment.h"
+#include "base/net/line_protocol_server.h"
+#include "base/net/reactor.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/plans/change_replicator.h"
+#include "data_plane/proxy/client_listener.h"
+#include "data_plane/proxy/server_pool.h"
 
 namespace shaletray {
 
@@ -31,10 +31,10 @@
     // Throws what the journal throws where it cannot begin.
     UseLog(const settings::UsageSettings& settings, int gateway, TimePoint now);
     void admitted(const Admission& admission) override;
-    const journal::WriterStats& stats() const { return recorder_.stats(); }
+    const usage_log::WriterStats& stats() const { return recorder_.stats(); }
 
 private:
-    journal::Recorder recorder_;
+    usage_log::Recorder recorder_;
     LogGate gate_{std::chrono::minutes(1)};
 };
 
@@ -64,7 +64,7 @@
     const Counters& counters() const { return counters_; }
     // All counters as they are printed, those of the shared counter too where one is used.
     std::string counters_text() const;
-    const counter::Client* shared_counter() const { return shared_counter_.get(); }
+    const shared_counter::Client* shared_counter() const { return shared_counter_.get(); }
 
 private:
     bool listed() const;
@@ -79,7 +79,7 @@
     void resume();
     std::string hand_over();
     bool take_terms(const Config& changed);
-    bool tell(std::optional<valehall::HostList>&& change);
+    bool tell(std::optional<decision::HostList>&& change);
     void begin_stop();
     void look_after_stop();
     void begin_plans(const settings::PlansSettings& settings);
@@ -97,7 +97,7 @@
     std::unique_ptr<BookFile> book_file_;
     std::unique_ptr<plans::Desk> desk_;
     std::unique_ptr<plans::Spread> spread_;
-    std::unique_ptr<journal::Tallies> tallies_;
+    std::unique_ptr<usage_log::Tallies> tallies_;
     std::unique_ptr<UseLog> use_log_;
     Engine engine_;
     EngineIntake intake_{engine_};
@@ -108,7 +108,7 @@
     std::unique_ptr<PeerSocket> peers_;
     std::unique_ptr<Listener> listener_;
     std::unique_ptr<DiscoveryWatch> watch_;
-    std::unique_ptr<counter::Client> shared_counter_;
+    std::unique_ptr<shared_counter::Client> shared_counter_;
     std::unique_ptr<control_socket::Server> control_;
     std::unique_ptr<TalkServer> admin_;
     std::unique_ptr<handover::Heir> heir_;
--- a/src/service/book_file.cpp
+++ b/src/balancer/service/plan_table_file.cpp
@@ -1,13 +1,13 @@
-#include "service/book_file.h"
+#include "balancer/service/plan_table_file.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
 
-#include "core/log.h"
+#include "base/common/log.h"
 
 namespace shaletray {
 
-BookFile::BookFile(std::string path, plans::Book& book, bool serve_damaged, journal::Files& files)
+BookFile::BookFile(std::string path, plans::Book& book, bool serve_damaged, usage_log::Files& files)
     : path_(std::move(path)), files_(files) {
     file_ = files_.open(path_, O_RDWR | O_CREAT | O_APPEND);
     if (!files_.lock(*file_)) throw std::runtime_error(path_ + ": another process has this book open");
@@ -54,10 +54,10 @@
     const std::string text = plans::write_change(change) + "\n";
     try {
         files_.write(*file_, text);
-    } catch (const journal::FileError& error) {
+    } catch (const usage_log::FileError& error) {
         try {
             files_.truncate(*file_, size_);    // half a line must not stand before the next one
-        } catch (const journal::FileError& again) {
+        } catch (const usage_log::FileError& again) {
             loaded_.damage = fmt::format("{}: {}", path_, again.what());
         }
         throw std::runtime_error(fmt::format("the book cannot be written: {}", error.what()));
@@ -76,7 +76,7 @@
             lock.unlock();
             try {
                 files_.sync(*file_);
-            } catch (const journal::FileError& error) {
+            } catch (const usage_log::FileError& error) {
                 log(LogLevel::Error, Event::BookNotDurable, {kv("why", error.what())});
             }
             lock.lock();
--- a/src/service/book_file.h
+++ b/src/balancer/service/plan_table_file.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <thread>
 
-#include "journal/files.h"
-#include "plans/book.h"
+#include "balancer/usage_log/file_system.h"
+#include "data_plane/plans/plan_table.h"
 
 namespace shaletray {
 
@@ -24,7 +24,7 @@
     // another process has it, where it cannot be read or written, and, unless `serve_damaged`, where a line
     // in it is spoilt.
     BookFile(std::string path, plans::Book& book, bool serve_damaged,
-             journal::Files& files = journal::real_files());
+             usage_log::Files& files = usage_log::real_files());
     ~BookFile();
     BookFile(const BookFile&) = delete;
     BookFile& operator=(const BookFile&) = delete;
@@ -38,8 +38,8 @@
     void sync();
 
     std::string path_;
-    journal::Files& files_;
-    std::unique_ptr<journal::File> file_;
+    usage_log::Files& files_;
+    std::unique_ptr<usage_log::File> file_;
     std::size_t size_ = 0;
     Loaded loaded_;
     std::mutex mutex_;
--- a/src/settings/operator_settings.cpp
+++ b/src/balancer/settings/operator_settings.cpp
@@ -1,11 +1,11 @@
-#include "settings/operator_settings.h"
+#include "balancer/settings/operator_settings.h"
 
 #include <fmt/format.h>
 
 #include <utility>
 
-#include "settings/record.h"
-#include "settings/schema.h"
+#include "balancer/settings/record.h"
+#include "balancer/settings/schema.h"
 
 namespace shaletray::settings {
 namespace {
--- a/src/settings/operator_settings.h
+++ b/src/balancer/settings/operator_settings.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "settings/value.h"
+#include "balancer/settings/value.h"
 
 namespace shaletray::settings {
 
--- a/src/settings/parse.cpp
+++ b/src/balancer/settings/parse.cpp
@@ -6,7 +6,7 @@
 #include <tao/pegtl.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
-#include "settings/value.h"
+#include "balancer/settings/value.h"
 
 namespace shaletray::settings {
 namespace {
--- a/src/settings/record.cpp
+++ b/src/balancer/settings/record.cpp
@@ -1,4 +1,4 @@
-#include "settings/record.h"
+#include "balancer/settings/record.h"
 
 #include <fstream>
 #include <iterator>
--- a/src/settings/value.cpp
+++ b/src/balancer/settings/value.cpp
@@ -1,4 +1,4 @@
-#include "settings/value.h"
+#include "balancer/settings/value.h"
 
 #include <fmt/format.h>
 
--- a/src/counter/resp.cpp
+++ b/src/balancer/shared_counter/resp.cpp
@@ -1,11 +1,11 @@
-#include "counter/resp.h"
+#include "balancer/shared_counter/resp.h"
 
 #include <fmt/format.h>
 #include <hiredis/hiredis.h>
 
 #include <cstdlib>
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 namespace {
 
 struct FreeReply {
@@ -72,4 +72,4 @@
     return converted(*reply);
 }
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/resp.h
+++ b/src/balancer/shared_counter/resp.h
@@ -12,7 +12,7 @@
 
 struct redisReader;
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 
 struct Reply {
     enum class Kind { Nil, Text, Status, Error, Integer, List };
@@ -49,4 +49,4 @@
     std::size_t unread_ = 0;    // bytes since the last whole reply
 };
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/client.cpp
+++ b/src/balancer/shared_counter/shared_counter_client.cpp
@@ -1,8 +1,8 @@
-#include "counter/client.h"
+#include "balancer/shared_counter/shared_counter_client.h"
 
 #include <algorithm>
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 namespace {
 
 using namespace std::chrono_literals;
@@ -90,4 +90,4 @@
     client.arm();
 }
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/client.h
+++ b/src/balancer/shared_counter/shared_counter_client.h
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "core/engine.h"
-#include "core/log.h"
-#include "counter/exchange.h"
-#include "net/stream.h"
+#include "balancer/shared_counter/store_exchange.h"
+#include "base/common/log.h"
+#include "base/net/stream.h"
+#include "data_plane/engine/engine.h"
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 
 class Client {
 public:
@@ -19,7 +19,7 @@
     Client(const Client&) = delete;
     Client& operator=(const Client&) = delete;
 
-    void carry(Notices& notices) { exchange_.carry(notices); }
+    void carry(plans::Notices& notices) { exchange_.carry(notices); }
     void start();
     const CounterStats& stats() const { return stats_; }
 
@@ -51,4 +51,4 @@
     Timers::Id timer_ = 0;
 };
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/exchange.cpp
+++ b/src/balancer/shared_counter/store_exchange.cpp
@@ -1,8 +1,8 @@
-#include "counter/exchange.h"
+#include "balancer/shared_counter/store_exchange.h"
 
 #include <algorithm>
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 namespace {
 
 using namespace std::chrono_literals;
@@ -83,4 +83,4 @@
     return next;
 }
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/exchange.h
+++ b/src/balancer/shared_counter/store_exchange.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <vector>
 
-#include "counter/session.h"
+#include "balancer/shared_counter/store_session.h"
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 
 struct ExchangeSettings {
     std::vector<SessionSettings> stores;    // in the order of preference
@@ -23,7 +23,7 @@
 
     std::size_t size() const { return stores_.size(); }
     Session& at(std::size_t i) { return *stores_[i].session; }
-    void carry(Notices& notices) {
+    void carry(plans::Notices& notices) {
         for (Store& store : stores_) store.session->carry(&notices);
     }
     // What is due: time-outs, and calls to the stores whose turn it is.
@@ -46,4 +46,4 @@
     TimePoint quick_at_{};
 };
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/session.cpp
+++ b/src/balancer/shared_counter/store_session.cpp
@@ -1,10 +1,10 @@
-#include "counter/session.h"
+#include "balancer/shared_counter/store_session.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 namespace {
 
 using namespace std::chrono_literals;
@@ -251,4 +251,4 @@
     return calls_.front().late ? calls_.front().at + patience() : calls_.front().at + s_.timeout;
 }
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/counter/session.h
+++ b/src/balancer/shared_counter/store_session.h
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "counter/notices.h"
-#include "counter/resp.h"
-#include "limits/ledger.h"
+#include "balancer/shared_counter/resp.h"
+#include "data_plane/limits/quota_state_table.h"
+#include "data_plane/plans/field_exchange.h"
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 
 using limits::CustomerId;
 using limits::Duration;
@@ -54,7 +54,7 @@
     // already.
     void broke(TimePoint now);
     // Others than the ledger that read and write along; it outlives this.
-    void carry(Notices* notices) { notices_ = notices; }
+    void carry(plans::Notices* notices) { notices_ = notices; }
     // Set where the connection must be closed now: what is wrong with it.
     const std::optional<std::string>& wants_close() const { return wrong_; }
     // A value that is nobody's row, since this was asked last: where it stands.
@@ -102,7 +102,7 @@
     SessionSettings s_;
     Ledger& ledger_;
     CounterStats& stats_;
-    Notices* notices_ = nullptr;
+    plans::Notices* notices_ = nullptr;
     std::mt19937_64 random_;
     State state_ = State::Down;
     Replies replies_;
@@ -117,4 +117,4 @@
     bool brought_news_ = false;
 };
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/src/usage/collector.cpp
+++ b/src/balancer/usage/collector.cpp
@@ -1,4 +1,4 @@
-#include "usage/collector.h"
+#include "balancer/usage/collector.h"
 
 #include <fmt/chrono.h>
 #include <fmt/format.h>
@@ -9,7 +9,7 @@
 namespace shaletray::usage {
 namespace {
 
-using store::Statement;
+using usage_store::Statement;
 
 constexpr std::int64_t kMinute = 60'000'000;
 
@@ -47,7 +47,7 @@
 
 std::vector<const char*> schema() { return {kSchema1}; }
 
-Collector::Collector(CollectorSettings settings, journal::Files& files, Step step)
+Collector::Collector(CollectorSettings settings, usage_log::Files& files, Step step)
     : s_(std::move(settings)),
       files_(files),
       step_(std::move(step)),
@@ -74,18 +74,18 @@
 std::uint64_t Collector::ingest() {
     complaints_.clear();
     std::uint64_t rows = 0;
-    std::vector<std::pair<journal::SegmentName, std::string>> found;
+    std::vector<std::pair<usage_log::SegmentName, std::string>> found;
     for (const std::string& name : files_.list(s_.journal)) {
-        if (const auto parsed = journal::read_segment_name(name))
+        if (const auto parsed = usage_log::read_segment_name(name))
             found.emplace_back(*parsed, s_.journal + "/" + name);
     }
     std::sort(found.begin(), found.end());
     for (const auto& [name, path] : found) {
         try {
             rows += ingest(name, path);
-        } catch (const journal::FileError& error) {
+        } catch (const usage_log::FileError& error) {
             complaints_.push_back(fmt::format("{}: {}", path, error.what()));
-        } catch (const store::StoreError&) {
+        } catch (const usage_store::StoreError&) {
             throw;
         } catch (const std::runtime_error& error) {
             complaints_.emplace_back(error.what());
@@ -106,7 +106,7 @@
     return rows;
 }
 
-Collector::Cursor Collector::cursor_of(const journal::SegmentName& name) {
+Collector::Cursor Collector::cursor_of(const usage_log::SegmentName& name) {
     Cursor cursor;
     cursor_.each(
         [&] {
@@ -116,7 +116,7 @@
     return cursor;
 }
 
-std::uint64_t Collector::ingest(const journal::SegmentName& name, const std::string& path) {
+std::uint64_t Collector::ingest(const usage_log::SegmentName& name, const std::string& path) {
     Cursor cursor = cursor_of(name);
     std::uint64_t rows = 0;
     while (!cursor.ended) {
@@ -132,13 +132,13 @@
         };
         std::map<Key, std::pair<std::uint64_t, std::int64_t>> sums;
         Sums total;
-        const journal::ReadResult read = journal::read_segment(
+        const usage_log::ReadResult read = usage_log::read_segment(
             files_, path, cursor.next, s_.rows_at_once,
-            [&](const journal::SegmentHead& head, const journal::Use& use) {
+            [&](const usage_log::SegmentHead& head, const usage_log::Use& use) {
                 if (head.gateway != name.gateway || head.incarnation != name.incarnation ||
                     head.number != name.number)
                     throw std::runtime_error(path + " holds another segment than its name says");
-                const bool gap = use.kind == journal::Use::Kind::Gap;
+                const bool gap = use.kind == usage_log::Use::Kind::Gap;
                 const std::int64_t at = use.at.time_since_epoch().count();
                 auto& [n, units] = sums[{at / kMinute, static_cast<std::uint64_t>(use.customer), use.plan,
                                          use.plan_version, use.reservation, use.class_index, gap}];
@@ -316,16 +316,16 @@
 Sums Collector::waiting() {
     Sums all;
     for (const std::string& file : files_.list(s_.journal)) {
-        const auto name = journal::read_segment_name(file);
+        const auto name = usage_log::read_segment_name(file);
         if (!name) continue;
         const Cursor cursor = cursor_of(*name);
         if (cursor.ended) continue;
-        journal::read_segment(files_, s_.journal + "/" + file, cursor.next, ~0u,
-                              [&](const journal::SegmentHead&, const journal::Use& use) {
-                                  const bool gap = use.kind == journal::Use::Kind::Gap;
-                                  (gap ? all.gap_rows : all.rows) += use.rows;
-                                  all.units += use.units;
-                              });
+        usage_log::read_segment(files_, s_.journal + "/" + file, cursor.next, ~0u,
+                                [&](const usage_log::SegmentHead&, const usage_log::Use& use) {
+                                    const bool gap = use.kind == usage_log::Use::Kind::Gap;
+                                    (gap ? all.gap_rows : all.rows) += use.rows;
+                                    all.units += use.units;
+                                });
     }
     return all;
 }
--- a/src/usage/collector.h
+++ b/src/balancer/usage/collector.h
@@ -10,14 +10,14 @@
 #include <string>
 #include <vector>
 
-#include "journal/segment.h"
-#include "store/database.h"
+#include "balancer/usage_log/segment.h"
+#include "balancer/usage_store/database.h"
 
 namespace shaletray::usage {
 
-using journal::CustomerId;
-using valehall::Duration;
-using valehall::TimePoint;
+using decision::Duration;
+using decision::TimePoint;
+using usage_log::CustomerId;
 
 // Called before each step that leaves a trace, by its name: where a test lets it fail.
 using Step = std::function<void(const char* step)>;
@@ -58,8 +58,8 @@
 
 class Collector {
 public:
-    // Throws store::StoreError.
-    Collector(CollectorSettings settings, journal::Files& files, Step step = {});
+    // Throws usage_store::StoreError.
+    Collector(CollectorSettings settings, usage_log::Files& files, Step step = {});
 
     const std::string& exporter() const { return exporter_; }
     // Reads what is new in all segments, and removes those that are whole and safe in the store. How many
@@ -88,7 +88,7 @@
     // Of segments that are there and not read yet.
     Sums waiting();
     const std::vector<std::string>& complaints() const { return complaints_; }
-    store::Database& database() { return database_; }
+    usage_store::Database& database() { return database_; }
 
 private:
     struct Cursor {
@@ -98,17 +98,17 @@
     void step(const char* name) const {
         if (step_) step_(name);
     }
-    std::uint64_t ingest(const journal::SegmentName& name, const std::string& path);
-    Cursor cursor_of(const journal::SegmentName& name);
+    std::uint64_t ingest(const usage_log::SegmentName& name, const std::string& path);
+    Cursor cursor_of(const usage_log::SegmentName& name);
     Sums sums(std::string_view sql);
 
     CollectorSettings s_;
-    journal::Files& files_;
+    usage_log::Files& files_;
     Step step_;
-    store::Database database_;
+    usage_store::Database database_;
     std::string exporter_;
     std::vector<std::string> complaints_;
-    store::Statement cursor_, put_cursor_, add_pending_, add_total_;
+    usage_store::Statement cursor_, put_cursor_, add_pending_, add_total_;
 };
 
 // The schema, step by step.
--- a/src/usage/export.cpp
+++ b/src/balancer/usage/export.cpp
@@ -1,4 +1,4 @@
-#include "usage/export.h"
+#include "balancer/usage/export.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -8,7 +8,7 @@
 
 namespace shaletray::usage {
 
-FileExport::FileExport(Collector& collector, journal::Files& files, std::string folder, Form form,
+FileExport::FileExport(Collector& collector, usage_log::Files& files, std::string folder, Form form,
                        Names names)
     : collector_(collector),
       files_(files),
--- a/src/usage/export.h
+++ b/src/balancer/usage/export.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "usage/collector.h"
+#include "balancer/usage/collector.h"
 
 namespace shaletray::usage {
 
@@ -17,15 +17,15 @@
 
 class FileExport {
 public:
-    FileExport(Collector& collector, journal::Files& files, std::string folder, Form form, Names names);
-    // Puts all batches in place that are not there. How many. Throws journal::FileError.
+    FileExport(Collector& collector, usage_log::Files& files, std::string folder, Form form, Names names);
+    // Puts all batches in place that are not there. How many. Throws usage_log::FileError.
     std::uint64_t run();
     std::string sink() const { return "files:" + folder_; }
     std::string name_of(std::uint64_t batch) const;
 
 private:
     Collector& collector_;
-    journal::Files& files_;
+    usage_log::Files& files_;
     std::string folder_;
     Form form_;
     Names names_;
--- a/src/usage/shaletray_usage.cpp
+++ b/src/balancer/usage/shaletray_usage.cpp
@@ -16,10 +16,10 @@
 #include <random>
 #include <thread>
 
-#include "command/complete.h"
-#include "core/log.h"
-#include "settings/operator_settings.h"
-#include "usage/export.h"
+#include "balancer/command/completion.h"
+#include "balancer/settings/operator_settings.h"
+#include "balancer/usage/export.h"
+#include "base/common/log.h"
 
 namespace shaletray::usage {
 namespace {
@@ -89,12 +89,12 @@
 class Exporter {
 public:
     explicit Exporter(const settings::UsageSettings& u)
-        : s_(u), collector_(collector_settings(u), journal::real_files()) {
+        : s_(u), collector_(collector_settings(u), usage_log::real_files()) {
         const Names names{u.plans, u.classes};
         const Form form = u.form == "csv" ? Form::Csv : Form::JsonLines;
         if (!u.files.empty()) {
             std::filesystem::create_directories(u.files);
-            files_ = std::make_unique<FileExport>(collector_, journal::real_files(), u.files, form, names);
+            files_ = std::make_unique<FileExport>(collector_, usage_log::real_files(), u.files, form, names);
             sinks_.push_back(files_->sink());
         }
         if (!u.endpoint.empty()) {
@@ -118,15 +118,15 @@
         try {
             collector_.ingest();
             for (const std::string& complaint : collector_.complaints()) told(complaint);
-        } catch (const store::StoreError& error) {
+        } catch (const usage_store::StoreError& error) {
             // Full: segments wait in the journal, as far as its own bound lets them.
-            if (error.kind() != store::StoreError::Kind::Full) throw;
+            if (error.kind() != usage_store::StoreError::Kind::Full) throw;
             told(error.what());
         }
         collector_.seal(unix_now(), all);
         try {
             if (files_) files_->run();
-        } catch (const journal::FileError& error) {
+        } catch (const usage_log::FileError& error) {
             told(error.what());
         }
         if (sink_ && std::chrono::steady_clock::now() >= next_try_) send(told);
@@ -254,8 +254,8 @@
 
 // The newest lines of the store; the exporter may be at work on it.
 int tail(const settings::UsageSettings& u, int most) {
-    store::Database database({u.store, false, 0, schema()});
-    store::Statement get(
+    usage_store::Database database({u.store, false, 0, schema()});
+    usage_store::Statement get(
         database,
         "SELECT batch, line, minute, customer, plan, version, class, gateway, reservation, gap, rows, "
         "units FROM lines ORDER BY batch DESC, line DESC LIMIT ?");
@@ -323,7 +323,7 @@
     if (reconciling->parsed()) return Exporter(s).reconcile();
     if (tailing->parsed()) return tail(s, most);
     // A backup and a check need not stop the exporter; to compact does.
-    store::Database database({s.store, compacting->parsed(), 0, schema()});
+    usage_store::Database database({s.store, compacting->parsed(), 0, schema()});
     if (backing->parsed()) database.backup(to);
     if (compacting->parsed()) database.compact();
     if (verifying->parsed()) {
--- a/src/journal/files.cpp
+++ b/src/balancer/usage_log/file_system.cpp
@@ -1,4 +1,4 @@
-#include "journal/files.h"
+#include "balancer/usage_log/file_system.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -9,7 +9,7 @@
 #include <cerrno>
 #include <filesystem>
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 namespace {
 
 [[noreturn]] void fail(const std::string& what, int code = errno) { throw FileError(code, what); }
@@ -99,4 +99,4 @@
     return files;
 }
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/files.h
+++ b/src/balancer/usage_log/file_system.h
@@ -12,7 +12,7 @@
 #include <system_error>
 #include <vector>
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 
 class FileError : public std::system_error {
 public:
@@ -71,4 +71,4 @@
 
 Files& real_files();
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/tallies.cpp
+++ b/src/balancer/usage_log/persistent_counters.cpp
@@ -1,11 +1,11 @@
-#include "journal/tallies.h"
+#include "balancer/usage_log/persistent_counters.h"
 
 #include <fcntl.h>
 
 #include <atomic>
 #include <stdexcept>
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 namespace {
 
 constexpr std::uint64_t kMagic = 0x31796c6c61747274;    // "trtally1"
@@ -56,4 +56,4 @@
     at_.erase(it);
 }
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/tallies.h
+++ b/src/balancer/usage_log/persistent_counters.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <string>
 
-#include "journal/files.h"
+#include "balancer/usage_log/file_system.h"
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 
 class Tallies {
 public:
@@ -36,4 +36,4 @@
     std::map<std::uint64_t, std::size_t> at_;
 };
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/segment.cpp
+++ b/src/balancer/usage_log/segment.cpp
@@ -1,4 +1,4 @@
-#include "journal/segment.h"
+#include "balancer/usage_log/segment.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <chrono>
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 namespace {
 
 using namespace std::chrono_literals;
@@ -239,4 +239,4 @@
     return result;
 }
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/segment.h
+++ b/src/balancer/usage_log/segment.h
@@ -9,10 +9,10 @@
 #include <optional>
 #include <thread>
 
-#include "journal/files.h"
-#include "journal/use.h"
+#include "balancer/usage_log/file_system.h"
+#include "balancer/usage_log/usage_record.h"
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 
 struct WriterSettings {
     std::string folder;
@@ -119,4 +119,4 @@
 ReadResult read_segment(Files& files, const std::string& path, std::uint32_t from, std::uint32_t most,
                         const std::function<void(const SegmentHead&, const Use&)>& take);
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/use.cpp
+++ b/src/balancer/usage_log/usage_record.cpp
@@ -1,4 +1,4 @@
-#include "journal/use.h"
+#include "balancer/usage_log/usage_record.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <cstring>
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 namespace {
 
 static_assert(std::endian::native == std::endian::little);
@@ -82,7 +82,7 @@
     std::memcpy(copy.data(), slot.data(), kSlot);
     Reader r(copy.data());
     use.sequence = r.get<std::uint64_t>();
-    use.at = TimePoint(valehall::Duration(r.get<std::int64_t>()));
+    use.at = TimePoint(decision::Duration(r.get<std::int64_t>()));
     use.customer = CustomerId{r.get<std::uint64_t>()};
     use.units = r.get<std::int64_t>();
     use.plan_version = r.get<std::uint32_t>();
@@ -142,4 +142,4 @@
     return out;
 }
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/journal/use.h
+++ b/src/balancer/usage_log/usage_record.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <string_view>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace shaletray::journal {
+namespace shaletray::usage_log {
 
-using valehall::CustomerId;
-using valehall::TimePoint;
+using decision::CustomerId;
+using decision::TimePoint;
 
 struct Use {
     enum class Kind : std::uint16_t {
@@ -63,4 +63,4 @@
 };
 std::optional<SegmentName> read_segment_name(std::string_view name);
 
-}    // namespace shaletray::journal
+}    // namespace shaletray::usage_log
--- a/src/store/database.cpp
+++ b/src/balancer/usage_store/database.cpp
@@ -1,4 +1,4 @@
-#include "store/database.h"
+#include "balancer/usage_store/database.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <utility>
 
-namespace shaletray::store {
+namespace shaletray::usage_store {
 namespace {
 
 constexpr int kBusyMs = 2000;    // a reader's checkpoint or backup may hold a moment
@@ -228,4 +228,4 @@
         fail("compacting");
 }
 
-}    // namespace shaletray::store
+}    // namespace shaletray::usage_store
--- a/src/store/database.h
+++ b/src/balancer/usage_store/database.h
@@ -13,7 +13,7 @@
 struct sqlite3;
 struct sqlite3_stmt;
 
-namespace shaletray::store {
+namespace shaletray::usage_store {
 
 class StoreError : public std::runtime_error {
 public:
@@ -111,4 +111,4 @@
     sqlite3* handle_ = nullptr;
 };
 
-}    // namespace shaletray::store
+}    // namespace shaletray::usage_store
--- a/src/core/clock.h
+++ b/src/base/common/clock.h
@@ -4,12 +4,12 @@
 
 #include <chrono>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
 namespace shaletray {
 
-using valehall::Duration;
-using valehall::TimePoint;
+using decision::Duration;
+using decision::TimePoint;
 
 class Clock {
 public:
--- a/src/core/counters.cpp
+++ b/src/base/common/counters.cpp
@@ -1,4 +1,4 @@
-#include "core/counters.h"
+#include "base/common/counters.h"
 
 #include <fmt/format.h>
 
--- a/src/core/counters.h
+++ b/src/base/common/counters.h
@@ -20,7 +20,7 @@
 
     Count taken = 0, gone = 0, overdue = 0, turned_away = 0;    // requests
     Count sent = 0, tries_written = 0;                          // attempts begun; written whole to a server
-    std::array<Count, 8> outcomes{};                            // by valehall::Outcome
+    std::array<Count, 8> outcomes{};                            // by decision::Outcome
     Count cancelled = 0, probes = 0, probes_failed = 0;
     std::map<int, Count> answered;    // by the front's status
     Count peer_sent = 0, peer_send_failed = 0, peer_taken = 0, peer_dropped = 0;
--- a/src/core/log.cpp
+++ b/src/base/common/log.cpp
@@ -1,4 +1,4 @@
-#include "core/log.h"
+#include "base/common/log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
--- a/src/core/timers.cpp
+++ b/src/base/common/timers.cpp
@@ -1,4 +1,4 @@
-#include "core/timers.h"
+#include "base/common/timers.h"
 
 namespace shaletray {
 
--- a/src/core/timers.h
+++ b/src/base/common/timers.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
 namespace shaletray {
 
--- a/src/http/answer.cpp
+++ b/src/base/http/answer.cpp
@@ -1,4 +1,4 @@
-#include "http/answer.h"
+#include "base/http/answer.h"
 
 #include <fmt/format.h>
 
--- a/src/http/buffer.cpp
+++ b/src/base/http/buffer.cpp
@@ -1,4 +1,4 @@
-#include "http/buffer.h"
+#include "base/http/buffer.h"
 
 #include <algorithm>
 #include <cstring>
--- a/src/http/talk.h
+++ b/src/base/http/line_protocol.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "http/buffer.h"
+#include "base/http/buffer.h"
 
 namespace shaletray {
 
--- a/src/http/message.cpp
+++ b/src/base/http/message.cpp
@@ -1,4 +1,4 @@
-#include "http/message.h"
+#include "base/http/message.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/http/message.h
+++ b/src/base/http/message.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "http/buffer.h"
+#include "base/http/buffer.h"
 
 namespace shaletray::http {
 
--- a/src/net/door.cpp
+++ b/src/base/http/rejection.cpp
@@ -1,4 +1,4 @@
-#include "net/door.h"
+#include "base/http/rejection.h"
 
 namespace shaletray {
 
--- a/src/net/call_server.cpp
+++ b/src/base/net/api_server.cpp
@@ -1,12 +1,12 @@
-#include "net/call_server.h"
+#include "base/net/api_server.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
 
 #include <vector>
 
-#include "http/answer.h"
-#include "net/door.h"
+#include "base/http/answer.h"
+#include "base/http/rejection.h"
 
 namespace shaletray {
 namespace {
--- a/src/net/call_server.h
+++ b/src/base/net/api_server.h
@@ -11,9 +11,9 @@
 #include <string>
 #include <string_view>
 
-#include "core/log.h"
-#include "http/message.h"
-#include "net/stream.h"
+#include "base/common/log.h"
+#include "base/http/message.h"
+#include "base/net/stream.h"
 
 namespace shaletray {
 
--- a/src/net/talk_server.cpp
+++ b/src/base/net/line_protocol_server.cpp
@@ -1,4 +1,4 @@
-#include "net/talk_server.h"
+#include "base/net/line_protocol_server.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
--- a/src/net/talk_server.h
+++ b/src/base/net/line_protocol_server.h
@@ -11,8 +11,8 @@
 #include <memory>
 #include <string>
 
-#include "http/talk.h"
-#include "net/stream.h"
+#include "base/http/line_protocol.h"
+#include "base/net/stream.h"
 
 namespace shaletray {
 
--- a/src/net/reactor.cpp
+++ b/src/base/net/reactor.cpp
@@ -1,10 +1,10 @@
-#include "net/reactor.h"
+#include "base/net/reactor.h"
 
 #include <Poco/ErrorHandler.h>
 
 #include <algorithm>
 
-#include "core/log.h"
+#include "base/common/log.h"
 
 namespace shaletray {
 namespace {
--- a/src/net/reactor.h
+++ b/src/base/net/reactor.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "core/timers.h"
+#include "base/common/timers.h"
 
 namespace shaletray {
 
--- a/src/net/stream.cpp
+++ b/src/base/net/stream.cpp
@@ -1,4 +1,4 @@
-#include "net/stream.h"
+#include "base/net/stream.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
--- a/src/net/stream.h
+++ b/src/base/net/stream.h
@@ -8,8 +8,8 @@
 #include <memory>
 #include <string>
 
-#include "http/buffer.h"
-#include "net/reactor.h"
+#include "base/http/buffer.h"
+#include "base/net/reactor.h"
 
 namespace shaletray {
 
--- a/src/net/unix_socket.cpp
+++ b/src/base/net/unix_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/unix_socket.h"
+#include "base/net/unix_socket.h"
 
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/SocketAddress.h>
--- a/src/net/waker.cpp
+++ b/src/base/net/waker.cpp
@@ -1,4 +1,4 @@
-#include "net/waker.h"
+#include "base/net/waker.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/StreamSocketImpl.h>
--- a/src/net/waker.h
+++ b/src/base/net/waker.h
@@ -7,7 +7,7 @@
 #include <atomic>
 #include <functional>
 
-#include "net/reactor.h"
+#include "base/net/reactor.h"
 
 namespace shaletray {
 
--- a/src/station/pack.h
+++ b/src/base/runtime/capnp_codec.h
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <utility>
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 
 // Bytes that are no message of the kind they were taken for.
 struct Spoilt {
@@ -55,4 +55,4 @@
 }
 inline capnp::Text::Reader words_of(const std::string& text) { return {text.c_str(), text.size()}; }
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/command_line.cpp
+++ b/src/base/runtime/command_line.cpp
@@ -1,4 +1,4 @@
-#include "station/command_line.h"
+#include "base/runtime/command_line.h"
 
 #include <gflags/gflags.h>
 
@@ -9,14 +9,14 @@
 #include <fstream>
 #include <iterator>
 
-#include "core/log.h"
-#include "station/log_sink.h"
+#include "base/common/log.h"
+#include "base/runtime/log_sink.h"
 
 DEFINE_string(settings, "", "the settings file; without it SHALETRAY_BOOT names it");
 DEFINE_string(log_level, "info", "error, warning, info or debug");
 DEFINE_bool(check, false, "check the settings file, say what is wrong with it, and end");
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 
 namespace leaf = boost::leaf;
 
@@ -73,4 +73,4 @@
         []() -> std::optional<NodeSettings> { return std::nullopt; });
 }
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/command_line.h
+++ b/src/base/runtime/command_line.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <variant>
 
-#include "station/settings_file.h"
+#include "base/runtime/settings_file.h"
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 
 struct Start {
     std::string path, text;    // of the settings file, as it was read
@@ -24,4 +24,4 @@
 // read is logged once, and changes nothing.
 std::optional<NodeSettings> reread(Start& start);
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/loop.cpp
+++ b/src/base/runtime/lifecycle.cpp
@@ -1,10 +1,10 @@
-#include "station/loop.h"
+#include "base/runtime/lifecycle.h"
 
 #include <csignal>
 
-#include "station/log_sink.h"
+#include "base/runtime/log_sink.h"
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 namespace {
 
 using namespace std::chrono_literals;
@@ -40,4 +40,4 @@
     };
 }
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/loop.h
+++ b/src/base/runtime/lifecycle.h
@@ -4,9 +4,9 @@
 #include <functional>
 #include <string>
 
-#include "station/command_line.h"
+#include "base/runtime/command_line.h"
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 
 struct Loop {
     std::function<void()> stop;
@@ -19,4 +19,4 @@
 // Once a turn: acts on signals, looks at the settings file every 2 s, tells the counters every 10 s.
 std::function<void()> look_after(Start& start, Loop loop);
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/log_sink.cpp
+++ b/src/base/runtime/log_sink.cpp
@@ -1,4 +1,4 @@
-#include "station/log_sink.h"
+#include "base/runtime/log_sink.h"
 
 #include <boost/core/null_deleter.hpp>
 #include <boost/log/attributes/value_extraction.hpp>
@@ -12,7 +12,7 @@
 #include <chrono>
 #include <iostream>
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 namespace {
 
 namespace blog = boost::log;
@@ -54,4 +54,4 @@
     write(level, log_line(LogForm::KeyValue, name, fields));
 }
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/log_sink.h
+++ b/src/base/runtime/log_sink.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "core/log.h"
+#include "base/common/log.h"
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 
 // Once, before any other thread runs. `node` stands in each line.
 void open_log(const std::string& node);
@@ -18,4 +18,4 @@
     if (level <= log_level()) write_event(level, name, fields);
 }
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/settings_file.cpp
+++ b/src/base/runtime/settings_file.cpp
@@ -1,4 +1,4 @@
-#include "station/settings_file.h"
+#include "base/runtime/settings_file.h"
 
 #include <arpa/inet.h>
 
@@ -10,7 +10,7 @@
 #include <limits>
 #include <sstream>
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 namespace {
 
 namespace leaf = boost::leaf;
@@ -224,4 +224,4 @@
 
 std::string ip_of(const std::string& address) { return address.substr(0, address.find(':')); }
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/station/settings_file.h
+++ b/src/base/runtime/settings_file.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::station {
+namespace shaletray::runtime {
 
 // What the file leaves out is as these say.
 struct Bounds {
@@ -54,4 +54,4 @@
 std::string pilot_address(const std::string& ip, const NodeSettings& settings);
 std::string ip_of(const std::string& address);
 
-}    // namespace shaletray::station
+}    // namespace shaletray::runtime
--- a/src/chart/chart.capnp
+++ b/src/cluster/configuration/configuration.capnp
@@ -5,7 +5,7 @@
 # form for good: were later ones to enter them, older processes would take every update for a damaged one.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::chart::form");
+$Cxx.namespace("shaletray::configuration::form");
 
 struct Update {
   patch @0 :Bool;                   # else whole: onto nothing
--- a/src/chart/chart.h
+++ b/src/cluster/configuration/configuration.h
@@ -14,10 +14,10 @@
 #include <string_view>
 #include <vector>
 
-#include "chart/rows.h"
-#include "core/clock.h"
+#include "base/common/clock.h"
+#include "cluster/configuration/entry_list.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 // Why a configuration is not taken: answered to the operator as it stands.
 struct Refusal {
@@ -154,4 +154,4 @@
     std::shared_ptr<const Index> index_;
 };
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/digest.cpp
+++ b/src/cluster/configuration/configuration_digest.cpp
@@ -4,11 +4,11 @@
 
 #include <bit>
 
-#include "chart/builder.h"
-#include "chart/chart.h"
-#include "chart/names.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/configuration/entry_list_builder.h"
+#include "cluster/configuration/lookup_keys.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 namespace {
 
 class Bytes {
@@ -104,4 +104,4 @@
 
 std::uint64_t key_hash(std::string_view key) { return XXH3_64bits(key.data(), key.size()); }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/table.cpp
+++ b/src/cluster/configuration/configuration_index.cpp
@@ -1,11 +1,11 @@
 #include <algorithm>
 #include <utility>
 
-#include "chart/chart.h"
-#include "chart/finder.h"
-#include "chart/names.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/configuration/hash_index.h"
+#include "cluster/configuration/lookup_keys.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 namespace {
 
 template <class Each>
@@ -188,4 +188,4 @@
     return route.to.back().service;    // not reached: the part is below the whole
 }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/read.cpp
+++ b/src/cluster/configuration/configuration_parser.cpp
@@ -10,13 +10,13 @@
 #include <numeric>
 #include <utility>
 
-#include "chart/builder.h"
-#include "chart/chart.h"
-#include "chart/finder.h"
-#include "chart/names.h"
-#include "chart/values.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/configuration/entry_list_builder.h"
+#include "cluster/configuration/hash_index.h"
+#include "cluster/configuration/json_values.h"
+#include "cluster/configuration/lookup_keys.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 namespace json = boost::json;
 namespace leaf = boost::leaf;
@@ -674,4 +674,4 @@
     return std::move(reader.chart());
 }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/update.cpp
+++ b/src/cluster/configuration/configuration_update.cpp
@@ -6,11 +6,11 @@
 
 #include <utility>
 
-#include "chart/builder.h"
-#include "chart/chart.capnp.h"
-#include "chart/chart.h"
+#include "cluster/configuration/configuration.capnp.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/configuration/entry_list_builder.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 namespace leaf = boost::leaf;
 
@@ -301,4 +301,4 @@
     }
 }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/rows.h
+++ b/src/cluster/configuration/entry_list.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 template <class Row>
 class Rows {
@@ -119,4 +119,4 @@
     std::size_t size_ = 0;
 };
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/builder.h
+++ b/src/cluster/configuration/entry_list_builder.h
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "chart/chart.h"
+#include "cluster/configuration/configuration.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 std::uint64_t row_hash(const Route& route);
 std::uint64_t row_hash(const Service& service);
@@ -90,4 +90,4 @@
     return builder.done();
 }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/finder.h
+++ b/src/cluster/configuration/hash_index.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 class Finder {
 public:
@@ -61,4 +61,4 @@
     std::size_t count_ = 0;
 };
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/values.cpp
+++ b/src/cluster/configuration/json_values.cpp
@@ -1,11 +1,11 @@
-#include "chart/values.h"
+#include "cluster/configuration/json_values.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <limits>
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 namespace json = boost::json;
 
@@ -116,4 +116,4 @@
     return wrong(Fault::Kind);
 }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/values.h
+++ b/src/cluster/configuration/json_values.h
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "chart/chart.h"
+#include "cluster/configuration/configuration.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 enum class Fault { Text = 1, Line, Time, Number, Whole, Negative, Truth, Kind, Revision, List, Object };
 boost::system::error_code wrong(Fault fault);
@@ -51,4 +51,4 @@
 boost::json::result<Amount> tag_invoke(Tag<Amount>, const boost::json::value& value);
 boost::json::result<RouteKind> tag_invoke(Tag<RouteKind>, const boost::json::value& value);
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/chart/names.h
+++ b/src/cluster/configuration/lookup_keys.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 // A hash that can be asked for after every character, for the prefixes of a path. FNV-1a, stirred at the end.
 class RunningHash {
@@ -50,4 +50,4 @@
 }
 std::uint64_t key_hash(std::string_view key);
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/src/lamp/lamp.capnp
+++ b/src/cluster/consensus/consensus.capnp
@@ -3,7 +3,7 @@
 @0xd364bd51448e95ef;
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::lamp::wire");
+$Cxx.namespace("shaletray::consensus::wire");
 
 struct Member {
   address @0 :Text;
--- a/src/lamp/lamp_message.cpp
+++ b/src/cluster/consensus/message.cpp
@@ -1,4 +1,4 @@
-#include "lamp/lamp_message.h"
+#include "cluster/consensus/message.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -7,9 +7,9 @@
 #include <algorithm>
 #include <cstring>
 
-#include "lamp/lamp.capnp.h"
+#include "cluster/consensus/consensus.capnp.h"
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 namespace {
 
 constexpr std::size_t kMostVoters = 128, kLongestName = 512, kMark = 8;
@@ -205,4 +205,4 @@
     });
 }
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/lamp_message.h
+++ b/src/cluster/consensus/message.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-#include "lamp/lamp.h"
+#include "cluster/consensus/replicated_register.h"
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 
 struct Message {
     enum class Kind : std::uint16_t {
@@ -64,4 +64,4 @@
 std::uint64_t checksum(std::string_view bytes);
 Digest digest(std::uint64_t version, std::string_view text);
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/lamp.cpp
+++ b/src/cluster/consensus/replicated_register.cpp
@@ -1,13 +1,13 @@
-#include "lamp/lamp.h"
+#include "cluster/consensus/replicated_register.h"
 
 #include <algorithm>
 #include <boost/leaf/handle_errors.hpp>
 #include <deque>
 #include <set>
 
-#include "lamp/lamp_message.h"
+#include "cluster/consensus/message.h"
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 namespace {
 
 using namespace std::chrono_literals;
@@ -845,4 +845,4 @@
 std::uint64_t Lamp::dropped() const { return impl_->dropped(); }
 std::string Lamp::picture() const { return impl_->picture(); }
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/lamp.h
+++ b/src/cluster/consensus/replicated_register.h
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 
 struct Member {
     std::string address;       // "10.1.0.24:7100", the lighthouse's internal one
@@ -134,4 +134,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/store.cpp
+++ b/src/cluster/consensus/state_store.cpp
@@ -1,4 +1,4 @@
-#include "lamp/store.h"
+#include "cluster/consensus/state_store.h"
 
 #include <fcntl.h>
 #include <leveldb/cache.h>
@@ -18,10 +18,10 @@
 #include <optional>
 #include <thread>
 
-#include "lamp/disk.h"
-#include "lamp/lamp_message.h"
+#include "cluster/consensus/message.h"
+#include "cluster/consensus/syncing_file_system.h"
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 namespace {
 
 using namespace std::chrono_literals;
@@ -494,4 +494,4 @@
 
 std::unique_ptr<Store> Store::in_memory(bool founder) { return std::make_unique<InMemory>(founder); }
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/store.h
+++ b/src/cluster/consensus/state_store.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <string>
 
-#include "lamp/lamp.h"
+#include "cluster/consensus/replicated_register.h"
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 
 class Disk;    // see disk.h
 
@@ -41,4 +41,4 @@
     virtual std::uint64_t failed_writes() const { return 0; }    // so far; each was tried again
 };
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/disk.cpp
+++ b/src/cluster/consensus/syncing_file_system.cpp
@@ -1,4 +1,4 @@
-#include "lamp/disk.h"
+#include "cluster/consensus/syncing_file_system.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <cstring>
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 
 leveldb::Status Disk::SyncFolder(const std::string& folder) {
     const int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
@@ -16,4 +16,4 @@
     return synced ? leveldb::Status::OK() : leveldb::Status::IOError(folder, std::strerror(why));
 }
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/lamp/disk.h
+++ b/src/cluster/consensus/syncing_file_system.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-namespace shaletray::lamp {
+namespace shaletray::consensus {
 
 class Disk : public leveldb::EnvWrapper {
 public:
@@ -15,4 +15,4 @@
     virtual leveldb::Status SyncFolder(const std::string& folder);
 };
 
-}    // namespace shaletray::lamp
+}    // namespace shaletray::consensus
--- a/src/convoy/roll.cpp
+++ b/src/cluster/membership/member_table.cpp
@@ -1,10 +1,10 @@
-#include "convoy/roll.h"
+#include "cluster/membership/member_table.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 
 Entry Record::whole_entry() const {
     Entry e;
@@ -153,4 +153,4 @@
     return sums;
 }
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/src/convoy/roll.h
+++ b/src/cluster/membership/member_table.h
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "convoy/packet.h"
+#include "cluster/membership/packet.h"
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 
 struct Record {
     std::string address;
@@ -98,4 +98,4 @@
     std::vector<Record*> lost_;
 };
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/src/convoy/convoy.capnp
+++ b/src/cluster/membership/membership.capnp
@@ -4,7 +4,7 @@
 # is what the older version did.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::convoy::wire");
+$Cxx.namespace("shaletray::membership::wire");
 
 struct Place {
   zone @0 :Text;
--- a/src/convoy/convoy.cpp
+++ b/src/cluster/membership/membership.cpp
@@ -1,14 +1,14 @@
-#include "convoy/convoy.h"
+#include "cluster/membership/membership.h"
 
 #include <algorithm>
 #include <bit>
 #include <deque>
 #include <random>
 
-#include "convoy/packet.h"
-#include "convoy/roll.h"
+#include "cluster/membership/member_table.h"
+#include "cluster/membership/packet.h"
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 namespace {
 
 using namespace std::chrono_literals;
@@ -1146,4 +1146,4 @@
 bool Convoy::joined() const { return impl_->joined(); }
 const Tallies& Convoy::tallies() const { return impl_->tallies(); }
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/src/convoy/convoy.h
+++ b/src/cluster/membership/membership.h
@@ -17,9 +17,9 @@
 #include <string>
 #include <vector>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 
 enum class Role : std::uint8_t { Pilot, Lighthouse };
 enum class State : std::uint8_t { Alive, Suspected, Gone };
@@ -120,4 +120,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/src/convoy/packet.cpp
+++ b/src/cluster/membership/packet.cpp
@@ -1,4 +1,4 @@
-#include "convoy/packet.h"
+#include "cluster/membership/packet.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize-packed.h>
@@ -10,9 +10,9 @@
 #include <charconv>
 #include <map>
 
-#include "convoy/convoy.capnp.h"
+#include "cluster/membership/membership.capnp.h"
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 namespace {
 
 constexpr std::size_t kLongestBytes = 16 * 1024, kLongestWords = 32 * 1024;
@@ -250,4 +250,4 @@
     }
 }
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/src/convoy/packet.h
+++ b/src/cluster/membership/packet.h
@@ -8,9 +8,9 @@
 #include <utility>
 #include <vector>
 
-#include "convoy/convoy.h"
+#include "cluster/membership/membership.h"
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 
 enum class Kind : std::uint8_t {
     Ping,
@@ -61,4 +61,4 @@
 // Errors: BadPacket. Entries of roles and states that are not known here are left out.
 boost::leaf::result<Packet> decode(std::string_view bytes);
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/src/tide/message.cpp
+++ b/src/cluster/quota/message.cpp
@@ -1,4 +1,4 @@
-#include "tide/message.h"
+#include "cluster/quota/message.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize-packed.h>
@@ -8,9 +8,9 @@
 
 #include <cmath>
 
-#include "tide/tide.capnp.h"
+#include "cluster/quota/quota.capnp.h"
 
-namespace shaletray::tide {
+namespace shaletray::quota {
 namespace {
 
 constexpr float kAbsurd = 1e9F;
@@ -82,4 +82,4 @@
 
 std::uint64_t tenant_id(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
-}    // namespace shaletray::tide
+}    // namespace shaletray::quota
--- a/src/tide/message.h
+++ b/src/cluster/quota/message.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace shaletray::tide {
+namespace shaletray::quota {
 
 namespace leaf = boost::leaf;
 
@@ -37,4 +37,4 @@
 // The tenant's name on the wire and in the tables.
 std::uint64_t tenant_id(std::string_view name);
 
-}    // namespace shaletray::tide
+}    // namespace shaletray::quota
--- a/src/tide/tide.capnp
+++ b/src/cluster/quota/quota.capnp
@@ -2,7 +2,7 @@
 # version takes what it knows and finds the default where a field did not exist yet.
 @0xd1a3f0c27be95d11;
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::tide::wire");
+$Cxx.namespace("shaletray::quota::wire");
 
 struct Balance {
   life @0 :UInt64;       # the sender's
--- a/src/tide/tide.cpp
+++ b/src/cluster/quota/quota_balancer.cpp
@@ -1,4 +1,4 @@
-#include "tide/tide.h"
+#include "cluster/quota/quota_balancer.h"
 
 #include <algorithm>
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -7,10 +7,10 @@
 #include <limits>
 #include <random>
 
-#include "tide/message.h"
-#include "tide/store.h"
+#include "cluster/quota/message.h"
+#include "cluster/quota/tenant_bucket.h"
 
-namespace shaletray::tide {
+namespace shaletray::quota {
 namespace {
 
 using namespace std::chrono_literals;
@@ -750,4 +750,4 @@
 double Tide::free(const std::string& tenant, TimePoint now) const { return impl_->free(tenant, now); }
 Counts Tide::counts() const { return impl_->counts(); }
 
-}    // namespace shaletray::tide
+}    // namespace shaletray::quota
--- a/src/tide/tide.h
+++ b/src/cluster/quota/quota_balancer.h
@@ -24,9 +24,9 @@
 #include <string_view>
 #include <vector>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::tide {
+namespace shaletray::quota {
 
 struct Quota {    // of one tenant, as configured; rate 0: no limit
     double rate = 0.0, burst = 0.0;
@@ -91,4 +91,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}    // namespace shaletray::tide
+}    // namespace shaletray::quota
--- a/src/tide/store.cpp
+++ b/src/cluster/quota/tenant_bucket.cpp
@@ -1,8 +1,8 @@
-#include "tide/store.h"
+#include "cluster/quota/tenant_bucket.h"
 
 #include <algorithm>
 
-namespace shaletray::tide {
+namespace shaletray::quota {
 namespace {
 
 using namespace std::chrono_literals;
@@ -98,4 +98,4 @@
 
 bool Store::pressed(TimePoint now) const { return waiting > 0 || now < short_at + kPressed; }
 
-}    // namespace shaletray::tide
+}    // namespace shaletray::quota
--- a/src/tide/store.h
+++ b/src/cluster/quota/tenant_bucket.h
@@ -16,9 +16,9 @@
 #include <cstdint>
 #include <string>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::tide {
+namespace shaletray::quota {
 
 struct Quota;
 
@@ -89,4 +89,4 @@
     void refill(double sum);
 };
 
-}    // namespace shaletray::tide
+}    // namespace shaletray::quota
--- a/src/muster/view.cpp
+++ b/src/cluster/registry/endpoint_view.cpp
@@ -1,4 +1,4 @@
-#include "muster/view.h"
+#include "cluster/registry/endpoint_view.h"
 
 #include <algorithm>
 #include <boost/leaf/handle_errors.hpp>
@@ -11,10 +11,10 @@
 #include <limits>
 #include <unordered_map>
 
-#include "muster/muster.capnp.h"
-#include "station/pack.h"
+#include "base/runtime/capnp_codec.h"
+#include "cluster/registry/registry.capnp.h"
 
-namespace shaletray::muster {
+namespace shaletray::registry {
 namespace {
 
 namespace leaf = boost::leaf;
@@ -154,7 +154,7 @@
         std::vector<std::string> changed;
         const auto before = sequence_;
         leaf::result<void> taken =
-            station::unpack<wire::Words>(bytes, [&](wire::Words::Reader words) -> leaf::result<void> {
+            runtime::unpack<wire::Words>(bytes, [&](wire::Words::Reader words) -> leaf::result<void> {
                 BOOST_LEAF_CHECK(check(from, words));
                 apply(words, now);
                 return {};
@@ -200,7 +200,7 @@
         words.setSequence(sequence_);
         write_keepers(words, !told.empty() || ++answers_ % kTellKeepersEvery == 0, now);
         if (!told.empty()) write_entries(words, told, now);
-        return station::pack(message);
+        return runtime::pack(message);
     }
 
     std::uint64_t sequence() const { return sequence_; }
@@ -346,7 +346,7 @@
         if (keepers.size() == 0 || keepers.size() > kMostKeepers) return bad("keepers: none or too many");
         for (const auto k : keepers)
             if (k.getAddress().size() == 0 || k.getLife() == 0) return bad("keepers: no address or no life");
-        if (!from.empty() && station::text_of(keepers[0].getAddress()) != from)
+        if (!from.empty() && runtime::text_of(keepers[0].getAddress()) != from)
             return bad("keepers: another teller");
         if (words.getSince() > words.getSequence()) return bad("since: after the sequence");
         const auto names = words.getNames();
@@ -406,11 +406,11 @@
     void apply(wire::Words::Reader words, TimePoint now) {
         std::vector<std::uint32_t> places;
         for (const auto k : words.getKeepers()) {
-            places.push_back(keeper_at(station::text_of(k.getAddress())));
+            places.push_back(keeper_at(runtime::text_of(k.getAddress())));
             heard_of(places.back(), k.getLife(), k.getSettled(), now - from_ms(k.getQuiet()), now);
         }
         std::vector<std::string> names;
-        for (const auto name : words.getNames()) names.emplace_back(station::text_of(name));
+        for (const auto name : words.getNames()) names.emplace_back(runtime::text_of(name));
         const auto keepers = words.getKeepers();
         for (const auto e : words.getEntries())
             word(e, names, places[e.getKeeper()],
@@ -424,7 +424,7 @@
               std::uint64_t life, TimePoint now) {
         const auto state = static_cast<State>(e.getState());
         const TimePoint at = now - from_ms(e.getQuiet()), first = now - from_ms(e.getAge());
-        auto it = records_.find(station::text_of(e.getId()));
+        auto it = records_.find(runtime::text_of(e.getId()));
         if (it != records_.end()) {
             Server& known = it->at->second;
             if (it->left) return;
@@ -452,9 +452,9 @@
             }
         }
         Server s;
-        s.id = station::text_of(e.getId());
+        s.id = runtime::text_of(e.getId());
         s.service = names[e.getService()];
-        s.address = station::text_of(e.getAddress());
+        s.address = runtime::text_of(e.getAddress());
         s.zone = names[e.getZone()];
         s.revision = names[e.getRevision()];
         s.capacity = static_cast<int>(e.getCapacity());
@@ -475,7 +475,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             const Keeper& k = keepers_[i];
             auto to = list[static_cast<unsigned>(i)];
-            to.setAddress(station::words_of(k.address));
+            to.setAddress(runtime::words_of(k.address));
             to.setLife(k.life);
             to.setSettled(i == 0 ? now - started_ >= 2 * settings_.silence : k.settled);
             to.setQuiet(i == 0 ? 0 : ms(now - k.heard));
@@ -496,8 +496,8 @@
             const Record& r = *told[i];
             const Server& s = r.at->second;
             auto to = entries[static_cast<unsigned>(i)];
-            to.setId(station::words_of(s.id));
-            to.setAddress(station::words_of(s.address));
+            to.setId(runtime::words_of(s.id));
+            to.setAddress(runtime::words_of(s.address));
             to.setCalls(s.calls);
             to.setService(place_of(s.service));
             to.setZone(place_of(s.zone));
@@ -513,7 +513,7 @@
         }
         auto list = words.initNames(static_cast<unsigned>(names.size()));
         for (std::size_t i = 0; i < names.size(); ++i)
-            list.set(static_cast<unsigned>(i), station::words_of(*names[i]));
+            list.set(static_cast<unsigned>(i), runtime::words_of(*names[i]));
     }
 
     Settings settings_;
@@ -544,4 +544,4 @@
 }
 const std::map<std::string, Server>& View::servers() const { return impl_->servers(); }
 
-}    // namespace shaletray::muster
+}    // namespace shaletray::registry
--- a/src/muster/view.h
+++ b/src/cluster/registry/endpoint_view.h
@@ -17,9 +17,9 @@
 #include <string_view>
 #include <vector>
 
-#include "muster/muster.h"
+#include "cluster/registry/service_registry.h"
 
-namespace shaletray::muster {
+namespace shaletray::registry {
 
 class View {
 public:
@@ -55,4 +55,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}    // namespace shaletray::muster
+}    // namespace shaletray::registry
--- a/src/muster/beat.cpp
+++ b/src/cluster/registry/heartbeat.cpp
@@ -4,10 +4,10 @@
 #include <boost/json/value_to.hpp>
 #include <boost/leaf/error.hpp>
 
-#include "muster/muster.h"
-#include "station/settings_file.h"
+#include "base/runtime/settings_file.h"
+#include "cluster/registry/service_registry.h"
 
-namespace shaletray::muster {
+namespace shaletray::registry {
 
 namespace json = boost::json;
 namespace leaf = boost::leaf;
@@ -98,7 +98,7 @@
     if (error) return wrong(Fault::Calls);
     if (const json::value* left = find(*from, "ramp_left")) {
         if (!read_text(left, text, true)) return wrong(Fault::Ramp);
-        const auto ramp = station::read_time(text);
+        const auto ramp = runtime::read_time(text);
         if (!ramp) return wrong(Fault::Ramp);
         status.ramp_left = *ramp;
     }
@@ -144,4 +144,4 @@
     return Beat{std::move(*server)};
 }
 
-}    // namespace shaletray::muster
+}    // namespace shaletray::registry
--- a/src/muster/muster.capnp
+++ b/src/cluster/registry/registry.capnp
@@ -2,7 +2,7 @@
 @0xcaf6f1ab05dd867a;
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::muster::wire");
+$Cxx.namespace("shaletray::registry::wire");
 
 struct Words {
   keepers @0 :List(Keeper);    # the first is the teller itself
--- a/src/muster/muster.cpp
+++ b/src/cluster/registry/service_registry.cpp
@@ -1,8 +1,8 @@
-#include "muster/muster.h"
+#include "cluster/registry/service_registry.h"
 
-#include "muster/view.h"
+#include "cluster/registry/endpoint_view.h"
 
-namespace shaletray::muster {
+namespace shaletray::registry {
 
 namespace leaf = boost::leaf;
 
@@ -47,4 +47,4 @@
 }
 const std::map<std::string, Server>& Roster::servers() const { return view_->servers(); }
 
-}    // namespace shaletray::muster
+}    // namespace shaletray::registry
--- a/src/muster/muster.h
+++ b/src/cluster/registry/service_registry.h
@@ -11,9 +11,9 @@
 #include <string_view>
 #include <vector>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::muster {
+namespace shaletray::registry {
 
 // Lost: its beats stopped coming.
 enum class State : std::uint8_t { InService, Draining, Gone, Lost };
@@ -96,4 +96,4 @@
     std::unique_ptr<View> view_;
 };
 
-}    // namespace shaletray::muster
+}    // namespace shaletray::registry
--- a/src/lighthouse/watch.capnp
+++ b/src/cluster/subscription/subscription.capnp
@@ -2,7 +2,7 @@
 @0x8ac931085f77d5e6;
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::watch::wire");
+$Cxx.namespace("shaletray::subscription::wire");
 
 struct Message {
   union {
--- a/src/lighthouse/watch.cpp
+++ b/src/cluster/subscription/subscription.cpp
@@ -1,8 +1,8 @@
-#include "lighthouse/watch.h"
+#include "cluster/subscription/subscription.h"
 
-#include "lighthouse/watch.capnp.h"
+#include "cluster/subscription/subscription.capnp.h"
 
-namespace shaletray::watch {
+namespace shaletray::subscription {
 namespace {
 
 namespace leaf = boost::leaf;
@@ -24,10 +24,10 @@
     n.confirmed = from.getConfirmed();
     n.version = from.getVersion();
     n.digest = from.getDigest();
-    n.update = station::text_of(from.getUpdate());
+    n.update = runtime::text_of(from.getUpdate());
     n.since = from.getSince();
     n.sequence = from.getSequence();
-    n.servers = station::text_of(from.getServers());
+    n.servers = runtime::text_of(from.getServers());
     return n;
 }
 
@@ -42,7 +42,7 @@
     to.setKnownLife(have.known_life);
     to.setKnownSequence(have.known_sequence);
     to.setCounts(have.counts);
-    return station::pack(message);
+    return runtime::pack(message);
 }
 
 std::string encode(const News& news) {
@@ -53,34 +53,34 @@
     to.setConfirmed(news.confirmed);
     to.setVersion(news.version);
     to.setDigest(news.digest);
-    if (!news.update.empty()) to.setUpdate(station::data_of(news.update));
+    if (!news.update.empty()) to.setUpdate(runtime::data_of(news.update));
     to.setSince(news.since);
     to.setSequence(news.sequence);
-    if (!news.servers.empty()) to.setServers(station::data_of(news.servers));
-    return station::pack(message);
+    if (!news.servers.empty()) to.setServers(runtime::data_of(news.servers));
+    return runtime::pack(message);
 }
 
 leaf::result<std::variant<Have, News>> decode(std::string_view bytes) {
-    return station::unpack<wire::Message>(
+    return runtime::unpack<wire::Message>(
         bytes, [](wire::Message::Reader message) -> leaf::result<std::variant<Have, News>> {
             switch (message.which()) {
                 case wire::Message::HAVE: return read(message.getHave());
                 case wire::Message::NEWS: return read(message.getNews());
             }
-            return leaf::new_error(station::Spoilt{"neither Have nor News"});
+            return leaf::new_error(runtime::Spoilt{"neither Have nor News"});
         });
 }
 
 leaf::result<Have> decode_have(std::string_view bytes) {
     BOOST_LEAF_AUTO(message, decode(bytes));
     if (auto* const have = std::get_if<Have>(&message)) return *have;
-    return leaf::new_error(station::Spoilt{"not a Have"});
+    return leaf::new_error(runtime::Spoilt{"not a Have"});
 }
 
 leaf::result<News> decode_news(std::string_view bytes) {
     BOOST_LEAF_AUTO(message, decode(bytes));
     if (auto* const news = std::get_if<News>(&message)) return std::move(*news);
-    return leaf::new_error(station::Spoilt{"not News"});
+    return leaf::new_error(runtime::Spoilt{"not News"});
 }
 
-}    // namespace shaletray::watch
+}    // namespace shaletray::subscription
--- a/src/lighthouse/watch.h
+++ b/src/cluster/subscription/subscription.h
@@ -1,5 +1,6 @@
-// What pilots and lighthouses tell each other (signal::Kind::Watch): pilots say what they have, lighthouses
-// what is new to them. Both sides only ever state what holds, so any message may be lost or come twice.
+// What pilots and lighthouses tell each other (transport::Kind::Watch): pilots say what they have,
+// lighthouses what is new to them. Both sides only ever state what holds, so any message may be lost or come
+// twice.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -8,9 +9,9 @@
 #include <string_view>
 #include <variant>
 
-#include "station/pack.h"
+#include "base/runtime/capnp_codec.h"
 
-namespace shaletray::watch {
+namespace shaletray::subscription {
 
 // A pilot to each lighthouse it knows: every 500 ms, and at once where it lacks something.
 struct Have {
@@ -27,11 +28,12 @@
     // A majority bore out within the last 1.5 s that `version` was the newest chosen.
     bool confirmed = false;
     std::uint64_t version = 0, digest = 0;    // of the newest chart known there; 0: none was ever taken
-    // For chart::read_update, leads to `version`; empty: none comes with this. A patch to something else than
-    // what is held here is refused there: the next Have then tells what is held, and the answer fits it.
+    // For configuration::read_update, leads to `version`; empty: none comes with this. A patch to something
+    // else than what is held here is refused there: the next Have then tells what is held, and the answer
+    // fits it.
     std::string update;
-    // `servers`, always for muster::Roster::take, holds the changes after `since` up to `sequence`, and with
-    // none still tells who runs. Who knows of that life less than `since` takes it likewise, and goes on
+    // `servers`, always for registry::Roster::take, holds the changes after `since` up to `sequence`, and
+    // with none still tells who runs. Who knows of that life less than `since` takes it likewise, and goes on
     // telling what he knew before.
     std::uint64_t since = 0, sequence = 0;
     std::string servers;
@@ -40,9 +42,9 @@
 
 std::string encode(const Have& have);
 std::string encode(const News& news);
-// Errors: station::Spoilt.
+// Errors: runtime::Spoilt.
 boost::leaf::result<std::variant<Have, News>> decode(std::string_view bytes);
 boost::leaf::result<Have> decode_have(std::string_view bytes);
 boost::leaf::result<News> decode_news(std::string_view bytes);
 
-}    // namespace shaletray::watch
+}    // namespace shaletray::subscription
--- a/src/signal/mailer.cpp
+++ b/src/cluster/transport/connection_manager.cpp
@@ -1,4 +1,4 @@
-#include "signal/mailer.h"
+#include "cluster/transport/connection_manager.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/DatagramSocket.h>
@@ -18,11 +18,11 @@
 #include <utility>
 #include <vector>
 
-#include "net/stream.h"
-#include "signal/envelope.h"
-#include "signal/outbox.h"
+#include "base/net/stream.h"
+#include "cluster/transport/frame.h"
+#include "cluster/transport/send_queue.h"
 
-namespace shaletray::signal {
+namespace shaletray::transport {
 namespace {
 
 using namespace std::chrono_literals;
@@ -473,4 +473,4 @@
 const std::string& Mailer::address() const { return impl_->address_; }
 const Mailer::Counts& Mailer::counts() const { return impl_->counts_; }
 
-}    // namespace shaletray::signal
+}    // namespace shaletray::transport
--- a/src/signal/mailer.h
+++ b/src/cluster/transport/connection_manager.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <string_view>
 
-#include "net/reactor.h"
+#include "base/net/reactor.h"
 
-namespace shaletray::signal {
+namespace shaletray::transport {
 
 enum class Kind : std::uint8_t { Convoy = 1, Lamp, Muster, Watch, Tide };
 
@@ -54,4 +54,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}    // namespace shaletray::signal
+}    // namespace shaletray::transport
--- a/src/signal/letter.capnp
+++ b/src/cluster/transport/envelope.capnp
@@ -2,7 +2,7 @@
 # What one process of the system sends to another, as a datagram or as a frame of a session.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::signal::schema");
+$Cxx.namespace("shaletray::transport::schema");
 
 struct Envelope {
   version @0 :UInt16;    # of what the kinds' bytes mean; another one is not read
--- a/src/signal/envelope.cpp
+++ b/src/cluster/transport/frame.cpp
@@ -1,4 +1,4 @@
-#include "signal/envelope.h"
+#include "cluster/transport/frame.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -7,9 +7,9 @@
 
 #include <cstring>
 
-#include "signal/letter.capnp.h"
+#include "cluster/transport/envelope.capnp.h"
 
-namespace shaletray::signal {
+namespace shaletray::transport {
 namespace {
 
 constexpr std::size_t kWord = sizeof(capnp::word);
@@ -86,4 +86,4 @@
     return length;
 }
 
-}    // namespace shaletray::signal
+}    // namespace shaletray::transport
--- a/src/signal/envelope.h
+++ b/src/cluster/transport/frame.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "signal/mailer.h"
+#include "cluster/transport/connection_manager.h"
 
-namespace shaletray::signal {
+namespace shaletray::transport {
 
 constexpr std::uint16_t kVersion = 1;
 constexpr std::size_t kLongestFrom = 64;           // bytes of an address
@@ -26,4 +26,4 @@
 // The length of the frame that begins `bytes`, without its head; 0 while the head is not there whole.
 std::size_t frame_length(std::string_view bytes);
 
-}    // namespace shaletray::signal
+}    // namespace shaletray::transport
--- a/src/signal/outbox.cpp
+++ b/src/cluster/transport/send_queue.cpp
@@ -1,9 +1,9 @@
-#include "signal/outbox.h"
+#include "cluster/transport/send_queue.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace shaletray::signal {
+namespace shaletray::transport {
 
 void Outbox::drop_first() {
     bytes_ -= waiting_.front().bytes.size();
@@ -50,4 +50,4 @@
     return std::max(wait, kFirst * 3 / 4);
 }
 
-}    // namespace shaletray::signal
+}    // namespace shaletray::transport
--- a/src/signal/outbox.h
+++ b/src/cluster/transport/send_queue.h
@@ -6,9 +6,9 @@
 #include <random>
 #include <string>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::signal {
+namespace shaletray::transport {
 
 class Outbox {
 public:
@@ -56,4 +56,4 @@
     Duration wait_ = kFirst;
 };
 
-}    // namespace shaletray::signal
+}    // namespace shaletray::transport
--- a/src/helm/command.cpp
+++ b/src/controller/api/control_command.cpp
@@ -1,10 +1,10 @@
-#include "helm/command.h"
+#include "controller/api/control_command.h"
 
 #include <algorithm>
 #include <boost/leaf/error.hpp>
 #include <boost/leaf/handle_errors.hpp>
 
-namespace shaletray::helm {
+namespace shaletray::control_api {
 namespace {
 
 namespace leaf = boost::leaf;
@@ -46,7 +46,7 @@
 std::size_t kind_of(const Command& command) {
     if (std::holds_alternative<Deregister>(command)) return 0;
     if (const auto* beat = std::get_if<Beat>(&command))
-        return beat->beat.server.state == muster::State::Draining ? 0 : 1;
+        return beat->beat.server.state == registry::State::Draining ? 0 : 1;
     return std::holds_alternative<Read>(command) ? 1 : 2;
 }
 
@@ -67,7 +67,7 @@
     if (to.path == Path::Deregister) return Command(Deregister{std::string(to.id)});
     return leaf::try_handle_some(
         [&]() -> leaf::result<Command> {
-            BOOST_LEAF_AUTO(beat, muster::read_beat(to.id, body));
+            BOOST_LEAF_AUTO(beat, registry::read_beat(to.id, body));
             return Command(Beat{std::move(beat)});
         },
         [&](const std::string& why) -> leaf::result<Command> { return no(400, why); });
@@ -100,4 +100,4 @@
     return count;
 }
 
-}    // namespace shaletray::helm
+}    // namespace shaletray::control_api
--- a/src/helm/command.h
+++ b/src/controller/api/control_command.h
@@ -11,12 +11,12 @@
 #include <string_view>
 #include <variant>
 
-#include "muster/muster.h"
+#include "cluster/registry/service_registry.h"
 
-namespace shaletray::helm {
+namespace shaletray::control_api {
 
 struct Beat {    // POST /members/ID/heartbeat
-    muster::Beat beat;
+    registry::Beat beat;
 };
 struct Deregister {    // POST /members/ID/deregister
     std::string id;
@@ -67,4 +67,4 @@
     std::deque<Order> waiting_[kKinds];
 };
 
-}    // namespace shaletray::helm
+}    // namespace shaletray::control_api
--- a/src/lighthouse/gallery.cpp
+++ b/src/controller/configuration_publisher.cpp
@@ -1,23 +1,23 @@
-#include "lighthouse/gallery.h"
+#include "controller/configuration_publisher.h"
 
 #include <algorithm>
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
-void Gallery::chart(chart::Chart chart) {
+void Gallery::chart(configuration::Chart chart) {
     updates_.clear();
     Held held;
-    held.digest = chart::digest_of(chart);
+    held.digest = configuration::digest_of(chart);
     if (!charts_.empty()) {
         // What a patch leads to shares the rows that it leaves alone, and most pilots hold the one before.
         const Held& before = charts_.back();
-        std::string patch = chart::write_patch(*before.chart, chart);
-        if (auto shared = chart::read_update(*before.chart, patch)) {
+        std::string patch = configuration::write_patch(*before.chart, chart);
+        if (auto shared = configuration::read_update(*before.chart, patch)) {
             chart = std::move(*shared);
             updates_.emplace(std::pair(before.chart->version, before.digest), std::move(patch));
         }
     }
-    held.chart = std::make_shared<const chart::Chart>(std::move(chart));
+    held.chart = std::make_shared<const configuration::Chart>(std::move(chart));
     charts_.push_back(std::move(held));
     if (charts_.size() > settings_.charts) charts_.pop_front();
 }
@@ -28,13 +28,13 @@
     const auto base = std::find_if(charts_.begin(), charts_.end(), [&](const Held& h) {
         return h.chart->version == version && h.digest == digest;
     });
-    it->second = base == charts_.end() ? chart::write_whole(*charts_.back().chart)
-                                       : chart::write_patch(*base->chart, *charts_.back().chart);
+    it->second = base == charts_.end() ? configuration::write_whole(*charts_.back().chart)
+                                       : configuration::write_patch(*base->chart, *charts_.back().chart);
     return it->second;
 }
 
 std::string Gallery::news(Watcher& watcher, TimePoint now) {
-    watch::News news;
+    subscription::News news;
     news.life = settings_.life;
     news.confirmed = confirmed_;
     if (!charts_.empty()) {
@@ -50,10 +50,11 @@
     news.sequence = muster_.sequence();
     news.servers = muster_.changes(news.since, false, now);    // with no change it still tells who runs
     watcher.sequence = news.sequence;
-    return watch::encode(news);
+    return subscription::encode(news);
 }
 
-void Gallery::heard(const std::string& from, const watch::Have& have, TimePoint now, std::vector<Send>& out) {
+void Gallery::heard(const std::string& from, const subscription::Have& have, TimePoint now,
+                    std::vector<Send>& out) {
     Watcher& watcher = watchers_[from];
     watcher.version = have.version;
     watcher.digest = have.digest;
@@ -85,4 +86,4 @@
     }
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/gallery.h
+++ b/src/controller/configuration_publisher.h
@@ -9,11 +9,11 @@
 #include <utility>
 #include <vector>
 
-#include "chart/chart.h"
-#include "lighthouse/watch.h"
-#include "muster/muster.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/registry/service_registry.h"
+#include "cluster/subscription/subscription.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 class Gallery {
 public:
@@ -26,22 +26,23 @@
     struct Send {
         std::string to, bytes;
     };
-    Gallery(Settings settings, const muster::Muster& muster) : settings_(settings), muster_(muster) {}
+    Gallery(Settings settings, const registry::Muster& muster) : settings_(settings), muster_(muster) {}
 
     // This lighthouse's was raised: pilots are told all anew.
     void life(std::uint64_t life) { settings_.life = life; }
     // The newest chart that was decided on. Those before it are kept as what differs.
-    void chart(chart::Chart chart);
+    void chart(configuration::Chart chart);
     std::uint64_t version() const { return charts_.empty() ? 0 : charts_.back().chart->version; }
     void confirmed(bool yes) { confirmed_ = yes; }
-    void heard(const std::string& from, const watch::Have& have, TimePoint now, std::vector<Send>& out);
+    void heard(const std::string& from, const subscription::Have& have, TimePoint now,
+               std::vector<Send>& out);
     // To all that reported lately and lack something.
     void tell(TimePoint now, std::vector<Send>& out);
     std::size_t pilots() const { return watchers_.size(); }
 
 private:
     struct Held {
-        std::shared_ptr<const chart::Chart> chart;
+        std::shared_ptr<const configuration::Chart> chart;
         std::uint64_t digest = 0;
     };
     struct Watcher {
@@ -54,11 +55,11 @@
     const std::string& update_from(std::uint64_t version, std::uint64_t digest);
 
     Settings settings_;
-    const muster::Muster& muster_;
+    const registry::Muster& muster_;
     std::deque<Held> charts_;                                                   // the newest last
     std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> updates_;    // to the newest, made once
     std::map<std::string, Watcher> watchers_;
     bool confirmed_ = false;
 };
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/checker.cpp
+++ b/src/controller/configuration_validator.cpp
@@ -1,20 +1,20 @@
-#include "lighthouse/checker.h"
+#include "controller/configuration_validator.h"
 
 #include <boost/leaf/handle_errors.hpp>
 #include <utility>
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 namespace {
 
 Checker::Outcome read(const std::string& text) {
     return boost::leaf::try_handle_all(
         [&]() -> boost::leaf::result<Checker::Outcome> {
-            BOOST_LEAF_AUTO(chart, chart::read_chart(text));
+            BOOST_LEAF_AUTO(chart, configuration::read_chart(text));
             return Checker::Outcome(std::move(chart));
         },
-        [](const chart::Refusal& refusal) { return Checker::Outcome(refusal); },
+        [](const configuration::Refusal& refusal) { return Checker::Outcome(refusal); },
         [] {
-            return Checker::Outcome(chart::Refusal{"body", "cannot be read"});
+            return Checker::Outcome(configuration::Refusal{"body", "cannot be read"});
         });
 }
 
@@ -75,4 +75,4 @@
     }
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/checker.h
+++ b/src/controller/configuration_validator.h
@@ -10,14 +10,14 @@
 #include <thread>
 #include <variant>
 
-#include "chart/chart.h"
-#include "net/waker.h"
+#include "base/net/waker.h"
+#include "cluster/configuration/configuration.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 class Checker {
 public:
-    using Outcome = std::variant<chart::Chart, chart::Refusal>;
+    using Outcome = std::variant<configuration::Chart, configuration::Refusal>;
     using Then = std::function<void(std::string text, Outcome outcome)>;                 // on the loop
     static constexpr std::size_t kShort = 64 * 1024, kMostWaiting = 96 * 1024 * 1024;    // bytes
 
@@ -44,4 +44,4 @@
     std::thread thread_;    // begun by the first long text
 };
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/lighthouse.cpp
+++ b/src/controller/controller.cpp
@@ -1,18 +1,18 @@
-#include "lighthouse/lighthouse.h"
+#include "controller/controller.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <boost/leaf/handle_errors.hpp>
 
-#include "station/log_sink.h"
+#include "base/runtime/log_sink.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 namespace {
 
 using namespace std::chrono_literals;
 namespace leaf = boost::leaf;
-using station::event;
+using runtime::event;
 
 constexpr Duration kMusterEvery = 250ms, kVotersEvery = 250ms, kFollowsFor = 2s;
 // Callers move on to another lighthouse after a second of silence.
@@ -22,7 +22,7 @@
 constexpr int kCommandsAtOnce = 64;    // in one turn of the loop
 constexpr std::size_t kCheckedKept = 4;
 
-helm::Queue::Answer trouble(int status, const std::string& why) {
+control_api::Queue::Answer trouble(int status, const std::string& why) {
     std::string text;
     for (const char c : why) {
         if (c == '"' || c == '\\') text += '\\';
@@ -31,21 +31,21 @@
     return {status, fmt::format("{{\"error\":\"{}\"}}", text), {}};
 }
 
-helm::Queue::Answer come_back() {
+control_api::Queue::Answer come_back() {
     return {503, "{\"error\":\"no majority in time\"}", "Retry-After: 0.1\r\n"};
 }
 
 // "10.1.0.24:7100/0,10.2.0.9:7100/77": addresses and disks
-std::string named(const std::vector<lamp::Member>& voters) {
+std::string named(const std::vector<consensus::Member>& voters) {
     std::string text;
-    for (const lamp::Member& m : voters)
+    for (const consensus::Member& m : voters)
         text += fmt::format("{}{}/{}", text.empty() ? "" : ",", m.address, m.disk);
     return text;
 }
 
-muster::Muster::Settings muster_settings(const std::string& me, std::uint64_t life,
-                                         const station::NodeSettings& s) {
-    muster::Muster::Settings m;
+registry::Muster::Settings muster_settings(const std::string& me, std::uint64_t life,
+                                           const runtime::NodeSettings& s) {
+    registry::Muster::Settings m;
     m.me = me;
     m.life = life;
     m.heartbeat = s.heartbeat;
@@ -54,9 +54,9 @@
 
 }    // namespace
 
-Lighthouse::Lighthouse(station::NodeSettings settings, std::unique_ptr<lamp::Store> store)
+Lighthouse::Lighthouse(runtime::NodeSettings settings, std::unique_ptr<consensus::Store> store)
     : settings_(std::move(settings)),
-      address_(station::lighthouse_address(settings_.ip, settings_)),
+      address_(runtime::lighthouse_address(settings_.ip, settings_)),
       life_(static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock_.now().time_since_epoch().count()))),
       store_(std::move(store)),
       muster_(muster_settings(address_, life_, settings_)),
@@ -70,19 +70,19 @@
       checker_(reactor_) {
     const TimePoint now = clock_.now();
     const std::uint64_t seed = std::hash<std::string>{}(address_) ^ life_;
-    const std::vector<std::string> seeds = station::lighthouse_seeds(settings_);
+    const std::vector<std::string> seeds = runtime::lighthouse_seeds(settings_);
 
-    lamp::Settings l;
+    consensus::Settings l;
     l.me = {address_, store_->loaded().disk};
     l.votes = settings_.quorum_member;
     if (settings_.bootstrap) l.founders = seeds;
     l.seed = seed;
     l.longest_wait = quorum_.longest_wait();
-    lamp_ = std::make_unique<lamp::Lamp>(l, store_->loaded(), now);
+    lamp_ = std::make_unique<consensus::Lamp>(l, store_->loaded(), now);
 
-    convoy::Settings c;
+    membership::Settings c;
     c.me.address = address_;
-    c.me.role = convoy::Role::Lighthouse;
+    c.me.role = membership::Role::Lighthouse;
     c.me.name = settings_.node_name;
     c.me.zone = settings_.zone;
     c.me.region = settings_.region;
@@ -92,13 +92,14 @@
     c.me.life = life_;
     c.seeds = seeds;
     c.seed = seed + 1;
-    convoy_ = std::make_unique<convoy::Convoy>(c, now);
+    convoy_ = std::make_unique<membership::Convoy>(c, now);
 
-    mailer_ = std::make_unique<signal::Mailer>(reactor_, address_, life_, signal::Mailer::Limits{},
-                                               [this](signal::Letter&& letter) { heard(std::move(letter)); });
+    mailer_ =
+        std::make_unique<transport::Mailer>(reactor_, address_, life_, transport::Mailer::Limits{},
+                                            [this](transport::Letter&& letter) { heard(std::move(letter)); });
     stored_ = std::make_unique<Waker>(reactor_, [this] {
         for (const std::uint64_t token : store_->done()) {
-            lamp::Actions out;
+            consensus::Actions out;
             lamp_->stored(token, clock_.now(), out);
             carry(std::move(out));
         }
@@ -109,7 +110,7 @@
     calls_ = std::make_unique<CallServer>(
         reactor_, CallServer::listen(settings_.control), limits,
         [this](const Call& call, std::shared_ptr<Caller> caller) { take(call, std::move(caller)); },
-        helm::longest_body);
+        control_api::longest_body);
     if (!settings_.readiness.empty())
         readiness_ =
             serve_readiness(reactor_, settings_.readiness, [this] { return quorum_.held(clock_.now()); });
@@ -137,18 +138,18 @@
     reactor_.run();
 }
 
-void Lighthouse::settings_changed(const station::NodeSettings& settings) {
+void Lighthouse::settings_changed(const runtime::NodeSettings& settings) {
     settings_.seeds = settings.seeds;
-    convoy_->seeds(station::lighthouse_seeds(settings_));
+    convoy_->seeds(runtime::lighthouse_seeds(settings_));
     members_changed();
 }
 
 // ---- calls ----
 
 void Lighthouse::take(const Call& call, std::shared_ptr<Caller> caller) {
-    helm::Queue::Order order;
+    control_api::Queue::Order order;
     order.since = clock_.now();
-    order.answer = [caller](helm::Queue::Answer answer) {
+    order.answer = [caller](control_api::Queue::Answer answer) {
         Reply reply;
         reply.status = answer.status;
         reply.body = std::move(answer.body);
@@ -158,12 +159,12 @@
     order.gone = [caller] { return caller->gone(); };
     const bool understood = leaf::try_handle_all(
         [&]() -> leaf::result<bool> {
-            BOOST_LEAF_ASSIGN(order.command, helm::decode(call.method, call.target, call.body));
+            BOOST_LEAF_ASSIGN(order.command, control_api::decode(call.method, call.target, call.body));
             return true;
         },
-        [&](const helm::Refused& refused) {
+        [&](const control_api::Refused& refused) {
             ++counts_.refused;
-            helm::Queue::Answer answer = trouble(refused.status, refused.why);
+            control_api::Queue::Answer answer = trouble(refused.status, refused.why);
             if (!refused.allow.empty()) answer.headers = fmt::format("Allow: {}\r\n", refused.allow);
             order.answer(std::move(answer));
             return false;
@@ -184,7 +185,7 @@
 void Lighthouse::run_commands() {
     commands_timer_ = 0;
     for (int i = 0; i < kCommandsAtOnce; ++i) {
-        std::optional<helm::Queue::Order> order = commands_.pop();
+        std::optional<control_api::Queue::Order> order = commands_.pop();
         if (!order) break;
         std::visit([&](auto& command) { run(command, *order); }, order->command);
     }
@@ -198,29 +199,29 @@
 }
 
 // What a server says holds also where it does not wait for the answer any more.
-void Lighthouse::run(helm::Beat& beat, helm::Queue::Order& order) {
+void Lighthouse::run(control_api::Beat& beat, control_api::Queue::Order& order) {
     ++counts_.beats;
     muster_.beat(beat.beat, clock_.now());
     acknowledged_.push_back(std::move(order.answer));
 }
 
-void Lighthouse::run(helm::Deregister& end, helm::Queue::Order& order) {
+void Lighthouse::run(control_api::Deregister& end, control_api::Queue::Order& order) {
     ++counts_.ends;
     muster_.deregister(end.id, clock_.now());
     acknowledged_.push_back(std::move(order.answer));
 }
 
-void Lighthouse::run(helm::Replace& replace, helm::Queue::Order& order) {
+void Lighthouse::run(control_api::Replace& replace, control_api::Queue::Order& order) {
     ++counts_.replaces;
     if (order.gone()) return;
     const bool taken = checker_.check(
         std::move(replace.text), [this, answer = order.answer](std::string text, Checker::Outcome outcome) {
-            if (const auto* refusal = std::get_if<chart::Refusal>(&outcome)) {
+            if (const auto* refusal = std::get_if<configuration::Refusal>(&outcome)) {
                 event(LogLevel::Info, "configuration_refused",
                       {kv("field", refusal->field), kv("why", refusal->why)});
                 return answer(trouble(400, refusal->field + ": " + refusal->why));
             }
-            chart::Chart& chart = std::get<chart::Chart>(outcome);
+            configuration::Chart& chart = std::get<configuration::Chart>(outcome);
             const std::uint64_t version = chart.version;
             checked_.push_back({text.size(), std::hash<std::string>{}(text), std::move(chart)});
             if (checked_.size() > kCheckedKept) checked_.pop_front();
@@ -230,12 +231,12 @@
 }
 
 void Lighthouse::propose(std::string text, std::uint64_t version,
-                         std::function<void(helm::Queue::Answer)> answer) {
-    const lamp::Ticket ticket = ++last_ticket_;
+                         std::function<void(control_api::Queue::Answer)> answer) {
+    const consensus::Ticket ticket = ++last_ticket_;
     const TimePoint now = clock_.now();
-    tickets_[ticket] = [this, version, now, answer = std::move(answer)](lamp::Answer outcome) {
-        const bool conflict = outcome == lamp::Answer::Conflict,
-                   unsettled = outcome == lamp::Answer::Unsettled;
+    tickets_[ticket] = [this, version, now, answer = std::move(answer)](consensus::Answer outcome) {
+        const bool conflict = outcome == consensus::Answer::Conflict,
+                   unsettled = outcome == consensus::Answer::Unsettled;
         counts_.conflicts += conflict;
         counts_.unsettled += unsettled;
         event(LogLevel::Info,
@@ -248,53 +249,53 @@
         if (conflict) return answer(trouble(409, "revision: this number was taken by another body"));
         answer({200, "{}", {}});
     };
-    lamp::Actions out;
+    consensus::Actions out;
     lamp_->propose(ticket, version, std::move(text), now + kAnswerWithin, now, out);
     carry(std::move(out));
 }
 
-void Lighthouse::run(helm::Read&, helm::Queue::Order& order) {
+void Lighthouse::run(control_api::Read&, control_api::Queue::Order& order) {
     ++counts_.reads;
     if (order.gone()) return;
-    const lamp::Ticket ticket = ++last_ticket_;
-    tickets_[ticket] = [this, answer = order.answer](lamp::Answer outcome) {
-        if (outcome == lamp::Answer::Unsettled) return answer(come_back());
-        const lamp::Decree& decree = lamp_->decree();
+    const consensus::Ticket ticket = ++last_ticket_;
+    tickets_[ticket] = [this, answer = order.answer](consensus::Answer outcome) {
+        if (outcome == consensus::Answer::Unsettled) return answer(come_back());
+        const consensus::Decree& decree = lamp_->decree();
         if (decree.version == 0) return answer(trouble(404, "no configuration was taken yet"));
         answer({200, decree.text, {}});
     };
     const TimePoint now = clock_.now();
-    lamp::Actions out;
+    consensus::Actions out;
     lamp_->quorum_read(ticket, now + kAnswerWithin, now, out);
     carry(std::move(out));
 }
 
 // ---- other processes ----
 
-void Lighthouse::heard(signal::Letter&& letter) {
+void Lighthouse::heard(transport::Letter&& letter) {
     const TimePoint now = clock_.now();
     switch (letter.kind) {
-        case signal::Kind::Convoy: {
-            convoy::Actions out;
+        case transport::Kind::Convoy: {
+            membership::Actions out;
             convoy_->heard(letter.from, letter.bytes, now, out);
             carry(out);
             break;
         }
-        case signal::Kind::Lamp: {
+        case transport::Kind::Lamp: {
             convoy_->seen(letter.from, letter.life, now);
-            lamp::Actions out;
+            consensus::Actions out;
             lamp_->heard(letter.from, letter.bytes, now, out);
             carry(std::move(out));
             break;
         }
-        case signal::Kind::Muster:
+        case transport::Kind::Muster:
             convoy_->seen(letter.from, letter.life, now);
             relay_.heard(letter.from, letter.life, letter.bytes, now);
             tell_pilots();
             break;
-        case signal::Kind::Watch: {
+        case transport::Kind::Watch: {
             convoy_->seen(letter.from, letter.life, now);
-            auto have = watch::decode_have(letter.bytes);
+            auto have = subscription::decode_have(letter.bytes);
             if (!have) break;
             std::vector<Gallery::Send> out;
             gallery_.confirmed(quorum_.held(clock_.now()));
@@ -302,25 +303,25 @@
             send(out);
             break;
         }
-        case signal::Kind::Tide: break;    // pilots' own
+        case transport::Kind::Tide: break;    // pilots' own
     }
 }
 
-void Lighthouse::carry(const convoy::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->datagram(send.to, signal::Kind::Convoy, send.bytes);
+void Lighthouse::carry(const membership::Actions& actions) {
+    for (const auto& send : actions.sends) mailer_->datagram(send.to, transport::Kind::Convoy, send.bytes);
     bool lighthouses = false;
     for (const std::string& address : actions.changed) {
         const auto it = convoy_->members().find(address);
         lighthouses = lighthouses || it == convoy_->members().end() ||
-                      it->second.facts.role == convoy::Role::Lighthouse;
+                      it->second.facts.role == membership::Role::Lighthouse;
     }
     if (lighthouses) members_changed();
 }
 
-void Lighthouse::carry(lamp::Actions&& actions) {
+void Lighthouse::carry(consensus::Actions&& actions) {
     look_after_quorum();
     for (auto& store : actions.stores) store_->put(std::move(store));
-    for (const auto& send : actions.sends) mailer_->session(send.to, signal::Kind::Lamp, send.bytes);
+    for (const auto& send : actions.sends) mailer_->session(send.to, transport::Kind::Lamp, send.bytes);
     // Pilots are told before anybody hears that it is settled.
     if (actions.changed) decree_changed();
     for (const auto& done : actions.done) {
@@ -334,14 +335,14 @@
 }
 
 void Lighthouse::decree_changed() {
-    const lamp::Decree& decree = lamp_->decree();
+    const consensus::Decree& decree = lamp_->decree();
     event(LogLevel::Info, "decree",
           {kv("number", decree.number), kv("version", decree.version), kv("voters", decree.voters.size())});
     read_decree();
 }
 
 void Lighthouse::read_decree() {
-    const lamp::Decree& decree = lamp_->decree();
+    const consensus::Decree& decree = lamp_->decree();
     if (decree.version <= decree_read_) return;
     decree_read_ = decree.version;
     const std::size_t hash = std::hash<std::string>{}(decree.text);
@@ -356,13 +357,14 @@
     // It was checked before it was proposed.
     const bool taken = checker_.check(
         std::string(decree.text), [this, version = decree.version](std::string, Checker::Outcome outcome) {
-            if (auto* chart = std::get_if<chart::Chart>(&outcome)) return take_chart(std::move(*chart));
+            if (auto* chart = std::get_if<configuration::Chart>(&outcome))
+                return take_chart(std::move(*chart));
             event(LogLevel::Error, "decree_unread", {kv("version", version)});
         });
     if (!taken) decree_read_ = 0;    // a little later then
 }
 
-void Lighthouse::take_chart(chart::Chart chart) {
+void Lighthouse::take_chart(configuration::Chart chart) {
     if (chart.version <= gallery_.version()) return;    // a later one was shorter, and read before
     gallery_.chart(std::move(chart));
     std::vector<Gallery::Send> out;
@@ -389,20 +391,20 @@
 }
 
 void Lighthouse::send(const std::vector<Gallery::Send>& sends) {
-    for (const auto& s : sends) mailer_->session(s.to, signal::Kind::Watch, s.bytes);
+    for (const auto& s : sends) mailer_->session(s.to, transport::Kind::Watch, s.bytes);
 }
 
 void Lighthouse::send(const std::vector<Relay::Send>& sends) {
-    for (const auto& s : sends) mailer_->session(s.to, signal::Kind::Muster, s.bytes);
+    for (const auto& s : sends) mailer_->session(s.to, transport::Kind::Muster, s.bytes);
 }
 
 void Lighthouse::members_changed() {
     std::vector<std::string> others;
     for (const auto& [address, member] : convoy_->members()) {
-        if (member.facts.role == convoy::Role::Lighthouse && member.state != convoy::State::Gone)
+        if (member.facts.role == membership::Role::Lighthouse && member.state != membership::State::Gone)
             others.push_back(address);
     }
-    for (const std::string& seed : station::lighthouse_seeds(settings_)) {
+    for (const std::string& seed : runtime::lighthouse_seeds(settings_)) {
         const auto it = convoy_->members().find(seed);
         if (seed != address_ && it == convoy_->members().end()) others.push_back(seed);
     }
@@ -413,7 +415,7 @@
 void Lighthouse::look_after_quorum() {
     const auto change = quorum_.look(lamp_->confirmed(), clock_.now());
     if (!change) return;
-    const lamp::Decree& decree = lamp_->decree();
+    const consensus::Decree& decree = lamp_->decree();
     event(change->held ? LogLevel::Info : LogLevel::Warning, change->held ? "quorum_regained" : "quorum_lost",
           {kv(change->held ? "without_ms" : "held_ms", change->after / 1ms), kv("version", decree.version),
            kv("voters", decree.voters.size()), kv("voter", lamp_->is_voter())});
@@ -425,7 +427,7 @@
     const TimePoint now = clock_.now();
     ticks_at_ = TimePoint::max();
     if (convoy_->next() <= now) {
-        convoy::Actions out;
+        membership::Actions out;
         convoy_->tick(now, out);
         carry(out);
         if (convoy_->me().life != life_) {
@@ -437,13 +439,13 @@
         }
     }
     if (const auto due = lamp_->next(); due && *due <= now) {
-        lamp::Actions out;
+        consensus::Actions out;
         lamp_->tick(now, out);
         carry(std::move(out));
     }
     if (now >= next_confirm_) {
         next_confirm_ = now + quorum_.ask_every();
-        lamp::Actions out;
+        consensus::Actions out;
         lamp_->quorum_read(++last_ticket_, now + kAnswerWithin, now, out);    // nobody waits for it
         carry(std::move(out));
     }
@@ -474,13 +476,13 @@
 
 void Lighthouse::look_after_voters() {
     const TimePoint now = clock_.now();
-    const auto follows = [this](const lamp::Member& m) { return lamp_->follows(m, kFollowsFor); };
+    const auto follows = [this](const consensus::Member& m) { return lamp_->follows(m, kFollowsFor); };
     const auto step = steward_.next(lamp_->decree(), convoy_->members(), follows, now);
     hands_on_ = stopping_since_ != TimePoint{} && step.has_value();
     if (!step) return;
     if (voters_gate_.open())
         event(LogLevel::Info, "voters_change", {kv("from", named(step->from)), kv("to", named(step->to))});
-    lamp::Actions out;
+    consensus::Actions out;
     lamp_->change_voters(step->from, step->to, now, out);
     carry(std::move(out));
 }
@@ -504,14 +506,14 @@
     const Duration stopping = clock_.now() - stopping_since_;
     if (stopping < kEndAfter) return;
     if (stopping < kEndAtLast && (calls_->under_way() > 0 || (lamp_->is_voter() && hands_on_))) return;
-    convoy::Actions out;
+    membership::Actions out;
     convoy_->leave(clock_.now(), out);
     carry(out);
     reactor_.stop();
 }
 
 std::string Lighthouse::counters_text() const {
-    const signal::Mailer::Counts& m = mailer_->counts();
+    const transport::Mailer::Counts& m = mailer_->counts();
     return fmt::format(
         "beats={} ends={} replaces={} reads={} refused={} conflicts={} unsettled={} quorum={} "
         "quorum_losses={} pilots={} servers={} failed_writes={} "
@@ -521,4 +523,4 @@
         muster_.servers().size(), store_->failed_writes(), m.sent, m.sent_bytes, m.dropped, m.spoilt);
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/lighthouse.h
+++ b/src/controller/controller.h
@@ -9,49 +9,50 @@
 #include <string>
 #include <vector>
 
-#include "convoy/convoy.h"
-#include "helm/command.h"
-#include "lamp/lamp.h"
-#include "lamp/store.h"
-#include "lighthouse/checker.h"
-#include "lighthouse/gallery.h"
-#include "lighthouse/quorum.h"
-#include "lighthouse/relay.h"
-#include "lighthouse/steward.h"
-#include "muster/muster.h"
-#include "net/call_server.h"
-#include "net/waker.h"
-#include "signal/mailer.h"
-#include "station/settings_file.h"
+#include "base/net/api_server.h"
+#include "base/net/waker.h"
+#include "base/runtime/settings_file.h"
+#include "cluster/consensus/replicated_register.h"
+#include "cluster/consensus/state_store.h"
+#include "cluster/membership/membership.h"
+#include "cluster/registry/service_registry.h"
+#include "cluster/transport/connection_manager.h"
+#include "controller/api/control_command.h"
+#include "controller/configuration_publisher.h"
+#include "controller/configuration_validator.h"
+#include "controller/quorum_tracker.h"
+#include "controller/registry_forwarder.h"
+#include "controller/voter_reconciler.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 class Lighthouse {
 public:
     // Throws Poco::Exception where an address cannot be used.
-    Lighthouse(station::NodeSettings settings, std::unique_ptr<lamp::Store> store);
+    Lighthouse(runtime::NodeSettings settings, std::unique_ptr<consensus::Store> store);
     ~Lighthouse();
     // Until stopped. `look` runs once a turn, and at least ten times a second.
     void run(std::function<void()> look);
     void stop();
     // Takes over the seeds; all else takes a restart.
-    void settings_changed(const station::NodeSettings& settings);
+    void settings_changed(const runtime::NodeSettings& settings);
     std::string counters_text() const;
 
 private:
-    void heard(signal::Letter&& letter);
+    void heard(transport::Letter&& letter);
     void take(const Call& call, std::shared_ptr<Caller> caller);
     void run_commands();
-    void run(helm::Beat& beat, helm::Queue::Order& order);
-    void run(helm::Deregister& end, helm::Queue::Order& order);
-    void run(helm::Replace& replace, helm::Queue::Order& order);
-    void run(helm::Read& read, helm::Queue::Order& order);
-    void propose(std::string text, std::uint64_t version, std::function<void(helm::Queue::Answer)> answer);
-    void carry(const convoy::Actions& actions);
-    void carry(lamp::Actions&& actions);
+    void run(control_api::Beat& beat, control_api::Queue::Order& order);
+    void run(control_api::Deregister& end, control_api::Queue::Order& order);
+    void run(control_api::Replace& replace, control_api::Queue::Order& order);
+    void run(control_api::Read& read, control_api::Queue::Order& order);
+    void propose(std::string text, std::uint64_t version,
+                 std::function<void(control_api::Queue::Answer)> answer);
+    void carry(const membership::Actions& actions);
+    void carry(consensus::Actions&& actions);
     void decree_changed();
     void read_decree();
-    void take_chart(chart::Chart chart);
+    void take_chart(configuration::Chart chart);
     void muster_changed();
     void tell_pilots();
     void send(const std::vector<Gallery::Send>& sends);
@@ -63,34 +64,34 @@
     void tick_at(TimePoint when);
     void look_after_stop();
 
-    station::NodeSettings settings_;
+    runtime::NodeSettings settings_;
     SystemClock clock_;
     std::string address_;
     std::uint64_t life_;
     Timers timers_;
     Reactor reactor_{clock_, timers_};
-    std::unique_ptr<lamp::Store> store_;
-    std::unique_ptr<lamp::Lamp> lamp_;
-    std::unique_ptr<convoy::Convoy> convoy_;
-    muster::Muster muster_;
+    std::unique_ptr<consensus::Store> store_;
+    std::unique_ptr<consensus::Lamp> lamp_;
+    std::unique_ptr<membership::Convoy> convoy_;
+    registry::Muster muster_;
     Relay relay_;
     Gallery gallery_;
     Steward steward_;
     Quorum quorum_;
     Checker checker_;
-    std::unique_ptr<signal::Mailer> mailer_;
+    std::unique_ptr<transport::Mailer> mailer_;
     std::unique_ptr<Waker> stored_;
-    helm::Queue commands_;
+    control_api::Queue commands_;
     std::unique_ptr<CallServer> calls_, readiness_;
-    std::map<lamp::Ticket, std::function<void(lamp::Answer)>> tickets_;
-    lamp::Ticket last_ticket_ = 0;
+    std::map<consensus::Ticket, std::function<void(consensus::Answer)>> tickets_;
+    consensus::Ticket last_ticket_ = 0;
     std::uint64_t told_pilots_ = 0;    // up to which change of our muster
     // Calls of servers that were run in this turn: acknowledged once all are told.
-    std::vector<std::function<void(helm::Queue::Answer)>> acknowledged_;
+    std::vector<std::function<void(control_api::Queue::Answer)>> acknowledged_;
     // What was read here and not decided yet: a decree that follows need not be read again.
     struct Checked {
         std::size_t length = 0, hash = 0;
-        chart::Chart chart;
+        configuration::Chart chart;
     };
     std::deque<Checked> checked_;
     std::uint64_t decree_read_ = 0;    // the version that was read last, or is being read
@@ -104,4 +105,4 @@
     } counts_;
 };
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/main.cpp
+++ b/src/controller/main.cpp
@@ -8,9 +8,9 @@
 #include <cstdio>
 #include <thread>
 
-#include "lighthouse/lighthouse.h"
-#include "station/log_sink.h"
-#include "station/loop.h"
+#include "base/runtime/lifecycle.h"
+#include "base/runtime/log_sink.h"
+#include "controller/controller.h"
 
 namespace {
 
@@ -18,22 +18,22 @@
 using namespace shaletray;
 
 // A founder is one of those that the first start of the whole system names.
-bool is_founder(const station::NodeSettings& s) {
+bool is_founder(const runtime::NodeSettings& s) {
     return s.bootstrap && std::find(s.seeds.begin(), s.seeds.end(), s.control) != s.seeds.end();
 }
 
 // A disk in trouble may be well again: the program waits for it.
-std::unique_ptr<lamp::Store> open_store(const station::NodeSettings& s) {
-    if (s.data_directory.empty()) return lamp::Store::in_memory(is_founder(s));
-    while (!station::stop_was_asked()) {
+std::unique_ptr<consensus::Store> open_store(const runtime::NodeSettings& s) {
+    if (s.data_directory.empty()) return consensus::Store::in_memory(is_founder(s));
+    while (!runtime::stop_was_asked()) {
         auto store = boost::leaf::try_handle_all(
-            [&]() { return lamp::Store::open(s.data_directory + "/lamp", is_founder(s)); },
-            [&](const lamp::DiskTrouble& trouble) {
+            [&]() { return consensus::Store::open(s.data_directory + "/lamp", is_founder(s)); },
+            [&](const consensus::DiskTrouble& trouble) {
                 static LogGate gate(1s);
-                if (gate.open()) station::event(LogLevel::Warning, "disk_trouble", {kv("why", trouble.why)});
-                return std::unique_ptr<lamp::Store>();
+                if (gate.open()) runtime::event(LogLevel::Warning, "disk_trouble", {kv("why", trouble.why)});
+                return std::unique_ptr<consensus::Store>();
             },
-            [] { return std::unique_ptr<lamp::Store>(); });
+            [] { return std::unique_ptr<consensus::Store>(); });
         if (store) return store;
         std::this_thread::sleep_for(100ms);
     }
@@ -43,20 +43,20 @@
 }    // namespace
 
 int main(int argc, char** argv) {
-    auto begun = station::begin(argc, argv, "lighthouse");
+    auto begun = runtime::begin(argc, argv, "controller");
     if (const int* status = std::get_if<int>(&begun)) return *status;
-    station::Start start = std::move(std::get<station::Start>(begun));
-    station::open_log(start.settings.node_name);
-    station::catch_signals();
-    std::unique_ptr<lamp::Store> store = open_store(start.settings);
+    runtime::Start start = std::move(std::get<runtime::Start>(begun));
+    runtime::open_log(start.settings.node_name);
+    runtime::catch_signals();
+    std::unique_ptr<consensus::Store> store = open_store(start.settings);
     if (!store) return 0;
     try {
-        lighthouse::Lighthouse lighthouse(start.settings, std::move(store));
-        lighthouse.run(station::look_after(
+        controller::Lighthouse lighthouse(start.settings, std::move(store));
+        lighthouse.run(runtime::look_after(
             start,
             {[&] { lighthouse.stop(); }, [&](const auto& settings) { lighthouse.settings_changed(settings); },
              [&] { return lighthouse.counters_text(); }}));
-        station::event(LogLevel::Info, "counters", {kv("text", lighthouse.counters_text())});
+        runtime::event(LogLevel::Info, "counters", {kv("text", lighthouse.counters_text())});
         return 0;
     } catch (const Poco::Exception& error) {
         std::fprintf(stderr, "lighthouse: %s\n", error.displayText().c_str());
--- a/src/lighthouse/quorum.cpp
+++ b/src/controller/quorum_tracker.cpp
@@ -1,9 +1,9 @@
-#include "lighthouse/quorum.h"
+#include "controller/quorum_tracker.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 std::optional<Quorum::Change> Quorum::look(std::optional<TimePoint> confirmed, TimePoint now) {
     confirmed_ = confirmed;
@@ -14,4 +14,4 @@
     return Change{held_, from - std::exchange(since_, from)};
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/quorum.h
+++ b/src/controller/quorum_tracker.h
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <optional>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 class Quorum {
 public:
@@ -37,4 +37,4 @@
     std::uint64_t losses_ = 0;
 };
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/relay.cpp
+++ b/src/controller/registry_forwarder.cpp
@@ -1,11 +1,11 @@
-#include "lighthouse/relay.h"
+#include "controller/registry_forwarder.h"
 
 #include <algorithm>
 
-#include "lighthouse/relay.capnp.h"
-#include "station/pack.h"
+#include "base/runtime/capnp_codec.h"
+#include "controller/registry_forwarder.capnp.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 namespace {
 
 using namespace std::chrono_literals;
@@ -29,9 +29,9 @@
 
 void Relay::heard(const std::string& from, std::uint64_t life, std::string_view bytes, TimePoint now) {
     const auto read =
-        station::unpack<wire::Relay>(bytes, [&](wire::Relay::Reader relay) -> leaf::result<int> {
+        runtime::unpack<wire::Relay>(bytes, [&](wire::Relay::Reader relay) -> leaf::result<int> {
             const std::uint64_t known = relay.getKnownSequence(), of_life = relay.getKnownLife();
-            muster_.merge(from, station::text_of(relay.getWords()), now);
+            muster_.merge(from, runtime::text_of(relay.getWords()), now);
             const auto it = others_.find(from);
             if (it == others_.end()) return 0;    // it will be known by the time of its next word
             Other& other = it->second;
@@ -50,10 +50,10 @@
     auto relay = message.initRoot<wire::Relay>();
     relay.setKnownLife(other.life);
     relay.setKnownSequence(muster_.known(to, other.life));
-    relay.setWords(station::data_of(muster_.changes(other.told, true, now)));
+    relay.setWords(runtime::data_of(muster_.changes(other.told, true, now)));
     if (other.knows >= other.told) other.waits_since = now;
     other.told = muster_.sequence();
-    out.push_back({to, station::pack(message)});
+    out.push_back({to, runtime::pack(message)});
 }
 
 void Relay::tell(TimePoint now, std::vector<Send>& out) {
@@ -70,4 +70,4 @@
     }
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/relay.h
+++ b/src/controller/registry_forwarder.h
@@ -9,16 +9,16 @@
 #include <string_view>
 #include <vector>
 
-#include "muster/muster.h"
+#include "cluster/registry/service_registry.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 class Relay {
 public:
     struct Send {
         std::string to, bytes;
     };
-    explicit Relay(muster::Muster& muster) : muster_(muster) {}
+    explicit Relay(registry::Muster& muster) : muster_(muster) {}
 
     void others(const std::vector<std::string>& addresses);    // all lighthouses that are known, without this
     void life();    // this lighthouse's was raised: all are told all anew
@@ -39,10 +39,10 @@
     };
     void say(const std::string& to, Other& other, TimePoint now, std::vector<Send>& out);
 
-    muster::Muster& muster_;
+    registry::Muster& muster_;
     std::map<std::string, Other> others_;
     TimePoint next_{};
     std::uint64_t spoilt_ = 0;
 };
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/steward.cpp
+++ b/src/controller/voter_reconciler.cpp
@@ -1,18 +1,18 @@
-#include "lighthouse/steward.h"
+#include "controller/voter_reconciler.h"
 
 #include <algorithm>
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 namespace {
 
 using namespace std::chrono_literals;
-using Voters = std::vector<lamp::Member>;
+using Voters = std::vector<consensus::Member>;
 
 constexpr Duration kTurn = 500ms;
 
 Voters::const_iterator at_address(const Voters& voters, const std::string& address) {
     return std::find_if(voters.begin(), voters.end(),
-                        [&](const lamp::Member& m) { return m.address == address; });
+                        [&](const consensus::Member& m) { return m.address == address; });
 }
 
 }    // namespace
@@ -25,28 +25,29 @@
       started_(now) {}
 
 // The next machine may be lost `catch_up` after a replacement came: its place has to be taken before that.
-Steward::Fate Steward::fate(const lamp::Member& voter, const Members& members, TimePoint now) const {
+Steward::Fate Steward::fate(const consensus::Member& voter, const Members& members, TimePoint now) const {
     if (voter.address == settings_.me.address)
         return voter != settings_.me ? Fate::Away : leaving_ ? Fate::Leaves : Fate::Answers;
     const Duration unheard = settings_.catch_up * 5 / 8;
     const auto it = members.find(voter.address);
     if (it == members.end()) return now - started_ > settings_.catch_up ? Fate::Away : Fate::Unknown;
-    const convoy::Member& m = it->second;
-    if (m.state == convoy::State::Alive && m.facts.disk == voter.disk)
+    const membership::Member& m = it->second;
+    if (m.state == membership::State::Alive && m.facts.disk == voter.disk)
         return m.facts.quorum ? Fate::Answers : Fate::Leaves;
-    if (m.state == convoy::State::Alive || m.ended) return Fate::Away;    // another disk, or a goodbye
+    if (m.state == membership::State::Alive || m.ended) return Fate::Away;    // another disk, or a goodbye
     return now - std::max(m.heard, started_) > unheard ? Fate::Away : Fate::Unknown;
 }
 
 // Those that may begin to vote: they have the decree already, and were seen for a while.
-Voters Steward::newcomers(const lamp::Decree& decree, const Members& members, const Follows& follows,
+Voters Steward::newcomers(const consensus::Decree& decree, const Members& members, const Follows& follows,
                           TimePoint now) {
     Voters found;
-    std::map<lamp::Member, TimePoint> seen;
+    std::map<consensus::Member, TimePoint> seen;
     for (const auto& [address, member] : members) {
-        const convoy::Facts& f = member.facts;
-        if (f.role != convoy::Role::Lighthouse || !f.quorum || member.state != convoy::State::Alive) continue;
-        const lamp::Member newcomer{address, f.disk};
+        const membership::Facts& f = member.facts;
+        if (f.role != membership::Role::Lighthouse || !f.quorum || member.state != membership::State::Alive)
+            continue;
+        const consensus::Member newcomer{address, f.disk};
         if (std::find(decree.voters.begin(), decree.voters.end(), newcomer) != decree.voters.end()) continue;
         const auto before = seen_.find(newcomer);
         const TimePoint since = before == seen_.end() ? now : before->second;
@@ -59,12 +60,12 @@
 
 Voters Steward::wanted(const Voters& voters, const Members& members, Voters newcomers, TimePoint now) const {
     Voters to = voters;
-    const auto zone = [&](const lamp::Member& m) {
+    const auto zone = [&](const consensus::Member& m) {
         const auto it = members.find(m.address);
         return it == members.end() ? std::string() : it->second.facts.zone;
     };
     const auto in_zone = [&](const std::string& z) {
-        return std::count_if(to.begin(), to.end(), [&](const lamp::Member& m) { return zone(m) == z; });
+        return std::count_if(to.begin(), to.end(), [&](const consensus::Member& m) { return zone(m) == z; });
     };
     // The newcomer whose zone has fewest voters.
     const auto take = [&] {
@@ -72,13 +73,13 @@
             std::min_element(newcomers.begin(), newcomers.end(), [&](const auto& a, const auto& b) {
                 return std::pair(in_zone(zone(a)), a) < std::pair(in_zone(zone(b)), b);
             });
-        const lamp::Member taken = *best;
+        const consensus::Member taken = *best;
         newcomers.erase(best);
         return taken;
     };
     Voters out;    // of `to`, these cannot be counted on
     bool unknown = false;
-    for (const lamp::Member& voter : voters) {
+    for (const consensus::Member& voter : voters) {
         const Fate f = fate(voter, members, now);
         unknown = unknown || f == Fate::Unknown;
         if (f != Fate::Away && f != Fate::Leaves) continue;
@@ -121,16 +122,16 @@
     return to;
 }
 
-std::optional<Steward::Step> Steward::next(const lamp::Decree& decree, const Members& members,
+std::optional<Steward::Step> Steward::next(const consensus::Decree& decree, const Members& members,
                                            const Follows& follows, TimePoint now) {
     const Voters& voters = decree.voters;
-    const lamp::Member& me = settings_.me;
+    const consensus::Member& me = settings_.me;
     const Voters ready = newcomers(decree, members, follows, now);
     if (std::find(voters.begin(), voters.end(), me) == voters.end()) return std::nullopt;
     const auto answer = [&](const Voters& set) {
-        return static_cast<std::size_t>(std::count_if(set.begin(), set.end(), [&](const lamp::Member& m) {
-            return fate(m, members, now) == Fate::Answers;
-        }));
+        return static_cast<std::size_t>(std::count_if(
+            set.begin(), set.end(),
+            [&](const consensus::Member& m) { return fate(m, members, now) == Fate::Answers; }));
     };
     Step step{voters, wanted(voters, members, ready, now)};
     if (step.to == voters || bears(answer(step.to), step.to.size()) < bears(answer(voters), voters.size())) {
@@ -138,11 +139,12 @@
         return std::nullopt;
     }
     if (wanted_since_ == TimePoint{}) wanted_since_ = now;
-    const auto rank = leaving_ ? 0 : std::count_if(voters.begin(), voters.end(), [&](const lamp::Member& m) {
-        return m.address < me.address && fate(m, members, now) == Fate::Answers;
-    });
+    const auto rank =
+        leaving_ ? 0 : std::count_if(voters.begin(), voters.end(), [&](const consensus::Member& m) {
+            return m.address < me.address && fate(m, members, now) == Fate::Answers;
+        });
     if (now - wanted_since_ < rank * kTurn) return std::nullopt;
     return step;
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/lighthouse/steward.h
+++ b/src/controller/voter_reconciler.h
@@ -13,23 +13,23 @@
 #include <string>
 #include <vector>
 
-#include "convoy/convoy.h"
-#include "lamp/lamp.h"
+#include "cluster/consensus/replicated_register.h"
+#include "cluster/membership/membership.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 
 class Steward {
 public:
     struct Settings {
-        lamp::Member me;
+        consensus::Member me;
         std::size_t losses = 1;    // machines that the system may lose at once, by its settings
         Duration catch_up = std::chrono::seconds(4);    // after which the next ones may be lost
     };
     struct Step {
-        std::vector<lamp::Member> from, to;    // sorted
+        std::vector<consensus::Member> from, to;    // sorted
     };
     // Whether a lighthouse has said lately that it holds the newest decree, or nearly so.
-    using Follows = std::function<bool(const lamp::Member&)>;
+    using Follows = std::function<bool(const consensus::Member&)>;
 
     Steward(Settings settings, TimePoint now);
     // This lighthouse is about to end: it hands its vote on, if somebody can take it.
@@ -37,28 +37,30 @@
     // The step that this lighthouse is to propose now; none: the voters are as they should be, or it is
     // another one's turn. The first voter by address acts at once, as does one that leaves; the others each
     // half a second later.
-    std::optional<Step> next(const lamp::Decree& decree, const std::map<std::string, convoy::Member>& members,
-                             const Follows& follows, TimePoint now);
+    std::optional<Step> next(const consensus::Decree& decree,
+                             const std::map<std::string, membership::Member>& members, const Follows& follows,
+                             TimePoint now);
     // The losses that voters bear of whom so many answer; below 0: they have no majority.
     static int bears(std::size_t answer, std::size_t voters) {
         return static_cast<int>(answer) - static_cast<int>(voters / 2 + 1);
     }
 
 private:
-    using Members = std::map<std::string, convoy::Member>;
+    using Members = std::map<std::string, membership::Member>;
     enum class Fate { Answers, Leaves, Unknown, Away };
-    Fate fate(const lamp::Member& voter, const Members& members, TimePoint now) const;
-    std::vector<lamp::Member> newcomers(const lamp::Decree& decree, const Members& members,
-                                        const Follows& follows, TimePoint now);
-    std::vector<lamp::Member> wanted(const std::vector<lamp::Member>& voters, const Members& members,
-                                     std::vector<lamp::Member> newcomers, TimePoint now) const;
+    Fate fate(const consensus::Member& voter, const Members& members, TimePoint now) const;
+    std::vector<consensus::Member> newcomers(const consensus::Decree& decree, const Members& members,
+                                             const Follows& follows, TimePoint now);
+    std::vector<consensus::Member> wanted(const std::vector<consensus::Member>& voters,
+                                          const Members& members, std::vector<consensus::Member> newcomers,
+                                          TimePoint now) const;
 
     Settings settings_;
     std::size_t least_, most_;    // voters: none are left out below, none added above
     TimePoint started_;
     bool leaving_ = false;
-    std::map<lamp::Member, TimePoint> seen_;    // newcomers, and since when
+    std::map<consensus::Member, TimePoint> seen_;    // newcomers, and since when
     TimePoint wanted_since_{};
 };
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/src/core/engine.cpp
+++ b/src/data_plane/engine/engine.cpp
@@ -1,10 +1,10 @@
-#include "core/engine.h"
+#include "data_plane/engine/engine.h"
 
 #include <algorithm>
 #include <exception>
 #include <utility>
 
-#include "core/log.h"
+#include "base/common/log.h"
 
 namespace shaletray {
 namespace {
@@ -18,7 +18,7 @@
 
 }    // namespace
 
-Engine::Engine(const valehall::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
+Engine::Engine(const decision::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
                Counters& counters)
     : settings_(settings),
       seed_(seed),
@@ -40,15 +40,15 @@
     }
 }
 
-void Engine::take_limits(const valehall::Settings& settings) {
+void Engine::take_limits(const decision::Settings& settings) {
     most_open_ = static_cast<std::size_t>(std::max(1, settings.max_open));
     most_attempts_ = static_cast<std::size_t>(std::max(0, settings.send_cap));
     most_advice_ = settings.max_retry_after;
     by_class_.clear();
-    for (const valehall::ClassSettings& c : classes_) by_class_.push_back(&counters_.classes[c.name]);
+    for (const decision::ClassSettings& c : classes_) by_class_.push_back(&counters_.classes[c.name]);
 }
 
-std::vector<int> Engine::adopt(const valehall::Settings& next) {
+std::vector<int> Engine::adopt(const decision::Settings& next) {
     std::vector<bool> taken(classes_.size());
     std::vector<int> places(next.classes.size(), -1);
     for (std::size_t i = 0; i < next.classes.size(); ++i) {
@@ -61,7 +61,7 @@
         const auto at = static_cast<std::size_t>(request.arrival.class_index);
         if (at < taken.size()) taken[at] = true;
     }
-    valehall::Settings merged = next;
+    decision::Settings merged = next;
     merged.classes = classes_;
     for (std::size_t i = 0, free = 0; i < places.size(); ++i) {
         if (places[i] >= 0) continue;
@@ -112,7 +112,7 @@
     ++owed_;
     request.deadline = clock_.now() + arrival.budget;
     request.overdue = timers_.at(request.deadline + kOverdue, [this, id] { overdue(id); });
-    valehall::RequestArrived ask;
+    decision::RequestArrived ask;
     ask.request = id;
     ask.customer = arrival.customer;
     ask.class_index = arrival.class_index;
@@ -125,14 +125,14 @@
     // Told before each request, so that it matters neither what the module forgot nor what ran out meanwhile.
     request.ruling = {ask.customer, ask.plan_index, 0, 0};
     if (desk_ != nullptr) {
-        std::vector<valehall::Allowance> told;
+        std::vector<decision::Allowance> told;
         const plans::Desk::Ruling ruling =
             desk_->rule(ask.customer, ask.plan_index, ask.first_gateway, ask.width, ask.units,
                         request.arrival.reservation, clock_.now(), told);
         request.ruling = ruling;
         ask.customer = ruling.account;
         ask.plan_index = ruling.plan_index;
-        for (const valehall::Allowance& allowance : told) feed(allowance);
+        for (const decision::Allowance& allowance : told) feed(allowance);
     } else if (ledger_ != nullptr) {
         if (const auto allowance = ledger_->asked(ask.customer, ask.plan_index, ask.first_gateway, ask.width,
                                                   ask.units, clock_.now()))
@@ -151,7 +151,7 @@
     Request* request = find(id);
     if (request == nullptr || request->front == nullptr) return nullptr;
     Front* const front = close(*request);
-    feed(valehall::RequestAborted{id});
+    feed(decision::RequestAborted{id});
     // What is still out serves nobody now.
     for (std::size_t i = 0; (request = find(id)) != nullptr && i < request->attempts.size(); ++i) {
         if (!request->attempts[i].out) continue;
@@ -175,12 +175,12 @@
     attempt->began = true;
     timers_.cancel(attempt->timeout);
     timers_.cancel(request.overdue);
-    feed(valehall::AttemptStarted{id.request, id.number, attempt->host});
+    feed(decision::AttemptStarted{id.request, id.number, attempt->host});
 }
 
 void Engine::attempt_uploads(AttemptId id) {
     if (const Attempt* attempt = find_out(id))
-        feed(valehall::AttemptStarted{id.request, id.number, attempt->host});
+        feed(decision::AttemptStarted{id.request, id.number, attempt->host});
 }
 
 // What the client took to send a long request says nothing of its server.
@@ -238,31 +238,31 @@
 void Engine::allowances_due() {
     if (ledger_ == nullptr) return;
     const TimePoint now = clock_.now();
-    std::vector<valehall::Allowance> changed;
+    std::vector<decision::Allowance> changed;
     if (desk_ != nullptr) desk_->due(now, changed);
     if (const auto next = ledger_->next(); next && *next <= now) ledger_->tick(now, changed);
-    for (const valehall::Allowance& allowance : changed) feed(allowance);
+    for (const decision::Allowance& allowance : changed) feed(allowance);
 }
 
 void Engine::probe_ended(HostId host, Outcome outcome, Duration took, LoadReport&& report) {
     if (outcome != Outcome::Ok) ++counters_.probes_failed;
-    feed(valehall::ProbeFinished{host, outcome, took, std::move(report)});
+    feed(decision::ProbeFinished{host, outcome, took, std::move(report)});
 }
 
-void Engine::list_heard(valehall::HostList&& list) { feed(std::move(list)); }
+void Engine::list_heard(decision::HostList&& list) { feed(std::move(list)); }
 
 void Engine::mail_heard(PeerId from, std::vector<std::uint8_t>&& bytes) {
-    feed(valehall::PeerBytes{from, std::move(bytes)});
+    feed(decision::PeerBytes{from, std::move(bytes)});
 }
 
 // ---- the module ----
 
-void Engine::feed(valehall::Event&& event) {
+void Engine::feed(decision::Event&& event) {
     events_.push_back(std::move(event));
     if (feeding_) return;
     feeding_ = true;
     for (std::size_t next = 0; next < events_.size(); ++next) {
-        const valehall::Event current = std::move(events_[next]);    // more may be added meanwhile
+        const decision::Event current = std::move(events_[next]);    // more may be added meanwhile
         try {
             decide(current);
         } catch (const std::exception& error) {
@@ -275,15 +275,15 @@
     feeding_ = false;
 }
 
-void Engine::decide(const valehall::Event& event) {
+void Engine::decide(const decision::Event& event) {
     actions_.clear();
     module_.handle(clock_.now(), event, actions_);
-    for (const valehall::Action& action : actions_) {
+    for (const decision::Action& action : actions_) {
         std::visit([this](const auto& a) { perform(a); }, action);
     }
 }
 
-void Engine::perform(const valehall::Send& action) {
+void Engine::perform(const decision::Send& action) {
     Request* request = find(action.request);
     const TimePoint now = clock_.now();
     const bool moot = request == nullptr || request->front == nullptr || now >= deadline(*request) ||
@@ -291,7 +291,7 @@
                       (request->arrival.payload.upload && request->arrival.payload.upload->given());
     if (request == nullptr) {
         ++counters_.outcomes[static_cast<std::size_t>(Outcome::NotSent)];
-        feed(valehall::AttemptFinished{action.request, 0, action.host, Outcome::NotSent, {}, 0.0, true, {}});
+        feed(decision::AttemptFinished{action.request, 0, action.host, Outcome::NotSent, {}, 0.0, true, {}});
         return;
     }
     const AttemptId id{action.request, static_cast<int>(request->attempts.size())};
@@ -310,7 +310,7 @@
     backend_->send(id, action.host, request->arrival.payload, std::min(until - now, request->arrival.budget));
 }
 
-void Engine::perform(const valehall::CancelAttempt& action) {
+void Engine::perform(const decision::CancelAttempt& action) {
     const AttemptId id{action.request, action.attempt};
     Attempt* attempt = find_out(id);
     if (attempt == nullptr || attempt->began) return;
@@ -320,7 +320,7 @@
     forget_if_done(id.request);
 }
 
-void Engine::perform(const valehall::Refuse& action) {
+void Engine::perform(const decision::Refuse& action) {
     Request* request = find(action.request);
     if (request == nullptr) return;
     Ending end = ending(action.request, *request, Verdict::Refused, action.retry_after);
@@ -328,7 +328,7 @@
     forget_if_done(action.request);
 }
 
-void Engine::perform(const valehall::Fail& action) {
+void Engine::perform(const decision::Fail& action) {
     Request* request = find(action.request);
     if (request == nullptr) return;
     Ending end = ending(action.request, *request, Verdict::Failed);
@@ -337,19 +337,19 @@
 }
 
 // The module only ever brings its one timer forward, and ignores what that overtakes.
-void Engine::perform(const valehall::SetTimer& action) {
+void Engine::perform(const decision::SetTimer& action) {
     timers_.cancel(tick_);
-    tick_ = timers_.at(action.at, [this, token = action.token] { feed(valehall::TimerFired{token}); });
+    tick_ = timers_.at(action.at, [this, token = action.token] { feed(decision::TimerFired{token}); });
 }
 
-void Engine::perform(const valehall::Probe& action) {
+void Engine::perform(const decision::Probe& action) {
     ++counters_.probes;
     backend_->probe(action.host);
 }
 
-void Engine::perform(const valehall::TellPeer& action) { mail_->tell(action.peer, action.bytes); }
+void Engine::perform(const decision::TellPeer& action) { mail_->tell(action.peer, action.bytes); }
 
-void Engine::perform(const valehall::Subscribe&) { lists_->subscribe(); }
+void Engine::perform(const decision::Subscribe&) { lists_->subscribe(); }
 
 // ---- requests ----
 
@@ -359,7 +359,7 @@
     if (desk_ != nullptr) {
         told_.clear();
         desk_->admitted(request.ruling, a.customer, a.units, now, told_);
-        for (const valehall::Allowance& allowance : told_) feed(allowance);
+        for (const decision::Allowance& allowance : told_) feed(allowance);
     } else if (ledger_ != nullptr) {
         ledger_->admitted(a.customer, a.units, now);
     }
@@ -424,7 +424,7 @@
     ++counters_.outcomes[static_cast<std::size_t>(outcome)];
     // How long the way of a long answer takes says nothing of how soon its server answers.
     const TimePoint at = attempt.flows ? attempt.heard : clock_.now();
-    feed(valehall::AttemptFinished{id.request, id.number, attempt.host, outcome, at - attempt.sent,
+    feed(decision::AttemptFinished{id.request, id.number, attempt.host, outcome, at - attempt.sent,
                                    settled_units, final, std::move(report)});
 }
 
@@ -482,14 +482,14 @@
 }
 
 bool Engine::take_over(std::string_view text) {
-    feed(valehall::TimerFired{});    // its start
+    feed(decision::TimerFired{});    // its start
     try {
         module_.take_over(text, clock_.now());
         return true;
     } catch (const std::exception& error) {
         log(LogLevel::Warning, Event::HandoverUnread, {kv("why", error.what())});
-        module_ = valehall::Gateway(settings_, seed_);
-        feed(valehall::TimerFired{});
+        module_ = decision::Gateway(settings_, seed_);
+        feed(decision::TimerFired{});
         return false;
     }
 }
--- a/src/core/engine.h
+++ b/src/data_plane/engine/engine.h
@@ -12,20 +12,20 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/clock.h"
-#include "core/counters.h"
-#include "core/timers.h"
-#include "limits/ledger.h"
-#include "plans/desk.h"
-#include "valehall/control.h"
+#include "base/common/clock.h"
+#include "base/common/counters.h"
+#include "base/common/timers.h"
+#include "data_plane/limits/quota_state_table.h"
+#include "data_plane/plans/plan_service.h"
+#include "decision/control.h"
 
 namespace shaletray {
 
-using valehall::HostId;
-using valehall::LoadReport;
-using valehall::Outcome;
-using valehall::PeerId;
-using valehall::RequestId;
+using decision::HostId;
+using decision::LoadReport;
+using decision::Outcome;
+using decision::PeerId;
+using decision::RequestId;
 
 // Takes a body that is too long to be held, piece by piece.
 class BodySink {
@@ -65,7 +65,7 @@
 
 // A request as its front describes it.
 struct Arrival {
-    valehall::CustomerId customer{};
+    decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
     double units = 1.0;
     Duration budget{0};
@@ -78,11 +78,11 @@
 
 // A request that was let in, as it is billed.
 struct Admission {
-    valehall::CustomerId customer{};
+    decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
     double units = 0.0;
     std::uint64_t plan_version = 0, reservation = 0;
-    valehall::TimePoint at{};
+    decision::TimePoint at{};
 };
 // What keeps a record of use. Told of each request once, before its first attempt is sent.
 class UseKeeper {
@@ -152,7 +152,7 @@
 
 class Engine {
 public:
-    Engine(const valehall::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
+    Engine(const decision::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
            Counters& counters);
     // Nothing of it comes due any more. What is owed an answer gets none.
     ~Engine();
@@ -181,7 +181,7 @@
     // Takes over classes and limits in service. Gives each class's index for arrivals, in the order of
     // `next.classes`: one that changed gets another, so that requests under way keep theirs. Throws
     // BadSettings and changes nothing where they make no sense.
-    std::vector<int> adopt(const valehall::Settings& next);
+    std::vector<int> adopt(const decision::Settings& next);
 
     RequestId take(Front& front, Arrival&& arrival);
     // The client left: no answer is wanted any more.
@@ -197,7 +197,7 @@
     void attempt_ended(AttemptId attempt, Outcome outcome, LoadReport&& report = {}, Payload&& answer = {},
                        double settled_units = kUnitsUntold);
     void probe_ended(HostId host, Outcome outcome, Duration took, LoadReport&& report = {});
-    void list_heard(valehall::HostList&& list);
+    void list_heard(decision::HostList&& list);
     void mail_heard(PeerId from, std::vector<std::uint8_t>&& bytes);
 
     // The program ends now: whatever is still owed an answer gets one.
@@ -236,16 +236,16 @@
 
     Request* find(RequestId id);
     Attempt* find_out(AttemptId id);
-    void feed(valehall::Event&& event);
-    void decide(const valehall::Event& event);
-    void perform(const valehall::Send& action);
-    void perform(const valehall::CancelAttempt& action);
-    void perform(const valehall::Refuse& action);
-    void perform(const valehall::Fail& action);
-    void perform(const valehall::SetTimer& action);
-    void perform(const valehall::Probe& action);
-    void perform(const valehall::TellPeer& action);
-    void perform(const valehall::Subscribe& action);
+    void feed(decision::Event&& event);
+    void decide(const decision::Event& event);
+    void perform(const decision::Send& action);
+    void perform(const decision::CancelAttempt& action);
+    void perform(const decision::Refuse& action);
+    void perform(const decision::Fail& action);
+    void perform(const decision::SetTimer& action);
+    void perform(const decision::Probe& action);
+    void perform(const decision::TellPeer& action);
+    void perform(const decision::Subscribe& action);
     void admit(const Request& request, TimePoint now, bool is_sent);
     Front* close(Request& request);
     enum class Verdict { Served, Refused, Failed };
@@ -277,12 +277,12 @@
     TimePoint look_by(const Request& request, TimePoint until) const;
     void forget_if_done(RequestId id);
 
-    void take_limits(const valehall::Settings& settings);
+    void take_limits(const decision::Settings& settings);
 
-    const valehall::Settings settings_;    // as at the start
+    const decision::Settings settings_;    // as at the start
     const std::uint64_t seed_;
-    valehall::Gateway module_;
-    std::vector<valehall::ClassSettings> classes_;    // by index; those no longer listed stay until reused
+    decision::Gateway module_;
+    std::vector<decision::ClassSettings> classes_;    // by index; those no longer listed stay until reused
     std::size_t most_open_ = 0;
     std::size_t most_attempts_ = 0;
     Duration most_advice_{0};
@@ -298,7 +298,7 @@
     plans::Desk* desk_ = nullptr;
     UseKeeper* use_ = nullptr;
     Manners manners_;
-    std::vector<valehall::Allowance> told_;    // kept for its memory
+    std::vector<decision::Allowance> told_;    // kept for its memory
     std::unordered_map<RequestId, Request> requests_;
     Timers::Id tick_ = 0;    // the module's
     std::uint32_t last_request_ = 0;
@@ -307,8 +307,8 @@
     std::vector<ClassCounts*> by_class_;    // in counters_
     // An action's effects wait until all actions before them are done. Kept for their memory.
     // Held by the module's timers, which outlive the engine.
-    std::vector<valehall::Event> events_;
-    std::vector<valehall::Action> actions_;
+    std::vector<decision::Event> events_;
+    std::vector<decision::Action> actions_;
     bool feeding_ = false;
 };
 
--- a/src/limits/row.cpp
+++ b/src/data_plane/limits/quota_row.cpp
@@ -1,4 +1,4 @@
-#include "limits/row.h"
+#include "data_plane/limits/quota_row.h"
 
 #include <fmt/format.h>
 
@@ -114,7 +114,7 @@
     const auto count = words.number<std::size_t>(0, std::min<std::uint64_t>(kMostItems, news.last));
     for (std::size_t i = 0; i < count && words.good(); ++i) {
         News::Item item;
-        item.customer = valehall::CustomerId{words.number<std::uint64_t>(0, kMost, 16)};
+        item.customer = decision::CustomerId{words.number<std::uint64_t>(0, kMost, 16)};
         item.plan = words.number<int>(0, 1 << 20);
         item.first = words.number<int>(0, 1 << 20);
         item.width = words.number<int>(1, kWidest);
--- a/src/limits/row.h
+++ b/src/data_plane/limits/quota_row.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
 namespace shaletray::limits {
 
@@ -35,7 +35,7 @@
 // Customers that the writer newly has requests of, so that the others of their sets begin to exchange rows.
 struct News {
     struct Item {
-        valehall::CustomerId customer{};
+        decision::CustomerId customer{};
         int plan = 0, first = 0, width = 1;
         bool operator==(const Item&) const = default;
     };
--- a/src/limits/ledger.cpp
+++ b/src/data_plane/limits/quota_state_table.cpp
@@ -1,4 +1,4 @@
-#include "limits/ledger.h"
+#include "data_plane/limits/quota_state_table.h"
 
 #include <algorithm>
 #include <cmath>
@@ -34,7 +34,7 @@
 }    // namespace
 
 void LedgerSettings::check() const {
-    using valehall::BadSettings;
+    using decision::BadSettings;
     if (gateways < 1 || me < 0 || me >= gateways) throw BadSettings("ledger: own number out of range");
     if (plans.empty()) throw BadSettings("ledger: no plans");
     if (incarnation == 0) throw BadSettings("ledger: the incarnation must be above 0");
@@ -77,7 +77,7 @@
     return it == extra_.end() ? nullptr : &it->second;
 }
 
-const valehall::PlanSettings* Ledger::terms(int plan) const {
+const decision::PlanSettings* Ledger::terms(int plan) const {
     if (plan >= 0 && static_cast<std::size_t>(plan) < s_.plans.size())
         return &s_.plans[static_cast<std::size_t>(plan)];
     const LedgerTerms* const more = extra(plan);
@@ -108,7 +108,7 @@
         m.place = at;
         c.members.push_back(m);
     }
-    const valehall::PlanSettings& p = plan(c);
+    const decision::PlanSettings& p = plan(c);
     const double quota = own_quota_share(c);
     double full = standing.rested_quota < 0.0 ? p.burst : std::min(p.burst, standing.rested_quota);
     const LedgerTerms* const account = extra(plan_index);
@@ -133,13 +133,13 @@
 // Where an even part of the ceiling has hardly room for a large request, parts are kept whole: only so many
 // gateways hold any at a time, each as much as the others.
 bool Ledger::small(const Customer& c) const {
-    const valehall::PlanSettings& p = plan(c);
+    const decision::PlanSettings& p = plan(c);
     return p.ceiling_rate > 0.0 && p.ceiling_burst / c.width < kSmall * std::max(1.0, s_.most_units);
 }
 
 // As the module has it where no ledger is: the first gateways of the set hold a ceiling that is small.
 int Ledger::holders(const Customer& c) const {
-    const valehall::PlanSettings& p = plan(c);
+    const decision::PlanSettings& p = plan(c);
     if (p.ceiling_rate <= 0.0) return c.width;
     return std::clamp(static_cast<int>(p.ceiling_burst / std::max(1.0, s_.most_units)), 1, c.width);
 }
@@ -220,7 +220,7 @@
 
 // As long as the store of the quota lasts: what it evens out need not move shares.
 double Ledger::window(const Customer& c) const {
-    const valehall::PlanSettings& p = plan(c);
+    const decision::PlanSettings& p = plan(c);
     const double least = seconds(s_.demand_window);
     return p.rate > 0.0 ? std::clamp(p.burst / p.rate, least, kLongestWindow * least) : least;
 }
@@ -237,7 +237,7 @@
 // What this gateway owns may not do for what is asked of it: rows must travel. Where it does, nothing is
 // exchanged at all, and each gateway keeps to its baseline.
 bool Ledger::pressed(Customer& c, TimePoint now) const {
-    const valehall::PlanSettings& p = plan(c);
+    const decision::PlanSettings& p = plan(c);
     c.quota.refill(now);
     c.ceiling.refill(now);
     const auto low = [&](const Bucket& b) { return b.cap < s_.most_units || b.level <= kLow * b.cap; };
@@ -265,7 +265,7 @@
 }
 
 bool Ledger::reshare(Customer& c, TimePoint now) {
-    const valehall::PlanSettings& p = plan(c);
+    const decision::PlanSettings& p = plan(c);
     c.quota.refill(now);
     c.ceiling.refill(now);
     const double quota = quota_share(c, now), ceiling = ceiling_share(c, now);
@@ -356,7 +356,7 @@
 
 void Ledger::define(int plan, LedgerTerms terms) {
     if (plan >= 0 && static_cast<std::size_t>(plan) < s_.plans.size())
-        throw valehall::BadSettings("ledger: the settings' own plans are as they are");
+        throw decision::BadSettings("ledger: the settings' own plans are as they are");
     extra_.emplace(plan, std::move(terms));
 }
 
@@ -661,7 +661,7 @@
         if (now < m.held_until) m.held = part.lease;
         std::erase_if(m.out, [&](const Posting& p) { return p.stamp < part.echo_stamp; });
     }
-    const valehall::PlanSettings& p = plan(*c);
+    const decision::PlanSettings& p = plan(*c);
     const auto units = [&](int place, std::uint32_t lease) {
         return baseline(*c, place) * p.burst * m.fill * static_cast<double>(lease) / kWhole;
     };
@@ -807,7 +807,7 @@
 }
 
 Ledger::QuotaBound Ledger::quota_bound(const LedgerSettings& s, int plan_index, int width, Duration time) {
-    const valehall::PlanSettings& p = s.plans.at(static_cast<std::size_t>(plan_index));
+    const decision::PlanSettings& p = s.plans.at(static_cast<std::size_t>(plan_index));
     const double quota = p.rate * seconds(time) + p.burst;
     // A full store passes any request, at each gateway.
     const double last = width * s.most_units;
--- a/src/limits/ledger.h
+++ b/src/data_plane/limits/quota_state_table.h
@@ -19,19 +19,19 @@
 #include <utility>
 #include <vector>
 
-#include "limits/row.h"
-#include "valehall/control.h"
+#include "data_plane/limits/quota_row.h"
+#include "decision/control.h"
 
 namespace shaletray::limits {
 
-using valehall::Allowance;
-using valehall::CustomerId;
-using valehall::Duration;
-using valehall::TimePoint;
+using decision::Allowance;
+using decision::CustomerId;
+using decision::Duration;
+using decision::TimePoint;
 
 struct LedgerSettings {
     int me = 0, gateways = 1;
-    std::vector<valehall::PlanSettings> plans;
+    std::vector<decision::PlanSettings> plans;
     double most_units = 1.0;          // the largest request
     std::uint64_t incarnation = 1;    // above 0, and larger at each start of the same gateway
     Duration lease{8'000'000};        // how long what is leased is held at most
@@ -42,7 +42,7 @@
     std::size_t most_customers = 100'000;
     std::size_t most_news = 64;    // customers in one announcement
 
-    // Throws valehall::BadSettings with what is wrong.
+    // Throws decision::BadSettings with what is wrong.
     void check() const;
 };
 
@@ -60,7 +60,7 @@
 // Terms beyond the settings' plans, under a number of their own: a version of a plan, or a reservation, which
 // is an account of its own whose units were carved out of its owner's quota.
 struct LedgerTerms {
-    valehall::PlanSettings figures;
+    decision::PlanSettings figures;
     int like = 0;    // the settings' plan that the module goes by
     bool account = false;
     CustomerId owner{};         // of an account: whose ceiling it draws on
@@ -189,8 +189,8 @@
         Row last;
     };
 
-    const valehall::PlanSettings& plan(const Customer& c) const { return *terms(c.plan); }
-    const valehall::PlanSettings* terms(int plan) const;
+    const decision::PlanSettings& plan(const Customer& c) const { return *terms(c.plan); }
+    const decision::PlanSettings* terms(int plan) const;
     const LedgerTerms* extra(int plan) const;
     void replan(CustomerId id, Customer& c, int plan, TimePoint now);
     void erase(CustomerId id);
--- a/src/plans/spread.cpp
+++ b/src/data_plane/plans/change_replicator.cpp
@@ -1,4 +1,4 @@
-#include "plans/spread.h"
+#include "data_plane/plans/change_replicator.h"
 
 #include <fmt/format.h>
 
--- a/src/plans/spread.h
+++ b/src/data_plane/plans/change_replicator.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "counter/notices.h"
-#include "plans/book.h"
+#include "data_plane/plans/field_exchange.h"
+#include "data_plane/plans/plan_table.h"
 
 namespace shaletray::plans {
 
@@ -20,7 +20,7 @@
     std::size_t behind = 0;    // gateways that are not where this one is, as they last said
 };
 
-class Spread : public counter::Notices {
+class Spread : public plans::Notices {
 public:
     using Take = std::function<void(const Change&)>;    // throws BadChange
 
--- a/src/counter/notices.h
+++ b/src/data_plane/plans/field_exchange.h
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace shaletray::counter {
+namespace shaletray::plans {
 
 class Notices {
 public:
@@ -16,8 +16,8 @@
     virtual std::vector<std::pair<std::string, std::string>> to_write() = 0;
     virtual std::vector<std::string> wanted() = 0;
     // Of each wanted field that was there; the others are told as absent.
-    virtual void heard(const std::string& field, const std::string& value, valehall::TimePoint now) = 0;
+    virtual void heard(const std::string& field, const std::string& value, decision::TimePoint now) = 0;
     virtual void absent(const std::string& field) = 0;
 };
 
-}    // namespace shaletray::counter
+}    // namespace shaletray::plans
--- a/src/plans/change.cpp
+++ b/src/data_plane/plans/plan_change.cpp
@@ -1,4 +1,4 @@
-#include "plans/change.h"
+#include "data_plane/plans/plan_change.h"
 
 #include <fmt/chrono.h>
 #include <fmt/format.h>
--- a/src/plans/change.h
+++ b/src/data_plane/plans/plan_change.h
@@ -8,13 +8,13 @@
 #include <string_view>
 #include <variant>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
 namespace shaletray::plans {
 
-using valehall::CustomerId;
-using valehall::Duration;
-using valehall::TimePoint;
+using decision::CustomerId;
+using decision::Duration;
+using decision::TimePoint;
 
 // The figures of a plan that may change in service. Everything else of it stays that of the platform's plan
 // which it is like.
--- a/src/plans/desk.cpp
+++ b/src/data_plane/plans/plan_service.cpp
@@ -1,4 +1,4 @@
-#include "plans/desk.h"
+#include "data_plane/plans/plan_service.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/plans/desk.h
+++ b/src/data_plane/plans/plan_service.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "limits/ledger.h"
-#include "plans/book.h"
+#include "data_plane/limits/quota_state_table.h"
+#include "data_plane/plans/plan_table.h"
 
 namespace shaletray::plans {
 
+using decision::Allowance;
 using limits::Ledger;
-using valehall::Allowance;
 
 struct DeskStats {
     std::uint64_t changes = 0;         // taken into the book in this life
--- a/src/plans/book.cpp
+++ b/src/data_plane/plans/plan_table.cpp
@@ -1,4 +1,4 @@
-#include "plans/book.h"
+#include "data_plane/plans/plan_table.h"
 
 #include <fmt/format.h>
 
@@ -52,7 +52,7 @@
 }
 
 Book::Book(BookSettings settings) : s_(std::move(settings)) {
-    using valehall::BadSettings;
+    using decision::BadSettings;
     if (s_.platform.empty()) throw BadSettings("plan book: no plans");
     if (s_.platform.size() > static_cast<std::size_t>(kBookTerms))
         throw BadSettings("plan book: too many plans");
@@ -107,7 +107,7 @@
         }
     }
     if (index < 0) return std::nullopt;
-    const valehall::PlanSettings& p = s_.platform[static_cast<std::size_t>(index)];
+    const decision::PlanSettings& p = s_.platform[static_cast<std::size_t>(index)];
     return InForce{index, index, {p.rate, p.burst, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack},
                    plan,  0,     0};
 }
@@ -261,7 +261,7 @@
         return refuse(Why::Wrong,
                       fmt::format("like: the platform's own plan {} can only be like itself", d.plan));
     const Terms& t = d.terms;
-    const valehall::PlanSettings& base = s_.platform[static_cast<std::size_t>(like)];
+    const decision::PlanSettings& base = s_.platform[static_cast<std::size_t>(like)];
     const auto figure = [](double v) { return std::isfinite(v) && v >= 0.0 && v <= kMostFigure; };
     if (!figure(t.rate) || !figure(t.burst) || !figure(t.ceiling_rate) || !figure(t.ceiling_burst) ||
         !figure(t.ceiling_slack))
@@ -486,7 +486,7 @@
     if (const auto* d = std::get_if<Define>(&body)) {
         const int own = platform_index(d->plan);
         if (own < 0) return false;
-        const valehall::PlanSettings& p = s_.platform[static_cast<std::size_t>(own)];
+        const decision::PlanSettings& p = s_.platform[static_cast<std::size_t>(own)];
         return d->terms == Terms{p.rate, p.burst, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack};
     }
     const auto* a = std::get_if<Assign>(&body);
--- a/src/plans/book.h
+++ b/src/data_plane/plans/plan_table.h
@@ -9,12 +9,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "plans/change.h"
+#include "data_plane/plans/plan_change.h"
 
 namespace shaletray::plans {
 
 struct BookSettings {
-    std::vector<valehall::PlanSettings> platform;
+    std::vector<decision::PlanSettings> platform;
     bool book_wins = false;                         // over the plan that a request names
     Duration lead{2'000'000};                       // from a change to its effect, at least
     Duration most_ahead{86'400'000'000LL * 400};    // of an effect or the end of a window
@@ -61,7 +61,7 @@
 
 class Book {
 public:
-    // Throws valehall::BadSettings.
+    // Throws decision::BadSettings.
     explicit Book(BookSettings settings);
 
     // What would become of it, without doing it. The same request once more gives the same change.
@@ -90,7 +90,7 @@
     double carved(CustomerId customer, TimePoint at) const;
     const Reservation* reservation(const std::string& id) const;
     std::string reservation_name(std::uint64_t version) const;    // empty where that version made none
-    const valehall::PlanSettings& platform(int plan) const {
+    const decision::PlanSettings& platform(int plan) const {
         return s_.platform.at(static_cast<std::size_t>(plan));
     }
     // What a customer's stores would hold, over all gateways, had it drawn nothing lately: after a change to
--- a/src/net/client_connection.cpp
+++ b/src/data_plane/proxy/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/client_connection.h"
+#include "data_plane/proxy/client_connection.h"
 
 #include <utility>
 
--- a/src/net/client_connection.h
+++ b/src/data_plane/proxy/client_connection.h
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "core/engine.h"
-#include "http/answer.h"
-#include "net/door.h"
-#include "net/stream.h"
+#include "base/http/answer.h"
+#include "base/net/stream.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/proxy/request_mapping.h"
 
 namespace shaletray {
 
--- a/src/net/listener.cpp
+++ b/src/data_plane/proxy/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/listener.h"
+#include "data_plane/proxy/client_listener.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
--- a/src/net/listener.h
+++ b/src/data_plane/proxy/client_listener.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/log.h"
-#include "net/client_connection.h"
+#include "base/common/log.h"
+#include "data_plane/proxy/client_connection.h"
 
 namespace shaletray {
 
--- a/src/net/hosts.h
+++ b/src/data_plane/proxy/host_table.h
@@ -3,8 +3,8 @@
 
 #include <string>
 
-#include "core/clock.h"
-#include "valehall/control.h"
+#include "base/common/clock.h"
+#include "decision/control.h"
 
 namespace shaletray {
 
@@ -15,9 +15,9 @@
         TimePoint born{};       // its process's start: another one is another process
     };
     virtual ~Hosts() = default;
-    virtual const Host* find(valehall::HostId host) const = 0;    // none: not known, or gone
+    virtual const Host* find(decision::HostId host) const = 0;    // none: not known, or gone
     // Whether the first byte of a request may still go there.
-    virtual bool may_begin(valehall::HostId host, TimePoint now) const = 0;
+    virtual bool may_begin(decision::HostId host, TimePoint now) const = 0;
 };
 
 }    // namespace shaletray
--- a/src/net/door.h
+++ b/src/data_plane/proxy/request_mapping.h
@@ -6,8 +6,9 @@
 #include <string_view>
 #include <variant>
 
-#include "core/engine.h"
-#include "http/message.h"
+#include "base/http/message.h"
+#include "base/http/rejection.h"
+#include "data_plane/engine/engine.h"
 
 namespace shaletray {
 
@@ -18,15 +19,6 @@
     bool overlaps = false;    // the client's next request may be worked on before this one is answered
 };
 
-// A request that is answered at the door.
-struct Rejection {
-    int status = 400;
-    std::string_view reason;    // text that stays
-    // Unless something is wrong with how the message was framed, its connection may serve the next one. Where
-    // its body is still coming, it ends all the same.
-    bool keeps_connection = false;
-};
-
 // An answer that is not a server's.
 struct Final {
     int status = 500;
@@ -34,9 +26,6 @@
     std::string body = {};
 };
 
-// Of a message that cannot be read.
-Rejection rejection_of(http::Fault fault);
-
 class Door {
 public:
     virtual ~Door() = default;
--- a/src/net/server_connection.cpp
+++ b/src/data_plane/proxy/server_connection.cpp
@@ -1,8 +1,8 @@
-#include "net/server_connection.h"
+#include "data_plane/proxy/server_connection.h"
 
 #include <utility>
 
-#include "http/answer.h"
+#include "base/http/answer.h"
 
 namespace shaletray {
 namespace {
--- a/src/net/server_connection.h
+++ b/src/data_plane/proxy/server_connection.h
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "net/dialect.h"
-#include "net/stream.h"
+#include "base/net/stream.h"
+#include "data_plane/proxy/upstream_protocol.h"
 
 namespace shaletray {
 
--- a/src/net/server_pool.cpp
+++ b/src/data_plane/proxy/server_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/server_pool.h"
+#include "data_plane/proxy/server_pool.h"
 
 #include <algorithm>
 
--- a/src/net/server_pool.h
+++ b/src/data_plane/proxy/server_pool.h
@@ -8,10 +8,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/engine.h"
-#include "core/log.h"
-#include "net/hosts.h"
-#include "net/server_connection.h"
+#include "base/common/log.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/proxy/host_table.h"
+#include "data_plane/proxy/server_connection.h"
 
 namespace shaletray {
 
--- a/src/net/dialect.h
+++ b/src/data_plane/proxy/upstream_protocol.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <string_view>
 
-#include "core/engine.h"
-#include "http/message.h"
+#include "base/http/message.h"
+#include "data_plane/engine/engine.h"
 
 namespace shaletray {
 
--- a/src/module/attempts.cpp
+++ b/src/decision/attempts.cpp
@@ -1,7 +1,7 @@
 // Sends, their outcomes, and further attempts.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr int kHungAfter = 10;    // times the class's usual latency
 
@@ -156,4 +156,4 @@
     requests_.erase(r.ask.request);
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/balancing.cpp
+++ b/src/decision/balancing.cpp
@@ -1,8 +1,8 @@
 // Balancing between the stores of a set: what is told to whom, and what moves (the design page's halving).
 // Values marked "page" are the design page's.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr Duration kTellEvery = 250ms;    // page: at most one message to a neighbour in this time
 constexpr double kGiftGap = 1.0;          // page: a gift needs a gap above one unit
@@ -204,4 +204,4 @@
     }
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/choice.cpp
+++ b/src/decision/choice.cpp
@@ -1,7 +1,7 @@
 // Which server a request may go to, and which it goes to.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr std::size_t kCandidates = 4;
 constexpr double kSlowCost = 20.0;    // of a server that stands out as slow for the class
@@ -86,4 +86,4 @@
     return *std::min_element(fit.begin(), fit.end(), cheaper);
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/fleet/cold_start.cpp
+++ b/src/decision/fleet/cold_start.cpp
@@ -1,9 +1,9 @@
-#include "fleet/cold_start.h"
+#include "decision/fleet/cold_start.h"
 
 #include <algorithm>
 #include <chrono>
 
-namespace valehall::fleet {
+namespace shaletray::decision::fleet {
 namespace {
 
 constexpr double kAim = 0.5;    // of what the rule allows
@@ -34,4 +34,4 @@
     return std::min(budget + rate * dt, rate * seconds(s.fall) * kStored + 1e-6);
 }
 
-}    // namespace valehall::fleet
+}    // namespace shaletray::decision::fleet
--- a/src/fleet/cold_start.h
+++ b/src/decision/fleet/cold_start.h
@@ -4,9 +4,9 @@
 
 #include <cstdint>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace valehall::fleet {
+namespace shaletray::decision::fleet {
 
 /// Attempts out a server, over all gateways, that the concurrency limits begin with.
 constexpr double kStartOut = 12.0;
@@ -30,4 +30,4 @@
 /// quarters of the rule's N a window, where a warm server takes what it can; else by half.
 double cold_budget(const Settings& s, double budget, double share, double each, bool warm, double dt);
 
-}    // namespace valehall::fleet
+}    // namespace shaletray::decision::fleet
--- a/src/module/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -4,10 +4,10 @@
 #include <cmath>
 #include <utility>
 
-#include "module/gateway_state.h"
-#include "module/tuned.h"
+#include "decision/gateway_state.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 Gateway::Impl::Impl(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
     check(s_);
@@ -107,4 +107,4 @@
 void Gateway::adopt(const Settings& next) { impl_->adopt(next); }
 std::size_t Gateway::avoided() const { return impl_->avoided(); }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/gateway_state.h
+++ b/src/decision/gateway_state.h
@@ -12,11 +12,11 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/cold_start.h"
-#include "module/peer_message.h"
-#include "valehall/control.h"
+#include "decision/control.h"
+#include "decision/fleet/cold_start.h"
+#include "decision/peer_message.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 inline double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 inline Duration from_seconds(double s) {
@@ -262,4 +262,4 @@
     std::vector<Action>* actions_ = nullptr;
 };
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/handover_state.cpp
+++ b/src/decision/handover_state.cpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "module/gateway_state.h"
+#include "decision/gateway_state.h"
 
-namespace valehall {
+namespace shaletray::decision {
 namespace {
 
 constexpr std::string_view kFirst = "module 1";    // of this form; another one is not read
@@ -200,4 +200,4 @@
 std::string Gateway::hand_over(TimePoint now) { return impl_->hand_over(now); }
 void Gateway::take_over(std::string_view text, TimePoint now) { impl_->take_over(text, now); }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
