--- a/src/module/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -1,9 +1,9 @@
-#include "module/peer_message.h"
+#include "decision/peer_message.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace valehall {
+namespace shaletray::decision {
 namespace {
 
 constexpr std::uint8_t kVersion = 3;
@@ -132,4 +132,4 @@
     return message;
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/peer_message.h
+++ b/src/decision/peer_message.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr std::size_t kPeerMessageLimit = 256;
 constexpr double kPeerUnitSteps = 128.0;    // amounts travel in these parts of a unit
@@ -59,4 +59,4 @@
 // Nothing where the bytes are not exactly one well-formed message of this version.
 std::optional<PeerMessage> parse_peer_message(const std::vector<std::uint8_t>& bytes);
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/pressure.cpp
+++ b/src/decision/pressure.cpp
@@ -1,7 +1,7 @@
 // How much may be out at once, what goes beyond a quota, and what is too slow for its class.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr double kBeyondRoom = 0.5;      // of the limit and of the latency goal, for requests beyond quota
 constexpr int kSlowAfter = 5;            // times the class's usual latency: far over it
@@ -70,4 +70,4 @@
     }
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/queue.cpp
+++ b/src/decision/queue.cpp
@@ -1,7 +1,7 @@
 // Arrival, and the requests held for units or for room.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr double kHoldShare = 0.5;          // of the time left inside the aim
 constexpr double kRoomShare = 0.2;          // the same for room at the servers: queues come on top
@@ -111,4 +111,4 @@
     }
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/servers.cpp
+++ b/src/decision/servers.cpp
@@ -1,7 +1,7 @@
 // The view of servers: lists, health, reports and cold starts.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr Duration kAskAgain = 1s;
 constexpr double kColdFleetWork = 1.0;    // core seconds a second a warm host surely does, where none is warm
@@ -175,4 +175,4 @@
     }
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/stores.cpp
+++ b/src/decision/stores.cpp
@@ -1,8 +1,8 @@
 // Quota stores: what a customer holds here, what that covers, and when more is due. Its part of the quota is
 // 1 / width of the plan's; what moves between gateways is in balancing.cpp.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr double kFineShare = 2.0;    // largest requests in a share: below it stores are read together
 constexpr double kKeepFree = 0.5;     // of the burst: what others may be granting meanwhile
@@ -132,4 +132,4 @@
     }
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/timers.cpp
+++ b/src/decision/timers.cpp
@@ -1,7 +1,7 @@
 // The tick: what is done as time passes.
-#include "module/tuned.h"
+#include "decision/tuned.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 constexpr Duration kIdleTick = 100ms;
 constexpr Duration kSweepEvery = 50ms;    // of all servers: budgets, silence, probes due
@@ -34,4 +34,4 @@
     arm(now + (held_.empty() && out_ == 0 ? kIdleTick : kBusyTick));
 }
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/module/tuned.h
+++ b/src/decision/tuned.h
@@ -1,9 +1,9 @@
 // Tuned values that more than one concern goes by; the others stand where they are used.
 #pragma once
 
-#include "module/gateway_state.h"
+#include "decision/gateway_state.h"
 
-namespace valehall {
+namespace shaletray::decision {
 
 using namespace std::chrono_literals;
 
@@ -11,4 +11,4 @@
 constexpr Duration kBusyTick = 10ms;     // between two ticks while anything is held or out
 constexpr double kFailHalfLife = 3.0;    // seconds
 
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/src/wire_codec.cpp
+++ b/src/decision/wire/wire_codec.cpp
@@ -1,4 +1,4 @@
-#include "wire_codec.h"
+#include "decision/wire/wire_codec.h"
 
 #include <array>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <unordered_map>
 
-namespace valehall::wire {
+namespace shaletray::decision::wire {
 namespace {
 
 [[noreturn]] void bad_field(const std::string& event, const std::string& field, const std::string& what) {
@@ -377,4 +377,4 @@
     return out;
 }
 
-}    // namespace valehall::wire
+}    // namespace shaletray::decision::wire
--- a/src/wire_codec.h
+++ b/src/decision/wire/wire_codec.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace valehall::wire {
+namespace shaletray::decision::wire {
 
 using Json = nlohmann::json;
 
@@ -40,4 +40,4 @@
 std::string base64_encode(const std::vector<std::uint8_t>& bytes);
 std::vector<std::uint8_t> base64_decode(const std::string& text);
 
-}    // namespace valehall::wire
+}    // namespace shaletray::decision::wire
--- a/src/wirehost.cpp
+++ b/src/decision/wire/wire_host.cpp
@@ -5,15 +5,15 @@
 #include <utility>
 #include <vector>
 
-#include "wire_codec.h"
+#include "decision/wire/wire_codec.h"
 
 namespace {
 
-using valehall::Action;
-using valehall::Event;
-using valehall::Gateway;
-using valehall::TimePoint;
-namespace wire = valehall::wire;
+using shaletray::decision::Action;
+using shaletray::decision::Event;
+using shaletray::decision::Gateway;
+using shaletray::decision::TimePoint;
+namespace wire = shaletray::decision::wire;
 
 class Host {
 public:
@@ -21,7 +21,7 @@
     void take(const std::string& line) {
         const wire::Message message = wire::parse_line(line);
         if (message.name == "ROUND") {
-            now_ = TimePoint(valehall::Duration(message.integer("wall")));
+            now_ = TimePoint(shaletray::decision::Duration(message.integer("wall")));
             return;
         }
         if (message.name == "OVER_TO_YOU") {
--- a/src/pilot/lookout.cpp
+++ b/src/gateway/control_plane_client.cpp
@@ -1,8 +1,8 @@
-#include "pilot/lookout.h"
+#include "gateway/control_plane_client.h"
 
 #include <algorithm>
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 namespace {
 
 // The same order at a pilot for as long as it lives, another one at each: lighthouses get even parts.
@@ -54,7 +54,7 @@
 }
 
 void Lookout::say(const std::string& to, Watched& watched, TimePoint now, Actions& out) {
-    watch::Have have;
+    subscription::Have have;
     have.life = settings_.life;
     if (table_ && !wants_whole_) {
         have.version = table_->chart().version;
@@ -64,7 +64,7 @@
     have.known_sequence = watched.sequence;
     have.counts = pilots_;
     if (watched.asked < watched.heard || watched.asked == TimePoint{}) watched.asked = now;
-    out.sends.push_back({to, watch::encode(have)});
+    out.sends.push_back({to, subscription::encode(have)});
 }
 
 void Lookout::tick(TimePoint now, std::uint32_t counts, Actions& out) {
@@ -79,12 +79,12 @@
                     Actions& out) {
     const auto it = watched_.find(from);
     if (it == watched_.end()) return;    // not asked, or not any more
-    boost::leaf::result<watch::News> read = watch::decode_news(bytes);
+    boost::leaf::result<subscription::News> read = subscription::decode_news(bytes);
     if (!read || read->life != life) {
         ++counts_.spoilt;
         return;
     }
-    const watch::News& news = *read;
+    const subscription::News& news = *read;
     Watched& watched = it->second;
     ++counts_.news;
     watched.heard = now;
@@ -112,11 +112,11 @@
 }
 
 // True where this pilot is behind what it was told of.
-bool Lookout::take_chart(const watch::News& news, Actions& out) {
+bool Lookout::take_chart(const subscription::News& news, Actions& out) {
     if (news.version <= version()) return false;    // never back
     if (news.update.empty()) return true;
-    boost::leaf::result<chart::Chart> next =
-        chart::read_update(table_ ? table_->chart() : none_, news.update);
+    boost::leaf::result<configuration::Chart> next =
+        configuration::read_update(table_ ? table_->chart() : none_, news.update);
     if (!next || next->version != news.version) {
         // A patch to something else, or damaged: the whole is asked for where that goes on.
         ++counts_.spoilt;
@@ -125,10 +125,10 @@
     }
     ++(table_ && !wants_whole_ ? counts_.patches : counts_.wholes);
     wants_whole_ = false;
-    table_ = std::make_shared<const chart::Table>(std::move(*next));
-    digest_ = chart::digest_of(table_->chart());
+    table_ = std::make_shared<const configuration::Table>(std::move(*next));
+    digest_ = configuration::digest_of(table_->chart());
     out.chart_changed = true;
     return false;
 }
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/pilot/lookout.h
+++ b/src/gateway/control_plane_client.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "chart/chart.h"
-#include "lighthouse/watch.h"
-#include "muster/muster.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/registry/service_registry.h"
+#include "cluster/subscription/subscription.h"
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 
 class Lookout {
 public:
@@ -40,8 +40,8 @@
     void tick(TimePoint now, std::uint32_t counts, Actions& out);
     TimePoint next() const { return next_; }
 
-    const std::shared_ptr<const chart::Table>& table() const { return table_; }
-    const std::map<std::string, muster::Server>& servers() const { return roster_.servers(); }
+    const std::shared_ptr<const configuration::Table>& table() const { return table_; }
+    const std::map<std::string, registry::Server>& servers() const { return roster_.servers(); }
     // A lighthouse that a majority bore out has told this life all that there is, and this life has it.
     bool caught_up() const { return caught_up_ && table_ != nullptr; }
     // The lighthouses whose last word, not older than `within`, was borne out by a majority.
@@ -61,21 +61,21 @@
     };
     void say(const std::string& to, Watched& watched, TimePoint now, Actions& out);
     void choose(TimePoint now);
-    bool take_chart(const watch::News& news, Actions& out);
+    bool take_chart(const subscription::News& news, Actions& out);
     std::uint64_t version() const { return table_ ? table_->chart().version : 0; }
 
     Settings settings_;
     std::vector<std::string> known_;    // in the order of preference
     std::map<std::string, Watched> watched_;
     std::size_t turn_ = 0;    // of known_
-    std::shared_ptr<const chart::Table> table_;
-    chart::Chart none_;
+    std::shared_ptr<const configuration::Table> table_;
+    configuration::Chart none_;
     std::uint64_t digest_ = 0;
-    muster::Roster roster_;
+    registry::Roster roster_;
     bool caught_up_ = false, wants_whole_ = false;
     std::uint32_t pilots_ = 0;
     TimePoint next_{};
     Counts counts_;
 };
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/pilot/pilot.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,16 +1,16 @@
-#include "pilot/pilot.h"
+#include "gateway/gateway.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "station/log_sink.h"
+#include "base/runtime/log_sink.h"
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 namespace {
 
 using namespace std::chrono_literals;
-using station::event;
+using runtime::event;
 
 constexpr Duration kPeersEvery = 250ms, kFleetEvery = 500ms;
 constexpr Duration kConfirmedWithin = 3s;    // a lighthouse's word, for the lease on quotas
@@ -20,37 +20,37 @@
 constexpr std::size_t kOwnDescriptors = 260;    // files outside the disk folder, and the loop's own
 constexpr double kClientShare = 0.65;           // of the others
 
-std::vector<std::string> zone_names(const station::NodeSettings& s) {
+std::vector<std::string> zone_names(const runtime::NodeSettings& s) {
     std::vector<std::string> names;
     for (const auto& [zone, region] : s.zones) names.push_back(zone);
     return names;
 }
 
-std::size_t sockets_of(const station::NodeSettings& s) {
+std::size_t sockets_of(const runtime::NodeSettings& s) {
     return s.max_open_files > kOwnDescriptors + 64 ? s.max_open_files - kOwnDescriptors : 64;
 }
 
 }    // namespace
 
-Pilot::Pilot(station::NodeSettings settings)
+Pilot::Pilot(runtime::NodeSettings settings)
     : settings_(std::move(settings)),
-      address_(station::pilot_address(settings_.ip, settings_)),
+      address_(runtime::pilot_address(settings_.ip, settings_)),
       life_(static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock_.now().time_since_epoch().count()))),
       fleet_({zone_names(settings_), 300ms}),
       lease_(address_) {
     const TimePoint now = clock_.now();
     const std::uint64_t seed = std::hash<std::string>{}(address_) ^ life_;
 
-    convoy::Settings c;
+    membership::Settings c;
     c.me.address = address_;
-    c.me.role = convoy::Role::Pilot;
+    c.me.role = membership::Role::Pilot;
     c.me.name = settings_.node_name;
     c.me.zone = settings_.zone;
     c.me.region = settings_.region;
     c.me.life = life_;
-    c.seeds = station::lighthouse_seeds(settings_);
+    c.seeds = runtime::lighthouse_seeds(settings_);
     c.seed = seed;
-    convoy_ = std::make_unique<convoy::Convoy>(c, now);
+    convoy_ = std::make_unique<membership::Convoy>(c, now);
 
     begin_tide();
 
@@ -60,8 +60,9 @@
     lookout_ = std::make_unique<Lookout>(l);
     lighthouses_changed();
 
-    mailer_ = std::make_unique<signal::Mailer>(reactor_, address_, life_, signal::Mailer::Limits{},
-                                               [this](signal::Letter&& letter) { heard(std::move(letter)); });
+    mailer_ =
+        std::make_unique<transport::Mailer>(reactor_, address_, life_, transport::Mailer::Limits{},
+                                            [this](transport::Letter&& letter) { heard(std::move(letter)); });
 
     DeskSettings d;
     d.seed = seed + 2;
@@ -104,31 +105,31 @@
     listener_->begin_stop();
 }
 
-void Pilot::settings_changed(const station::NodeSettings& settings) {
+void Pilot::settings_changed(const runtime::NodeSettings& settings) {
     settings_.seeds = settings.seeds;
-    convoy_->seeds(station::lighthouse_seeds(settings_));
+    convoy_->seeds(runtime::lighthouse_seeds(settings_));
     lighthouses_changed();
 }
 
 // A life's stores begin empty.
 void Pilot::begin_tide() {
-    tide::Settings t;
+    quota::Settings t;
     t.me = address_;
     t.life = life_;
     t.seed = std::hash<std::string>{}(address_) + life_;
     t.window = settings_.bounds.quota_window;
     t.overshoot = settings_.bounds.quota_overshoot;
     t.slack = settings_.bounds.quota_slack;
-    tide_ = std::make_unique<tide::Tide>(t, clock_.now());
+    tide_ = std::make_unique<quota::Tide>(t, clock_.now());
     if (desk_) desk_->quotas_from(*tide_);
 }
 
 void Pilot::set_quotas() {
-    const std::shared_ptr<const chart::Table>& table = lookout_->table();
+    const std::shared_ptr<const configuration::Table>& table = lookout_->table();
     if (!table) return;
-    std::map<std::string, tide::Quota> quotas;
+    std::map<std::string, quota::Quota> quotas;
     if (table->asks_for_keys()) {
-        for (const chart::Tenant& tenant : *table->chart().tenants)
+        for (const configuration::Tenant& tenant : *table->chart().tenants)
             quotas[tenant.name] = {tenant.rate_per_s, tenant.burst};
     }
     tide_->quotas(quotas, clock_.now());
@@ -148,22 +149,22 @@
 
 // ---- other processes ----
 
-void Pilot::heard(signal::Letter&& letter) {
+void Pilot::heard(transport::Letter&& letter) {
     const TimePoint now = clock_.now();
     switch (letter.kind) {
-        case signal::Kind::Convoy: {
-            convoy::Actions out;
+        case transport::Kind::Convoy: {
+            membership::Actions out;
             convoy_->heard(letter.from, letter.bytes, now, out);
             carry(out);
             break;
         }
-        case signal::Kind::Tide: {
-            tide::Actions out;
+        case transport::Kind::Tide: {
+            quota::Actions out;
             tide_->heard(letter.from, letter.bytes, now, out);
             carry(out);
             break;
         }
-        case signal::Kind::Watch: {
+        case transport::Kind::Watch: {
             convoy_->seen(letter.from, letter.life, now);
             Lookout::Actions out;
             lookout_->heard(letter.from, letter.life, letter.bytes, now, out);
@@ -174,35 +175,35 @@
     }
 }
 
-void Pilot::carry(const convoy::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->datagram(send.to, signal::Kind::Convoy, send.bytes);
+void Pilot::carry(const membership::Actions& actions) {
+    for (const auto& send : actions.sends) mailer_->datagram(send.to, transport::Kind::Convoy, send.bytes);
     bool lighthouses = false;
     for (const std::string& address : actions.changed) {
         const auto it = convoy_->members().find(address);
         if (it == convoy_->members().end()) continue;
-        const convoy::Member& m = it->second;
-        const std::string_view state = m.state == convoy::State::Alive       ? "alive"
-                                       : m.state == convoy::State::Suspected ? "suspected"
-                                                                             : "gone";
+        const membership::Member& m = it->second;
+        const std::string_view state = m.state == membership::State::Alive       ? "alive"
+                                       : m.state == membership::State::Suspected ? "suspected"
+                                                                                 : "gone";
         event(LogLevel::Debug, "member_changed",
               {kv("member", address), kv("state", state), kv("life", m.facts.life),
                kv("counts", m.facts.counts)});
-        lighthouses = lighthouses || m.facts.role == convoy::Role::Lighthouse;
-        if (m.facts.role == convoy::Role::Pilot) next_peers_ = TimePoint{};
+        lighthouses = lighthouses || m.facts.role == membership::Role::Lighthouse;
+        if (m.facts.role == membership::Role::Pilot) next_peers_ = TimePoint{};
     }
     if (lighthouses) lighthouses_changed();
 }
 
-void Pilot::carry(const tide::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->datagram(send.to, signal::Kind::Tide, send.bytes);
+void Pilot::carry(const quota::Actions& actions) {
+    for (const auto& send : actions.sends) mailer_->datagram(send.to, transport::Kind::Tide, send.bytes);
     if (!actions.woken.empty()) desk_->units_came(actions.woken);
 }
 
 void Pilot::carry(const Lookout::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->session(send.to, signal::Kind::Watch, send.bytes);
+    for (const auto& send : actions.sends) mailer_->session(send.to, transport::Kind::Watch, send.bytes);
     const TimePoint now = clock_.now();
     if (actions.chart_changed) {
-        const std::shared_ptr<const chart::Table>& table = lookout_->table();
+        const std::shared_ptr<const configuration::Table>& table = lookout_->table();
         set_quotas();
         passage_.chart(table);
         desk_->chart(table);
@@ -223,10 +224,11 @@
 void Pilot::lighthouses_changed() {
     std::vector<std::string> known, suspected;
     for (const auto& [address, member] : convoy_->members()) {
-        if (member.facts.role != convoy::Role::Lighthouse || member.state == convoy::State::Gone) continue;
-        (member.state == convoy::State::Alive ? known : suspected).push_back(address);
+        if (member.facts.role != membership::Role::Lighthouse || member.state == membership::State::Gone)
+            continue;
+        (member.state == membership::State::Alive ? known : suspected).push_back(address);
     }
-    for (const std::string& seed : station::lighthouse_seeds(settings_)) {
+    for (const std::string& seed : runtime::lighthouse_seeds(settings_)) {
         if (!convoy_->members().contains(seed)) known.push_back(seed);
     }
     lookout_->lighthouses(std::move(known), std::move(suspected));
@@ -237,14 +239,14 @@
 void Pilot::tick() {
     const TimePoint now = clock_.now();
     if (convoy_->next() <= now) {
-        convoy::Actions out;
+        membership::Actions out;
         convoy_->tick(now, out);
         carry(out);
         look_after_life();
     }
     if (now >= next_peers_) look_after_peers();
     if (tide_->next() <= now) {
-        tide::Actions out;
+        quota::Actions out;
         tide_->tick(now, out);
         carry(out);
     }
@@ -272,7 +274,7 @@
 void Pilot::look_after_peers() {
     const TimePoint now = clock_.now();
     next_peers_ = now + kPeersEvery;
-    tide::Peers peers = lease_.look(*convoy_, lookout_->confirmed(now, kConfirmedWithin), now);
+    quota::Peers peers = lease_.look(*convoy_, lookout_->confirmed(now, kConfirmedWithin), now);
     convoy_->counts(lease_.counts());
     desk_->pilots(std::max(lease_.electorate(), static_cast<std::uint32_t>(peers.ring.size())));
     const bool leased = peers.divisor > 0 && peers.refill_until > now;
@@ -295,9 +297,9 @@
     const bool late = stopping >= settings_.bounds.grace - kEndBefore;
     if (late) desk_->give_up_all();
     if (!late && (stopping < kAcceptOn || listener_->clients() > 0)) return;
-    convoy::Actions out;
+    membership::Actions out;
     convoy_->leave(now, out);
-    for (const auto& send : out.sends) mailer_->datagram(send.to, signal::Kind::Convoy, send.bytes);
+    for (const auto& send : out.sends) mailer_->datagram(send.to, transport::Kind::Convoy, send.bytes);
     event(LogLevel::Info, "pilot_stopped", {kv("after_ms", stopping / 1ms), kv("open", desk_->open())});
     reactor_.stop();
 }
@@ -305,7 +307,7 @@
 std::string Pilot::counters_text() const {
     const Desk::Counts& d = desk_->counts();
     const Lookout::Counts& l = lookout_->counts();
-    const signal::Mailer::Counts& m = mailer_->counts();
+    const transport::Mailer::Counts& m = mailer_->counts();
     return fmt::format(
         "taken={} granted={} waited={} refused_quota={} refused_room={} served={} failed={} sent={} "
         "dialled={} reused={} "
@@ -316,4 +318,4 @@
         l.news, l.wholes, l.patches, l.spoilt, m.sent, m.sent_bytes, m.dropped, m.spoilt);
 }
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/pilot/pilot.h
+++ b/src/gateway/gateway.h
@@ -4,36 +4,36 @@
 #include <functional>
 #include <memory>
 
-#include "channel/fleet.h"
-#include "channel/passage.h"
-#include "convoy/convoy.h"
-#include "net/call_server.h"
-#include "net/listener.h"
-#include "pilot/desk.h"
-#include "pilot/lookout.h"
-#include "pilot/quota_lease.h"
-#include "signal/mailer.h"
-#include "station/settings_file.h"
-#include "tide/tide.h"
+#include "base/net/api_server.h"
+#include "base/runtime/settings_file.h"
+#include "cluster/membership/membership.h"
+#include "cluster/quota/quota_balancer.h"
+#include "cluster/transport/connection_manager.h"
+#include "data_plane/proxy/client_listener.h"
+#include "gateway/control_plane_client.h"
+#include "gateway/http_mapping/request_mapper.h"
+#include "gateway/http_mapping/upstream_hosts.h"
+#include "gateway/quota_lease.h"
+#include "gateway/request_dispatcher.h"
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 
 class Pilot {
 public:
     // Throws Poco::Exception where an address cannot be used.
-    explicit Pilot(station::NodeSettings settings);
+    explicit Pilot(runtime::NodeSettings settings);
     ~Pilot();
     // Until stopped. `look` runs once a turn, and at least ten times a second.
     void run(std::function<void()> look);
     // Finishes what was taken, then ends run().
     void stop();
     // Takes over the seeds; all else takes a restart.
-    void settings_changed(const station::NodeSettings& settings);
+    void settings_changed(const runtime::NodeSettings& settings);
     std::string counters_text() const;
 
 private:
     bool ready() const;
-    void heard(signal::Letter&& letter);
+    void heard(transport::Letter&& letter);
     void tick();
     void tick_soon();
     void begin_tide();
@@ -41,25 +41,25 @@
     void look_after_life();
     void look_after_peers();
     void look_after_stop();
-    void carry(const convoy::Actions& actions);
-    void carry(const tide::Actions& actions);
+    void carry(const membership::Actions& actions);
+    void carry(const quota::Actions& actions);
     void carry(const Lookout::Actions& actions);
     void lighthouses_changed();
 
-    station::NodeSettings settings_;
+    runtime::NodeSettings settings_;
     SystemClock clock_;
     std::string address_;
     std::uint64_t life_;
     Timers timers_;
     Counters counters_;
     Reactor reactor_{clock_, timers_};
-    std::unique_ptr<convoy::Convoy> convoy_;
-    std::unique_ptr<tide::Tide> tide_;
-    channel::Fleet fleet_;
+    std::unique_ptr<membership::Convoy> convoy_;
+    std::unique_ptr<quota::Tide> tide_;
+    http_mapping::Fleet fleet_;
     QuotaLease lease_;
-    channel::Passage passage_;
+    http_mapping::Passage passage_;
     std::unique_ptr<Lookout> lookout_;
-    std::unique_ptr<signal::Mailer> mailer_;
+    std::unique_ptr<transport::Mailer> mailer_;
     std::unique_ptr<Desk> desk_;
     std::unique_ptr<Listener> listener_;
     std::unique_ptr<CallServer> readiness_;
@@ -69,4 +69,4 @@
     bool was_ready_ = false, was_leased_ = false;
 };
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/channel/passage.cpp
+++ b/src/gateway/http_mapping/request_mapper.cpp
@@ -1,4 +1,4 @@
-#include "channel/passage.h"
+#include "gateway/http_mapping/request_mapper.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <cmath>
 
-namespace shaletray::channel {
+namespace shaletray::http_mapping {
 namespace {
 
 using namespace std::chrono_literals;
@@ -96,7 +96,7 @@
     errand->table = table_;
     errand->route = table_->route(parser.header(buffer, kHost), target.substr(0, target.find('?')));
     if (errand->route == nullptr) return turn_back(404, "no route leads there");
-    const chart::Route& route = *errand->route;
+    const configuration::Route& route = *errand->route;
     if (table_->asks_for_keys()) {
         errand->tenant = table_->tenant(key_of(parser.header(buffer, kAuthorization)));
         if (errand->tenant == nullptr && !route.is_public) return turn_back(401, "no key, or an unknown one");
@@ -130,24 +130,24 @@
         head.append("Transfer-Encoding: chunked\r\n");
     }
     arrival.payload.id = taken.id;
-    taken.overlaps = route.kind == chart::RouteKind::Idempotent;
+    taken.overlaps = route.kind == configuration::RouteKind::Idempotent;
     arrival.purpose = std::move(errand);
     return taken;
 }
 
 http::Limits Passage::limits() const {
     http::Limits limits;
-    const chart::Limits wanted = table_ ? table_->chart().limits : chart::Limits{};
+    const configuration::Limits wanted = table_ ? table_->chart().limits : configuration::Limits{};
     limits.head = wanted.max_header_bytes;
     limits.body = wanted.max_body_bytes;
     return limits;
 }
 
 Duration Passage::header_timeout() const {
-    return table_ ? table_->chart().limits.header_timeout : chart::Limits{}.header_timeout;
+    return table_ ? table_->chart().limits.header_timeout : configuration::Limits{}.header_timeout;
 }
 Duration Passage::idle_timeout(std::uint64_t) const {
-    return table_ ? table_->chart().limits.idle_timeout : chart::Limits{}.idle_timeout;
+    return table_ ? table_->chart().limits.idle_timeout : configuration::Limits{}.idle_timeout;
 }
 
 // Either promises that the request has not run and never will.
@@ -227,4 +227,4 @@
     return std::chrono::seconds(seconds);
 }
 
-}    // namespace shaletray::channel
+}    // namespace shaletray::http_mapping
--- a/src/channel/passage.h
+++ b/src/gateway/http_mapping/request_mapper.h
@@ -8,18 +8,18 @@
 #include <string>
 #include <string_view>
 
-#include "chart/chart.h"
-#include "http/answer.h"
-#include "net/dialect.h"
-#include "net/door.h"
+#include "base/http/answer.h"
+#include "cluster/configuration/configuration.h"
+#include "data_plane/proxy/request_mapping.h"
+#include "data_plane/proxy/upstream_protocol.h"
 
-namespace shaletray::channel {
+namespace shaletray::http_mapping {
 
 // What a request is for, by the chart that was in force when it came. Goes with its Arrival, as `purpose`.
 struct Errand {
-    std::shared_ptr<const chart::Table> table;    // keeps what is pointed to here
-    const chart::Route* route = nullptr;
-    const chart::Tenant* tenant = nullptr;    // none: a public route, or no keys are asked for
+    std::shared_ptr<const configuration::Table> table;    // keeps what is pointed to here
+    const configuration::Route* route = nullptr;
+    const configuration::Tenant* tenant = nullptr;    // none: a public route, or no keys are asked for
 
     int priority() const {
         return tenant != nullptr && tenant->priority ? *tenant->priority : route->priority;
@@ -29,8 +29,8 @@
 class Passage final : public Door {
 public:
     // All requests read from now on go by this chart.
-    void chart(std::shared_ptr<const chart::Table> table) { table_ = std::move(table); }
-    const std::shared_ptr<const chart::Table>& table() const { return table_; }
+    void chart(std::shared_ptr<const configuration::Table> table) { table_ = std::move(table); }
+    const std::shared_ptr<const configuration::Table>& table() const { return table_; }
 
     bool asks_ready(const http::Parser&, const http::Buffer&) const override { return false; }
     std::variant<Taken, Rejection> read(const http::Parser& parser, const http::Buffer& buffer,
@@ -42,7 +42,7 @@
     Final failed(Failure why) const override;
 
 private:
-    std::shared_ptr<const chart::Table> table_;
+    std::shared_ptr<const configuration::Table> table_;
 };
 
 // "400" to "400.7" milliseconds; none where it is no time, below zero or above an hour.
@@ -68,4 +68,4 @@
     std::function<std::optional<Target>(HostId)> target_;
 };
 
-}    // namespace shaletray::channel
+}    // namespace shaletray::http_mapping
--- a/src/channel/fleet.cpp
+++ b/src/gateway/http_mapping/upstream_hosts.cpp
@@ -1,10 +1,10 @@
-#include "channel/fleet.h"
+#include "gateway/http_mapping/upstream_hosts.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace shaletray::channel {
+namespace shaletray::http_mapping {
 namespace {
 
 using namespace std::chrono_literals;
@@ -33,21 +33,21 @@
     return static_cast<int>(it - settings_.zones.begin());    // unknown ones share the number behind the last
 }
 
-std::set<std::string> Fleet::take(const std::map<std::string, muster::Server>& servers, TimePoint now) {
+std::set<std::string> Fleet::take(const std::map<std::string, registry::Server>& servers, TimePoint now) {
     std::set<std::string> changed;
     struct Tally {
         std::size_t serving = 0, lost = 0;
     };
     std::map<std::string, Tally> tallies;
     for (const auto& [id, s] : servers) {
-        if (s.state == muster::State::InService) ++tallies[s.service].serving;
-        if (s.state == muster::State::Lost) ++tallies[s.service].lost;
+        if (s.state == registry::State::InService) ++tallies[s.service].serving;
+        if (s.state == registry::State::Lost) ++tallies[s.service].lost;
     }
     for (const auto& [id, s] : servers) {
         const HostId number = number_for(id);
         const auto [it, is_new] = hosts_.try_emplace(number);
         Known& known = it->second;
-        valehall::HostEntry entry;
+        decision::HostEntry entry;
         entry.host = number;
         entry.zone = zone_number(s.zone);
         const bool ramps = s.ramp_left > Duration(0) && s.at + s.ramp_left > now;
@@ -56,17 +56,17 @@
         const bool believed =
             static_cast<double>(tally.lost) <= kMostLost * static_cast<double>(tally.lost + tally.serving);
         switch (s.state) {
-            case muster::State::InService: entry.state = valehall::HostState::Healthy; break;
-            case muster::State::Draining: entry.state = valehall::HostState::Draining; break;
-            case muster::State::Gone: entry.state = valehall::HostState::Gone; break;
-            case muster::State::Lost:
-                entry.state = believed ? valehall::HostState::Gone : valehall::HostState::Healthy;
+            case registry::State::InService: entry.state = decision::HostState::Healthy; break;
+            case registry::State::Draining: entry.state = decision::HostState::Draining; break;
+            case registry::State::Gone: entry.state = decision::HostState::Gone; break;
+            case registry::State::Lost:
+                entry.state = believed ? decision::HostState::Gone : decision::HostState::Healthy;
                 break;
         }
         const bool same = !is_new && known.entry.state == entry.state && known.entry.rating == entry.rating &&
                           known.host.address == s.address && known.entry.zone == entry.zone;
         if (same) continue;
-        if (entry.state == valehall::HostState::Healthy) known.left = TimePoint{};
+        if (entry.state == decision::HostState::Healthy) known.left = TimePoint{};
         else if (known.left == TimePoint{}) known.left = now;
         known.id = id;
         known.service = s.service;
@@ -78,8 +78,8 @@
     for (auto it = hosts_.begin(); it != hosts_.end();) {
         Known& known = it->second;
         const bool listed = servers.contains(known.id);
-        if (!listed && known.entry.state != valehall::HostState::Gone) {
-            known.entry.state = valehall::HostState::Gone;
+        if (!listed && known.entry.state != decision::HostState::Gone) {
+            known.entry.state = decision::HostState::Gone;
             known.left = now;
             changed.insert(known.service);
         }
@@ -94,42 +94,42 @@
     return changed;
 }
 
-valehall::HostList Fleet::list(const std::string& service) const {
-    valehall::HostList list;
+decision::HostList Fleet::list(const std::string& service) const {
+    decision::HostList list;
     if (const auto it = by_service_.find(service); it != by_service_.end()) {
         for (const HostId host : it->second) {
-            const valehall::HostEntry& entry = hosts_.at(host).entry;
-            if (entry.state != valehall::HostState::Gone) list.hosts.push_back(entry);
+            const decision::HostEntry& entry = hosts_.at(host).entry;
+            if (entry.state != decision::HostState::Gone) list.hosts.push_back(entry);
         }
     }
     return list;
 }
 
 std::size_t Fleet::in_service(const std::string& service) const {
-    const valehall::HostList all = list(service);
+    const decision::HostList all = list(service);
     return static_cast<std::size_t>(std::count_if(all.hosts.begin(), all.hosts.end(), [](const auto& h) {
-        return h.state == valehall::HostState::Healthy;
+        return h.state == decision::HostState::Healthy;
     }));
 }
 
 double Fleet::mean_capacity(const std::string& service) const {
-    const valehall::HostList all = list(service);
+    const decision::HostList all = list(service);
     double sum = 0.0;
-    for (const valehall::HostEntry& host : all.hosts) sum += host.rating;
+    for (const decision::HostEntry& host : all.hosts) sum += host.rating;
     return all.hosts.empty() ? 0.0 : sum / static_cast<double>(all.hosts.size());
 }
 
 const Hosts::Host* Fleet::find(HostId host) const {
     const auto it = hosts_.find(host);
-    return it == hosts_.end() || it->second.entry.state == valehall::HostState::Gone ? nullptr
+    return it == hosts_.end() || it->second.entry.state == decision::HostState::Gone ? nullptr
                                                                                      : &it->second.host;
 }
 
 bool Fleet::may_begin(HostId host, TimePoint now) const {
     const auto it = hosts_.find(host);
-    if (it == hosts_.end() || it->second.entry.state == valehall::HostState::Gone) return false;
+    if (it == hosts_.end() || it->second.entry.state == decision::HostState::Gone) return false;
     const Known& known = it->second;
-    return known.entry.state == valehall::HostState::Healthy || now - known.left <= settings_.late_start;
+    return known.entry.state == decision::HostState::Healthy || now - known.left <= settings_.late_start;
 }
 
 const std::string* Fleet::id_of(HostId host) const {
@@ -142,4 +142,4 @@
     return it == hosts_.end() ? nullptr : &it->second.service;
 }
 
-}    // namespace shaletray::channel
+}    // namespace shaletray::http_mapping
--- a/src/channel/fleet.h
+++ b/src/gateway/http_mapping/upstream_hosts.h
@@ -8,12 +8,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "muster/muster.h"
-#include "net/hosts.h"
+#include "cluster/registry/service_registry.h"
+#include "data_plane/proxy/host_table.h"
 
-namespace shaletray::channel {
+namespace shaletray::http_mapping {
 
-using valehall::HostId;
+using decision::HostId;
 
 class Fleet final : public Hosts {
 public:
@@ -25,9 +25,9 @@
     explicit Fleet(Settings settings) : settings_(std::move(settings)) {}
 
     // Services whose lists differ since the last call, by the roster as it stands now.
-    std::set<std::string> take(const std::map<std::string, muster::Server>& servers, TimePoint now);
+    std::set<std::string> take(const std::map<std::string, registry::Server>& servers, TimePoint now);
     // The whole list of one service.
-    valehall::HostList list(const std::string& service) const;
+    decision::HostList list(const std::string& service) const;
     std::size_t in_service(const std::string& service) const;
     // Requests that one of its servers works on at once; 0 where there is none.
     double mean_capacity(const std::string& service) const;
@@ -42,7 +42,7 @@
     struct Known {
         std::string id, service;
         Host host;
-        valehall::HostEntry entry;
+        decision::HostEntry entry;
         TimePoint left{};    // since when it is not healthy
     };
     HostId number_for(const std::string& id);
@@ -53,4 +53,4 @@
     std::map<std::string, std::set<HostId>> by_service_;
 };
 
-}    // namespace shaletray::channel
+}    // namespace shaletray::http_mapping
--- a/src/pilot/main.cpp
+++ b/src/gateway/main.cpp
@@ -3,23 +3,23 @@
 
 #include <cstdio>
 
-#include "pilot/pilot.h"
-#include "station/log_sink.h"
-#include "station/loop.h"
+#include "base/runtime/lifecycle.h"
+#include "base/runtime/log_sink.h"
+#include "gateway/gateway.h"
 
 int main(int argc, char** argv) {
     using namespace shaletray;
-    auto begun = station::begin(argc, argv, "pilot");
+    auto begun = runtime::begin(argc, argv, "gateway");
     if (const int* status = std::get_if<int>(&begun)) return *status;
-    station::Start start = std::move(std::get<station::Start>(begun));
-    station::open_log(start.settings.node_name);
-    station::catch_signals();
+    runtime::Start start = std::move(std::get<runtime::Start>(begun));
+    runtime::open_log(start.settings.node_name);
+    runtime::catch_signals();
     try {
-        pilot::Pilot pilot(start.settings);
-        pilot.run(station::look_after(
+        gateway::Pilot pilot(start.settings);
+        pilot.run(runtime::look_after(
             start, {[&] { pilot.stop(); }, [&](const auto& settings) { pilot.settings_changed(settings); },
                     [&] { return pilot.counters_text(); }}));
-        station::event(LogLevel::Info, "counters", {kv("text", pilot.counters_text())});
+        runtime::event(LogLevel::Info, "counters", {kv("text", pilot.counters_text())});
         return 0;
     } catch (const Poco::Exception& error) {
         std::fprintf(stderr, "pilot: %s\n", error.displayText().c_str());
--- a/src/pilot/quota_lease.cpp
+++ b/src/gateway/quota_lease.cpp
@@ -1,9 +1,9 @@
-#include "pilot/quota_lease.h"
+#include "gateway/quota_lease.h"
 
 #include <algorithm>
 #include <vector>
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 namespace {
 
 using namespace std::chrono_literals;
@@ -14,8 +14,8 @@
 constexpr Duration kReturning = 5s;    // in which the others come to count a pilot that is back
 
 // Both ways, within the last moments.
-bool in_touch(const convoy::Convoy& convoy, const convoy::Member& m, TimePoint now) {
-    if (m.state != convoy::State::Alive) return false;
+bool in_touch(const membership::Convoy& convoy, const membership::Member& m, TimePoint now) {
+    if (m.state != membership::State::Alive) return false;
     if (!convoy.meets_each()) return true;    // heard_part and answered_part stand for all
     return m.heard != TimePoint{} && now - m.heard <= kTouch && m.answered != TimePoint{} &&
            now - m.answered <= kTouch;
@@ -23,8 +23,8 @@
 
 }    // namespace
 
-tide::Peers QuotaLease::look(const convoy::Convoy& convoy, const std::vector<std::string>& confirmed,
-                             TimePoint now) {
+quota::Peers QuotaLease::look(const membership::Convoy& convoy, const std::vector<std::string>& confirmed,
+                              TimePoint now) {
     if (now - looked_ > kGap) {
         for (auto& [address, peer] : peers_) peer.unheard = TimePoint{};
         nameless_unheard_ = TimePoint{};
@@ -43,10 +43,10 @@
     lately_.emplace_back(now, divisor_);
     while (now - lately_.front().first > kSpread) lately_.pop_front();
 
-    tide::Peers out;
+    quota::Peers out;
     out.ring.push_back(me_);
     for (const auto& [address, m] : convoy.members())
-        if (m.facts.role == convoy::Role::Pilot && m.state != convoy::State::Gone)
+        if (m.facts.role == membership::Role::Pilot && m.state != membership::State::Gone)
             out.ring.push_back(address);
     std::sort(out.ring.begin(), out.ring.end());
     std::uint32_t most = std::max(divisor_, static_cast<std::uint32_t>(out.ring.size()));
@@ -73,12 +73,12 @@
     return out;
 }
 
-void QuotaLease::learn(const convoy::Convoy& convoy, TimePoint now) {
+void QuotaLease::learn(const membership::Convoy& convoy, TimePoint now) {
     const bool open = convoy.meets_each() ||
                       (convoy.heard_part(now, kTouch) >= 0.5 && convoy.answered_part(now, kTouch) >= 0.5);
     for (auto& [address, peer] : peers_) peer.touched = false;
     for (const auto& [address, m] : convoy.members()) {
-        if (m.facts.role != convoy::Role::Pilot) continue;
+        if (m.facts.role != membership::Role::Pilot) continue;
         auto it = peers_.find(address);
         if (m.ended) {
             if (it == peers_.end()) continue;
@@ -88,7 +88,7 @@
         }
         if (it == peers_.end()) {
             // Dropped before, or told to a newcomer, which has dropped nobody that it didn't hear.
-            if (m.state == convoy::State::Gone && (began_ || m.heard != TimePoint{})) continue;
+            if (m.state == membership::State::Gone && (began_ || m.heard != TimePoint{})) continue;
             it = peers_.emplace(address, Peer{}).first;
             it->second.known = it->second.heard = now;
         }
@@ -99,10 +99,10 @@
         }
         if (m.facts.counts == 0 && peer.counts > 0) no_longer(peer);    // its lease has ended
         peer.counts = m.facts.counts;
-        peer.gone = m.state == convoy::State::Gone;
+        peer.gone = m.state == membership::State::Gone;
         peer.hearsay = peer.hearsay && m.heard == TimePoint{};
         peer.heard = std::max(peer.heard, m.heard);
-        if (!convoy.meets_each() && m.state == convoy::State::Alive) peer.heard = now;
+        if (!convoy.meets_each() && m.state == membership::State::Alive) peer.heard = now;
         peer.touched = open && in_touch(convoy, m, now);
     }
 }
@@ -195,7 +195,7 @@
 
 // Those that are in touch and hold a lease divide by as many as are in touch here, at least: all, or nearly
 // all of many.
-bool QuotaLease::counts_us(const convoy::Convoy& convoy, std::size_t touched) const {
+bool QuotaLease::counts_us(const membership::Convoy& convoy, std::size_t touched) const {
     const double enough = static_cast<double>(touched) * (convoy.meets_each() ? 1.0 : 0.9);
     std::size_t less = 0;
     for (const auto& [address, peer] : peers_)
@@ -203,4 +203,4 @@
     return convoy.meets_each() ? less == 0 : 4 * less <= touched;
 }
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/pilot/quota_lease.h
+++ b/src/gateway/quota_lease.h
@@ -35,10 +35,10 @@
 #include <utility>
 #include <vector>
 
-#include "convoy/convoy.h"
-#include "tide/tide.h"
+#include "cluster/membership/membership.h"
+#include "cluster/quota/quota_balancer.h"
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 
 constexpr Duration kLease = std::chrono::seconds(10);
 constexpr Duration kDropAfter = std::chrono::seconds(20);    // twice the lease: late proofs of touch, drift
@@ -50,7 +50,8 @@
 
     // To be called a few times a second. `confirmed`: the lighthouses that a quorum bore out, by their word
     // of the last seconds.
-    tide::Peers look(const convoy::Convoy& convoy, const std::vector<std::string>& confirmed, TimePoint now);
+    quota::Peers look(const membership::Convoy& convoy, const std::vector<std::string>& confirmed,
+                      TimePoint now);
     // For Convoy::counts: how many pilots this one divides by of its own knowledge; 0: it has no lease.
     std::uint32_t counts() const { return held_ ? divisor_ : 0; }
     // How many pilots may run, this one included.
@@ -68,10 +69,10 @@
         bool hearsay = true;    // this life never heard of it itself
         bool gone = false;      // for the failure detector
     };
-    void learn(const convoy::Convoy& convoy, TimePoint now);
+    void learn(const membership::Convoy& convoy, TimePoint now);
     void no_longer(const Peer& peer);
     void drop(bool quorum, TimePoint now);
-    bool counts_us(const convoy::Convoy& convoy, std::size_t touched) const;
+    bool counts_us(const membership::Convoy& convoy, std::size_t touched) const;
     bool may_begin(TimePoint now);
 
     std::string me_;
@@ -88,4 +89,4 @@
     std::uint32_t divisor_ = 1;    // by this pilot's own knowledge
 };
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/pilot/desk.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -1,12 +1,12 @@
-#include "pilot/desk.h"
+#include "gateway/request_dispatcher.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "core/log.h"
+#include "base/common/log.h"
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 namespace {
 
 using namespace std::chrono_literals;
@@ -32,10 +32,11 @@
     return limits;
 }
 
-valehall::ClassSettings class_of(const chart::Route& route) {
-    valehall::ClassSettings c;
+decision::ClassSettings class_of(const configuration::Route& route) {
+    decision::ClassSettings c;
     c.name = route.name;
-    c.repeat = route.kind == chart::RouteKind::Idempotent ? valehall::Repeat::Safe : valehall::Repeat::Unsafe;
+    c.repeat = route.kind == configuration::RouteKind::Idempotent ? decision::Repeat::Safe
+                                                                  : decision::Repeat::Unsafe;
     c.aim = route.target_latency > Duration(0) ? std::min(route.target_latency, route.timeout)
                                                : route.timeout / 2;
     c.give_up = route.timeout;
@@ -47,7 +48,7 @@
 }    // namespace
 
 struct Desk::Line {
-    Line(Desk& desk, std::string name, const valehall::Settings& s, std::uint64_t seed)
+    Line(Desk& desk, std::string name, const decision::Settings& s, std::uint64_t seed)
         : service(std::move(name)),
           settings(s),
           engine(s, seed, desk.reactor_.clock(), desk.timers_, desk.counters_),
@@ -63,7 +64,7 @@
         void subscribe() override {}
     } no_lists;
     std::string service;
-    valehall::Settings settings;
+    decision::Settings settings;
     Engine engine;
     ServerPool pool;
     std::unordered_map<std::string, int> class_of_route;
@@ -95,7 +96,9 @@
         desk_.forget(*this);
         to->failed(why, std::move(answer));
     }
-    const channel::Errand& errand() const { return *static_cast<const channel::Errand*>(purpose.get()); }
+    const http_mapping::Errand& errand() const {
+        return *static_cast<const http_mapping::Errand*>(purpose.get());
+    }
     const std::string& tenant() const { return tenant_name; }
 
 private:
@@ -115,8 +118,8 @@
     bool charged = false, waits = false, answered = false;
 };
 
-Desk::Desk(DeskSettings settings, Reactor& reactor, Timers& timers, Counters& counters, channel::Fleet& fleet,
-           tide::Tide& tide, std::function<void()> tide_due)
+Desk::Desk(DeskSettings settings, Reactor& reactor, Timers& timers, Counters& counters,
+           http_mapping::Fleet& fleet, quota::Tide& tide, std::function<void()> tide_due)
     : settings_(settings),
       reactor_(reactor),
       timers_(timers),
@@ -124,11 +127,11 @@
       fleet_(fleet),
       tide_(&tide),
       tide_due_(std::move(tide_due)),
-      tongue_([this](HostId host) -> std::optional<channel::Tongue::Target> {
+      tongue_([this](HostId host) -> std::optional<http_mapping::Tongue::Target> {
           const std::string* const id = fleet_.id_of(host);
           if (id == nullptr) return std::nullopt;
           const auto check = health_checks_.find(*fleet_.service_of(host));
-          return channel::Tongue::Target{*id, check == health_checks_.end() ? "/" : check->second};
+          return http_mapping::Tongue::Target{*id, check == health_checks_.end() ? "/" : check->second};
       }),
       sockets_(settings.server_sockets),
       random_(settings.seed) {}
@@ -145,7 +148,7 @@
     Open& open = *open_.emplace(ticket, std::make_unique<Open>(*this, ticket, front, std::move(arrival)))
                       .first->second;
     open.came = now;
-    const channel::Errand& errand = open.errand();
+    const http_mapping::Errand& errand = open.errand();
     if (errand.tenant == nullptr || errand.tenant->rate_per_s <= 0.0) {
         send_on(open);
         return ticket;
@@ -156,16 +159,16 @@
         {kLongestWait, Duration(static_cast<std::int64_t>(static_cast<double>(aim.count()) * kWaitShare)),
          open.arrival.budget / 3});
     Duration retry_after{0};
-    tide::Ruling ruling = tide_->ask(open.tenant_name, patience, now, retry_after);
-    if (ruling == tide::Ruling::Wait && waiting_count_ >= settings_.most_waiting)
-        ruling = tide::Ruling::Refused;
+    quota::Ruling ruling = tide_->ask(open.tenant_name, patience, now, retry_after);
+    if (ruling == quota::Ruling::Wait && waiting_count_ >= settings_.most_waiting)
+        ruling = quota::Ruling::Refused;
     switch (ruling) {
-        case tide::Ruling::Granted:
+        case quota::Ruling::Granted:
             open.charged = true;
             send_on(open);
             break;
-        case tide::Ruling::Refused: refuse_quota(open, retry_after); break;
-        case tide::Ruling::Wait:
+        case quota::Ruling::Refused: refuse_quota(open, retry_after); break;
+        case quota::Ruling::Wait:
             ++counts_.waited;
             open.waits = true;
             open.retry_after = retry_after;
@@ -201,9 +204,9 @@
 bool Desk::ask_again(Open& open) {
     const TimePoint now = reactor_.clock().now();
     tide_->waits(open.tenant_name, -1);
-    const tide::Ruling ruling = tide_->ask(open.tenant_name, Duration(0), now, open.retry_after);
+    const quota::Ruling ruling = tide_->ask(open.tenant_name, Duration(0), now, open.retry_after);
     tide_->waits(open.tenant_name, 1);
-    if (ruling != tide::Ruling::Granted) return false;
+    if (ruling != quota::Ruling::Granted) return false;
     end_wait(open);
     open.charged = true;
     open.arrival.budget = std::max(Duration(0), open.arrival.budget - (now - open.came));
@@ -220,8 +223,8 @@
 
 void Desk::send_on(Open& open) {
     if (open.charged) ++counts_.granted;
-    const channel::Errand& errand = open.errand();
-    Line& to = line(chart::Table::pick(*errand.route, random_()));
+    const http_mapping::Errand& errand = open.errand();
+    Line& to = line(configuration::Table::pick(*errand.route, random_()));
     const auto cls = to.class_of_route.find(errand.route->name);
     if (cls == to.class_of_route.end()) {    // the chart has moved the route on while this one waited
         open.refused(Duration(0), Refusal::Room);
@@ -271,7 +274,7 @@
     }
 }
 
-void Desk::quotas_from(tide::Tide& tide) {
+void Desk::quotas_from(quota::Tide& tide) {
     tide_ = &tide;
     for (const auto& [tenant, queue] : waiting_) tide_->waits(tenant, static_cast<int>(queue.size()));
 }
@@ -299,7 +302,7 @@
 
 Desk::Line& Desk::line(const std::string& service) {
     if (const auto it = lines_.find(service); it != lines_.end()) return *it->second;
-    valehall::Settings s;
+    decision::Settings s;
     s.gateways = static_cast<int>(std::max<std::uint32_t>(1, pilots_));
     s.zone = settings_.zone;
     s.may_cancel = true;
@@ -317,13 +320,13 @@
 
 // Classes and limits of a service, by the chart in force and the number of pilots.
 void Desk::set_up(Line& line) {
-    valehall::Settings& s = line.settings;
-    const std::vector<valehall::ClassSettings> before = s.classes;
-    const valehall::RequestLimits limits = s;
+    decision::Settings& s = line.settings;
+    const std::vector<decision::ClassSettings> before = s.classes;
+    const decision::RequestLimits limits = s;
     s.classes.clear();
     s.send_cap = 1;
     if (const auto here = routes_to_.find(line.service); here != routes_to_.end()) {
-        for (const chart::Route* route : here->second) {
+        for (const configuration::Route* route : here->second) {
             s.classes.push_back(class_of(*route));
             s.send_cap = std::max(s.send_cap, route->max_attempts);
         }
@@ -336,22 +339,22 @@
     s.latency_goal = kLatencyGoal;
     s.least_out = std::max(2.0, fleet_.mean_capacity(line.service));    // what surely finds a place
     s.sharing = static_cast<int>(pilots_);
-    const bool same = before == s.classes && limits == static_cast<const valehall::RequestLimits&>(s);
+    const bool same = before == s.classes && limits == static_cast<const decision::RequestLimits&>(s);
     if (same && !line.class_of_route.empty()) return;
     const std::vector<int> places = line.engine.adopt(s);
     line.class_of_route.clear();
     for (std::size_t i = 0; i < s.classes.size(); ++i) line.class_of_route[s.classes[i].name] = places[i];
 }
 
-void Desk::chart(std::shared_ptr<const chart::Table> table) {
+void Desk::chart(std::shared_ptr<const configuration::Table> table) {
     table_ = std::move(table);
     health_checks_.clear();
-    for (const chart::Service& service : table_->chart().services)
+    for (const configuration::Service& service : table_->chart().services)
         health_checks_[service.name] = service.health_check;
     routes_to_.clear();
-    for (const chart::Route& route : table_->chart().routes) {
-        for (const chart::Share& share : route.to) {
-            std::vector<const chart::Route*>& here = routes_to_[share.service];
+    for (const configuration::Route& route : table_->chart().routes) {
+        for (const configuration::Share& share : route.to) {
+            std::vector<const configuration::Route*>& here = routes_to_[share.service];
             if (here.empty() || here.back() != &route) here.push_back(&route);
         }
     }
@@ -378,4 +381,4 @@
     for (auto& [service, line] : lines_) set_up(*line);
 }
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/pilot/desk.h
+++ b/src/gateway/request_dispatcher.h
@@ -10,13 +10,13 @@
 #include <string>
 #include <unordered_map>
 
-#include "channel/fleet.h"
-#include "channel/passage.h"
-#include "core/engine.h"
-#include "net/server_pool.h"
-#include "tide/tide.h"
+#include "cluster/quota/quota_balancer.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/proxy/server_pool.h"
+#include "gateway/http_mapping/request_mapper.h"
+#include "gateway/http_mapping/upstream_hosts.h"
 
-namespace shaletray::pilot {
+namespace shaletray::gateway {
 
 struct DeskSettings {
     std::uint64_t seed = 0;
@@ -30,21 +30,21 @@
 class Desk final : public Intake {
 public:
     // `tide_due`: the tide has something to say before its next tick.
-    Desk(DeskSettings settings, Reactor& reactor, Timers& timers, Counters& counters, channel::Fleet& fleet,
-         tide::Tide& tide, std::function<void()> tide_due);
+    Desk(DeskSettings settings, Reactor& reactor, Timers& timers, Counters& counters,
+         http_mapping::Fleet& fleet, quota::Tide& tide, std::function<void()> tide_due);
     ~Desk() override;
 
     std::uint64_t take(Front& front, Arrival&& arrival) override;
     void withdraw(std::uint64_t ticket) override;
 
     // What is to be done from now on; requests under way go on by the chart that they came under.
-    void chart(std::shared_ptr<const chart::Table> table);
+    void chart(std::shared_ptr<const configuration::Table> table);
     // These services' lists of servers differ.
     void servers_changed(const std::set<std::string>& services);
     // Pilots that share the repeat budget and the servers.
     void pilots(std::uint32_t count);
     // In the place of the one before, with nothing in it.
-    void quotas_from(tide::Tide& tide);
+    void quotas_from(quota::Tide& tide);
     // Units came in for these tenants.
     void units_came(const std::vector<std::string>& tenants);
     // Every request that is still owed an answer gets one.
@@ -66,21 +66,22 @@
     void forget(Open& open);
     Line& line(const std::string& service);
     void set_up(Line& line);
-    const channel::Errand& errand_of(const Open& open) const;
+    const http_mapping::Errand& errand_of(const Open& open) const;
     Duration come_back();
 
     DeskSettings settings_;
     Reactor& reactor_;
     Timers& timers_;
     Counters& counters_;
-    channel::Fleet& fleet_;
-    tide::Tide* tide_;
+    http_mapping::Fleet& fleet_;
+    quota::Tide* tide_;
     std::function<void()> tide_due_;
-    channel::Tongue tongue_;
+    http_mapping::Tongue tongue_;
     ConnectionBudget sockets_;
-    std::shared_ptr<const chart::Table> table_;
-    std::unordered_map<std::string, std::vector<const chart::Route*>> routes_to_;    // of table_, by service
-    std::unordered_map<std::string, std::string> health_checks_;                     // by service
+    std::shared_ptr<const configuration::Table> table_;
+    std::unordered_map<std::string, std::vector<const configuration::Route*>>
+        routes_to_;                                                 // of table_, by service
+    std::unordered_map<std::string, std::string> health_checks_;    // by service
     std::unordered_map<std::string, std::unique_ptr<Line>> lines_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Open>> open_;
     std::unordered_map<std::string, std::deque<std::uint64_t>> waiting_;    // for units, by tenant
@@ -91,4 +92,4 @@
     Counts counts_;
 };
 
-}    // namespace shaletray::pilot
+}    // namespace shaletray::gateway
--- a/src/lab/board.h
+++ b/src/simulator/board.h
@@ -7,14 +7,14 @@
 #include <map>
 #include <string>
 
-#include "counter/resp.h"
+#include "balancer/shared_counter/resp.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class Board {
 public:
-    std::string answer(const counter::Reply& command) {
-        const std::vector<counter::Reply>& words = command.items;
+    std::string answer(const shared_counter::Reply& command) {
+        const std::vector<shared_counter::Reply>& words = command.items;
         const std::string& name = words.at(0).text;
         if (name == "INFO") return "$11\r\nrun_id:1234\r\n";
         if (name == "PEXPIRE") return ":1\r\n";
@@ -36,4 +36,4 @@
     std::map<std::string, std::map<std::string, std::string>> hashes_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/clients.cpp
+++ b/src/simulator/clients.cpp
@@ -1,4 +1,4 @@
-#include "lab/clients.h"
+#include "simulator/clients.h"
 
 #include <fmt/format.h>
 
@@ -6,14 +6,14 @@
 #include <cmath>
 #include <numeric>
 
-#include "lab/kernel.h"
-#include "lab/measure.h"
+#include "simulator/kernel.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
-using valehall::CustomerId;
+using decision::CustomerId;
 
 constexpr Duration kFavourite = 10s;     // for which a front prefers a gateway
 constexpr Duration kComesBack = 20ms;    // the least that a client waits before it asks again
@@ -196,4 +196,4 @@
     }
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/clients.h
+++ b/src/simulator/clients.h
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/world.h"
+#include "simulator/world.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // What a latency in milliseconds is kept in: bins of equal ratio, 0.7% wide.
 using Latency = decltype(boost::histogram::make_histogram(
@@ -25,7 +25,7 @@
 struct Asked {
     std::uint64_t request = 0;    // of the front; the same over its tries
     int attempt = 0;              // of its client, from 1
-    valehall::CustomerId customer{};
+    decision::CustomerId customer{};
     int cls = 0, plan = 0;
     double units = 1.0;
     Duration left{0};
@@ -66,7 +66,7 @@
 
 private:
     struct Request {
-        valehall::CustomerId customer{};
+        decision::CustomerId customer{};
         int cls = 0, tries = 0, gateway = 0;
         double units = 1.0;
         TimePoint first{}, sent{};
@@ -96,4 +96,4 @@
     Latency latency_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/kernel.h
+++ b/src/simulator/kernel.h
@@ -18,12 +18,12 @@
 #include <thread>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
-using valehall::Duration;
-using valehall::TimePoint;
+using decision::Duration;
+using decision::TimePoint;
 using EntityId = std::uint32_t;
 
 // A generator of its own for each entity: what one draws changes nothing for another.
@@ -207,4 +207,4 @@
     std::vector<std::uint64_t> numbers_;    // of events that an entity sent; touched by its own shard only
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/load.cpp
+++ b/src/simulator/load.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.h"
+#include "simulator/load.h"
 
 #include <fmt/format.h>
 
@@ -7,9 +7,9 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "lab/measure.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -294,4 +294,4 @@
     done_();
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/load.h
+++ b/src/simulator/load.h
@@ -14,11 +14,11 @@
 #include <string>
 #include <vector>
 
-#include "http/message.h"
-#include "net/reactor.h"
-#include "net/stream.h"
+#include "base/http/message.h"
+#include "base/net/reactor.h"
+#include "base/net/stream.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // When requests are due, as times since the start, growing.
 class Arrivals {
@@ -109,4 +109,4 @@
     LoadFigures figures_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/measure.h
+++ b/src/simulator/measure.h
@@ -5,13 +5,13 @@
 #include <chrono>
 #include <cstdint>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
-inline double secs(valehall::Duration d) { return std::chrono::duration<double>(d).count(); }
-inline valehall::Duration from_secs(double s) {
-    return valehall::Duration(static_cast<std::int64_t>(s * 1e6));
+inline double secs(decision::Duration d) { return std::chrono::duration<double>(d).count(); }
+inline decision::Duration from_secs(double s) {
+    return decision::Duration(static_cast<std::int64_t>(s * 1e6));
 }
 
 // The middle of the bin in which it lies; `none` where nothing was counted.
@@ -26,4 +26,4 @@
     return none;
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/report.cpp
+++ b/src/simulator/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.h"
+#include "simulator/report.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Process.h>
@@ -11,9 +11,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "lab/measure.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using Json = nlohmann::json;
@@ -317,4 +317,4 @@
     return name + ".html";
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/report.h
+++ b/src/simulator/report.h
@@ -5,9 +5,9 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "lab/scenario.h"
+#include "simulator/scenario.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct Report {
     ScenarioFile file;    // with the seed that was run
@@ -34,4 +34,4 @@
 // NAME-SEED.html, .json and .csv in that folder, which is made. The path of the first.
 std::string write_report(const std::string& folder, const Report& r);
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/scenario.h"
+#include "simulator/scenario.h"
 
 #include <fmt/format.h>
 
@@ -11,10 +11,10 @@
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
 
-#include "lab/schema.h"
-#include "settings/record.h"
+#include "balancer/settings/record.h"
+#include "simulator/schema.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using settings::Record;
@@ -97,7 +97,7 @@
     s.model = model_of(Record(r.at("model")));
     for (const ValuePtr& item : r.at("plans")->items) {
         const Record p(item);
-        valehall::PlanSettings plan;
+        decision::PlanSettings plan;
         plan.name = p.text("name");
         plan.rate = p.number("rate");
         plan.burst = p.number("burst");
@@ -182,4 +182,4 @@
     return d;
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/scenario.h
+++ b/src/simulator/scenario.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/world.h"
+#include "simulator/world.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct Bound {
     std::string figure;
@@ -41,4 +41,4 @@
 };
 Difference paired(const std::vector<double>& a, const std::vector<double>& b);
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/scenario_parts.cpp
+++ b/src/simulator/scenario_parts.cpp
@@ -8,11 +8,11 @@
 #include <random>
 #include <stdexcept>
 
-#include "lab/kernel.h"
-#include "lab/measure.h"
-#include "lab/world.h"
+#include "simulator/kernel.h"
+#include "simulator/measure.h"
+#include "simulator/world.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -198,18 +198,18 @@
     return out;
 }
 
-const std::vector<valehall::ClassSettings>& lab_classes() {
-    using valehall::KeyGroup;
-    using valehall::Repeat;
-    static const std::vector<valehall::ClassSettings> classes = {
+const std::vector<decision::ClassSettings>& lab_classes() {
+    using decision::KeyGroup;
+    using decision::Repeat;
+    static const std::vector<decision::ClassSettings> classes = {
         {"claim-read", Repeat::Safe, KeyGroup::All, 0ms, 750ms, 2s, 1.0, 0.3},
         {"approve", Repeat::Keyed, KeyGroup::All, 3s, 750ms, 2s, 2.0, 0.3},
         {"claim-submit", Repeat::Unsafe, KeyGroup::All, 0ms, 1s, 2s, 3.0, 0.3}};
     return classes;
 }
 
-valehall::Settings gateway_settings(const Scenario& s, int me) {
-    valehall::Settings v;
+decision::Settings gateway_settings(const Scenario& s, int me) {
+    decision::Settings v;
     v.me = me;
     v.gateways = s.gateways;
     v.zone = me % s.rooms;
@@ -224,16 +224,16 @@
     v.start_capacity = s.model.cold_speed;
     v.fall_multiple = s.model.fall_multiple;
     v.fall = s.model.fall;
-    v.reports = valehall::ReportVia::Inline;
+    v.reports = decision::ReportVia::Inline;
     v.peer_messages_per_s = 40.0;
     v.most_units = std::max(1.0, s.units * 2.0);
     return v;
 }
 
-valehall::HostList all_servers(const Scenario& s) {
-    valehall::HostList all;
+decision::HostList all_servers(const Scenario& s) {
+    decision::HostList all;
     for (int i = 0; i < s.servers; ++i) {
-        valehall::HostEntry e;
+        decision::HostEntry e;
         e.host = host_of(i);
         e.zone = i % s.rooms;
         e.cell = i % 4;
@@ -249,12 +249,12 @@
         for (int i = 0; i < s.servers; ++i) {
             if (!touches(s, f, i)) continue;
             if (f.kind == Fault::Kind::Drain) {
-                out.push_back({f.at, i, valehall::HostState::Draining, Duration(-1)});
-                out.push_back({f.at + f.lasts, i, valehall::HostState::Healthy, Duration(-1)});
+                out.push_back({f.at, i, decision::HostState::Draining, Duration(-1)});
+                out.push_back({f.at + f.lasts, i, decision::HostState::Healthy, Duration(-1)});
             } else if (ends_servers(f.kind)) {
                 if (f.lasts > kNoticed)
-                    out.push_back({f.at + kNoticed, i, valehall::HostState::Gone, Duration(-1)});
-                out.push_back({f.at + f.lasts, i, valehall::HostState::Healthy, f.at + f.lasts});
+                    out.push_back({f.at + kNoticed, i, decision::HostState::Gone, Duration(-1)});
+                out.push_back({f.at + f.lasts, i, decision::HostState::Healthy, f.at + f.lasts});
             }
         }
     }
@@ -281,7 +281,7 @@
         return a.customer != b.customer ? a.customer < b.customer : a.at < b.at;
     });
     const auto terms_at = [&](int plan, TimePoint at) {
-        const valehall::PlanSettings& p = s.plans[static_cast<std::size_t>(plan)];
+        const decision::PlanSettings& p = s.plans[static_cast<std::size_t>(plan)];
         Terms t{TimePoint{}, plan, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack};
         for (const Terms& c : changes)
             if (c.plan == plan && c.from <= at) t = c;
@@ -352,4 +352,4 @@
     return std::all_of(rules.begin(), rules.end(), [](const auto& rule) { return rule.second.broken == 0; });
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/server.cpp
+++ b/src/simulator/server.cpp
@@ -1,13 +1,13 @@
-#include "lab/server.h"
+#include "simulator/server.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "lab/measure.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 EmulatedServer::EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start,
                                ServerWorld& world)
     : m_(scenario.model), random_(seed), world_(world), start_(start) {
@@ -45,15 +45,15 @@
         fmt::format("a server that began at {:.6f} was pushed over at {:.6f}: {:.2f} s of work in {} s",
                     secs(up_since_ - start_), secs(now - start_), offered_sum_, secs(m_.fall));
     fell_ = down_ = true;
-    end_all(valehall::Outcome::Reset);
+    end_all(decision::Outcome::Reset);
 }
 
 void EmulatedServer::arrived(const JobId& id, int cls, bool fresh) {
     if (!down_) pressed_while_cold();
-    if (down_) return world_.answer(id, valehall::Outcome::ConnectFailed);
-    if (errors_ > 0.0 && real() < errors_) return world_.answer(id, valehall::Outcome::Error);
+    if (down_) return world_.answer(id, decision::Outcome::ConnectFailed);
+    if (errors_ > 0.0 && real() < errors_) return world_.answer(id, decision::Outcome::Error);
     if (running_ >= m_.cores && waiting_ >= static_cast<std::size_t>(m_.queue))
-        return world_.answer(id, valehall::Outcome::Full);
+        return world_.answer(id, decision::Outcome::Full);
     const std::uint64_t number = ++last_;
     by_id_[id] = number;
     Job& job = jobs_[number];
@@ -101,7 +101,7 @@
     if (hung_until_ > world_.now()) return world_.wake(hung_until_, number);
     const Job job = it->second;
     finish(it, job.for_nobody ? job.takes : Duration(0));
-    if (!job.for_nobody) world_.answer(job.id, valehall::Outcome::Ok);
+    if (!job.for_nobody) world_.answer(job.id, decision::Outcome::Ok);
     start();
 }
 
@@ -168,10 +168,10 @@
         was_cold_ = false;
         return;
     }
-    end_all(valehall::Outcome::Reset);
+    end_all(decision::Outcome::Reset);
 }
 
-void EmulatedServer::end_all(valehall::Outcome outcome) {
+void EmulatedServer::end_all(decision::Outcome outcome) {
     std::vector<std::uint64_t> numbers;    // in their order: a map's own is nobody's
     for (const auto& [number, job] : jobs_) numbers.push_back(number);
     std::sort(numbers.begin(), numbers.end());
@@ -185,4 +185,4 @@
     for (const JobId& id : ended) world_.answer(id, outcome);
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/server.h
+++ b/src/simulator/server.h
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/world.h"
+#include "simulator/world.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // An attempt at a server, by whoever sent it.
 struct JobId {
@@ -27,7 +27,7 @@
     virtual TimePoint now() const = 0;
     // Calls Server::woken with that number then.
     virtual void wake(TimePoint at, std::uint64_t number) = 0;
-    virtual void answer(const JobId& job, valehall::Outcome outcome) = 0;
+    virtual void answer(const JobId& job, decision::Outcome outcome) = 0;
 };
 
 class EmulatedServer {
@@ -76,7 +76,7 @@
     void start();
     Duration work_of(const Job& job);
     void finish(Jobs::iterator it, Duration wasted);
-    void end_all(valehall::Outcome outcome);
+    void end_all(decision::Outcome outcome);
     double speed() const;
     void pressed_while_cold();
 
@@ -100,4 +100,4 @@
     Load told_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/world.cpp
+++ b/src/simulator/world.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "simulator/world.h"
 
 #include <fmt/format.h>
 
@@ -10,23 +10,23 @@
 #include <unordered_map>
 #include <variant>
 
-#include "core/engine.h"
-#include "counter/exchange.h"
-#include "lab/board.h"
-#include "lab/clients.h"
-#include "lab/kernel.h"
-#include "lab/measure.h"
-#include "lab/server.h"
-#include "plans/spread.h"
+#include "balancer/shared_counter/store_exchange.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/plans/change_replicator.h"
+#include "simulator/board.h"
+#include "simulator/clients.h"
+#include "simulator/kernel.h"
+#include "simulator/measure.h"
+#include "simulator/server.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
-using valehall::CustomerId;
-using valehall::HostId;
-using valehall::Outcome;
-using valehall::RequestId;
+using decision::CustomerId;
+using decision::HostId;
+using decision::Outcome;
+using decision::RequestId;
 
 const TimePoint kStart = TimePoint{} + 1'700'000'000s;
 constexpr Duration kAnswerSlack = 8ms;
@@ -96,7 +96,7 @@
     bool there;
 };
 struct Lists {
-    std::shared_ptr<const valehall::HostList> list;
+    std::shared_ptr<const decision::HostList> list;
 };
 using Message = std::variant<Tick, Ask, Answer, Leave, Attempt, Cancel, Ended, ProbeAsk, ProbeAnswer, Peer,
                              Counter, Trouble, Change, Seen, Lists>;
@@ -191,8 +191,8 @@
         std::unique_ptr<limits::Ledger> ledger;
         std::unique_ptr<plans::Desk> desk;
         std::unique_ptr<plans::Spread> spread;
-        counter::CounterStats counter_stats;
-        std::unique_ptr<counter::Exchange> exchange;
+        shared_counter::CounterStats counter_stats;
+        std::unique_ptr<shared_counter::Exchange> exchange;
         std::unique_ptr<Engine> engine;
         std::unordered_map<std::uint64_t, std::unique_ptr<Pending>> open;
         std::vector<std::unique_ptr<Pending>> done;
@@ -205,16 +205,16 @@
     void begin() {
         life_ = std::make_unique<Life>();
         Life& life = *life_;
-        const valehall::Settings settings = gateway_settings(l_.s, me_);
+        const decision::Settings settings = gateway_settings(l_.s, me_);
         life.engine = std::make_unique<Engine>(
             settings, mix(l_.s.seed, static_cast<std::uint64_t>(me_) + 7919 * lives_++), *this, life.timers,
             life.counters);
         life.engine->connect(*this, *this, *this);
         life.engine->keep_use_in(*this);
         if (l_.s.sharing == Scenario::Sharing::Counter) share_by_counter(settings);
-        life.engine->list_heard(valehall::HostList(hosts_));
+        life.engine->list_heard(decision::HostList(hosts_));
     }
-    void share_by_counter(const valehall::Settings& settings) {
+    void share_by_counter(const decision::Settings& settings) {
         Life& life = *life_;
         limits::LedgerSettings s;
         s.me = me_;
@@ -224,14 +224,14 @@
         s.incarnation = static_cast<std::uint64_t>(now_.time_since_epoch().count());
         life.ledger = std::make_unique<limits::Ledger>(s, now_);
         life.engine->share_by(*life.ledger);
-        counter::SessionSettings one;
+        shared_counter::SessionSettings one;
         one.prefix = "lab";
         one.me = me_;
         one.gateways = l_.s.gateways;
-        counter::ExchangeSettings e;
+        shared_counter::ExchangeSettings e;
         e.stores = {one};
         e.seed = mix(l_.s.seed, static_cast<std::uint64_t>(me_) + 40'000);
-        life.exchange = std::make_unique<counter::Exchange>(e, *life.ledger, life.counter_stats);
+        life.exchange = std::make_unique<shared_counter::Exchange>(e, *life.ledger, life.counter_stats);
         if (!l_.s.changes.empty()) {
             plans::BookSettings b;
             b.platform = settings.plans;
@@ -263,7 +263,7 @@
         life.timers.at(std::max(due, now_ + kLeastLook), [this] { look_at_counter(); });
     }
     void serve_counter() {
-        counter::Session& session = life_->exchange->at(0);
+        shared_counter::Session& session = life_->exchange->at(0);
         if (session.wants_close()) session.broke(now_);
         if (session.wants_connection(now_)) {
             session.dialling(now_);
@@ -383,7 +383,7 @@
     }
     void take(Peer&& p) {
         if (life_)
-            life_->engine->mail_heard(valehall::PeerId{static_cast<int>(context_->from())},
+            life_->engine->mail_heard(decision::PeerId{static_cast<int>(context_->from())},
                                       std::move(p.bytes));
     }
     void take(Counter&& c) {
@@ -392,14 +392,14 @@
         serve_counter();
     }
     void take(Lists&& lists) {
-        valehall::HostList list = *lists.list;
-        for (const valehall::HostEntry& e : list.hosts) {
+        decision::HostList list = *lists.list;
+        for (const decision::HostEntry& e : list.hosts) {
             hosts_.hosts[static_cast<std::size_t>(l_.server_at(e.host))] = e;
-            if (e.state == valehall::HostState::Healthy) left_.erase(e.host);
+            if (e.state == decision::HostState::Healthy) left_.erase(e.host);
             else left_.emplace(e.host, now_);
         }
         if (!life_) {
-            if (list.kind == valehall::ListKind::Full) begin();
+            if (list.kind == decision::ListKind::Full) begin();
             return;
         }
         life_->engine->list_heard(std::move(list));
@@ -416,7 +416,7 @@
     void take(Change&& c) {
         if (!life_ || !life_->desk) return;
         const PlanChange& wanted = l_.s.changes[c.number];
-        const valehall::PlanSettings& plan = l_.s.plans[static_cast<std::size_t>(wanted.plan)];
+        const decision::PlanSettings& plan = l_.s.plans[static_cast<std::size_t>(wanted.plan)];
         plans::Proposal p;
         p.body = plans::Define{
             plan.name,
@@ -484,7 +484,7 @@
         });
         context_->send(l_.server(l_.server_at(host)), delay(l_.s, random_), ProbeAsk{});
     }
-    void tell(valehall::PeerId to, const std::vector<std::uint8_t>& bytes) override {
+    void tell(decision::PeerId to, const std::vector<std::uint8_t>& bytes) override {
         count_mail();
         const double lost = std::max(l_.s.mail_loss, mail_loss_);
         if (lost > 0.0 && std::uniform_real_distribution<>(0.0, 1.0)(random_) < lost) return;
@@ -535,7 +535,7 @@
     std::uint64_t lives_ = 0;
     std::vector<plans::Change> kept_;
     std::optional<TimePoint> woken_at_;
-    valehall::HostList hosts_;            // as its discovery agent has them
+    decision::HostList hosts_;            // as its discovery agent has them
     std::map<HostId, TimePoint> left_;    // draining or gone, and when that was heard
     double mail_loss_ = 0.0;
 };
@@ -646,7 +646,7 @@
         }
         auto* bytes = std::get_if<Counter>(&message);
         if (bytes == nullptr || lost_) return;
-        counter::Replies& commands = commands_[context.from()];
+        shared_counter::Replies& commands = commands_[context.from()];
         commands.feed(bytes->bytes);
         std::string answers;
         while (const auto command = commands.next()) answers += board_.answer(*command);
@@ -656,7 +656,7 @@
 private:
     const Layout& l_;
     std::mt19937_64 random_;
-    std::vector<counter::Replies> commands_;
+    std::vector<shared_counter::Replies> commands_;
     Board board_;
     bool lost_ = false;
 };
@@ -665,11 +665,11 @@
 void schedule_all(TheKernel& kernel, const Layout& l) {
     const Scenario& s = l.s;
     std::mt19937_64 random(mix(s.seed, 77));
-    const auto all = std::make_shared<const valehall::HostList>(all_servers(s));
+    const auto all = std::make_shared<const decision::HostList>(all_servers(s));
     for (int g = 0; g < s.gateways; ++g) kernel.schedule(l.gateway(g), kStart, Lists{all});
     for (const Listing& told : listings(s)) {
-        auto list = std::make_shared<valehall::HostList>();
-        list->kind = valehall::ListKind::Delta;
+        auto list = std::make_shared<decision::HostList>();
+        list->kind = decision::ListKind::Delta;
         list->hosts = {all->hosts[static_cast<std::size_t>(told.server)]};
         list->hosts[0].state = told.state;
         if (told.born >= Duration(0)) list->hosts[0].born = kStart + told.born;
@@ -766,4 +766,4 @@
     return figures;
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/world.h
+++ b/src/simulator/world.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
-using valehall::Duration;
-using valehall::TimePoint;
+using decision::Duration;
+using decision::TimePoint;
 
 struct ServerModel {
     int cores = 4, queue = 64;
@@ -97,7 +97,7 @@
     Sharing sharing = Sharing::Mail;
     ServerModel model;
     std::vector<PlanChange> changes;    // Sharing::Counter only
-    std::vector<valehall::PlanSettings>
+    std::vector<decision::PlanSettings>
         plans;    // customers by number, one after the other; empty: one wide one
     std::vector<Fault> faults;
 
@@ -109,24 +109,24 @@
 
 // A customer's set of gateways, as its requests name it.
 inline int set_width(const Scenario& s) { return s.gateways < 3 ? s.gateways : 3; }
-inline int first_of(const Scenario& s, valehall::CustomerId customer) {
+inline int first_of(const Scenario& s, decision::CustomerId customer) {
     return static_cast<int>(static_cast<std::uint64_t>(customer) % static_cast<std::uint64_t>(s.gateways));
 }
 
 // What a scenario's gateways are told; the same in virtual time and on sockets.
 enum LabClass : int { ClaimRead, Approve, ClaimSubmit };
-const std::vector<valehall::ClassSettings>& lab_classes();
-valehall::Settings gateway_settings(const Scenario& s, int me);
+const std::vector<decision::ClassSettings>& lab_classes();
+decision::Settings gateway_settings(const Scenario& s, int me);
 // All as discovery has them at the start.
-valehall::HostList all_servers(const Scenario& s);
-inline valehall::HostId host_of(int server) {
-    return valehall::HostId{static_cast<std::uint32_t>(server + 1)};
+decision::HostList all_servers(const Scenario& s);
+inline decision::HostId host_of(int server) {
+    return decision::HostId{static_cast<std::uint32_t>(server + 1)};
 }
 // What discovery comes to say in the course of a scenario that is drawn.
 struct Listing {
     Duration at{0};    // when discovery knows it
     int server = 0;
-    valehall::HostState state{};
+    decision::HostState state{};
     Duration born{-1};    // below 0: long ago
 };
 std::vector<Listing> listings(const Scenario& s);
@@ -174,7 +174,7 @@
 // A request that was let in, for the rule on ceilings.
 struct Sent {
     TimePoint at;
-    valehall::CustomerId customer;
+    decision::CustomerId customer;
     float units;
 };
 // Terms of plans as they held from then on.
@@ -197,4 +197,4 @@
 // The same for any number of threads. `traced`: a request of a front whose course is wanted; 0: none.
 Figures run(const Scenario& scenario, std::size_t threads, std::uint64_t traced = 0);
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/slopes.cpp
+++ b/testbed/cost_series.cpp
@@ -1,4 +1,4 @@
-#include "slopes.h"
+#include "cost_series.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <string>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 double thread_cpu() {
     timespec t{};
@@ -103,4 +103,4 @@
                        unit_, of_, at_none(), 100.0 * residual(), fmt::join(points, ", "));
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/slopes.h
+++ b/testbed/cost_series.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // Seconds that this thread ran on a core.
 double thread_cpu();
@@ -44,4 +44,4 @@
     std::vector<double> sizes_, values_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/draw_day.cpp
+++ b/testbed/draw_day.cpp
@@ -98,7 +98,7 @@
     generator.seed(seed);
     const double length = argc > 2 ? std::strtod(argv[2], nullptr) : between(40, 120);
     std::printf(
-        "# Drawn by lab/draw_day, seed %llu.\nname = \"drawn-%llu\"\nslot = \"trouble\"\nseed = %llu\n"
+        "# Drawn by testbed/draw_day, seed %llu.\nname = \"drawn-%llu\"\nslot = \"trouble\"\nseed = %llu\n"
         "length_s = %.1f\n",
         static_cast<unsigned long long>(seed), static_cast<unsigned long long>(seed),
         static_cast<unsigned long long>(seed % 1'000'000), length + 6);
--- a/lab/ground.cpp
+++ b/testbed/experiment_host.cpp
@@ -1,4 +1,4 @@
-#include "ground.h"
+#include "experiment_host.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <thread>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 Ground::Ground(const std::string& name) {
     folder_ = std::filesystem::temp_directory_path() / fmt::format("shaletray-{}-{}", name, getpid());
@@ -45,4 +45,4 @@
     return false;
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/ground.h
+++ b/testbed/experiment_host.h
@@ -13,10 +13,10 @@
 #include <optional>
 #include <string>
 
-#include "lab/measure.h"
-#include "net/reactor.h"
+#include "base/net/reactor.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class Ground {
 public:
@@ -69,4 +69,4 @@
     Poco::Thread thread_;    // POCO lets a reactor without sockets sleep on its own threads only
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/experiment_capacity-slopes.cpp
+++ b/testbed/experiments/capacity_slopes.cpp
@@ -18,20 +18,20 @@
 #include <string>
 #include <vector>
 
-#include "channel/fleet.h"
-#include "chart/chart.h"
-#include "crowd.h"
-#include "helm/command.h"
-#include "http/message.h"
-#include "lamp/lamp.h"
-#include "lighthouse/gallery.h"
-#include "lighthouse/watch.h"
-#include "muster/muster.h"
-#include "signal/envelope.h"
-#include "slopes.h"
-#include "tide/tide.h"
-
-namespace shaletray::lab {
+#include "base/http/message.h"
+#include "cluster/configuration/configuration.h"
+#include "cluster/consensus/replicated_register.h"
+#include "cluster/quota/quota_balancer.h"
+#include "cluster/registry/service_registry.h"
+#include "cluster/subscription/subscription.h"
+#include "cluster/transport/frame.h"
+#include "controller/api/control_command.h"
+#include "controller/configuration_publisher.h"
+#include "cost_series.h"
+#include "gateway/http_mapping/upstream_hosts.h"
+#include "simulated_membership.h"
+
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -126,34 +126,35 @@
     add("text", "bytes", static_cast<double>(text.size()));
     malloc_trim(0);
     double heap = heap_in_use();
-    std::optional<chart::Chart> read;
-    add("read", "us", 1e6 * cpu_of([&] { read = must(chart::read_chart(text), "read_chart"); }));
+    std::optional<configuration::Chart> read;
+    add("read", "us", 1e6 * cpu_of([&] { read = must(configuration::read_chart(text), "read_chart"); }));
     add("rows", "bytes", heap_in_use() - heap);
     heap = heap_in_use();
-    std::optional<chart::Table> table;
+    std::optional<configuration::Table> table;
     add("index_time", "us", 1e6 * cpu_of([&] { table.emplace(*read); }));
     add("index", "bytes", heap_in_use() - heap);
 
     // One row changes.
-    chart::Chart next = *read;
+    configuration::Chart next = *read;
     next.version = 2;
     if (by_route) next.routes[routes / 2].timeout += 1ms;
     else (*next.tenants)[tenants / 2].api_keys.push_back("another-key-of-twenty");
     std::string patch, whole;
-    add("write_patch", "us", 1e6 * cpu_of([&] { patch = chart::write_patch(*read, next); }));
-    add("write_whole", "us", 1e6 * cpu_of([&] { whole = chart::write_whole(next); }));
+    add("write_patch", "us", 1e6 * cpu_of([&] { patch = configuration::write_patch(*read, next); }));
+    add("write_whole", "us", 1e6 * cpu_of([&] { whole = configuration::write_whole(next); }));
     add("patch", "bytes", static_cast<double>(patch.size()));
     add("whole", "bytes", static_cast<double>(whole.size()));
-    std::optional<chart::Chart> taken;
+    std::optional<configuration::Chart> taken;
     add("take_patch", "us", 1e6 * cpu_of([&] {
-                                taken = must(chart::read_update(*read, patch), "patch");
-                                (void)chart::digest_of(*taken);
+                                taken = must(configuration::read_update(*read, patch), "patch");
+                                (void)configuration::digest_of(*taken);
                             }));
-    add("take_whole", "us", 1e6 * cpu_of([&] { (void)must(chart::read_update({}, whole), "whole"); }));
+    add("take_whole", "us",
+        1e6 * cpu_of([&] { (void)must(configuration::read_update({}, whole), "whole"); }));
     add("take_whole_peak", "bytes",
-        peak_of([&] { (void)chart::Table(must(chart::read_update({}, whole), "whole")); }));
+        peak_of([&] { (void)configuration::Table(must(configuration::read_update({}, whole), "whole")); }));
     heap = heap_in_use();
-    std::optional<chart::Table> after;
+    std::optional<configuration::Table> after;
     add("index_patched", "us", 1e6 * cpu_of([&] { after.emplace(std::move(*taken), *table); }));
     add("both_at_once", "bytes", heap_in_use() - heap);
 
@@ -196,10 +197,11 @@
         100 + i / 62'500, i / 250 % 250, i % 250, i / 30, i % 6, state, calls);
 }
 
-bool call(muster::Muster& muster, std::size_t i, int calls, const char* state, TimePoint now) {
+bool call(registry::Muster& muster, std::size_t i, int calls, const char* state, TimePoint now) {
     const auto command = must(
-        helm::decode("POST", "/members/" + server_id(i) + "/heartbeat", beat_body(i, calls, state)), "beat");
-    return muster.beat(std::get<helm::Beat>(command).beat, now);
+        control_api::decode("POST", "/members/" + server_id(i) + "/heartbeat", beat_body(i, calls, state)),
+        "beat");
+    return muster.beat(std::get<control_api::Beat>(command).beat, now);
 }
 
 void Slopes::servers(std::size_t count) {
@@ -207,12 +209,12 @@
     const auto add = [&](const std::string& what, const std::string& unit, double value) {
         series("servers." + what, unit, "server").add(size, value);
     };
-    TimePoint now = lab::at(0s);
+    TimePoint now = testbed::at(0s);
     double heap = heap_in_use();
-    muster::Muster muster(muster::Muster::Settings{"10.0.0.1:7100", 5, 1500ms, 4});
+    registry::Muster muster(registry::Muster::Settings{"10.0.0.1:7100", 5, 1500ms, 4});
     for (std::size_t i = 0; i < count; ++i) call(muster, i, 1, "in_service", now);
     add("muster", "bytes", heap_in_use() - heap);
-    now = lab::at(500ms);
+    now = testbed::at(500ms);
     add("muster_tick", "us", 1e6 * cpu_of([&] { muster.tick(now); }));
 
     // A pilot that comes gets all of them.
@@ -220,24 +222,24 @@
     add("tell_all", "us", 1e6 * cpu_of([&] { all = muster.changes(0, false, now); }));
     add("all", "bytes", static_cast<double>(all.size()));
     heap = heap_in_use();
-    muster::Roster roster;
+    registry::Roster roster;
     add("take_all", "us", 1e6 * cpu_of([&] { (void)must(roster.take(all, now), "roster"); }));
     add("roster", "bytes", heap_in_use() - heap);
     heap = heap_in_use();
-    channel::Fleet fleet({{"zone-0", "zone-1", "zone-2", "zone-3", "zone-4", "zone-5"}, 0ms});
+    http_mapping::Fleet fleet({{"zone-0", "zone-1", "zone-2", "zone-3", "zone-4", "zone-5"}, 0ms});
     (void)fleet.take(roster.servers(), now);
     add("fleet", "bytes", heap_in_use() - heap);
     add("fleet_turn", "us", 1e6 * cpu_of([&] { (void)fleet.take(roster.servers(), now); }));
 
     // One of them drains; 617 pilots report to this lighthouse.
-    lighthouse::Gallery gallery(lighthouse::Gallery::Settings{.life = 5}, muster);
-    std::vector<lighthouse::Gallery::Send> out;
-    watch::Have have{.life = 1,
-                     .version = 0,
-                     .digest = 0,
-                     .known_life = 5,
-                     .known_sequence = muster.sequence(),
-                     .counts = 3700};
+    controller::Gallery gallery(controller::Gallery::Settings{.life = 5}, muster);
+    std::vector<controller::Gallery::Send> out;
+    subscription::Have have{.life = 1,
+                            .version = 0,
+                            .digest = 0,
+                            .known_life = 5,
+                            .known_sequence = muster.sequence(),
+                            .counts = 3700};
     const auto pilots = static_cast<std::size_t>(kPilots * kWatched / kLighthouses);
     add("answer_pilots", "us", 1e6 * cpu_of([&] {
                                    for (std::size_t i = 0; i < pilots; ++i) {
@@ -270,8 +272,8 @@
 // A lighthouse's share of the beats: HTTP, JSON, the muster. Without the sockets.
 void Slopes::beats() {
     const auto count = static_cast<std::size_t>(kServers / kLighthouses);
-    muster::Muster muster(muster::Muster::Settings{"10.0.0.1:7100", 5, 1500ms, 4});
-    for (std::size_t i = 0; i < count; ++i) call(muster, i, 1, "in_service", lab::at(0s));
+    registry::Muster muster(registry::Muster::Settings{"10.0.0.1:7100", 5, 1500ms, 4});
+    for (std::size_t i = 0; i < count; ++i) call(muster, i, 1, "in_service", testbed::at(0s));
     std::vector<std::string> messages;
     std::size_t taken = 0;
     double took = 0.0;
@@ -291,8 +293,9 @@
                 buffer.append(message);
                 if (parser.parse(buffer) != http::Status::Done) throw std::runtime_error("a beat not parsed");
                 const auto command = must(
-                    helm::decode(parser.method(buffer), parser.target(buffer), parser.body(buffer)), "beat");
-                taken += muster.beat(std::get<helm::Beat>(command).beat, lab::at(round * 1500ms));
+                    control_api::decode(parser.method(buffer), parser.target(buffer), parser.body(buffer)),
+                    "beat");
+                taken += muster.beat(std::get<control_api::Beat>(command).beat, testbed::at(round * 1500ms));
                 buffer.consume(parser.size());
                 parser.reset();
             }
@@ -318,8 +321,9 @@
         const Crowd::Figures f = crowd.measure(20s);
         const double wire =
             f.sent *
-            (kUdp + static_cast<double>(
-                        signal::write_datagram(signal::Kind::Convoy, "10.1.100.100:7101", 1, "").size()));
+            (kUdp +
+             static_cast<double>(
+                 transport::write_datagram(transport::Kind::Convoy, "10.1.100.100:7101", 1, "").size()));
         series("convoy.bytes", "bytes/s", "member").add(size, f.bytes_out + f.bytes_in + 2 * wire);
         series("convoy.datagrams", "a second", "member").add(size, f.sent);
         series("convoy.time", "us/s", "member").add(size, 1e6 * f.cpu);
@@ -340,26 +344,26 @@
 
 void Slopes::tides() {
     for (const int tenants : {52'500, 105'000, 210'000, 420'000}) {
-        std::map<std::string, tide::Quota> quotas;
+        std::map<std::string, quota::Quota> quotas;
         for (int i = 0; i < tenants; ++i) quotas[fmt::format("t{:06}", i)] = {150.0, 150.0};
         const double heap = heap_in_use();
-        tide::Tide tide(tide::Settings{.me = "10.1.0.1:7101", .life = 1}, lab::at(0s));
-        tide.quotas(quotas, lab::at(0s));
+        quota::Tide tide(quota::Settings{.me = "10.1.0.1:7101", .life = 1}, testbed::at(0s));
+        tide.quotas(quotas, testbed::at(0s));
         series("tide.configured", "bytes", "tenant").add(tenants, heap_in_use() - heap);
         quotas["t000007"].rate += 1.0;
         series("tide.change", "us", "tenant").add(tenants, 1e6 * cpu_of([&] {
-                                                               tide.quotas(quotas, lab::at(1s));
+                                                               tide.quotas(quotas, testbed::at(1s));
                                                            }));
         // The map that the caller makes for it.
-        std::map<std::string, tide::Quota> made;
+        std::map<std::string, quota::Quota> made;
         series("tide.change_made", "us", "tenant").add(tenants, 1e6 * cpu_of([&] {
                                                                     for (const auto& [name, quota] : quotas)
                                                                         made[name] = quota;
                                                                 }));
     }
     for (const int pilots : {10, 100, 1000, 3700}) {
-        tide::Tide tide(tide::Settings{.me = "10.1.0.1:7101", .life = 1}, lab::at(0s));
-        tide::Peers peers;
+        quota::Tide tide(quota::Settings{.me = "10.1.0.1:7101", .life = 1}, testbed::at(0s));
+        quota::Peers peers;
         for (int i = 0; i < pilots; ++i)
             peers.ring.push_back(fmt::format("10.1.{}.{}:7101", i / 250, i % 250 + 1));
         std::sort(peers.ring.begin(), peers.ring.end());
@@ -367,8 +371,8 @@
         constexpr int kTimes = 20;
         const double took = cpu_of([&] {
             for (int i = 0; i < kTimes; ++i) {
-                peers.refill_until = lab::at(10s + i * 250ms);
-                tide.peers(peers, lab::at(i * 250ms));
+                peers.refill_until = testbed::at(10s + i * 250ms);
+                tide.peers(peers, testbed::at(i * 250ms));
             }
         });
         series("tide.peers", "us", "pilot").add(pilots, 1e6 * took / kTimes);
@@ -388,36 +392,37 @@
         bool operator<(const Mail& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
     };
     std::mt19937_64 random(seed_);
-    std::map<std::string, tide::Quota> quotas;
+    std::map<std::string, quota::Quota> quotas;
     std::vector<std::string> names;
     const double rate = 1.7 * kRing * kAsked / tenants;
     for (int i = 0; i < tenants; ++i) {
         names.push_back(fmt::format("t{:06}", i));
         quotas[names.back()] = {rate, rate};
     }
-    tide::Peers peers;
+    quota::Peers peers;
     for (int i = 0; i < kRing; ++i) peers.ring.push_back(fmt::format("10.1.0.{}:7101", 100 + i));
     peers.divisor = kRing;
     const double heap = heap_in_use();
-    std::vector<std::unique_ptr<tide::Tide>> tides;
-    TimePoint now = lab::at(0s);
+    std::vector<std::unique_ptr<quota::Tide>> tides;
+    TimePoint now = testbed::at(0s);
     for (int i = 0; i < kRing; ++i) {
-        tides.push_back(std::make_unique<tide::Tide>(
-            tide::Settings{.me = peers.ring[static_cast<std::size_t>(i)], .life = 1, .seed = random()}, now));
+        tides.push_back(std::make_unique<quota::Tide>(
+            quota::Settings{.me = peers.ring[static_cast<std::size_t>(i)], .life = 1, .seed = random()},
+            now));
         tides.back()->quotas(quotas, now);
     }
     std::priority_queue<Mail> mail;
     std::uint64_t order = 0;
-    const auto carry = [&](int from, const tide::Actions& out) {
+    const auto carry = [&](int from, const quota::Actions& out) {
         for (const auto& send : out.sends) {
             const int to = std::stoi(send.to.substr(7, 3)) - 100;
             mail.push({now + 1ms, ++order, to, peers.ring[static_cast<std::size_t>(from)], send.bytes});
         }
     };
     const auto sum = [&] {
-        tide::Counts all;
+        quota::Counts all;
         for (const auto& t : tides) {
-            const tide::Counts c = t->counts();
+            const quota::Counts c = t->counts();
             all.sent += c.sent;
             all.sent_bytes += c.sent_bytes;
             all.stores += c.stores;
@@ -425,7 +430,7 @@
         }
         return all;
     };
-    tide::Counts before;
+    quota::Counts before;
     double took = 0.0;
     const TimePoint warm = now + 15s, end = warm + 10s;
     for (bool counted = false; now < end; now += 5ms) {
@@ -434,18 +439,18 @@
             before = sum();
             took = 0.0;
         }
-        if ((now - lab::at(0s)) % 250ms == 0ms) {
+        if ((now - testbed::at(0s)) % 250ms == 0ms) {
             peers.refill_until = now + 10s;
             for (auto& t : tides) t->peers(peers, now);
         }
         took += cpu_of([&] {
             for (int i = 0; i < kRing; ++i) {
-                tide::Actions out;
-                tide::Tide& t = *tides[static_cast<std::size_t>(i)];
+                quota::Actions out;
+                quota::Tide& t = *tides[static_cast<std::size_t>(i)];
                 while (!mail.empty() && mail.top().at <= now) {
                     const Mail m = mail.top();
                     mail.pop();
-                    tide::Actions answer;
+                    quota::Actions answer;
                     tides[static_cast<std::size_t>(m.to)]->heard(m.from, m.bytes, now, answer);
                     carry(m.to, answer);
                 }
@@ -458,11 +463,11 @@
             }
         });
     }
-    const tide::Counts after = sum();
+    const quota::Counts after = sum();
     const double by = kRing * 10.0;
     const double around =
-        kUdp +
-        static_cast<double>(signal::write_datagram(signal::Kind::Tide, "10.1.100.100:7101", 1, "").size());
+        kUdp + static_cast<double>(
+                   transport::write_datagram(transport::Kind::Tide, "10.1.100.100:7101", 1, "").size());
     series("tide.bytes", "bytes/s", "active tenant")
         .add(tenants, 2.0 *
                           (static_cast<double>(after.sent_bytes - before.sent_bytes) +
@@ -482,38 +487,40 @@
 void Slopes::modules() {
     for (const int services : {125, 250, 500, 1000}) {
         const double heap = heap_in_use();
-        std::vector<valehall::Gateway> modules;
+        std::vector<decision::Gateway> modules;
         std::vector<TimePoint> due;
-        valehall::Settings s;
+        decision::Settings s;
         s.gateways = s.sharing = static_cast<int>(kPilots);
         s.classes.resize(8);
         for (int i = 0; i < services; ++i) {
             modules.emplace_back(s, seed_ + static_cast<std::uint64_t>(i));
-            valehall::HostList list;
+            decision::HostList list;
             for (std::uint32_t host = 1; host <= kServersOfOne; ++host) {
                 list.hosts.emplace_back();
-                list.hosts.back().host = valehall::HostId{host};
+                list.hosts.back().host = decision::HostId{host};
             }
-            std::vector<valehall::Action> actions;
-            modules.back().handle(lab::at(0s), list, actions);
-            due.push_back(lab::at(10ms));
+            std::vector<decision::Action> actions;
+            modules.back().handle(testbed::at(0s), list, actions);
+            due.push_back(testbed::at(10ms));
         }
         series("module.memory", "bytes", "service").add(services, heap_in_use() - heap);
         const auto second = [&](TimePoint from) {
             for (TimePoint now = from; now < from + 1s; now += 10ms) {
                 for (std::size_t i = 0; i < modules.size(); ++i) {
                     if (due[i] > now) continue;
-                    std::vector<valehall::Action> actions;
-                    modules[i].handle(now, valehall::TimerFired{0}, actions);
+                    std::vector<decision::Action> actions;
+                    modules[i].handle(now, decision::TimerFired{0}, actions);
                     due[i] = now + 1s;
-                    for (const valehall::Action& a : actions)
-                        if (const auto* timer = std::get_if<valehall::SetTimer>(&a))
+                    for (const decision::Action& a : actions)
+                        if (const auto* timer = std::get_if<decision::SetTimer>(&a))
                             due[i] = std::min(due[i], timer->at);
                 }
             }
         };
-        second(lab::at(0s));
-        series("module.time", "us/s", "service").add(services, 1e6 * cpu_of([&] { second(lab::at(1s)); }));
+        second(testbed::at(0s));
+        series("module.time", "us/s", "service").add(services, 1e6 * cpu_of([&] {
+                                                                   second(testbed::at(1s));
+                                                               }));
     }
 }
 
@@ -524,14 +531,14 @@
         constexpr int kCrew = 5;
         std::vector<std::string> founders;
         for (int i = 0; i < kCrew; ++i) founders.push_back(fmt::format("10.0.0.{}:7100", i + 1));
-        std::vector<lamp::Lamp> crew;
-        TimePoint now = lab::at(0s);
+        std::vector<consensus::Lamp> crew;
+        TimePoint now = testbed::at(0s);
         for (int i = 0; i < kCrew; ++i) {
-            lamp::Settings s;
+            consensus::Settings s;
             s.me = {founders[static_cast<std::size_t>(i)], 0};
             s.founders = founders;
             s.seed = static_cast<std::uint64_t>(i) + 1;
-            crew.emplace_back(s, lamp::Saved{}, now);
+            crew.emplace_back(s, consensus::Saved{}, now);
         }
         struct Letter {
             int from, to;
@@ -540,9 +547,9 @@
         std::deque<Letter> way;
         double bytes = 0.0;
         bool settled = false;
-        std::function<void(int, lamp::Actions&&)> carry = [&](int from, lamp::Actions&& out) {
+        std::function<void(int, consensus::Actions&&)> carry = [&](int from, consensus::Actions&& out) {
             for (auto& store : out.stores) {
-                lamp::Actions more;
+                consensus::Actions more;
                 crew[static_cast<std::size_t>(from)].stored(store.token, now, more);
                 carry(from, std::move(more));
             }
@@ -550,7 +557,7 @@
                 bytes += from == 0 ? static_cast<double>(send.bytes.size()) : 0.0;
                 way.push_back({from, send.to[7] - '1', std::move(send.bytes)});
             }
-            for (const auto& done : out.done) settled = settled || done.answer == lamp::Answer::Settled;
+            for (const auto& done : out.done) settled = settled || done.answer == consensus::Answer::Settled;
         };
         const auto settle = [&](std::uint64_t version) {
             bytes = 0.0;
@@ -559,14 +566,14 @@
             for (std::size_t i = 0; i < text.size(); i += 37) text[i] = static_cast<char>('a' + i % 23);
             text[0] = static_cast<char>('a' + version);
             return cpu_of([&] {
-                lamp::Actions out;
+                consensus::Actions out;
                 crew[0].propose(version, version, std::move(text), now + 10s, now, out);
                 carry(0, std::move(out));
                 for (int step = 0; step < 2000 && (!settled || !way.empty()); ++step) {
                     if (way.empty()) {
                         now += 10ms;
                         for (int i = 0; i < kCrew; ++i) {
-                            lamp::Actions due;
+                            consensus::Actions due;
                             crew[static_cast<std::size_t>(i)].tick(now, due);
                             carry(i, std::move(due));
                         }
@@ -574,7 +581,7 @@
                     }
                     const Letter letter = std::move(way.front());
                     way.pop_front();
-                    lamp::Actions more;
+                    consensus::Actions more;
                     crew[static_cast<std::size_t>(letter.to)].heard(
                         founders[static_cast<std::size_t>(letter.from)], letter.bytes, now, more);
                     carry(letter.to, std::move(more));
@@ -593,34 +600,34 @@
 // ---- words between pilots and lighthouses ----
 
 void Slopes::words() {
-    watch::Have have{.life = 1'700'000'000'000'001,
-                     .version = 812,
-                     .digest = 0x1234567890abcdef,
-                     .known_life = 1'700'000'000'000'002,
-                     .known_sequence = 1'000'000,
-                     .counts = 3700};
-    muster::Muster muster(muster::Muster::Settings{"10.0.0.1:7100", 5, 1500ms, 4});
-    call(muster, 1, 1, "in_service", lab::at(0s));
-    watch::News news{.life = 1'700'000'000'000'002,
-                     .confirmed = true,
-                     .version = 812,
-                     .digest = 0x1234567890abcdef,
-                     .update = {},
-                     .since = 1'000'000,
-                     .sequence = 1'000'000,
-                     .servers = muster.changes(muster.sequence(), false, lab::at(1s))};
+    subscription::Have have{.life = 1'700'000'000'000'001,
+                            .version = 812,
+                            .digest = 0x1234567890abcdef,
+                            .known_life = 1'700'000'000'000'002,
+                            .known_sequence = 1'000'000,
+                            .counts = 3700};
+    registry::Muster muster(registry::Muster::Settings{"10.0.0.1:7100", 5, 1500ms, 4});
+    call(muster, 1, 1, "in_service", testbed::at(0s));
+    subscription::News news{.life = 1'700'000'000'000'002,
+                            .confirmed = true,
+                            .version = 812,
+                            .digest = 0x1234567890abcdef,
+                            .update = {},
+                            .since = 1'000'000,
+                            .sequence = 1'000'000,
+                            .servers = muster.changes(muster.sequence(), false, testbed::at(1s))};
     const auto frame = [](std::string_view bytes) {
         return static_cast<double>(
-            signal::write_frame(signal::Kind::Watch, "10.1.100.100:7101", 1, bytes).size());
+            transport::write_frame(transport::Kind::Watch, "10.1.100.100:7101", 1, bytes).size());
     };
-    figures_["have_bytes"] = frame(watch::encode(have));
-    figures_["news_bytes"] = frame(watch::encode(news));
-    const std::string said = watch::encode(have), heard = watch::encode(news);
+    figures_["have_bytes"] = frame(subscription::encode(have));
+    figures_["news_bytes"] = frame(subscription::encode(news));
+    const std::string said = subscription::encode(have), heard = subscription::encode(news);
     constexpr int kTimes = 2000;
     figures_["us_a_word"] = 1e6 / kTimes * cpu_of([&] {
                                 for (int i = 0; i < kTimes; ++i) {
-                                    (void)watch::encode(have);
-                                    (void)must(watch::decode_news(heard), "news");
+                                    (void)subscription::encode(have);
+                                    (void)must(subscription::decode_news(heard), "news");
                                 }
                             });
 }
@@ -785,12 +792,12 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main() {
     try {
         const char* text = std::getenv("SEED");
-        return shaletray::lab::Slopes(text != nullptr ? std::strtoull(text, nullptr, 10) : 1).run();
+        return shaletray::testbed::Slopes(text != nullptr ? std::strtoull(text, nullptr, 10) : 1).run();
     } catch (const std::exception& e) {
         fmt::print(stderr, "{}\n", e.what());
         return 2;
--- a/lab/experiment_harbour.cpp
+++ b/testbed/experiments/machine_replacement.cpp
@@ -1,9 +1,9 @@
 // The harbour: pilots and lighthouses as processes on loopback, whose machines are replaced, wiped, frozen
 // and killed one trouble after another, while clients, servers and several operators go on. Judged by what
-// these three saw: the operators' history is one order of effects (lab/history.h), no request that may not be
-// repeated ran twice, no promise was broken, no process ended by itself, and after each trouble a change is
-// acknowledged within `contact` and `ack`. Each trouble comes once `catch_up` has passed since the one
-// before.
+// these three saw: the operators' history is one order of effects (testbed/operation_history.h), no request
+// that may not be repeated ran twice, no promise was broken, no process ended by itself, and after each
+// trouble a change is acknowledged within `contact` and `ack`. Each trouble comes once `catch_up` has passed
+// since the one before.
 //   SEED= draws order, victims and moments; the operators' calls follow the clock too. LOAD= times the usual
 //   rate. Under a minute; the last line is JSON; ends with 1 where a rule is broken.
 #include <fmt/format.h>
@@ -13,11 +13,11 @@
 #include <functional>
 #include <random>
 
-#include "history.h"
-#include "rig.h"
-#include "system_rig.h"
+#include "gateway_fixture.h"
+#include "operation_history.h"
+#include "system/fixture.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using Json = nlohmann::json;
@@ -132,7 +132,7 @@
         rig_.acknowledged_after(kAck);
         say("all lighthouses are killed");
         std::vector<std::string> all;
-        for (const std::string& machine : voters()) all.push_back(machine + "/lighthouse");
+        for (const std::string& machine : voters()) all.push_back(machine + "/controller");
         for (const std::string& node : all) rig_.kill(node);
         rig_.run_for(0.3 + draw());
         for (const std::string& node : all) rig_.start(node);
@@ -189,7 +189,7 @@
         std::vector<std::string> names;
         for (const std::string& machine : rig_.machines())
             for (const std::string& node : rig_.nodes_of(machine))
-                if (node.ends_with("/lighthouse")) names.push_back(machine);
+                if (node.ends_with("/controller")) names.push_back(machine);
         return names;
     }
     std::string draw_voter() {
@@ -223,6 +223,8 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
-int main(int, char** argv) { return shaletray::lab::experiment_main(argv, 20.0, shaletray::lab::run); }
+int main(int, char** argv) {
+    return shaletray::testbed::experiment_main(argv, 20.0, shaletray::testbed::run);
+}
--- a/lab/experiment_operations.cpp
+++ b/testbed/experiments/operations.cpp
@@ -19,13 +19,13 @@
 #include <fstream>
 #include <thread>
 
-#include "harness.h"
-#include "lab/load.h"
-#include "live.h"
-#include "rig.h"
-#include "stand_in_echo.h"
+#include "gateway_fixture.h"
+#include "live_run.h"
+#include "simulator/load.h"
+#include "stand_ins/echo.h"
+#include "test_processes.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -357,11 +357,11 @@
 };
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::lab::experiment_main(
+    return shaletray::testbed::experiment_main(
         argv, 3, [](const std::string& programs, std::uint64_t seed, double seconds) {
-            return shaletray::lab::Operations(programs, seed, seconds).run();
+            return shaletray::testbed::Operations(programs, seed, seconds).run();
         });
 }
--- a/lab/experiment_plans.cpp
+++ b/testbed/experiments/plans.cpp
@@ -18,12 +18,12 @@
 #include <random>
 #include <set>
 
-#include "plans/book.h"
-#include "rig.h"
-#include "stand_in_billing.h"
-#include "usage/export.h"
+#include "balancer/usage/export.h"
+#include "data_plane/plans/plan_table.h"
+#include "gateway_fixture.h"
+#include "stand_ins/billing.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -368,7 +368,7 @@
         // What the servers saw, by the plan versions that may have been in force when it was taken.
         plans::BookSettings b;
         for (const RigPlan& p : kPlans) {
-            valehall::PlanSettings platform;
+            decision::PlanSettings platform;
             platform.name = p.name;
             platform.rate = p.rate;
             platform.burst = p.burst;
@@ -509,7 +509,7 @@
             {"cpu_us_per_request_on", 1e6 * cpu_on},
             {"added_cpu", cpu_on / cpu_plain - 1.0},
             {"requests_per_s_per_gateway", static_cast<double>(on.asked) / on.seconds / kGateways},
-            {"bytes_per_row", journal::kSlot},
+            {"bytes_per_row", usage_log::kSlot},
             {"export_rows_per_s", speed},
             {"open_s", opening},
             {"broken", broken}};
@@ -560,19 +560,19 @@
     }
     // As many rows as lines: the case in which nothing can be added up.
     double export_speed() {
-        journal::Files& files = journal::real_files();
+        usage_log::Files& files = usage_log::real_files();
         const auto c = bulk();
         std::filesystem::create_directories(c.journal);
         std::filesystem::create_directories(folder_ / "bulk-out");
         const std::uint32_t slots = 65536;
-        journal::Writer writer(
-            {c.journal, 1, 1, slots, 1000},
-            std::make_unique<journal::Segment>(files, c.journal, journal::SegmentHead{1, slots, 1, 0, 1}));
-        journal::Use use;
+        usage_log::Writer writer({c.journal, 1, 1, slots, 1000},
+                                 std::make_unique<usage_log::Segment>(
+                                     files, c.journal, usage_log::SegmentHead{1, slots, 1, 0, 1}));
+        usage_log::Use use;
         for (std::uint64_t i = 0; i < store_rows(); ++i) {
             if (writer.wants_next())
-                writer.take_next(std::make_unique<journal::Segment>(files, c.journal, writer.next_head()));
-            use.customer = journal::CustomerId{(i * 7919) % 100'003};
+                writer.take_next(std::make_unique<usage_log::Segment>(files, c.journal, writer.next_head()));
+            use.customer = usage_log::CustomerId{(i * 7919) % 100'003};
             use.at = TimePoint(Duration(static_cast<std::int64_t>(1'700'000'000'000'000ULL + i * 6000)));
             use.units = 1'500'000;
             writer.append(use);
@@ -590,7 +590,7 @@
     }
     double opening_time() const {
         const auto began = std::chrono::steady_clock::now();
-        usage::Collector collector(bulk(), journal::real_files());
+        usage::Collector collector(bulk(), usage_log::real_files());
         const std::uint64_t sealed = collector.sealed();
         const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
         return sealed > 0 ? took : 1e9;
@@ -616,11 +616,11 @@
 };
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::lab::experiment_main(
+    return shaletray::testbed::experiment_main(
         argv, 6, [](std::string programs, std::uint64_t seed, double seconds) {
-            return shaletray::lab::Experiment(std::move(programs), seed, seconds).run();
+            return shaletray::testbed::Experiment(std::move(programs), seed, seconds).run();
         });
 }
--- a/lab/experiment_ledger.cpp
+++ b/testbed/experiments/quota_state.cpp
@@ -12,25 +12,25 @@
 #include <random>
 #include <vector>
 
-#include "counter/exchange.h"
-#include "lab/board.h"
+#include "balancer/shared_counter/store_exchange.h"
+#include "simulator/board.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
-using counter::Exchange;
-using counter::Replies;
 using limits::CustomerId;
 using limits::Duration;
 using limits::Ledger;
 using limits::TimePoint;
+using shared_counter::Exchange;
+using shared_counter::Replies;
 
 constexpr int kGateways = 3;
 
 struct Gateway {
     std::unique_ptr<Ledger> ledger;
-    counter::CounterStats stats;
+    shared_counter::CounterStats stats;
     std::unique_ptr<Exchange> exchange;
     std::uint64_t requests = 0;
 };
@@ -127,8 +127,8 @@
         s.most_customers = customers_;
         g.exchange.reset();
         g.ledger = std::make_unique<Ledger>(s, now_);
-        counter::ExchangeSettings e;
-        counter::SessionSettings one;
+        shared_counter::ExchangeSettings e;
+        shared_counter::SessionSettings one;
         one.prefix = "x";
         one.me = i;
         one.gateways = kGateways;
@@ -147,7 +147,7 @@
         for (Gateway& g : gateways_) {
             std::vector<limits::Allowance> changed;
             g.ledger->tick(now_, changed);
-            counter::Session& session = g.exchange->at(0);
+            shared_counter::Session& session = g.exchange->at(0);
             if (session.wants_connection(now_)) {
                 session.dialling(now_);
                 session.connected(now_);
@@ -185,14 +185,14 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main() {
     try {
-        const std::size_t seed = shaletray::lab::environment_size("SEED", 1);
-        const std::size_t customers = shaletray::lab::environment_size("CUSTOMERS", 100'000);
-        const std::size_t active = std::min(customers, shaletray::lab::environment_size("ACTIVE", 1000));
-        return shaletray::lab::Scale(seed, customers, active).run();
+        const std::size_t seed = shaletray::testbed::environment_size("SEED", 1);
+        const std::size_t customers = shaletray::testbed::environment_size("CUSTOMERS", 100'000);
+        const std::size_t active = std::min(customers, shaletray::testbed::environment_size("ACTIVE", 1000));
+        return shaletray::testbed::Scale(seed, customers, active).run();
     } catch (const std::exception& error) {
         fmt::print(stderr, "{}\n", error.what());
         return 2;
--- a/lab/experiment_counter.cpp
+++ b/testbed/experiments/shared_counter.cpp
@@ -14,11 +14,11 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "counter/resp.h"
-#include "limits/ledger.h"
-#include "rig.h"
+#include "balancer/shared_counter/resp.h"
+#include "data_plane/limits/quota_state_table.h"
+#include "gateway_fixture.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -197,7 +197,7 @@
         try {
             Poco::Net::StreamSocket socket(
                 Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(ports_[i])));
-            const std::string bytes = counter::write_command(words);
+            const std::string bytes = shared_counter::write_command(words);
             socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
             char answer[64];
             socket.receiveBytes(answer, sizeof answer);
@@ -435,11 +435,11 @@
 };
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::lab::experiment_main(
+    return shaletray::testbed::experiment_main(
         argv, 4.2, [](std::string programs, std::uint64_t seed, double seconds) {
-            return shaletray::lab::Experiment(std::move(programs), seed, seconds).run();
+            return shaletray::testbed::Experiment(std::move(programs), seed, seconds).run();
         });
 }
--- a/lab/experiment_shared-servers.cpp
+++ b/testbed/experiments/shared_servers.cpp
@@ -15,11 +15,11 @@
 #include <string>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
 namespace {
 
-using namespace valehall;
+using namespace shaletray::decision;
 using namespace std::chrono_literals;
 
 double ms(Duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
@@ -161,7 +161,7 @@
     void after(Duration d, std::function<void()> what) {
         events_.push({now_ + d, ++order_, std::move(what)});
     }
-    void feed(int g, const valehall::Event& event) {
+    void feed(int g, const shaletray::decision::Event& event) {
         std::vector<Action> actions;
         gateways_[static_cast<std::size_t>(g)].module->handle(now_, event, actions);
         for (const Action& a : actions) act(g, a);
--- a/lab/experiment_lab-reality.cpp
+++ b/testbed/experiments/simulator_reality.cpp
@@ -1,5 +1,5 @@
-// The model against sockets: each scenario of lab/scenarios/reality once in virtual time and once with real
-// gateways, from the same file and seed. Parts served and refused within 0.05 of each other.
+// The model against sockets: each scenario of testbed/scenarios/reality once in virtual time and once with
+// real gateways, from the same file and seed. Parts served and refused within 0.05 of each other.
 //   SEED= and AT_ONCE= (how many run side by side) from the environment. Ends non-zero where a bound breaks,
 //   3 where the machine was too slow to tell.
 #include <fmt/format.h>
@@ -8,11 +8,11 @@
 #include <filesystem>
 #include <thread>
 
-#include "lab/scenario.h"
-#include "live.h"
-#include "rig.h"
+#include "gateway_fixture.h"
+#include "live_run.h"
+#include "simulator/scenario.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 constexpr double kWithin = 0.05;
@@ -93,11 +93,11 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::lab::experiment_main(argv, 4,
-                                           [](const std::string& programs, std::uint64_t seed, double) {
-                                               return shaletray::lab::experiment(programs, seed);
-                                           });
+    return shaletray::testbed::experiment_main(argv, 4,
+                                               [](const std::string& programs, std::uint64_t seed, double) {
+                                                   return shaletray::testbed::experiment(programs, seed);
+                                               });
 }
--- a/lab/experiment_lab-scale.cpp
+++ b/testbed/experiments/simulator_scale.cpp
@@ -9,10 +9,10 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "lab/world.h"
-#include "rig.h"
+#include "gateway_fixture.h"
+#include "simulator/world.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -108,10 +108,10 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::lab::experiment_main(argv, 4, [](const std::string&, std::uint64_t seed, double) {
-        return shaletray::lab::experiment(seed);
+    return shaletray::testbed::experiment_main(argv, 4, [](const std::string&, std::uint64_t seed, double) {
+        return shaletray::testbed::experiment(seed);
     });
 }
--- a/lab/rig.cpp
+++ b/testbed/gateway_fixture.cpp
@@ -1,4 +1,4 @@
-#include "rig.h"
+#include "gateway_fixture.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <fstream>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 using Json = nlohmann::json;
 
@@ -139,4 +139,4 @@
     return all;
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/rig.h
+++ b/testbed/gateway_fixture.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "ground.h"
-#include "harness.h"
-#include "lab/measure.h"
+#include "experiment_host.h"
+#include "simulator/measure.h"
+#include "test_processes.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // A figure from the environment; throws where it is none or out of range.
 double environment_number(const char* name, double fallback, double least, double most);
@@ -70,4 +70,4 @@
     std::vector<int> lives_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/live.cpp
+++ b/testbed/live_run.cpp
@@ -1,4 +1,4 @@
-#include "live.h"
+#include "live_run.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/DatagramSocket.h>
@@ -15,20 +15,20 @@
 #include <random>
 #include <unordered_map>
 
-#include "harness.h"
-#include "lab/clients.h"
-#include "lab/kernel.h"
-#include "lab/measure.h"
-#include "lab/server.h"
-#include "platform/messages.h"
-#include "stand_in_counter.h"
+#include "balancer/platform/messages.h"
+#include "simulator/clients.h"
+#include "simulator/kernel.h"
+#include "simulator/measure.h"
+#include "simulator/server.h"
+#include "stand_ins/counter.h"
+#include "test_processes.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
-using valehall::Outcome;
+using decision::Outcome;
 
 constexpr Duration kSlack = 58ms;           // of an answer: the rule's 8 ms, and 50 more on sockets
 constexpr Duration kDrainSlack = 300ms;     // likewise
@@ -39,11 +39,11 @@
 constexpr std::size_t kLongestMail = 2048;
 constexpr double kLateShare = 0.01;
 
-std::string text_of(valehall::Repeat repeat) {
+std::string text_of(decision::Repeat repeat) {
     switch (repeat) {
-        case valehall::Repeat::Safe: return "safe";
-        case valehall::Repeat::Keyed: return "keyed";
-        case valehall::Repeat::Unsafe: return "unsafe";
+        case decision::Repeat::Safe: return "safe";
+        case decision::Repeat::Keyed: return "keyed";
+        case decision::Repeat::Unsafe: return "unsafe";
     }
     return "?";
 }
@@ -110,7 +110,7 @@
         for (const auto& w : watchers_) reactor_.cancel(w->beat);
     }
     std::string address() const { return acceptor_->address(); }
-    void change(int server, valehall::HostState state, std::int64_t up_since_ms);
+    void change(int server, decision::HostState state, std::int64_t up_since_ms);
     std::string all() const;
 
 private:
@@ -126,7 +126,7 @@
         bool watches = false;
     };
     struct State {
-        valehall::HostState state = valehall::HostState::Healthy;
+        decision::HostState state = decision::HostState::Healthy;
         std::int64_t up_since_ms = 0;
         std::uint64_t revision = 1;
     };
@@ -241,7 +241,7 @@
 
 private:
     struct Known {
-        valehall::CustomerId customer{};
+        decision::CustomerId customer{};
         double units = 0.0;
         std::uint64_t request = 0;
         bool reached = false, may_have_run = false;
@@ -394,8 +394,8 @@
 // ---- discovery ----
 
 std::string LiveDiscovery::member(int server, const State& s) const {
-    const char* const phase = s.state == valehall::HostState::Healthy    ? "in_service"
-                              : s.state == valehall::HostState::Draining ? "terminating"
+    const char* const phase = s.state == decision::HostState::Healthy    ? "in_service"
+                              : s.state == decision::HostState::Draining ? "terminating"
                                                                          : "terminated";
     return Json{{"id", fmt::format("s-{:08x}", server)},
                 {"host_port", live_.servers_[static_cast<std::size_t>(server)]->address()},
@@ -413,7 +413,7 @@
     for (int i = 0; i < live_.s_.servers; ++i) {
         const auto it = changed_.find(i);
         const State state = it == changed_.end() ? State{} : it->second;
-        if (state.state == valehall::HostState::Gone) continue;
+        if (state.state == decision::HostState::Gone) continue;
         members += (members.empty() ? "" : ",") + member(i, state);
     }
     return fmt::format(R"({{"revision":{},"complete":true,"members":[{}]}})", revision_, members);
@@ -427,7 +427,7 @@
     return fmt::format(R"({{"revision":{},"complete":false,"members":[{}]}})", revision_, members);
 }
 
-void LiveDiscovery::change(int server, valehall::HostState state, std::int64_t up_since_ms) {
+void LiveDiscovery::change(int server, decision::HostState state, std::int64_t up_since_ms) {
     State& s = changed_[server];
     s.state = state;
     if (up_since_ms >= 0) s.up_since_ms = up_since_ms;
@@ -527,7 +527,7 @@
     const std::string id = fmt::format("{:x}-{}", a.request, a.attempt);
     live_.asked(id, a);
     const auto& cls = lab_classes()[static_cast<std::size_t>(a.cls)];
-    const bool get = cls.repeat == valehall::Repeat::Safe;
+    const bool get = cls.repeat == decision::Repeat::Safe;
     const int width = set_width(live_.s_);
     const std::string text = fmt::format(
         "{} /{}/{} HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: {}\r\nX-Tier: {}\r\nCookie: "
@@ -537,7 +537,7 @@
         static_cast<std::uint64_t>(a.customer), a.units, width, first_of(live_.s_, a.customer),
         a.left.count(),
         get ? ""
-        : cls.repeat == valehall::Repeat::Keyed
+        : cls.repeat == decision::Repeat::Keyed
             ? fmt::format("Idempotency-Key: {:032x}\r\nContent-Length: 0\r\n", a.request)
             : "Content-Length: 0\r\n");
     const TimePoint sent = now();
@@ -689,7 +689,7 @@
                                        random_() % static_cast<std::uint64_t>(s_.list_delay.count() + 1)));
             reactor_.at(start_ + heard, [this, g, told, born] {
                 gateways_[g].discovery->change(told.server, told.state, born);
-                if (told.state == valehall::HostState::Healthy) drained_.erase(told.server);
+                if (told.state == decision::HostState::Healthy) drained_.erase(told.server);
                 else drained_[told.server] = std::max(drained_[told.server], clock_.now());
             });
         }
@@ -854,7 +854,7 @@
 bool LiveFigures::ran_late() const { return late > 0; }
 
 std::string settings_json(const Scenario& s, int me) {
-    const valehall::Settings v = gateway_settings(s, me);
+    const decision::Settings v = gateway_settings(s, me);
     Json rooms = Json::array();
     for (int i = 0; i < s.rooms; ++i) rooms.push_back(fmt::format("room-{}", i));
     Json out = {{"me", v.me},
@@ -882,7 +882,7 @@
                   {"fall", v.fall.count()},
                   {"fallMultiple", v.fall_multiple},
                   {"startCapacity", v.start_capacity}}}};
-    for (const valehall::ClassSettings& c : v.classes)
+    for (const decision::ClassSettings& c : v.classes)
         out["classes"].push_back({{"name", c.name},
                                   {"idempotency", text_of(c.repeat)},
                                   {"window", c.window.count()},
@@ -890,7 +890,7 @@
                                   {"hardLimit", c.give_up.count()},
                                   {"gain", c.worth},
                                   {"lateShare", c.late_share}});
-    for (const valehall::PlanSettings& p : v.plans)
+    for (const decision::PlanSettings& p : v.plans)
         out["tiersOfService"].push_back({{"name", p.name},
                                          {"unitsPerS", p.rate},
                                          {"peakUnits", p.burst},
@@ -933,4 +933,4 @@
     return live.run();
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/live.h
+++ b/testbed/live_run.h
@@ -7,9 +7,9 @@
 #include <functional>
 #include <string>
 
-#include "lab/world.h"
+#include "simulator/world.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct LiveSettings {
     std::string programs;    // the folder of the program under test
@@ -39,4 +39,4 @@
 std::string lone_config(const Scenario& s, const std::vector<std::string>& servers, const std::string& listen,
                         std::size_t sockets, double memory_mb);
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/mutations/play.sh
+++ b/testbed/mutations/play.sh
@@ -58,7 +58,7 @@
 sync_tree || exit 2
 generator=()
 [ -f "$build/CMakeCache.txt" ] || { command -v ninja > /dev/null && generator=(-G Ninja); }
-cmake -S "$tree" -B "$build" "${generator[@]}" -DCMAKE_BUILD_TYPE=Release -DVALEHALL_TESTS=ON \
+cmake -S "$tree" -B "$build" "${generator[@]}" -DCMAKE_BUILD_TYPE=Release -DSHALETRAY_TESTS=ON \
     -DSHALETRAY_SYSTEM=ON > "$log/configure" 2>&1 || { tail -20 "$log/configure"; exit 2; }
 programs=$(for patch in "${patches[@]}"; do tests_of "$patch"; done | cut -d' ' -f1 | sort -u)
 [ -n "$programs" ] || { echo "no patch names a test"; exit 2; }
--- a/lab/crowd.cpp
+++ b/testbed/simulated_membership.cpp
@@ -1,17 +1,17 @@
-#include "crowd.h"
+#include "simulated_membership.h"
 
 #include <algorithm>
 
-#include "convoy/roll.h"
-#include "slopes.h"
+#include "cluster/membership/member_table.h"
+#include "cost_series.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
-using convoy::Kind;
-using convoy::Packet;
-using convoy::Roll;
+using membership::Kind;
+using membership::Packet;
+using membership::Roll;
 
 constexpr double kPings = 4.0;    // a second, of one process in a large convoy
 constexpr std::size_t kPageEntries = 8;
@@ -35,10 +35,10 @@
             {now_ + Duration(static_cast<std::int64_t>(random_() % 2'000'000)), ++order_, i, "", "start"});
 }
 
-convoy::Facts Crowd::facts(int member) const {
-    convoy::Facts f;
+membership::Facts Crowd::facts(int member) const {
+    membership::Facts f;
     f.address = addresses_[static_cast<std::size_t>(member)];
-    f.role = member < lighthouses_ ? convoy::Role::Lighthouse : convoy::Role::Pilot;
+    f.role = member < lighthouses_ ? membership::Role::Lighthouse : membership::Role::Pilot;
     f.name = "edge-santander-a-" + std::to_string(member);
     f.zone = member % 2 == 0 ? "santander-a" : "santander-b";
     f.region = "cantabria";
@@ -58,13 +58,13 @@
 }
 
 void Crowd::start(int member) {
-    convoy::Settings s;
+    membership::Settings s;
     s.me = facts(member);
     for (int i = 0; i < std::min(3, lighthouses_); ++i)
         s.seeds.push_back(addresses_[static_cast<std::size_t>(i)]);
     s.seed = random_();
     const auto at = static_cast<std::size_t>(member - first_real_);
-    real_[at] = std::make_unique<convoy::Convoy>(s, now_);
+    real_[at] = std::make_unique<membership::Convoy>(s, now_);
     armed_[at] = TimePoint::max();
 }
 
@@ -83,7 +83,7 @@
         {now_ + way, ++order_, it->second, addresses_[static_cast<std::size_t>(from)], std::move(bytes)});
 }
 
-void Crowd::carry(int member, const convoy::Actions& out) {
+void Crowd::carry(int member, const membership::Actions& out) {
     for (const auto& send : out.sends) post(member, send.to, send.bytes);
     const auto at = static_cast<std::size_t>(member - first_real_);
     const TimePoint next = real_[at]->next();
@@ -111,7 +111,7 @@
             continue;
         }
         const auto at = static_cast<std::size_t>(event.to - first_real_);
-        convoy::Actions out;
+        membership::Actions out;
         if (event.from.empty() && event.bytes == "start") {
             start(event.to);
         } else if (real_[at] == nullptr) {
@@ -138,7 +138,7 @@
     const int to = first_real_ + static_cast<int>(random_() % real_.size());
     if (real_[static_cast<std::size_t>(to - first_real_)] == nullptr) return;
     post(from, addresses_[static_cast<std::size_t>(to)],
-         convoy::encode(head(from, Kind::Ping, static_cast<std::uint32_t>(random_()))));
+         membership::encode(head(from, Kind::Ping, static_cast<std::uint32_t>(random_()))));
 }
 
 Packet Crowd::head(int member, Kind kind, std::uint32_t number) const {
@@ -155,10 +155,10 @@
 }
 
 void Crowd::stand_in(int member, const std::string& from, const std::string& bytes) {
-    const boost::leaf::result<Packet> heard = convoy::decode(bytes);
+    const boost::leaf::result<Packet> heard = membership::decode(bytes);
     if (!heard) return;
     if (heard->kind == Kind::Ping)
-        return post(member, from, convoy::encode(head(member, Kind::Answer, heard->number)));
+        return post(member, from, membership::encode(head(member, Kind::Answer, heard->number)));
     if (heard->kind != Kind::Ask) return;
     std::string after = heard->after;
     // By their order; the addresses are kept as they were made, so the order is looked for.
@@ -176,14 +176,14 @@
         Packet p = head(member, Kind::Page, heard->number);
         p.after = after;
         for (; it != order.end() && p.entries.size() < kPageEntries; ++it) {
-            convoy::Entry e;
+            membership::Entry e;
             e.facts = facts(*it);
             p.entries.push_back(std::move(e));
         }
         p.last = it == order.end();
         p.more = page == kPages - 1;
         if (!p.last) p.next = after = p.entries.back().facts.address;
-        post(member, from, convoy::encode(p));
+        post(member, from, membership::encode(p));
         if (p.last) return;
     }
 }
@@ -196,7 +196,7 @@
 
 Crowd::Figures Crowd::measure(Duration span) {
     const auto sum = [this] {
-        convoy::Tallies all;
+        membership::Tallies all;
         for (const auto& c : real_) {
             all.sent += c->tallies().sent;
             all.sent_bytes += c->tallies().sent_bytes;
@@ -204,14 +204,14 @@
         }
         return all;
     };
-    const convoy::Tallies before = sum();
+    const membership::Tallies before = sum();
     const double cpu = cpu_;
     run(span);
-    const convoy::Tallies after = sum();
+    const membership::Tallies after = sum();
     const double by = std::chrono::duration<double>(span).count() * static_cast<double>(real_.size());
     return {static_cast<double>(after.sent - before.sent) / by,
             static_cast<double>(after.sent_bytes - before.sent_bytes) / by,
             static_cast<double>(after.heard_bytes - before.heard_bytes) / by, (cpu_ - cpu) / by};
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/crowd.h
+++ b/testbed/simulated_membership.h
@@ -11,10 +11,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "convoy/convoy.h"
-#include "convoy/packet.h"
+#include "cluster/membership/membership.h"
+#include "cluster/membership/packet.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class Crowd {
 public:
@@ -41,12 +41,12 @@
         }
     };
     bool is_real(int member) const { return member >= first_real_; }
-    convoy::Facts facts(int member) const;
+    membership::Facts facts(int member) const;
     std::uint64_t digest() const;
-    convoy::Packet head(int member, convoy::Kind kind, std::uint32_t number) const;
+    membership::Packet head(int member, membership::Kind kind, std::uint32_t number) const;
     void start(int member);
     void post(int from, const std::string& to, std::string bytes);
-    void carry(int member, const convoy::Actions& out);
+    void carry(int member, const membership::Actions& out);
     void stand_in(int member, const std::string& from, const std::string& bytes);
     void crowd_pings();
 
@@ -60,9 +60,9 @@
     std::vector<std::string> addresses_;
     std::vector<std::uint64_t> lives_;
     std::unordered_map<std::string, int> by_address_;
-    std::vector<std::unique_ptr<convoy::Convoy>> real_;
+    std::vector<std::unique_ptr<membership::Convoy>> real_;
     std::vector<TimePoint> armed_;
     std::uint64_t crowd_sum_ = 0;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/src/lab/shaletray_lab.cpp
+++ b/testbed/simulator_main.cpp
@@ -13,21 +13,21 @@
 #include <numeric>
 #include <thread>
 
-#include "command/complete.h"
-#include "lab/load.h"
-#include "lab/report.h"
-#include "lab/scenario.h"
-#include "live.h"
-#include "settings/record.h"
+#include "balancer/command/completion.h"
+#include "balancer/settings/record.h"
+#include "live_run.h"
+#include "simulator/load.h"
+#include "simulator/report.h"
+#include "simulator/scenario.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using Json = nlohmann::json;
 
 struct Line {
     std::vector<std::string> files;
-    std::string folder = "lab/scenarios", other;
+    std::string folder = "testbed/scenarios", other;
     std::uint64_t seed = 1;
     int seeds = 5;
     std::size_t threads = 0;    // 0: as many as are worth it
@@ -78,7 +78,7 @@
 
 Figures run(const Scenario& s, const Line& line, std::uint64_t traced = 0) {
     const std::size_t cores = std::clamp<std::size_t>(std::thread::hardware_concurrency(), 1, 16);
-    return lab::run(s, line.threads > 0 ? line.threads : fitting_threads(s, cores), traced);
+    return testbed::run(s, line.threads > 0 ? line.threads : fitting_threads(s, cores), traced);
 }
 
 Figures timed(const Scenario& s, const Line& line, double& took) {
@@ -353,7 +353,7 @@
     CLI::App app{"The laboratory: the program's own engine and decisions in a world of virtual time."};
     app.require_subcommand(1);
     Line line;
-    std::string demo_file = "lab/scenarios/demo/demo.cue";
+    std::string demo_file = "testbed/scenarios/demo/demo.cue";
     const auto common = [&](CLI::App* sub) {
         sub->add_option("scenario", line.files, "Files of scenarios")->required();
         sub->add_option("--seed", line.seed, "The first seed");
@@ -426,11 +426,11 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
 int main(int argc, char** argv) {
     try {
-        return shaletray::lab::main_of(argc, argv);
+        return shaletray::testbed::main_of(argc, argv);
     } catch (const std::exception& error) {
         fmt::print(stderr, "{}\n", error.what());
         return 2;
--- a/lab/stand_in_billing.cpp
+++ b/testbed/stand_ins/billing.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_billing.h"
+#include "stand_ins/billing.h"
 
 #include <Poco/Net/HTTPRequestHandler.h>
 #include <Poco/Net/HTTPRequestHandlerFactory.h>
@@ -14,7 +14,7 @@
 #include <chrono>
 #include <thread>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace Poco::Net;
@@ -129,4 +129,4 @@
     return a;
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/stand_in_billing.h
+++ b/testbed/stand_ins/billing.h
@@ -11,7 +11,7 @@
 #include <random>
 #include <string>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct BillingFaults {       // chances of each, by post
     double lost = 0.0;       // the batch is taken and the connection ends
@@ -54,4 +54,4 @@
     std::unique_ptr<Poco::Net::HTTPServer> server_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/stand_in_counter.h
+++ b/testbed/stand_ins/counter.h
@@ -27,9 +27,9 @@
 #include <thread>
 #include <vector>
 
-#include "counter/resp.h"
+#include "balancer/shared_counter/resp.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class StandInCounter {
 public:
@@ -53,7 +53,7 @@
     };
     struct Connection {
         int fd = -1;
-        counter::Replies commands;
+        shared_counter::Replies commands;
         bool trusted = false, replica_link = false;
         std::string out;
         std::deque<std::pair<Clock::time_point, std::string>> waiting;    // answers that are held back
@@ -87,4 +87,4 @@
     std::uint64_t lives_ = 0;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/counter_stand_in.cpp
+++ b/testbed/stand_ins/counter_main.cpp
@@ -6,11 +6,12 @@
 #include <cstdio>
 #include <thread>
 
-#include "stand_in_counter.h"
+#include "stand_ins/counter.h"
 
 int main(int argc, char** argv) {
     CLI::App app{
-        "A stand-in for a store that speaks the Redis protocol; loopback only. See lab/stand_in_counter.h."};
+        "A stand-in for a store that speaks the Redis protocol; loopback only. See "
+        "testbed/stand_ins/counter.h."};
     int port = 0;
     std::string password;
     app.add_option("--port", port, "Where it listens on 127.0.0.1; 0: any free port")
@@ -18,7 +19,7 @@
     app.add_option("--password", password, "What AUTH must say");
     CLI11_PARSE(app, argc, argv);
     try {
-        const shaletray::lab::StandInCounter counter(port, password);
+        const shaletray::testbed::StandInCounter counter(port, password);
         fmt::print("{}\n", counter.port());
         std::fflush(stdout);
         while (true) std::this_thread::sleep_for(std::chrono::hours(1));
--- a/lab/stand_in_echo.cpp
+++ b/testbed/stand_ins/echo.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_echo.h"
+#include "stand_ins/echo.h"
 
 #include <arpa/inet.h>
 #include <fmt/format.h>
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <unordered_map>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using Clock = std::chrono::steady_clock;
@@ -159,4 +159,4 @@
     close(epoll);
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/stand_in_echo.h
+++ b/testbed/stand_ins/echo.h
@@ -9,7 +9,7 @@
 #include <thread>
 #include <vector>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class StandInEcho {
 public:
@@ -37,4 +37,4 @@
     std::vector<std::thread> threads_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_clients.cpp
+++ b/testbed/system/clients.cpp
@@ -1,4 +1,4 @@
-#include "system_clients.h"
+#include "system/clients.h"
 
 #include <fmt/format.h>
 
@@ -7,9 +7,9 @@
 #include <cstdlib>
 #include <utility>
 
-#include "lab/measure.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -347,4 +347,4 @@
     lines_.erase(it);
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_clients.h
+++ b/testbed/system/clients.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "http/message.h"
-#include "net/stream.h"
-#include "system_board.h"
-#include "system_calls.h"
+#include "base/http/message.h"
+#include "base/net/stream.h"
+#include "system/http_calls.h"
+#include "system/scoreboard.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // Asks every gateway each second whether it is ready, and chooses one for each new connection.
 class Front {
@@ -133,4 +133,4 @@
     ClientFigures figures_;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_demo.cpp
+++ b/testbed/system/demo.cpp
@@ -6,10 +6,10 @@
 
 #include <cstdio>
 
-#include "rig.h"
-#include "system_rig.h"
+#include "gateway_fixture.h"
+#include "system/fixture.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using Json = nlohmann::json;
@@ -98,6 +98,8 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
 
-int main(int, char** argv) { return shaletray::lab::experiment_main(argv, 20.0, shaletray::lab::run); }
+int main(int, char** argv) {
+    return shaletray::testbed::experiment_main(argv, 20.0, shaletray::testbed::run);
+}
--- a/lab/system_rig.cpp
+++ b/testbed/system/fixture.cpp
@@ -1,4 +1,4 @@
-#include "system_rig.h"
+#include "system/fixture.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -113,8 +113,8 @@
     machines_.push_back(
         {of, fmt::format("{}-{}", of.zone, ++in_zone_[of.zone]), fmt::format("127.{}.1.{}", net_, m + 1)});
     const Machine& machine = machines_.back();
-    for (const char* role : {"lighthouse", "pilot"}) {
-        if (!(role == std::string_view("pilot") ? of.pilot : of.lighthouse)) continue;
+    for (const char* role : {"controller", "gateway"}) {
+        if (!(role == std::string_view("gateway") ? of.pilot : of.lighthouse)) continue;
         Node node;
         node.role = role;
         node.zone = of.zone;
@@ -212,7 +212,7 @@
         {"node_name", machine.name},
         {"role", of.role},
         {"machine_class", "edge"},
-        {"serves", of.role == "pilot" ? "edge" : "control_plane"},
+        {"serves", of.role == "gateway" ? "edge" : "control_plane"},
         {"ip", of.ip},
         {"zone", of.zone},
         {"region", "coast"},
@@ -254,7 +254,7 @@
         {"bounds.recovery", "15s"},
         {"config_mode", "highest"}};
     for (const Machine& other : machines_) lines["zones." + other.plan.zone] = "coast";
-    if (of.role == "pilot") {
+    if (of.role == "gateway") {
         lines["bind_addresses.frontend"] = fmt::format("{}:{}", of.ip, kFrontend);
         lines["bind_addresses.readiness"] = fmt::format("{}:{}", of.ip, kReadiness);
     } else {
@@ -303,7 +303,7 @@
     int number = 0;
     for (const auto& machine : machines_) {
         if (!machine.plan.pilot) continue;
-        if (machine.name + "/pilot" == pilot) return sync([&] { return front_->is_ready(number); });
+        if (machine.name + "/gateway" == pilot) return sync([&] { return front_->is_ready(number); });
         ++number;
     }
     throw std::runtime_error(pilot + ": there is no such pilot");
@@ -611,4 +611,4 @@
     }
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_rig.h
+++ b/testbed/system/fixture.h
@@ -10,15 +10,15 @@
 #include <string>
 #include <vector>
 
-#include "ground.h"
-#include "harness.h"
-#include "system_board.h"
-#include "system_calls.h"
-#include "system_clients.h"
-#include "system_operators.h"
-#include "system_server.h"
+#include "experiment_host.h"
+#include "system/clients.h"
+#include "system/http_calls.h"
+#include "system/operators.h"
+#include "system/scoreboard.h"
+#include "system/server.h"
+#include "test_processes.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct MachinePlan {
     std::string zone;
@@ -49,7 +49,7 @@
     explicit SystemRig(SystemPlan plan);
     ~SystemRig() override;
 
-    // ---- the system's processes, by name: "north-1/pilot", "north-1/lighthouse" ----
+    // ---- the system's processes, by name: "north-1/gateway", "north-1/controller" ----
     std::vector<std::string> nodes(const std::string& role = {}) const;
     // Starts all of them: the first start of the whole system, on empty disks.
     void begin();
@@ -167,4 +167,4 @@
 // From now on SIGINT and SIGTERM end run_for() and its like.
 void catch_signals();
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_calls.cpp
+++ b/testbed/system/http_calls.cpp
@@ -1,11 +1,11 @@
-#include "system_calls.h"
+#include "system/http_calls.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -157,4 +157,4 @@
     pause_ = std::min(pause_ * 2, kLongestPause);
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_calls.h
+++ b/testbed/system/http_calls.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "http/message.h"
-#include "net/reactor.h"
-#include "net/stream.h"
+#include "base/http/message.h"
+#include "base/net/reactor.h"
+#include "base/net/stream.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct CallAnswer {
     int status = 0;    // 0: none came in time
@@ -75,4 +75,4 @@
     Timers::Id timer_ = 0;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_operators.cpp
+++ b/testbed/system/operators.cpp
@@ -1,10 +1,10 @@
-#include "system_operators.h"
+#include "system/operators.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -202,4 +202,4 @@
     ended(answer);
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_operators.h
+++ b/testbed/system/operators.h
@@ -1,6 +1,7 @@
 // Several operators at once, each with one call under way: orders that race under one number or come too
 // late, reads, answers that get lost on their way, orders sent again to others. They reach each gateway by a
-// relay that can be cut and reset. What they saw is kept for lab/history.h. Everything of one thread.
+// relay that can be cut and reset. What they saw is kept for testbed/operation_history.h. Everything of one
+// thread.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +13,11 @@
 #include <string>
 #include <vector>
 
-#include "harness.h"
-#include "history.h"
-#include "system_calls.h"
+#include "operation_history.h"
+#include "system/http_calls.h"
+#include "test_processes.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class Operators {
 public:
@@ -76,4 +77,4 @@
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_board.cpp
+++ b/testbed/system/scoreboard.cpp
@@ -1,8 +1,8 @@
-#include "system_board.h"
+#include "system/scoreboard.h"
 
 #include <functional>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 void Board::sent(const std::string& id, Try what) { tries_[id].what = std::move(what); }
 
@@ -69,4 +69,4 @@
             {"denied", b.denied}};
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_board.h
+++ b/testbed/system/scoreboard.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 class Board {
 public:
@@ -68,4 +68,4 @@
 
 nlohmann::json to_json(const Board::Breaches& b);
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_server.cpp
+++ b/testbed/system/server.cpp
@@ -1,4 +1,4 @@
-#include "system_server.h"
+#include "system/server.h"
 
 #include <fmt/format.h>
 
@@ -8,9 +8,9 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "lab/measure.h"
+#include "simulator/measure.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -307,4 +307,4 @@
     sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/system_server.h
+++ b/testbed/system/server.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "harness.h"
-#include "http/message.h"
-#include "net/stream.h"
-#include "system_board.h"
-#include "system_calls.h"
+#include "base/http/message.h"
+#include "base/net/stream.h"
+#include "system/http_calls.h"
+#include "system/scoreboard.h"
+#include "test_processes.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 struct ServerPlan {
     std::string service, address, zone, revision = "v1";
@@ -85,4 +85,4 @@
     Timers::Id beat_timer_ = 0, end_timer_ = 0, sweep_timer_ = 0;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/harness.cpp
+++ b/testbed/test_processes.cpp
@@ -1,4 +1,4 @@
-#include "harness.h"
+#include "test_processes.h"
 
 #include <Poco/NObserver.h>
 #include <Poco/Net/NetException.h>
@@ -16,9 +16,9 @@
 #include <stdexcept>
 #include <thread>
 
-#include "platform/messages.h"
+#include "balancer/platform/messages.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -403,4 +403,4 @@
     answered(status, retry_after);
 }
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/lab/harness.h
+++ b/testbed/test_processes.h
@@ -13,11 +13,11 @@
 #include <string>
 #include <vector>
 
-#include "http/message.h"
-#include "net/reactor.h"
-#include "net/stream.h"
+#include "base/http/message.h"
+#include "base/net/reactor.h"
+#include "base/net/stream.h"
 
-namespace shaletray::lab {
+namespace shaletray::testbed {
 
 // A child process; killed with this object. Its standard error goes to a file.
 class Process {
@@ -141,4 +141,4 @@
     std::uint64_t last_ = 0;
 };
 
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
--- a/tests/command_test.cpp
+++ b/tests/balancer/command/command_test.cpp
@@ -6,7 +6,7 @@
 #include <iterator>
 #include <memory>
 
-#include "command/complete.h"
+#include "balancer/command/completion.h"
 
 namespace shaletray::command {
 namespace {
--- a/tests/operations_test.cpp
+++ b/tests/balancer/operations/operations_test.cpp
@@ -1,11 +1,11 @@
 // Daily operation: calls over the second address, and what they do to a gateway on real sockets.
 #include <Poco/File.h>
 
-#include "gateway_rig.h"
-#include "handover/handover.h"
-#include "handover/place.h"
-#include "net/unix_socket.h"
-#include "operations/router.h"
+#include "balancer/handover/handover_server.h"
+#include "balancer/handover/handover_state.h"
+#include "balancer/operations/router.h"
+#include "balancer/service/gateway_rig.h"
+#include "base/net/unix_socket.h"
 
 namespace shaletray::test {
 namespace {
--- a/tests/platform_test.cpp
+++ b/tests/balancer/platform/platform_test.cpp
@@ -1,18 +1,18 @@
 // What this platform's configuration, lists and headers mean, by tables of cases.
 #include <gtest/gtest.h>
 
-#include "gateway_settings.h"
-#include "platform/config.h"
-#include "platform/messages.h"
+#include "balancer/platform/gateway_config.h"
+#include "balancer/platform/messages.h"
+#include "decision/gateway_settings.h"
 
 namespace shaletray {
 namespace {
 
 using namespace std::chrono_literals;
+using decision::HostState;
+using decision::ListKind;
 using test::config_text;
 using test::member;
-using valehall::HostState;
-using valehall::ListKind;
 
 const Config& site() {
     static const Config config = parse_config(config_text("127.0.0.1:1"));
@@ -84,7 +84,7 @@
 TEST(Requests, PassOnWhatTheServerNeeds) {
     Arrival arrival;
     ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &arrival), 0);
-    EXPECT_EQ(arrival.customer, valehall::CustomerId{0xb4d65521});
+    EXPECT_EQ(arrival.customer, decision::CustomerId{0xb4d65521});
     EXPECT_EQ(arrival.plan_index, 1);
     EXPECT_EQ(arrival.units, 2.0);
     EXPECT_EQ(arrival.budget, 480ms);
--- a/tests/gateway_rig.h
+++ b/tests/balancer/service/gateway_rig.h
@@ -25,8 +25,8 @@
 #include <mutex>
 #include <thread>
 
-#include "gateway_settings.h"
-#include "service/service.h"
+#include "balancer/service/gateway_service.h"
+#include "decision/gateway_settings.h"
 
 namespace shaletray::test {
 
--- a/tests/gateway_script.h
+++ b/tests/balancer/service/gateway_script.h
@@ -5,9 +5,9 @@
 #include <optional>
 #include <vector>
 
-#include "valehall/control.h"
+#include "decision/control.h"
 
-namespace valehall::test {
+namespace shaletray::decision::test {
 
 using namespace std::chrono_literals;
 
@@ -184,4 +184,4 @@
     std::uint32_t last_id_ = 0;
 };
 
-}    // namespace valehall::test
+}    // namespace shaletray::decision::test
--- a/tests/gateway_test.cpp
+++ b/tests/balancer/service/gateway_test.cpp
@@ -1,5 +1,5 @@
 // One test for each of the five rules on real sockets, and what an operator does to a gateway.
-#include "gateway_rig.h"
+#include "balancer/service/gateway_rig.h"
 
 namespace shaletray::test {
 namespace {
--- a/tests/service/book_file_test.cpp
+++ b/tests/balancer/service/plan_table_file_test.cpp
@@ -1,5 +1,5 @@
 // Where the plan book lasts: kills and errors at each step, torn and spoilt lines, two processes.
-#include "service/book_file.h"
+#include "balancer/service/plan_table_file.h"
 
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -8,14 +8,14 @@
 #include <filesystem>
 #include <fstream>
 
-#include "../faulty_files.h"
-#include "journal/tallies.h"
-#include "settings/operator_settings.h"
+#include "balancer/settings/operator_settings.h"
+#include "balancer/usage_log/faulty_files.h"
+#include "balancer/usage_log/persistent_counters.h"
 
 namespace shaletray {
 namespace {
 
-using journal::test::FaultyFiles;
+using usage_log::test::FaultyFiles;
 using namespace std::chrono_literals;
 
 const plans::TimePoint kNow = plans::TimePoint{} + 1'700'000'000s;
@@ -82,7 +82,7 @@
 
 TEST_F(Place, RefusesASpoiltBookOrServesWhatIsGoodOfIt) {
     make(4);
-    std::string text = journal::real_files().read(path);
+    std::string text = usage_log::real_files().read(path);
     text[text.find('\n') + 20] ^= 1;    // in the second line
     std::ofstream(path, std::ios::trunc) << text;
     plans::Book book = new_book();
@@ -96,7 +96,7 @@
     BookFile file(path, served, true);
     EXPECT_EQ(served.version(), 1u);
     EXPECT_THROW(file.append(next(served)), std::runtime_error);
-    EXPECT_EQ(journal::real_files().read(path), text) << "it stays as it was found";
+    EXPECT_EQ(usage_log::real_files().read(path), text) << "it stays as it was found";
 }
 
 TEST_F(Place, KeepsNothingOfAChangeThatCouldNotBeWritten) {
@@ -149,7 +149,7 @@
 TEST_F(Place, TalliesLastThroughAKill) {
     const pid_t child = fork();
     if (child == 0) {
-        journal::Tallies tallies(path);
+        usage_log::Tallies tallies(path);
         for (int i = 1; i <= 100; ++i) tallies.put(7, i);
         tallies.put(9, 1);
         tallies.drop(9);
@@ -157,14 +157,14 @@
     }
     int status = 0;
     waitpid(child, &status, 0);
-    journal::Tallies tallies(path);
+    usage_log::Tallies tallies(path);
     EXPECT_EQ(tallies.read(), (std::map<std::uint64_t, std::int64_t>{{7, 100}}));
-    EXPECT_THROW(journal::Tallies again(path), std::runtime_error);
-    for (std::uint64_t key = 100; key < 100 + journal::Tallies::kSlots - 1; ++key)
+    EXPECT_THROW(usage_log::Tallies again(path), std::runtime_error);
+    for (std::uint64_t key = 100; key < 100 + usage_log::Tallies::kSlots - 1; ++key)
         EXPECT_TRUE(tallies.put(key, 1));
     EXPECT_FALSE(tallies.put(1, 1));
     std::ofstream(folder + "/other") << std::string(100, 'x');
-    EXPECT_THROW(journal::Tallies(folder + "/other"), std::runtime_error);
+    EXPECT_THROW(usage_log::Tallies(folder + "/other"), std::runtime_error);
 }
 
 TEST(Wanted, TheBookKnowsWhatItSaysAlready) {
--- a/tests/settings/settings_test.cpp
+++ b/tests/balancer/settings/settings_test.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
-#include "settings/operator_settings.h"
-#include "settings/value.h"
+#include "balancer/settings/operator_settings.h"
+#include "balancer/settings/value.h"
 
 namespace shaletray::settings {
 namespace {
--- a/tests/counter/counter_test.cpp
+++ b/tests/balancer/shared_counter/counter_test.cpp
@@ -1,5 +1,7 @@
 // The counter's client: RESP, sessions fed by hand, and ledgers that meet over real sockets and stand-in
 // stores which fail in each of their ways.
+#include "stand_ins/counter.h"
+
 #include <gtest/gtest.h>
 
 #include <condition_variable>
@@ -7,15 +9,14 @@
 #include <mutex>
 #include <thread>
 
-#include "counter/client.h"
-#include "counter/exchange.h"
-#include "stand_in_counter.h"
+#include "balancer/shared_counter/shared_counter_client.h"
+#include "balancer/shared_counter/store_exchange.h"
 
-namespace shaletray::counter {
+namespace shaletray::shared_counter {
 namespace {
 
 using namespace std::chrono_literals;
-using lab::StandInCounter;
+using testbed::StandInCounter;
 
 constexpr CustomerId kAnna{7};
 
@@ -151,7 +152,7 @@
             limits::LedgerSettings s = ledger_settings(i);
             s.incarnation = static_cast<std::uint64_t>(clock_.now().time_since_epoch().count());
             ledgers_.push_back(std::make_unique<limits::Ledger>(s, clock_.now()));
-            valehall::Settings module;
+            decision::Settings module;
             module.classes.resize(1);
             module.gateways = 3;
             module.plans = s.plans;
@@ -328,4 +329,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::counter
+}    // namespace shaletray::shared_counter
--- a/tests/usage/usage_test.cpp
+++ b/tests/balancer/usage/usage_test.cpp
@@ -12,17 +12,17 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "../faulty_files.h"
-#include "usage/export.h"
+#include "balancer/usage/export.h"
+#include "balancer/usage_log/faulty_files.h"
 
 namespace shaletray::usage {
 namespace {
 
 using namespace std::chrono_literals;
-using journal::FileError;
-using journal::Files;
-using journal::SegmentHead;
-using journal::Use;
+using usage_log::FileError;
+using usage_log::Files;
+using usage_log::SegmentHead;
+using usage_log::Use;
 namespace fs = std::filesystem;
 
 const TimePoint kNow = TimePoint{} + 1'700'000'040s;
@@ -41,26 +41,26 @@
     std::string path;
 };
 
-using Faults = journal::test::FaultyFiles;
+using Faults = usage_log::test::FaultyFiles;
 
 Use use(std::uint64_t i) {
     Use u;
     u.at = kNow + Duration(static_cast<std::int64_t>(i) * 700'000);
     u.customer = CustomerId{i % 5};
-    u.units = journal::millionths(static_cast<double>(i % 3) + 0.5);
+    u.units = usage_log::millionths(static_cast<double>(i % 3) + 0.5);
     u.plan_version = static_cast<std::uint32_t>(i % 2);
     u.plan = 1;
     return u;
 }
 
 void write_segments(const Folder& folder, std::uint64_t count, std::uint32_t slots, std::uint64_t life = 9) {
-    journal::WriterSettings s{folder.journal(), 2, life, slots, 1000};
-    Files& files = journal::real_files();
-    journal::Writer writer(
-        s, std::make_unique<journal::Segment>(files, s.folder, SegmentHead{2, slots, life, 0, 1}));
+    usage_log::WriterSettings s{folder.journal(), 2, life, slots, 1000};
+    Files& files = usage_log::real_files();
+    usage_log::Writer writer(
+        s, std::make_unique<usage_log::Segment>(files, s.folder, SegmentHead{2, slots, life, 0, 1}));
     for (std::uint64_t i = 0; i < count; ++i) {
         if (writer.wants_next())
-            writer.take_next(std::make_unique<journal::Segment>(files, s.folder, writer.next_head()));
+            writer.take_next(std::make_unique<usage_log::Segment>(files, s.folder, writer.next_head()));
         ASSERT_TRUE(writer.append(use(i)));
     }
     writer.close(files);
@@ -138,16 +138,16 @@
 TEST(Segment, GivesBackWhatWasWrittenWhileItIsWrittenAndAfter) {
     Folder folder;
     write_segments(folder, 100, 16);    // 15 of them usable
-    Files& files = journal::real_files();
+    Files& files = usage_log::real_files();
     std::uint64_t n = 0;
     for (const std::string& name : files.list(folder.journal())) {
-        const auto read = journal::read_segment(files, folder.journal() + "/" + name, 0, 1000,
-                                                [&](const SegmentHead& head, const Use& u) {
-                                                    Use expected = use(n++);
-                                                    expected.sequence = u.sequence;
-                                                    EXPECT_EQ(u, expected);
-                                                    EXPECT_EQ(head.gateway, 2u);
-                                                });
+        const auto read = usage_log::read_segment(files, folder.journal() + "/" + name, 0, 1000,
+                                                  [&](const SegmentHead& head, const Use& u) {
+                                                      Use expected = use(n++);
+                                                      expected.sequence = u.sequence;
+                                                      EXPECT_EQ(u, expected);
+                                                      EXPECT_EQ(head.gateway, 2u);
+                                                  });
         EXPECT_TRUE(read.ended);
         EXPECT_EQ(read.damaged, 0u);
     }
@@ -156,31 +156,31 @@
 
 TEST(Segment, IsNotOverWhileItsWriterLives) {
     Folder folder;
-    Files& files = journal::real_files();
+    Files& files = usage_log::real_files();
     const SegmentHead head{1, 8, 5, 0, 1};
-    auto segment = std::make_unique<journal::Segment>(files, folder.journal(), head);
-    journal::Writer writer({folder.journal(), 1, 5, 8, 10}, std::move(segment));
-    const std::string path = folder.journal() + "/" + journal::segment_name(head);
+    auto segment = std::make_unique<usage_log::Segment>(files, folder.journal(), head);
+    usage_log::Writer writer({folder.journal(), 1, 5, 8, 10}, std::move(segment));
+    const std::string path = folder.journal() + "/" + usage_log::segment_name(head);
     int seen = 0;
     const auto count = [&](const SegmentHead&, const Use&) { ++seen; };
     writer.append(use(1));
-    auto read = journal::read_segment(files, path, 0, 100, count);
+    auto read = usage_log::read_segment(files, path, 0, 100, count);
     EXPECT_FALSE(read.ended);
     EXPECT_EQ(seen, 1);
     writer.append(use(2));
-    read = journal::read_segment(files, path, read.next, 100, count);
+    read = usage_log::read_segment(files, path, read.next, 100, count);
     EXPECT_EQ(seen, 2);
     EXPECT_EQ(read.next, 2u);
 }
 
 TEST(Segment, CountsWhatHasNoRoomInItsLastSlot) {
     Folder folder;
-    Files& files = journal::real_files();
+    Files& files = usage_log::real_files();
     const SegmentHead head{1, 4, 5, 0, 1};
     std::int64_t lost = 0;
     {
-        journal::Writer writer({folder.journal(), 1, 5, 4, 10},
-                               std::make_unique<journal::Segment>(files, folder.journal(), head));
+        usage_log::Writer writer({folder.journal(), 1, 5, 4, 10},
+                                 std::make_unique<usage_log::Segment>(files, folder.journal(), head));
         for (std::uint64_t i = 0; i < 10; ++i) {
             const bool written = writer.append(use(i));
             EXPECT_EQ(written, i < 3);
@@ -190,8 +190,9 @@
         EXPECT_EQ(writer.stats().unrecorded_units, lost);
     }
     std::vector<Use> all;
-    const auto read = journal::read_segment(files, folder.journal() + "/" + journal::segment_name(head), 0,
-                                            100, [&](const SegmentHead&, const Use& u) { all.push_back(u); });
+    const auto read =
+        usage_log::read_segment(files, folder.journal() + "/" + usage_log::segment_name(head), 0, 100,
+                                [&](const SegmentHead&, const Use& u) { all.push_back(u); });
     EXPECT_TRUE(read.ended);
     ASSERT_EQ(all.size(), 4u);
     EXPECT_EQ(all[3].kind, Use::Kind::Gap);
@@ -202,7 +203,7 @@
 TEST(Segment, TellsDamageFromTheEndAndRefusesWhatIsNone) {
     Folder folder;
     write_segments(folder, 10, 16);
-    Files& files = journal::real_files();
+    Files& files = usage_log::real_files();
     const std::string path = folder.journal() + "/" + files.list(folder.journal()).front();
     {
         std::fstream spoil(path, std::ios::in | std::ios::out | std::ios::binary);
@@ -210,13 +211,13 @@
         spoil.put('\x7f');
     }
     int seen = 0;
-    auto read = journal::read_segment(files, path, 0, 100, [&](const SegmentHead&, const Use&) { ++seen; });
+    auto read = usage_log::read_segment(files, path, 0, 100, [&](const SegmentHead&, const Use&) { ++seen; });
     EXPECT_EQ(seen, 9);
     EXPECT_EQ(read.damaged, 1u);
     EXPECT_TRUE(read.ended);
     std::ofstream(folder.journal() + "/use-1-0000000000000001-00000000.seg") << "short";
-    EXPECT_THROW(journal::read_segment(files, folder.journal() + "/use-1-0000000000000001-00000000.seg", 0, 1,
-                                       [](const SegmentHead&, const Use&) {}),
+    EXPECT_THROW(usage_log::read_segment(files, folder.journal() + "/use-1-0000000000000001-00000000.seg", 0,
+                                         1, [](const SegmentHead&, const Use&) {}),
                  std::runtime_error);
     // The collector goes on with the others, and says so.
     Faults none;
@@ -234,14 +235,14 @@
         ASSERT_EQ(pipe(pipes), 0);
         const pid_t child = fork();
         if (child == 0) {
-            Files& files = journal::real_files();
-            journal::Writer writer(
+            Files& files = usage_log::real_files();
+            usage_log::Writer writer(
                 {folder.journal(), 2, 9, 4, 100},
-                std::make_unique<journal::Segment>(files, folder.journal(), SegmentHead{2, 4, 9, 0, 1}));
+                std::make_unique<usage_log::Segment>(files, folder.journal(), SegmentHead{2, 4, 9, 0, 1}));
             for (std::uint64_t i = 0;; ++i) {
                 if (writer.wants_next())
                     writer.take_next(
-                        std::make_unique<journal::Segment>(files, folder.journal(), writer.next_head()));
+                        std::make_unique<usage_log::Segment>(files, folder.journal(), writer.next_head()));
                 if (static_cast<int>(i) == kill) raise(SIGKILL);
                 writer.append(use(i));
                 if (::write(pipes[1], "x", 1) != 1) _exit(1);
@@ -265,7 +266,7 @@
     constexpr std::uint64_t kAll = 60'000;
     std::uint64_t unrecorded = 0;
     {
-        journal::Recorder recorder({folder.journal(), 3, 4, 64, 3});
+        usage_log::Recorder recorder({folder.journal(), 3, 4, 64, 3});
         for (std::uint64_t i = 0; i < kAll; ++i) recorder.append(use(i));
         unrecorded = recorder.stats().unrecorded;
         EXPECT_GT(unrecorded, 0u);    // three segments hold 189
@@ -278,7 +279,7 @@
     EXPECT_EQ(all.gap_rows, unrecorded);
     EXPECT_EQ(all.rows + all.gap_rows, kAll);
     EXPECT_EQ(all.units, sums_of(kAll).units);
-    EXPECT_THROW(journal::Recorder({folder.path + "/nowhere", 1, 1, 64, 3}), FileError);
+    EXPECT_THROW(usage_log::Recorder({folder.path + "/nowhere", 1, 1, 64, 3}), FileError);
 }
 
 // ---- kills and errors at each step ----
@@ -351,7 +352,7 @@
                                 Endpoint endpoint;
                                 for (std::uint64_t i = 1; fs::exists(place + std::to_string(i)); ++i)
                                     endpoint.batches[i] =
-                                        journal::real_files().read(place + std::to_string(i));
+                                        usage_log::real_files().read(place + std::to_string(i));
                                 const SinkAnswer answer = endpoint.post(id, body);
                                 if (!fs::exists(place + std::to_string(id)))
                                     std::ofstream(place + std::to_string(id)) << body;
@@ -374,7 +375,7 @@
         send(none);
         Endpoint endpoint;
         for (std::uint64_t i = 1; fs::exists(folder.path + "/endpoint" + std::to_string(i)); ++i)
-            endpoint.batches[i] = journal::real_files().read(folder.path + "/endpoint" + std::to_string(i));
+            endpoint.batches[i] = usage_log::real_files().read(folder.path + "/endpoint" + std::to_string(i));
         ASSERT_EQ(endpoint.sums(), sums_of(40)) << "killed at step " << 10 + step;
     }
 }
@@ -486,11 +487,11 @@
 // ---- the store ----
 
 TEST(Store, SaysWhatIsWrongWithItsFile) {
-    using store::Database;
-    using store::StoreError;
+    using usage_store::Database;
+    using usage_store::StoreError;
     using Kind = StoreError::Kind;
     Folder folder;
-    const auto kind = [&](store::OpenSettings s) {
+    const auto kind = [&](usage_store::OpenSettings s) {
         try {
             Database database(s);
         } catch (const StoreError& error) {
@@ -525,9 +526,9 @@
         collector.ingest();
         bool full = false;
         for (; !full && life < 200; ++life) {
-            journal::WriterSettings w{folder.journal(), 2, life, 256, 1000};
-            journal::Writer writer(
-                w, std::make_unique<journal::Segment>(none, w.folder, SegmentHead{2, 256, life, 0, 1}));
+            usage_log::WriterSettings w{folder.journal(), 2, life, 256, 1000};
+            usage_log::Writer writer(
+                w, std::make_unique<usage_log::Segment>(none, w.folder, SegmentHead{2, 256, life, 0, 1}));
             for (std::uint64_t i = 0; i < 200; ++i) {
                 Use u = use(i);
                 u.customer = CustomerId{life * 1000 + i};
@@ -536,8 +537,8 @@
             writer.close(none);
             try {
                 collector.ingest();
-            } catch (const store::StoreError& error) {
-                full = error.kind() == store::StoreError::Kind::Full;
+            } catch (const usage_store::StoreError& error) {
+                full = error.kind() == usage_store::StoreError::Kind::Full;
             }
         }
         ASSERT_TRUE(full);
--- a/tests/log_test.cpp
+++ b/tests/base/common/log_test.cpp
@@ -1,5 +1,5 @@
 // The log's lines and the names that the operators' page promises.
-#include "core/log.h"
+#include "base/common/log.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/http_message_test.cpp
+++ b/tests/base/http/message_test.cpp
@@ -1,10 +1,10 @@
 // The message parser and the connection buffer, by tables of cases.
+#include "base/http/message.h"
+
 #include <gtest/gtest.h>
 
 #include <string>
 
-#include "http/message.h"
-
 namespace shaletray::http {
 namespace {
 
--- a/tests/helm/call_server_test.cpp
+++ b/tests/base/net/api_server_test.cpp
@@ -1,5 +1,5 @@
 // The server of calls, over loopback, the reactor in a thread of its own.
-#include "net/call_server.h"
+#include "base/net/api_server.h"
 
 #include <criterion/criterion.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <random>
 #include <thread>
 
-#include "net/waker.h"
+#include "base/net/waker.h"
 
 using namespace shaletray;
 using namespace std::chrono_literals;
--- a/tests/loop.h
+++ b/tests/base/net/loop.h
@@ -8,7 +8,7 @@
 #include <semaphore>
 #include <utility>
 
-#include "net/reactor.h"
+#include "base/net/reactor.h"
 
 namespace shaletray::test {
 
--- a/tests/net/stream_test.cpp
+++ b/tests/base/net/stream_test.cpp
@@ -1,5 +1,5 @@
 // What a turn of the reactor still has for a connection that was closed in it.
-#include "net/stream.h"
+#include "base/net/stream.h"
 
 #include <Poco/Net/ServerSocket.h>
 #include <criterion/criterion.h>
@@ -8,7 +8,7 @@
 #include <memory>
 #include <vector>
 
-#include "loop.h"
+#include "base/net/loop.h"
 
 using namespace shaletray;
 using namespace std::chrono_literals;
--- a/tests/station/settings_file_test.cpp
+++ b/tests/base/runtime/settings_file_test.cpp
@@ -1,5 +1,5 @@
 // The settings file of a process, and the log's lines.
-#include "station/settings_file.h"
+#include "base/runtime/settings_file.h"
 
 #include <criterion/criterion.h>
 #include <criterion/redirect.h>
@@ -7,7 +7,7 @@
 #include <boost/leaf/handle_errors.hpp>
 #include <regex>
 
-#include "station/log_sink.h"
+#include "base/runtime/log_sink.h"
 
 namespace {
 
@@ -44,22 +44,22 @@
 something.else=
 )";
 
-station::NodeSettings good(std::string_view text) {
-    return leaf::try_handle_all([&] { return station::read_settings(text); },
-                                [](const station::BadSettings& bad) {
+runtime::NodeSettings good(std::string_view text) {
+    return leaf::try_handle_all([&] { return runtime::read_settings(text); },
+                                [](const runtime::BadSettings& bad) {
                                     cr_assert(false, "%s", bad.what.c_str());
-                                    return station::NodeSettings{};
+                                    return runtime::NodeSettings{};
                                 },
-                                [] { return station::NodeSettings{}; });
+                                [] { return runtime::NodeSettings{}; });
 }
 
 std::string why(std::string_view text) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string> {
-            BOOST_LEAF_CHECK(station::read_settings(text));
+            BOOST_LEAF_CHECK(runtime::read_settings(text));
             return std::string();
         },
-        [](const station::BadSettings& bad) { return bad.what; }, [] { return std::string("?"); });
+        [](const runtime::BadSettings& bad) { return bad.what; }, [] { return std::string("?"); });
 }
 
 }    // namespace
@@ -73,8 +73,8 @@
     cr_assert(s.lost_machines == 1 && s.lost_zones == 0);
     cr_assert(s.bounds.seed_lag == 3s && s.bounds.revocation_global && s.bounds.retry_budget_ratio == 0.25);
     cr_assert(s.bounds.drain == 2s);    // left out
-    cr_assert(station::lighthouse_address("10.2.0.26", s) == "10.2.0.26:7100");
-    cr_assert(station::pilot_address(station::ip_of(s.seeds[1]), s) == "10.2.0.26:7101");
+    cr_assert(runtime::lighthouse_address("10.2.0.26", s) == "10.2.0.26:7100");
+    cr_assert(runtime::pilot_address(runtime::ip_of(s.seeds[1]), s) == "10.2.0.26:7101");
 }
 
 Test(settings_file, takes_the_later_of_two_lines) {
@@ -104,7 +104,7 @@
 
 Test(settings_file, reads_times) {
     const auto read = [](std::string_view text) {
-        const auto value = station::read_time(text);
+        const auto value = runtime::read_time(text);
         return value ? value->count() : -1;
     };
     cr_assert(read("1500ms") == 1'500'000 && read("2.5s") == 2'500'000 && read("0ms") == 0);
@@ -113,9 +113,9 @@
 }
 
 Test(log_sink, writes_one_line_for_each_event, .init = cr_redirect_stderr) {
-    station::open_log("edge-a-1");
-    station::event(LogLevel::Info, "lamp_settled", {kv("version", 7), kv("why", "two\nlines")});
-    station::event(LogLevel::Debug, "unseen");
+    runtime::open_log("edge-a-1");
+    runtime::event(LogLevel::Info, "lamp_settled", {kv("version", 7), kv("why", "two\nlines")});
+    runtime::event(LogLevel::Debug, "unseen");
     log(LogLevel::Warning, Event::AcceptFailed, {kv("why", "none left")});    // of the shared parts
     std::string out;
     auto& stream = criterion::get_redirected_cerr();
--- a/tests/chart/table_test.cpp
+++ b/tests/cluster/configuration/configuration_index_test.cpp
@@ -1,8 +1,8 @@
 #include <criterion/criterion.h>
 
-#include "charts.h"
+#include "cluster/configuration/random_configurations.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 namespace {
 
 Chart with_routes(const std::vector<std::pair<std::string, std::string>>& routes) {
@@ -150,4 +150,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/tests/chart/read_test.cpp
+++ b/tests/cluster/configuration/configuration_parser_test.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <vector>
 
-#include "charts.h"
+#include "cluster/configuration/random_configurations.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 namespace {
 
 using namespace std::chrono_literals;
@@ -191,4 +191,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/tests/chart/update_test.cpp
+++ b/tests/cluster/configuration/configuration_update_test.cpp
@@ -5,10 +5,10 @@
 
 #include <algorithm>
 
-#include "charts.h"
-#include "next_chart.capnp.h"
+#include "cluster/configuration/next_configuration.capnp.h"
+#include "cluster/configuration/random_configurations.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 namespace {
 
 Test(chart_update, leads_from_any_chart_to_any_other) {
@@ -155,4 +155,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/tests/chart/next_chart.capnp
+++ b/tests/cluster/configuration/next_configuration.capnp
@@ -3,7 +3,7 @@
 # The chart's schema as a later version may have it: fields were added to each struct.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::chart::next");
+$Cxx.namespace("shaletray::configuration::next");
 
 struct Update {
   patch @0 :Bool;
--- a/tests/chart/charts.h
+++ b/tests/cluster/configuration/random_configurations.h
@@ -8,9 +8,9 @@
 #include <set>
 #include <string>
 
-#include "chart/chart.h"
+#include "cluster/configuration/configuration.h"
 
-namespace shaletray::chart {
+namespace shaletray::configuration {
 
 // The field that was refused; "" where nothing was.
 template <class Try>
@@ -116,4 +116,4 @@
     return to;
 }
 
-}    // namespace shaletray::chart
+}    // namespace shaletray::configuration
--- a/tests/lamp/catch_up_test.cpp
+++ b/tests/cluster/consensus/catch_up_test.cpp
@@ -2,9 +2,9 @@
 // within `catch_up`, on a slow link as well. Time is virtual.
 #include <cstdio>
 
-#include "world.h"
+#include "cluster/consensus/register_cluster.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 namespace {
 
 constexpr Duration kCatchUp = 4s;    // of the small sites' bounds
@@ -135,4 +135,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/lamp/explore_test.cpp
+++ b/tests/cluster/consensus/explore_test.cpp
@@ -6,10 +6,10 @@
 #include <memory>
 #include <unordered_set>
 
-#include "lamp/lamp_message.h"
-#include "world.h"
+#include "cluster/consensus/message.h"
+#include "cluster/consensus/register_cluster.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 namespace {
 
 struct Budget {
@@ -355,4 +355,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/lamp/history_test.cpp
+++ b/tests/cluster/consensus/history_test.cpp
@@ -1,11 +1,10 @@
 // The checker of operators' histories: by planted faults, and against trying every order of small ones.
-#include "history.h"
-
 #include <criterion/criterion.h>
 
 #include <random>
 
-#include "world.h"
+#include "cluster/consensus/register_cluster.h"
+#include "operation_history.h"
 
 using namespace shaletray::history;
 using Kind = Operation::Kind;
@@ -108,7 +107,7 @@
 Test(history, agrees_with_trying_every_order) {
     std::mt19937_64 random(1);
     const auto below = [&random](std::uint64_t n) { return random() % n; };
-    constexpr std::uint64_t kHistories = 60'000 / shaletray::lamp::test::kLess;
+    constexpr std::uint64_t kHistories = 60'000 / shaletray::consensus::test::kLess;
     std::uint64_t good = 0, bad = 0;
     for (std::uint64_t i = 0; i < kHistories; ++i) {
         std::vector<Operation> all;
--- a/tests/lamp/orders_test.cpp
+++ b/tests/cluster/consensus/linearizability_test.cpp
@@ -1,9 +1,9 @@
 // One number, one body, one acknowledgement: what operators see of the lighthouses' register, in virtual
 // time, is judged by the checker of histories.
-#include "history.h"
-#include "world.h"
+#include "cluster/consensus/register_cluster.h"
+#include "operation_history.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 namespace {
 
 using history::Operation;
@@ -285,4 +285,4 @@
     cr_assert_eq(w.nodes[0].lamp->decree().version, 2);
 }
 
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/lamp/message_test.cpp
+++ b/tests/cluster/consensus/message_test.cpp
@@ -1,15 +1,16 @@
 // Messages of pairs of versions, and bytes that are none.
+#include "cluster/consensus/message.h"
+
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 
 #include <cstring>
 #include <random>
 
-#include "lamp/lamp_message.h"
-#include "later.capnp.h"
-#include "world.h"
+#include "cluster/consensus/newer_schema.capnp.h"
+#include "cluster/consensus/register_cluster.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 namespace {
 
 std::string sealed(const std::string& body) {
@@ -82,4 +83,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/lamp/later.capnp
+++ b/tests/cluster/consensus/newer_schema.capnp
@@ -1,7 +1,7 @@
 # The messages of a program to come: as ours, and more.
 @0xaa31be1ffa2ab5a8;
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::lamp::later");
+$Cxx.namespace("shaletray::consensus::later");
 
 struct Ballot {
   round @0 :UInt64;
--- a/tests/lamp/random_test.cpp
+++ b/tests/cluster/consensus/random_faults_test.cpp
@@ -2,9 +2,9 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "world.h"
+#include "cluster/consensus/register_cluster.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 namespace {
 
 // Replaces disks of the voters that are gone for good, as the wiring does: one after the other.
@@ -172,4 +172,4 @@
 SEEDS(8, 60)
 
 }    // namespace
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/lamp/world.h
+++ b/tests/cluster/consensus/register_cluster.h
@@ -16,9 +16,9 @@
 #include <random>
 #include <set>
 
-#include "lamp/lamp.h"
+#include "cluster/consensus/replicated_register.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 
 using namespace std::chrono_literals;
 
@@ -284,4 +284,4 @@
     const Decree& newest() const { return chosen.decrees.rbegin()->second; }
 };
 
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/lamp/store_test.cpp
+++ b/tests/cluster/consensus/state_store_test.cpp
@@ -1,5 +1,5 @@
 // The lamp's state on a disk that loses power, tears files, refuses writes.
-#include "lamp/store.h"
+#include "cluster/consensus/state_store.h"
 
 #include <stdlib.h>
 
@@ -10,10 +10,10 @@
 #include <mutex>
 #include <random>
 
-#include "lamp/disk.h"
-#include "world.h"
+#include "cluster/consensus/register_cluster.h"
+#include "cluster/consensus/syncing_file_system.h"
 
-namespace shaletray::lamp::test {
+namespace shaletray::consensus::test {
 namespace {
 
 namespace fs = std::filesystem;
@@ -519,4 +519,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lamp::test
+}    // namespace shaletray::consensus::test
--- a/tests/convoy/convoy_test.cpp
+++ b/tests/cluster/membership/membership_test.cpp
@@ -5,12 +5,12 @@
 
 #include <cstdio>
 
-#include "convoy/packet.h"
-#include "convoy/versions.capnp.h"
-#include "network.h"
+#include "cluster/membership/network.h"
+#include "cluster/membership/packet.h"
+#include "cluster/membership/versions.capnp.h"
 
 using namespace shaletray;
-using namespace shaletray::convoy;
+using namespace shaletray::membership;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/convoy/network.h
+++ b/tests/cluster/membership/network.h
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "convoy/convoy.h"
+#include "cluster/membership/membership.h"
 
-namespace shaletray::convoy {
+namespace shaletray::membership {
 
 class Network {
 public:
@@ -196,4 +196,4 @@
     std::mt19937_64 random_;
 };
 
-}    // namespace shaletray::convoy
+}    // namespace shaletray::membership
--- a/tests/convoy/versions.capnp
+++ b/tests/cluster/membership/versions.capnp
@@ -2,8 +2,8 @@
 # The packet as an older version knew it (a beginning of the fields), and as a newer one may (more fields).
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::convoy::versions");
-using Now = import "/convoy/convoy.capnp";
+$Cxx.namespace("shaletray::membership::versions");
+using Now = import "/cluster/membership/membership.capnp";
 
 struct OldPacket {
   kind @0 :UInt8;
--- a/tests/tide/message_test.cpp
+++ b/tests/cluster/quota/message_test.cpp
@@ -1,4 +1,4 @@
-#include "tide/message.h"
+#include "cluster/quota/message.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize-packed.h>
@@ -8,9 +8,9 @@
 #include <limits>
 #include <random>
 
-#include "versions.capnp.h"
+#include "cluster/quota/versions.capnp.h"
 
-using namespace shaletray::tide;
+using namespace shaletray::quota;
 
 namespace {
 
--- a/tests/tide/versions.capnp
+++ b/tests/cluster/quota/versions.capnp
@@ -1,7 +1,7 @@
 # The messages as an earlier and a later version may have them, to be played against today's.
 @0xb7c5e1f09a3d2264;
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::tide::versions");
+$Cxx.namespace("shaletray::quota::versions");
 
 struct Earlier {
   life @0 :UInt64;
--- a/tests/muster/words_next.capnp
+++ b/tests/cluster/registry/next_registry.capnp
@@ -2,7 +2,7 @@
 @0xbbe0755f82d8ba8c;
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::muster::next");
+$Cxx.namespace("shaletray::registry::next");
 
 struct Words {
   keepers @0 :List(Keeper);
