--- a/tests/muster/muster_test.cpp
+++ b/tests/cluster/registry/service_registry_test.cpp
@@ -1,5 +1,5 @@
 // Beats, and what lighthouses and pilots make of each other's words.
-#include "muster/muster.h"
+#include "cluster/registry/service_registry.h"
 
 #include <criterion/criterion.h>
 
@@ -7,12 +7,12 @@
 #include <boost/leaf/handle_errors.hpp>
 #include <random>
 
-#include "muster/muster.capnp.h"
-#include "station/pack.h"
-#include "words_next.capnp.h"
+#include "base/runtime/capnp_codec.h"
+#include "cluster/registry/next_registry.capnp.h"
+#include "cluster/registry/registry.capnp.h"
 
 using namespace shaletray;
-using namespace shaletray::muster;
+using namespace shaletray::registry;
 using namespace std::chrono_literals;
 
 namespace {
@@ -354,7 +354,7 @@
     m.beat(beat("i", 3, State::Draining), at(0s));
     const std::string ours = m.changes(0, true, at(0s));
     const auto read =
-        station::unpack<next::Words>(ours, [](next::Words::Reader w) -> boost::leaf::result<int> {
+        runtime::unpack<next::Words>(ours, [](next::Words::Reader w) -> boost::leaf::result<int> {
             cr_assert(w.getKeepers()[0].getLife() == 9 && w.getKeepers()[0].getPlace().size() == 0);
             cr_assert(w.getEntries()[0].getCalls() == 3 && w.getEntries()[0].getNote().size() == 0);
             return 1;
@@ -374,6 +374,6 @@
     entry.setCalls(2);
     entry.setNote("new");
     Muster b = lighthouse(1);
-    b.merge(name(2), station::pack(message), at(0s));
+    b.merge(name(2), runtime::pack(message), at(0s));
     cr_assert(b.spoilt() == 0 && holds(b.servers(), "n", State::InService) && b.known(name(2), 4) == 1);
 }
--- a/tests/signal/mailer_test.cpp
+++ b/tests/cluster/transport/connection_manager_test.cpp
@@ -1,5 +1,5 @@
 // Mailers of one process on loopback, driven turn by turn until something holds.
-#include "signal/mailer.h"
+#include "cluster/transport/connection_manager.h"
 
 #include <Poco/Net/NetException.h>
 #include <Poco/Net/ServerSocket.h>
@@ -10,11 +10,11 @@
 #include <functional>
 #include <optional>
 
-#include "loop.h"
-#include "signal/envelope.h"
+#include "base/net/loop.h"
+#include "cluster/transport/frame.h"
 
 using namespace shaletray;
-using namespace shaletray::signal;
+using namespace shaletray::transport;
 using shaletray::test::Loop;
 using namespace std::chrono_literals;
 
--- a/tests/signal/envelope_test.cpp
+++ b/tests/cluster/transport/frame_test.cpp
@@ -1,14 +1,14 @@
 // The envelope's bytes, and what waits for a peer.
-#include "signal/envelope.h"
+#include "cluster/transport/frame.h"
 
 #include <criterion/criterion.h>
 
 #include <random>
 
-#include "signal/outbox.h"
+#include "cluster/transport/send_queue.h"
 
 using namespace shaletray;
-using namespace shaletray::signal;
+using namespace shaletray::transport;
 using namespace std::chrono_literals;
 
 Test(envelope, what_was_written_is_read) {
--- a/tests/compatibility/configuration_samples.cpp
+++ b/tests/compatibility/configuration_samples.cpp
@@ -1,5 +1,5 @@
 // Updates of the configuration: wholes, and patches from one to the next.
-#include "chart/chart.h"
+#include "cluster/configuration/configuration.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
 
@@ -7,11 +7,11 @@
 namespace {
 
 using namespace std::chrono_literals;
-using chart::Chart;
-using chart::Route;
-using chart::RouteKind;
-using chart::Service;
-using chart::Tenant;
+using configuration::Chart;
+using configuration::Route;
+using configuration::RouteKind;
+using configuration::Service;
+using configuration::Tenant;
 
 void add(FieldList& fields, const Route& route) {
     fields.within("route");
@@ -19,7 +19,7 @@
     fields.add("kind", route.kind).add("timeout", route.timeout);
     fields.add("target_latency", route.target_latency).add("priority", route.priority);
     fields.add("max_attempts", route.max_attempts).add("is_public", route.is_public);
-    for (const chart::Share& share : route.to)
+    for (const configuration::Share& share : route.to)
         fields.add("to.service", share.service).add("to.weight", share.weight);
 }
 
@@ -71,9 +71,9 @@
               false}};
     chart.services = {Service{"accounts", "/health", 0}, Service{"orders", "", 40},
                       Service{"orders-next", "/ready", 5}};
-    chart.tenants = chart::Rows<Tenant>{Tenant{"acme", {"key-a", "key-b"}, 2, 100.5, 200.0},
-                                        Tenant{"globex", {"key-c"}, std::nullopt, 0.0, 0.0},
-                                        Tenant{"initech", {}, 0, 0.125, 1.0}};
+    chart.tenants = configuration::Rows<Tenant>{Tenant{"acme", {"key-a", "key-b"}, 2, 100.5, 200.0},
+                                                Tenant{"globex", {"key-c"}, std::nullopt, 0.0, 0.0},
+                                                Tenant{"initech", {}, 0, 0.125, 1.0}};
     chart.limits = {8192, 1048576, 2s, 10s};
     return chart;
 }
@@ -86,8 +86,8 @@
         Route{"login", "", "/login", RouteKind::Idempotent, 500ms, 10ms, 1, {{"accounts", 1}}, 3, true},
         Route{"search", "", "/", RouteKind::Idempotent, 1s, 0ms, 0, {{"search", 4294967295}}, 1, false}};
     chart.services = {Service{"accounts", "/health", 9}, Service{"search", "", 0}};
-    chart.tenants = chart::Rows<Tenant>{Tenant{"acme", {"key-b"}, std::nullopt, 1.0, 2.0},
-                                        Tenant{"umbrella", {"key-d"}, 5, 0.0, 0.0}};
+    chart.tenants = configuration::Rows<Tenant>{Tenant{"acme", {"key-b"}, std::nullopt, 1.0, 2.0},
+                                                Tenant{"umbrella", {"key-d"}, 5, 0.0, 0.0}};
     chart.limits = {16384, 2097152, 3s, 15s};
     return chart;
 }
@@ -102,7 +102,7 @@
 MessageSample sample(const std::string& name, const std::string& bytes, const Chart& from, const Chart& to,
                      std::uint64_t digest) {
     const auto read = [from](std::string_view update) {
-        const auto chart = chart::read_update(from, update);
+        const auto chart = configuration::read_update(from, update);
         return chart ? fields_of(*chart, digest_of(*chart)) : std::string(kUnreadable);
     };
     return {"configuration-" + name, bytes, fields_of(to, digest), read};
--- a/tests/compatibility/field_list.h
+++ b/tests/compatibility/field_list.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <type_traits>
 
-#include "core/clock.h"
+#include "base/common/clock.h"
 
 namespace shaletray::compatibility {
 
--- a/tests/compatibility/gateway_samples.cpp
+++ b/tests/compatibility/gateway_samples.cpp
@@ -1,20 +1,20 @@
 // The balancer: datagrams between gateways, and what a process hands over to its successor.
 #include <stdexcept>
 
+#include "balancer/handover/handover_state.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
-#include "handover/handover.h"
-#include "module/peer_message.h"
-#include "valehall/control.h"
+#include "decision/control.h"
+#include "decision/peer_message.h"
 
 namespace shaletray::compatibility {
 namespace {
 
 using namespace std::chrono_literals;
-using valehall::CustomerId;
-using valehall::PeerEntry;
-using valehall::PeerHeader;
-using valehall::PeerMessage;
+using decision::CustomerId;
+using decision::PeerEntry;
+using decision::PeerHeader;
+using decision::PeerMessage;
 
 // ---- datagrams ----
 
@@ -28,7 +28,7 @@
         fields.within("entry");
         fields.add("customer", entry.customer).add("free", entry.free).add("passed", entry.passed);
         fields.add("rights", entry.rights).add("introduced", entry.introduction.has_value());
-        const auto introduction = entry.introduction.value_or(valehall::PeerIntroduction{});
+        const auto introduction = entry.introduction.value_or(decision::PeerIntroduction{});
         fields.add("plan", introduction.plan).add("first_gateway", introduction.first_gateway);
         fields.add("width", introduction.width);
     }
@@ -36,12 +36,12 @@
 }
 
 std::string read_datagram(std::string_view bytes) {
-    const auto message = valehall::parse_peer_message({bytes.begin(), bytes.end()});
+    const auto message = decision::parse_peer_message({bytes.begin(), bytes.end()});
     return message ? fields_of(*message) : std::string(kUnreadable);
 }
 
 MessageSample datagram_sample(const std::string& name, const PeerMessage& message) {
-    valehall::PeerMessageWriter writer(message.header);
+    decision::PeerMessageWriter writer(message.header);
     for (const PeerEntry& entry : message.entries)
         if (!writer.add(entry)) throw std::logic_error("a sample longer than a datagram");
     const auto bytes = writer.take();
@@ -50,18 +50,18 @@
 
 // ---- the module's state ----
 
-valehall::Settings site() {
-    valehall::Settings settings;
+decision::Settings site() {
+    decision::Settings settings;
     settings.gateways = 3;
     settings.may_tell = true;
     settings.peer_messages_per_s = 40.0;
     settings.most_units = 6.0;
-    valehall::ClassSettings read, pay;
+    decision::ClassSettings read, pay;
     read.name = "read";
     read.aim = pay.aim = 1s;
     pay.name = "pay";
     settings.classes = {read, pay};
-    valehall::PlanSettings plain, ceiling;
+    decision::PlanSettings plain, ceiling;
     plain.rate = ceiling.rate = 30.0;
     plain.burst = ceiling.burst = 60.0;
     ceiling.ceiling_rate = 60.0;
@@ -71,7 +71,7 @@
     return settings;
 }
 
-constexpr valehall::TimePoint kHandedOver{200s};
+constexpr decision::TimePoint kHandedOver{200s};
 
 // Every kind of record, each field with a value of its own; as version 1 of the form defines them.
 constexpr std::string_view kState =
@@ -90,9 +90,9 @@
     "customer 18446744073709551615 0 0 1 -3.5 59.5 29.5 0 0 0 199000019\n";
 
 std::string handed_on(std::string_view state) {
-    valehall::Gateway gateway(site(), 1);
-    std::vector<valehall::Action> actions;
-    gateway.handle(kHandedOver, valehall::TimerFired{0}, actions);
+    decision::Gateway gateway(site(), 1);
+    std::vector<decision::Action> actions;
+    gateway.handle(kHandedOver, decision::TimerFired{0}, actions);
     gateway.take_over(state, kHandedOver);
     return gateway.hand_over(kHandedOver);
 }
@@ -132,9 +132,9 @@
     const PeerHeader first{1764633599412000, 1, 25000, 0, 0};
     const PeerHeader later{1764633599412000, 1000, 25000, 1764633599512000, 24975};
     const std::vector<PeerEntry> entries{
-        {CustomerId{0x91f03b7c55d20a64}, -3.5, -2.0, 0.0, valehall::PeerIntroduction{1, 300, 135}},
+        {CustomerId{0x91f03b7c55d20a64}, -3.5, -2.0, 0.0, decision::PeerIntroduction{1, 300, 135}},
         {CustomerId{1}, 1000.25, 12.125, 3.0, std::nullopt},
-        {CustomerId{(1ULL << 33) - 1}, 0.0, 0.0, 0.0078125, valehall::PeerIntroduction{0, 0, 2}},
+        {CustomerId{(1ULL << 33) - 1}, 0.0, 0.0, 0.0078125, decision::PeerIntroduction{0, 0, 2}},
         {CustomerId{0}, -0.0078125, 0.5, 0.0, std::nullopt}};
     return {datagram_sample("first", {first, {}}), datagram_sample("entries", {later, entries})};
 }
--- a/tests/compatibility/membership_samples.cpp
+++ b/tests/compatibility/membership_samples.cpp
@@ -1,17 +1,17 @@
 // Membership packets of every kind, with every form of an entry.
+#include "cluster/membership/packet.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
-#include "convoy/packet.h"
 
 namespace shaletray::compatibility {
 namespace {
 
-using convoy::Entry;
-using convoy::Facts;
-using convoy::Kind;
-using convoy::Packet;
-using convoy::Role;
-using convoy::State;
+using membership::Entry;
+using membership::Facts;
+using membership::Kind;
+using membership::Packet;
+using membership::Role;
+using membership::State;
 
 std::string fields_of(const Packet& packet) {
     FieldList fields;
@@ -39,7 +39,7 @@
 }
 
 std::string read(std::string_view bytes) {
-    const auto packet = convoy::decode(bytes);
+    const auto packet = membership::decode(bytes);
     return packet ? fields_of(*packet) : std::string(kUnreadable);
 }
 
--- a/tests/compatibility/register_samples.cpp
+++ b/tests/compatibility/register_samples.cpp
@@ -3,20 +3,20 @@
 #include <stdexcept>
 #include <thread>
 
+#include "cluster/consensus/message.h"
+#include "cluster/consensus/state_store.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
-#include "lamp/lamp_message.h"
-#include "lamp/store.h"
 
 namespace shaletray::compatibility {
 namespace {
 
 using namespace std::chrono_literals;
-using lamp::Ballot;
-using lamp::Decree;
-using lamp::Head;
-using lamp::Message;
-using lamp::Saved;
+using consensus::Ballot;
+using consensus::Decree;
+using consensus::Head;
+using consensus::Message;
+using consensus::Saved;
 
 constexpr std::uint64_t kDisk = 0xd15c000000000024;
 
@@ -83,12 +83,12 @@
 }
 
 std::string read_message(std::string_view bytes) {
-    const auto message = lamp::decode(bytes);
+    const auto message = consensus::decode(bytes);
     return message ? fields_of(*message) : std::string(kUnreadable);
 }
 
 std::string read_head(std::string_view bytes) {
-    const auto head = lamp::decode_head(bytes);
+    const auto head = consensus::decode_head(bytes);
     return head ? fields_of(*head) : std::string(kUnreadable);
 }
 
@@ -117,7 +117,7 @@
     for (Message* with_other : {&prepare, &promise, &refused}) with_other->other = kOther;
     Message promise_of_value = promise, accept_text_as_before = accept, accept_nothing_before = accept;
     promise_of_value.value = decree(7, 41, "pending text", 3);
-    accept.value = decree(7, 42, "{\"version\": 42}", lamp::kMostEarlier);
+    accept.value = decree(7, 42, "{\"version\": 42}", consensus::kMostEarlier);
     accept_text_as_before.value = decree(7, 41, "", 5);
     accept_text_as_before.text_as_before = true;
     accept_nothing_before.value = decree(1, 1, std::string("a text\0with\xff", 11), 0);
@@ -157,25 +157,25 @@
 std::vector<MessageSample> head_samples() {
     Head head;
     head.saved.disk = kDisk;
-    head.saved.decree = decree(6, 41, "", lamp::kMostEarlier);
+    head.saved.decree = decree(6, 41, "", consensus::kMostEarlier);
     head.saved.promised = kBallot;
     head.saved.accepted = kOther;
     head.sequence = 99;
-    head.decree = lamp::text_at(14, "{\"version\": 41}");
+    head.decree = consensus::text_at(14, "{\"version\": 41}");
     Head with_pending = head;
     with_pending.saved.pending = decree(7, 42, "", 4);
-    with_pending.pending = lamp::text_at(199, "{\"version\": 42}");
+    with_pending.pending = consensus::text_at(199, "{\"version\": 42}");
     return {{"register-head", encode(head), fields_of(head), read_head},
             {"register-head-pending", encode(with_pending), fields_of(with_pending), read_head}};
 }
 
-std::unique_ptr<lamp::Store> opened(const std::string& folder) {
-    auto store = lamp::Store::open(folder, true);
+std::unique_ptr<consensus::Store> opened(const std::string& folder) {
+    auto store = consensus::Store::open(folder, true);
     if (!store) throw std::runtime_error("the register cannot be opened");
     return std::move(*store);
 }
 
-void put(lamp::Store& store, std::uint64_t token, const Saved& saved) {
+void put(consensus::Store& store, std::uint64_t token, const Saved& saved) {
     store.put({token, saved});
     for (int tries = 0; tries < 1000; ++tries) {
         for (const std::uint64_t done : store.done())
@@ -189,10 +189,10 @@
 Saved voter() {
     Saved saved;
     saved.disk = kDisk;
-    saved.decree = decree(6, 65, "{\"version\": 65, \"routes\": []}", lamp::kMostEarlier);
+    saved.decree = decree(6, 65, "{\"version\": 65, \"routes\": []}", consensus::kMostEarlier);
     saved.promised = kBallot;
     saved.accepted = kOther;
-    saved.pending = decree(7, 66, "{\"version\": 66, \"routes\": [1]}", lamp::kMostEarlier);
+    saved.pending = decree(7, 66, "{\"version\": 66, \"routes\": [1]}", consensus::kMostEarlier);
     saved.pending->voters.push_back({"10.2.0.25:7100", 77});
     return saved;
 }
--- a/tests/compatibility/registry_samples.cpp
+++ b/tests/compatibility/registry_samples.cpp
@@ -1,19 +1,19 @@
 // Changes of the service registry, their relay between coordinators, and what coordinators and gateways tell
 // each other.
+#include "cluster/registry/service_registry.h"
+#include "cluster/subscription/subscription.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
-#include "lighthouse/relay.capnp.h"
-#include "lighthouse/relay.h"
-#include "lighthouse/watch.h"
-#include "muster/muster.h"
+#include "controller/registry_forwarder.capnp.h"
+#include "controller/registry_forwarder.h"
 
 namespace shaletray::compatibility {
 namespace {
 
 using namespace std::chrono_literals;
-using muster::Muster;
-using muster::Server;
-using muster::State;
+using registry::Muster;
+using registry::Server;
+using registry::State;
 
 const std::string kTeller = "10.1.0.24:7100", kOther = "10.1.0.25:7100", kReader = "10.2.0.24:7100";
 constexpr std::uint64_t kTellerLife = 41, kOtherLife = 52, kOtherNextLife = 53, kReaderLife = 90;
@@ -110,12 +110,12 @@
 std::string read_relay(std::string_view bytes) {
     // The relay takes the same servers from it as the registry does.
     Muster reader({kReader, kReaderLife});
-    lighthouse::Relay relay(reader);
+    controller::Relay relay(reader);
     relay.heard(kTeller, kTellerLife, bytes, kTold);
-    const auto fields = station::unpack<lighthouse::wire::Relay>(
-        bytes, [&](lighthouse::wire::Relay::Reader read) -> boost::leaf::result<std::string> {
+    const auto fields = runtime::unpack<controller::wire::Relay>(
+        bytes, [&](controller::wire::Relay::Reader read) -> boost::leaf::result<std::string> {
             return fields_of_relay(read.getKnownLife(), read.getKnownSequence(),
-                                   read_changes(station::text_of(read.getWords())), relay.spoilt(),
+                                   read_changes(runtime::text_of(read.getWords())), relay.spoilt(),
                                    reader.servers().size());
         });
     return fields ? *fields : std::string(kUnreadable);
@@ -124,15 +124,15 @@
 std::vector<MessageSample> relay_samples() {
     Muster muster = teller();
     const std::uint64_t sequence = muster.sequence();
-    lighthouse::Relay relay(muster);
+    controller::Relay relay(muster);
     relay.others({kReader});
-    std::vector<lighthouse::Relay::Send> first, later;
+    std::vector<controller::Relay::Send> first, later;
     relay.tell(kTold, first);
     Muster reader({kReader, kReaderLife});
     reader.beat({server("remote", "10.3.0.9:80", State::InService, 2)}, kTold);
-    lighthouse::Relay reply(reader);
+    controller::Relay reply(reader);
     reply.others({kTeller});
-    std::vector<lighthouse::Relay::Send> replies;
+    std::vector<controller::Relay::Send> replies;
     reply.heard(kTeller, kTellerLife, first.at(0).bytes, kTold);
     reply.tell(kTold, replies);
     relay.heard(kReader, kReaderLife, replies.at(0).bytes, kTold);
@@ -147,7 +147,7 @@
          read_relay}};
 }
 
-std::string fields_of(const watch::Have& have) {
+std::string fields_of(const subscription::Have& have) {
     FieldList fields;
     fields.within("have");
     fields.add("life", have.life).add("version", have.version).add("digest", have.digest);
@@ -155,7 +155,7 @@
     return fields.add("counts", have.counts).text();
 }
 
-std::string fields_of(const watch::News& news) {
+std::string fields_of(const subscription::News& news) {
     FieldList fields;
     fields.within("news");
     fields.add("life", news.life).add("confirmed", news.confirmed).add("version", news.version);
@@ -164,7 +164,7 @@
 }
 
 std::string read_watch(std::string_view bytes) {
-    const auto message = watch::decode(bytes);
+    const auto message = subscription::decode(bytes);
     if (!message) return std::string(kUnreadable);
     return std::visit([](const auto& read) { return fields_of(read); }, *message);
 }
@@ -183,18 +183,18 @@
 }
 
 std::vector<MessageSample> watch_samples() {
-    const watch::Have nothing_yet{1700000001, 0, 0, 0, 0, 0};
-    const watch::Have have{1700000001, 41, 0xa1b2c3d4e5f60718, 1700000002, 99, 12};
-    const watch::News unchanged{1700000002, true, 41, 0xa1b2c3d4e5f60718, "", 99, 99, ""};
-    const watch::News unconfirmed{1700000002, false, 0, 0, "", 0, 0, ""};
-    const watch::News news{1700000002,
-                           true,
-                           42,
-                           0x18f6e5d4c3b2a1,
-                           std::string("update\0\xff", 8),
-                           99,
-                           104,
-                           "changes of the registry"};
+    const subscription::Have nothing_yet{1700000001, 0, 0, 0, 0, 0};
+    const subscription::Have have{1700000001, 41, 0xa1b2c3d4e5f60718, 1700000002, 99, 12};
+    const subscription::News unchanged{1700000002, true, 41, 0xa1b2c3d4e5f60718, "", 99, 99, ""};
+    const subscription::News unconfirmed{1700000002, false, 0, 0, "", 0, 0, ""};
+    const subscription::News news{1700000002,
+                                  true,
+                                  42,
+                                  0x18f6e5d4c3b2a1,
+                                  std::string("update\0\xff", 8),
+                                  99,
+                                  104,
+                                  "changes of the registry"};
     return {watch_sample("have-nothing", nothing_yet), watch_sample("have", have),
             watch_sample("news-unchanged", unchanged), watch_sample("news-unconfirmed", unconfirmed),
             watch_sample("news", news)};
--- a/tests/compatibility/transport_samples.cpp
+++ b/tests/compatibility/transport_samples.cpp
@@ -1,27 +1,28 @@
 // Envelopes of the transport between processes, for each kind of content, as a datagram and as a frame.
+#include "cluster/transport/frame.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
-#include "signal/envelope.h"
 
 namespace shaletray::compatibility {
 namespace {
 
-using signal::Kind;
+using transport::Kind;
 
-std::string fields_of(const signal::Letter& letter) {
+std::string fields_of(const transport::Letter& letter) {
     FieldList fields;
     fields.add("kind", letter.kind).add("from", letter.from).add("life", letter.life);
     return fields.add("bytes", letter.bytes).text();
 }
 
 std::string read_datagram(std::string_view bytes) {
-    const auto letter = signal::read_letter(bytes);
+    const auto letter = transport::read_letter(bytes);
     return letter ? fields_of(*letter) : std::string(kUnreadable);
 }
 
 std::string read_frame(std::string_view bytes) {
-    if (signal::frame_length(bytes) + signal::kFrameHead != bytes.size()) return std::string(kUnreadable);
-    return read_datagram(bytes.substr(signal::kFrameHead));
+    if (transport::frame_length(bytes) + transport::kFrameHead != bytes.size())
+        return std::string(kUnreadable);
+    return read_datagram(bytes.substr(transport::kFrameHead));
 }
 
 }    // namespace
@@ -35,8 +36,8 @@
     for (const auto& [kind, name] :
          {Content{Kind::Convoy, "membership"}, Content{Kind::Lamp, "register"},
           Content{Kind::Muster, "registry"}, Content{Kind::Watch, "watch"}, Content{Kind::Tide, "quota"}}) {
-        const signal::Letter letter{kind, "10.1.0.24:7100", 0x0102030405060708,
-                                    std::string("content\0of ", 11) + name};
+        const transport::Letter letter{kind, "10.1.0.24:7100", 0x0102030405060708,
+                                       std::string("content\0of ", 11) + name};
         all.push_back({std::string("transport-datagram-") + name,
                        write_datagram(kind, letter.from, letter.life, letter.bytes), fields_of(letter),
                        read_datagram});
--- a/tests/compatibility/usage_samples.cpp
+++ b/tests/compatibility/usage_samples.cpp
@@ -1,21 +1,21 @@
 // Usage records (journal segments, tallies and the usage database) and the log of changes to plans.
 #include <chrono>
 
+#include "balancer/service/plan_table_file.h"
+#include "balancer/usage/collector.h"
+#include "balancer/usage_log/persistent_counters.h"
+#include "balancer/usage_log/segment.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
-#include "journal/segment.h"
-#include "journal/tallies.h"
-#include "service/book_file.h"
-#include "usage/collector.h"
 
 namespace shaletray::compatibility {
 namespace {
 
 using namespace std::chrono_literals;
-using journal::CustomerId;
-using journal::SegmentHead;
-using journal::Use;
 using usage::Collector;
+using usage_log::CustomerId;
+using usage_log::SegmentHead;
+using usage_log::Use;
 
 constexpr TimePoint kNow{1'700'000'040s};
 
@@ -32,9 +32,9 @@
 }
 
 void write_segment(const std::string& folder) {
-    journal::Files& files = journal::real_files();
-    journal::Writer writer({folder, kHead.gateway, kHead.incarnation, kHead.capacity, 10},
-                           std::make_unique<journal::Segment>(files, folder, kHead));
+    usage_log::Files& files = usage_log::real_files();
+    usage_log::Writer writer({folder, kHead.gateway, kHead.incarnation, kHead.capacity, 10},
+                             std::make_unique<usage_log::Segment>(files, folder, kHead));
     for (const Use& use : uses()) writer.append(use);
     writer.close(files);
 }
@@ -54,7 +54,7 @@
     fields.within("");
 }
 
-void add(FieldList& fields, const journal::ReadResult& result) {
+void add(FieldList& fields, const usage_log::ReadResult& result) {
     fields.add("next", result.next).add("ended", result.ended);
     fields.add("damaged", result.damaged).add("torn", result.torn);
 }
@@ -65,17 +65,17 @@
         add(fields, kHead);
         add(fields, use);
     }
-    add(fields, journal::ReadResult{kHead.capacity, true, 0, false});
+    add(fields, usage_log::ReadResult{kHead.capacity, true, 0, false});
     return fields.text();
 }
 
 std::string read_segment(const std::string& folder) {
     FieldList fields;
-    const auto result = journal::read_segment(journal::real_files(), folder + "/" + segment_name(kHead), 0,
-                                              100, [&](const SegmentHead& head, const Use& use) {
-                                                  add(fields, head);
-                                                  add(fields, use);
-                                              });
+    const auto result = usage_log::read_segment(usage_log::real_files(), folder + "/" + segment_name(kHead),
+                                                0, 100, [&](const SegmentHead& head, const Use& use) {
+                                                    add(fields, head);
+                                                    add(fields, use);
+                                                });
     add(fields, result);
     return fields.text();
 }
@@ -85,7 +85,7 @@
 const std::map<std::uint64_t, std::int64_t> kTallies{{7, 100}, {0xffffffffffffffff, -5}};
 
 void write_tallies(const std::string& folder) {
-    journal::Tallies tallies(folder + "/tallies");
+    usage_log::Tallies tallies(folder + "/tallies");
     for (const auto& [key, value] : kTallies) tallies.put(key, value);
     tallies.put(9, 1);
     tallies.drop(9);
@@ -98,7 +98,7 @@
 }
 
 std::string read_tallies(const std::string& folder) {
-    return fields_of(journal::Tallies(folder + "/tallies").read());
+    return fields_of(usage_log::Tallies(folder + "/tallies").read());
 }
 
 // ---- the usage database ----
@@ -115,7 +115,7 @@
 // The first minute is sealed, the second waits.
 void write_database(const std::string& folder) {
     write_segment(folder);
-    Collector collector(collector_settings(folder), journal::real_files());
+    Collector collector(collector_settings(folder), usage_log::real_files());
     // Drawn by chance otherwise.
     collector.database().execute(("UPDATE meta SET value='" + kExporter + "' WHERE name='exporter'").c_str());
     collector.ingest();
@@ -168,7 +168,7 @@
 }
 
 std::string read_database(const std::string& folder) {
-    Collector collector(collector_settings(folder), journal::real_files());
+    Collector collector(collector_settings(folder), usage_log::real_files());
     const auto stored = collector.stored();
     const auto trouble = collector.trouble();
     FieldList fields;
--- a/tests/helm/command_test.cpp
+++ b/tests/controller/api/control_command_test.cpp
@@ -1,12 +1,12 @@
 // Calls of servers and operators, decoded.
-#include "helm/command.h"
+#include "controller/api/control_command.h"
 
 #include <criterion/criterion.h>
 
 #include <boost/leaf/handle_errors.hpp>
 
 using namespace shaletray;
-using namespace shaletray::helm;
+using namespace shaletray::control_api;
 
 namespace {
 
--- a/tests/lighthouse/gallery_test.cpp
+++ b/tests/controller/configuration_publisher_test.cpp
@@ -1,22 +1,22 @@
 // What pilots are told, taken up as pilots do.
-#include "lighthouse/gallery.h"
+#include "controller/configuration_publisher.h"
 
 #include <criterion/criterion.h>
 
 using namespace shaletray;
 using namespace std::chrono_literals;
-using lighthouse::Gallery;
+using controller::Gallery;
 
 namespace {
 
 TimePoint at(Duration d) { return TimePoint(1'000'000s + d); }
 
-chart::Chart chart_of(std::uint64_t version) {
+configuration::Chart chart_of(std::uint64_t version) {
     std::string routes;
     for (std::uint64_t i = 0; i < 300; ++i)
         routes += std::string(i == 0 ? "" : ",") + R"(["r)" + std::to_string(i) + R"(","h.example","/p)" +
                   std::to_string(i == version ? i + 1000 : i) + R"(/","idempotent","500ms","s"])";
-    return chart::read_chart(
+    return configuration::read_chart(
                R"({"revision":"r)" + std::to_string(version) +
                R"(","routes":{"columns":["name","hostname","path_prefix","route_type","timeout",)" +
                R"("service"],"rows":[)" + routes + R"(]},"services":{"columns":["name"],)" +
@@ -27,12 +27,12 @@
 struct Pilot {
     explicit Pilot(std::string n) : name(std::move(n)) {}
     void take(const std::string& bytes, TimePoint now) {
-        const auto news = watch::decode_news(bytes);
+        const auto news = subscription::decode_news(bytes);
         cr_assert(news);
         ++letters;
         bytes_taken += bytes.size();
         if (!news->update.empty()) {
-            auto next = chart::read_update(chart, news->update);
+            auto next = configuration::read_update(chart, news->update);
             cr_assert(next, "%s cannot use an update to %lu", name.c_str(), news->version);
             chart = std::move(*next);
         }
@@ -41,18 +41,19 @@
         life = news->life;
         if (news->since <= sequence) sequence = std::max(sequence, news->sequence);
     }
-    watch::Have have() const {
-        return {1, chart.version, chart.version == 0 ? 0 : chart::digest_of(chart), life, sequence, 1};
+    subscription::Have have() const {
+        return {1,    chart.version, chart.version == 0 ? 0 : configuration::digest_of(chart),
+                life, sequence,      1};
     }
     std::string name;
-    chart::Chart chart;
-    muster::Roster roster;
+    configuration::Chart chart;
+    registry::Roster roster;
     std::uint64_t life = 0, sequence = 0;
     std::size_t letters = 0, bytes_taken = 0;
 };
 
-muster::Beat beat(const std::string& id, std::uint64_t calls) {
-    muster::Beat b;
+registry::Beat beat(const std::string& id, std::uint64_t calls) {
+    registry::Beat b;
     b.server.id = id;
     b.server.service = "s";
     b.server.address = "10.128.0.9:" + std::to_string(8000 + id.size());
@@ -61,7 +62,7 @@
 }
 
 struct Rig {
-    muster::Muster muster{{"10.0.0.1:7100", 5, 1500ms, 4}};
+    registry::Muster muster{{"10.0.0.1:7100", 5, 1500ms, 4}};
     Gallery gallery{Gallery::Settings{.life = 5}, muster};
     std::map<std::string, Pilot> pilots;
     std::vector<Gallery::Send> out;
@@ -133,5 +134,5 @@
     rig.muster.deregister("i", at(1s));
     rig.report("a", at(1s));
     cr_assert(a.life == 6 && a.sequence == rig.muster.sequence());
-    cr_assert(a.roster.servers().at("i").state == muster::State::Gone);
+    cr_assert(a.roster.servers().at("i").state == registry::State::Gone);
 }
--- a/tests/lighthouse/core_world.h
+++ b/tests/controller/controller_cluster.h
@@ -10,23 +10,23 @@
 #include <random>
 #include <set>
 
-#include "convoy/convoy.h"
-#include "lamp/world.h"
-#include "lighthouse/steward.h"
+#include "cluster/consensus/register_cluster.h"
+#include "cluster/membership/membership.h"
+#include "controller/voter_reconciler.h"
 
-namespace shaletray::lighthouse::test {
+namespace shaletray::controller::test {
 
 using namespace std::chrono_literals;
-using lamp::test::kLess;
+using consensus::test::kLess;
 
 struct Core {
     static constexpr Duration kCatchUp = 4s, kContact = 3s, kAck = 4s;
     struct Machine {
         std::string address;
-        lamp::Saved disk;    // what a loss of power leaves
-        std::vector<lamp::Actions::Store> unsynced;
-        std::optional<lamp::Lamp> lamp;
-        std::unique_ptr<convoy::Convoy> convoy;
+        consensus::Saved disk;    // what a loss of power leaves
+        std::vector<consensus::Actions::Store> unsynced;
+        std::optional<consensus::Lamp> lamp;
+        std::unique_ptr<membership::Convoy> convoy;
         std::optional<Steward> steward;
         std::uint64_t life = 0;
         TimePoint frozen{}, starts{}, reads{}, looks{}, leaves{}, lost_until{};
@@ -55,8 +55,8 @@
     std::vector<Machine> machines;
     std::priority_queue<Event> events;
     std::set<std::pair<std::size_t, std::size_t>> cut;
-    std::map<lamp::Ticket, Order> orders;
-    lamp::test::Register chosen;
+    std::map<consensus::Ticket, Order> orders;
+    consensus::test::Register chosen;
     std::size_t losses;
     bool diskless = false;    // whoever starts again has nothing, and is another voter
     std::uint64_t order = 0, tickets = 0, version = 0, unsettled = 0, settled = 0;
@@ -90,20 +90,20 @@
         for (std::size_t o = 0; founders == 0 && o < machines.size() && seeds.size() < 3; ++o)
             if (!machines[o].gone && o != i) seeds.push_back(machines[o].address);
         m.life = static_cast<std::uint64_t>(now.time_since_epoch().count()) + ++order;
-        lamp::Settings l;
+        consensus::Settings l;
         l.me = {m.address, m.disk.disk};
         if (founders > 0) l.founders = seeds;
         l.seed = random();
         m.lamp.emplace(l, m.disk, now);
-        convoy::Settings c;
-        c.me = {m.address, convoy::Role::Lighthouse,
+        membership::Settings c;
+        c.me = {m.address, membership::Role::Lighthouse,
                 m.address, "z" + std::to_string(i % 3),
                 "r",       m.address,
                 true,      m.disk.disk,
                 m.life,    0};
         c.seeds = seeds;
         c.seed = random();
-        m.convoy = std::make_unique<convoy::Convoy>(c, now);
+        m.convoy = std::make_unique<membership::Convoy>(c, now);
         m.steward.emplace(Steward::Settings{{m.address, m.disk.disk}, losses, kCatchUp}, now);
         m.reads = m.looks = now;
         m.leaves = m.frozen = m.starts = TimePoint{};
@@ -161,14 +161,14 @@
             [&](const Machine& m) { return m.counts && (!m.lamp || m.lost_until > now || m.frozen > now); }));
     }
 
-    void carry(std::size_t i, const convoy::Actions& out) {
+    void carry(std::size_t i, const membership::Actions& out) {
         for (const auto& s : out.sends) post(i, s.to, true, s.bytes);
         if (!out.changed.empty()) members_changed(i);
     }
-    void carry(std::size_t i, lamp::Actions& out) {
+    void carry(std::size_t i, consensus::Actions& out) {
         Machine& m = machines[i];
         if (out.changed) take(i);
-        for (lamp::Actions::Store& s : out.stores) {
+        for (consensus::Actions::Store& s : out.stores) {
             events.push({now + 1ms + Duration(below(4000)), ++order, i, i, m.life, s.token, 0, false, {}});
             m.unsynced.push_back(std::move(s));
         }
@@ -178,7 +178,7 @@
             if (it == orders.end()) continue;
             const Order asked = it->second;
             orders.erase(it);
-            if (d.answer == lamp::Answer::Unsettled) {
+            if (d.answer == consensus::Answer::Unsettled) {
                 ++unsettled;
                 continue;
             }
@@ -201,22 +201,22 @@
     void members_changed(std::size_t i) {
         std::vector<std::string> others;
         for (const auto& [address, member] : machines[i].convoy->members())
-            if (member.state != convoy::State::Gone) others.push_back(address);
+            if (member.state != membership::State::Gone) others.push_back(address);
         machines[i].lamp->others(std::move(others));
     }
     void look(std::size_t i) {
         Machine& m = machines[i];
-        const auto follows = [&](const lamp::Member& o) { return m.lamp->follows(o, 2s); };
+        const auto follows = [&](const consensus::Member& o) { return m.lamp->follows(o, 2s); };
         const auto step = m.steward->next(m.lamp->decree(), m.convoy->members(), follows, now);
         m.hands_on = step.has_value();
         if (!step) return;
-        lamp::Actions out;
+        consensus::Actions out;
         m.lamp->change_voters(step->from, step->to, now, out);
         carry(i, out);
     }
     void ask(std::size_t i, bool read) {
         orders[++tickets] = {read ? 0 : ++version, chosen.acknowledged, now, read};
-        lamp::Actions out;
+        consensus::Actions out;
         if (read) machines[i].lamp->quorum_read(tickets, now + 900ms, now, out);
         else
             machines[i].lamp->propose(tickets, version, "v" + std::to_string(version), now + 900ms, now, out);
@@ -235,11 +235,11 @@
         Machine& m = machines[i];
         if (!m.lamp) return start(i);
         if (m.convoy->next() <= now) {
-            convoy::Actions out;
+            membership::Actions out;
             m.convoy->tick(now, out);
             carry(i, out);
         }
-        lamp::Actions out;
+        consensus::Actions out;
         m.lamp->tick(now, out);
         if (m.reads <= now) {
             m.reads = now + 500ms;
@@ -255,7 +255,7 @@
             m.leaves = now + 50ms;
             return;
         }
-        convoy::Actions goodbye;
+        membership::Actions goodbye;
         m.convoy->leave(now, goodbye);
         carry(i, goodbye);
         stop(i, false);
@@ -294,12 +294,12 @@
             return;
         }
         if (e.convoy) {
-            convoy::Actions out;
+            membership::Actions out;
             m.convoy->heard(machines[e.from].address, e.bytes, now, out);
             carry(e.to, out);
             return;
         }
-        lamp::Actions out;
+        consensus::Actions out;
         if (e.token != 0) {
             while (!m.unsynced.empty() && m.unsynced.front().token <= e.token) {
                 m.disk = std::move(m.unsynced.front().saved);
@@ -314,17 +314,17 @@
     }
 
     // ---- what must hold once every machine that came back or is new has had its time ----
-    const lamp::Decree& newest() const { return chosen.decrees.rbegin()->second; }
-    const Machine* holder(const lamp::Member& voter) const {
+    const consensus::Decree& newest() const { return chosen.decrees.rbegin()->second; }
+    const Machine* holder(const consensus::Member& voter) const {
         for (const Machine& m : machines)
             if (m.lamp && m.address == voter.address && m.disk.disk == voter.disk) return &m;
         return nullptr;
     }
     // The further losses that the voters bear; what was acknowledged is on more disks than may be lost.
     void must_bear(const char* when) const {
-        const lamp::Decree& d = newest();
+        const consensus::Decree& d = newest();
         std::size_t answer = 0, keep = 0;
-        for (const lamp::Member& voter : d.voters)
+        for (const consensus::Member& voter : d.voters)
             if (const Machine* m = holder(voter)) {
                 ++answer;
                 keep += m->disk.decree.version >= chosen.acknowledged ||
@@ -360,4 +360,4 @@
     }
 };
 
-}    // namespace shaletray::lighthouse::test
+}    // namespace shaletray::controller::test
--- a/tests/lighthouse/core_test.cpp
+++ b/tests/controller/controller_cluster_test.cpp
@@ -1,8 +1,8 @@
 // Second losses: at every moment of a replacement a further loss that the system may bear leaves a majority
 // which holds all that was acknowledged.
-#include "core_world.h"
+#include "controller/controller_cluster.h"
 
-namespace shaletray::lighthouse::test {
+namespace shaletray::controller::test {
 namespace {
 
 constexpr auto kWait = Core::kCatchUp;
@@ -193,4 +193,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lighthouse::test
+}    // namespace shaletray::controller::test
--- a/tests/lighthouse/quorum_test.cpp
+++ b/tests/controller/quorum_tracker_test.cpp
@@ -1,20 +1,20 @@
 // A lighthouse that has no contact with a majority, in virtual time: it hands out nothing as current,
 // acknowledges nothing, refuses nothing, and is whole within `contact` after its return.
-#include "lighthouse/quorum.h"
+#include "controller/quorum_tracker.h"
 
-#include "lamp/world.h"
+#include "cluster/consensus/register_cluster.h"
 
-namespace shaletray::lighthouse {
+namespace shaletray::controller {
 namespace {
 
 using namespace std::chrono_literals;
-using lamp::Answer;
-using lamp::Ticket;
+using consensus::Answer;
+using consensus::Ticket;
 
 enum class Trouble { Cut, Deaf, Mute, Frozen };    // Deaf: it hears nobody; Mute: nobody hears it
 
 struct Core {
-    lamp::test::World w;
+    consensus::test::World w;
     Duration contact;
     std::vector<Quorum> quorums;
     std::vector<TimePoint> ask;
@@ -23,7 +23,7 @@
     Duration longest_without{};
 
     Core(std::uint64_t seed, Duration contact_) : w(seed, 0), contact(contact_), ask(3), losses(3), gains(3) {
-        w.answered = [this](Ticket t, Answer a, const lamp::Decree&) { answers[t] = a; };
+        w.answered = [this](Ticket t, Answer a, const consensus::Decree&) { answers[t] = a; };
         w.longest_wait = Quorum(contact, w.now).longest_wait();
         const std::vector<std::string> all{w.name(0), w.name(1), w.name(2)};
         for (std::size_t i = 0; i < 3; ++i) {
@@ -120,7 +120,7 @@
     for (const Trouble kind : {Trouble::Cut, Trouble::Deaf, Trouble::Mute, Trouble::Frozen})
         for (const Duration length : {Duration(25s), Duration(60s)})
             for (const Duration contact : {Duration(3s), Duration(1500ms)})
-                for (std::uint64_t seed = 1; seed <= 10 / lamp::test::kLess; ++seed)
+                for (std::uint64_t seed = 1; seed <= 10 / consensus::test::kLess; ++seed)
                     cut_off(kind, length, contact, (seed + length / 60s) % 2 == 0, seed);
 }
 
@@ -135,4 +135,4 @@
     for (std::size_t i = 0; i < 3; ++i) cr_assert(c.held(i) && c.losses[i] == 1 && c.gains[i] == 2);
 }
 
-}    // namespace shaletray::lighthouse
+}    // namespace shaletray::controller
--- a/tests/lighthouse/relay_test.cpp
+++ b/tests/controller/registry_forwarder_test.cpp
@@ -1,5 +1,5 @@
 // Lighthouses that tell each other of servers, over links that lose what they like.
-#include "lighthouse/relay.h"
+#include "controller/registry_forwarder.h"
 
 #include <criterion/criterion.h>
 
@@ -8,7 +8,7 @@
 
 using namespace shaletray;
 using namespace std::chrono_literals;
-using lighthouse::Relay;
+using controller::Relay;
 
 namespace {
 
@@ -19,7 +19,7 @@
         : address(std::move(a)), life(l), muster({address, l, 1500ms, 4}), relay(muster) {}
     std::string address;
     std::uint64_t life;
-    muster::Muster muster;
+    registry::Muster muster;
     Relay relay;
     std::vector<Relay::Send> out;
 };
@@ -56,8 +56,8 @@
             }
     }
     void beat(const std::string& to, const std::string& id, std::uint64_t calls,
-              muster::State state = muster::State::InService) {
-        muster::Beat b;
+              registry::State state = registry::State::InService) {
+        registry::Beat b;
         b.server.id = id;
         b.server.service = "s";
         b.server.address = "10.128.0.9:" + id;
@@ -96,7 +96,7 @@
             if (w.draw() % 20 == 0) w.all.at(to)->muster.deregister(id, at(w.now));
             else
                 w.beat(to, id, ++calls,
-                       w.draw() % 5 == 0 ? muster::State::Draining : muster::State::InService);
+                       w.draw() % 5 == 0 ? registry::State::Draining : registry::State::InService);
             w.step(0.5);
             if (i == 50) w.begin("10.0.0.2:7100", 2);    // one begins anew
         }
@@ -121,7 +121,7 @@
     }
     cr_assert(w.letters == 6 && w.bytes < 6 * 300, "%zu, %zu bytes", w.letters, w.bytes);
     w.letters = 0;
-    w.beat("10.0.0.1:7100", "8000", 50, muster::State::Draining);
+    w.beat("10.0.0.1:7100", "8000", 50, registry::State::Draining);
     w.step(0.0);
     cr_assert(w.agree() && w.letters <= 8);
 }
@@ -138,7 +138,7 @@
             if (i % 15 == 0) w.beat("10.0.0.1:7100", "8000", ++calls);
             w.step(0.0);
             const auto& there = w.all.at("10.0.0.3:7100")->muster.servers();
-            cr_assert(there.at("8000").state == muster::State::InService);
+            cr_assert(there.at("8000").state == registry::State::InService);
         }
     };
     run(10);
--- a/tests/lighthouse/steward_test.cpp
+++ b/tests/controller/voter_reconciler_test.cpp
@@ -1,5 +1,5 @@
 // Who is voted into the voters, and by whose proposal.
-#include "lighthouse/steward.h"
+#include "controller/voter_reconciler.h"
 
 #include <criterion/criterion.h>
 
@@ -7,7 +7,7 @@
 
 using namespace shaletray;
 using namespace std::chrono_literals;
-using lighthouse::Steward;
+using controller::Steward;
 
 namespace {
 
@@ -22,15 +22,15 @@
         }
     }
     void add(const std::string& address, std::uint64_t disk, TimePoint now) {
-        convoy::Member m;
+        membership::Member m;
         m.facts.address = address;
-        m.facts.role = convoy::Role::Lighthouse;
+        m.facts.role = membership::Role::Lighthouse;
         m.facts.quorum = true;
         m.facts.disk = disk;
         m.heard = m.changed = now;
         members[address] = m;
     }
-    void state(const std::string& address, convoy::State to, TimePoint now) {
+    void state(const std::string& address, membership::State to, TimePoint now) {
         members[address].state = to;
         members[address].changed = now;
     }
@@ -41,15 +41,15 @@
             auto others = members;
             others.erase(me);
             for (auto& [address, m] : others)
-                if (m.state == convoy::State::Alive) m.heard = at(t);
-            const auto follows = [&](const lamp::Member& m) { return !behind.contains(m.address); };
+                if (m.state == membership::State::Alive) m.heard = at(t);
+            const auto follows = [&](const consensus::Member& m) { return !behind.contains(m.address); };
             if (auto step = steward.next(decree, others, follows, at(t))) return std::pair(*step, t);
         }
         return std::nullopt;
     }
     std::set<std::string> behind;
-    lamp::Decree decree;
-    std::map<std::string, convoy::Member> members;
+    consensus::Decree decree;
+    std::map<std::string, membership::Member> members;
 };
 
 }    // namespace
@@ -57,13 +57,13 @@
 Steward steward(const std::string& me, std::uint64_t disk, Duration now, std::size_t losses = 1) {
     return Steward({{me, disk}, losses, 4s}, at(now));
 }
-using Voters = std::vector<lamp::Member>;
+using Voters = std::vector<consensus::Member>;
 
 Test(steward, leaves_the_voters_alone_who_are_whole) {
     World w;
     Steward a = steward("a", 0, 0s);
     cr_assert(!w.first(a, "a", 0s, 30s));
-    w.state("c", convoy::State::Suspected, at(1s));    // nobody could take its place
+    w.state("c", membership::State::Suspected, at(1s));    // nobody could take its place
     cr_assert(!w.first(a, "a", 0s, 60s));
 }
 
@@ -88,7 +88,7 @@
     w.add("d", 9, at(0s));
     Steward a = steward("a", 0, 0s);
     cr_assert(!w.first(a, "a", 0s, 20s));    // four bear no more than three
-    w.state("c", convoy::State::Suspected, at(22s));
+    w.state("c", membership::State::Suspected, at(22s));
     w.members["c"].heard = at(20s);
     const auto step = w.first(a, "a", 22s, 40s);
     cr_assert(step && step->first.to == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
@@ -99,7 +99,7 @@
 Test(steward, replaces_who_said_goodbye_at_once_and_waits_for_those_it_has_not_met) {
     World w;
     w.add("d", 9, at(0s));
-    w.state("c", convoy::State::Gone, at(1s));
+    w.state("c", membership::State::Gone, at(1s));
     w.members["c"].ended = true;
     Steward a = steward("a", 0, 0s);
     const auto step = w.first(a, "a", 1s, 20s);
@@ -151,15 +151,16 @@
                             if (i >= n || i == 0) continue;
                             w.members[name(i)].facts.quorum = i > leaving;
                             if (i + away < n) continue;
-                            w.state(name(i), convoy::State::Gone, at(0s));
+                            w.state(name(i), membership::State::Gone, at(0s));
                             w.members[name(i)].ended = true;
                         }
                         const auto bears = [&] {
                             const auto& v = w.decree.voters;
-                            const auto answer = std::count_if(v.begin(), v.end(), [&](const lamp::Member& m) {
-                                const auto& member = w.members[m.address];
-                                return member.state == convoy::State::Alive && member.facts.quorum;
-                            });
+                            const auto answer =
+                                std::count_if(v.begin(), v.end(), [&](const consensus::Member& m) {
+                                    const auto& member = w.members[m.address];
+                                    return member.state == membership::State::Alive && member.facts.quorum;
+                                });
                             return Steward::bears(static_cast<std::size_t>(answer), v.size());
                         };
                         Steward a = steward("a", 0, 0s, losses);
--- a/tests/engine_test.cpp
+++ b/tests/data_plane/engine/engine_test.cpp
@@ -1,12 +1,12 @@
 // The engine between a scripted front and a scripted backend: who is told what, and how often.
-#include "core/engine.h"
+#include "data_plane/engine/engine.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "gateway_settings.h"
-#include "platform/config.h"
+#include "balancer/platform/gateway_config.h"
+#include "decision/gateway_settings.h"
 
 namespace shaletray {
 namespace {
@@ -40,7 +40,7 @@
 protected:
     EngineTest() {
         engine_.connect(*this, *this, *this);
-        valehall::HostList list;
+        decision::HostList list;
         for (std::uint32_t i = 1; i <= 2; ++i) {
             list.hosts.emplace_back();
             list.hosts.back().host = HostId{i};
@@ -98,7 +98,7 @@
         engine_.rule_by(desk_);
         engine_.keep_use_in(*this);
     }
-    static valehall::Settings settings() { return parse_config(test::config_text("127.0.0.1:1")).settings; }
+    static decision::Settings settings() { return parse_config(test::config_text("127.0.0.1:1")).settings; }
     static limits::LedgerSettings ledger_settings() {
         limits::LedgerSettings l;
         l.plans = settings().plans;
@@ -115,7 +115,7 @@
     }
     void assign(const std::string& plan) {
         plans::Proposal p;
-        p.body = plans::Assign{valehall::CustomerId{}, plan};
+        p.body = plans::Assign{decision::CustomerId{}, plan};
         p.against = desk_.book().version();
         p.author = "test";
         desk_.take(std::get<plans::Change>(desk_.book().propose(p, clock_.time)), clock_.time);
@@ -330,10 +330,10 @@
 }
 
 TEST_F(EngineTest, AClassThatChangesLeavesTheRequestsUnderWayTheirs) {
-    valehall::Settings next = parse_config(test::config_text("127.0.0.1:1")).settings;
-    const valehall::Settings first = next;
+    decision::Settings next = parse_config(test::config_text("127.0.0.1:1")).settings;
+    const decision::Settings first = next;
     const RequestId open = ask();
-    next.classes[0].repeat = valehall::Repeat::Unsafe;    // stricter
+    next.classes[0].repeat = decision::Repeat::Unsafe;    // stricter
     next.send_cap = 1;
     const std::vector<int> places = engine_.adopt(next);
     EXPECT_EQ(places, (std::vector<int>{3, 1, 2}));
@@ -343,7 +343,7 @@
     EXPECT_EQ(counters_.classes.at("read").failed, 1U);
     next.classes[0].give_up = Duration(-1);
     next.classes[0].aim = Duration(-1);
-    EXPECT_THROW(engine_.adopt(next), valehall::BadSettings);
+    EXPECT_THROW(engine_.adopt(next), decision::BadSettings);
     engine_.withdraw(open);
     EXPECT_EQ(engine_.adopt(first), (std::vector<int>{0, 1, 2}));
     next = first;
@@ -381,7 +381,7 @@
     {
         Engine engine(parse_config(test::config_text("127.0.0.1:1")).settings, 1, clock_, timers, counters);
         engine.connect(*this, *this, *this);
-        valehall::HostList list;
+        decision::HostList list;
         list.hosts.emplace_back();
         list.hosts.back().host = HostId{1};
         engine.list_heard(std::move(list));
--- a/tests/limits/explore_test.cpp
+++ b/tests/data_plane/limits/explore_test.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 #include <string>
 
-#include "world.h"
+#include "data_plane/limits/simulated_gateways.h"
 
 namespace shaletray::limits {
 namespace {
--- a/tests/limits/ledger_test.cpp
+++ b/tests/data_plane/limits/quota_state_table_test.cpp
@@ -1,13 +1,13 @@
 // The ledger by itself: its rules one by one, thousands of seeded days of faults, and a small world explored
 // in all orders.
-#include "limits/ledger.h"
+#include "data_plane/limits/quota_state_table.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <unordered_set>
 
-#include "world.h"
+#include "data_plane/limits/simulated_gateways.h"
 
 namespace shaletray::limits {
 namespace {
@@ -243,7 +243,7 @@
     const auto bad = [](auto change) {
         LedgerSettings s = settings(0);
         change(s);
-        EXPECT_THROW(Ledger(s, kStart), valehall::BadSettings);
+        EXPECT_THROW(Ledger(s, kStart), decision::BadSettings);
     };
     bad([](LedgerSettings& s) { s.me = 3; });
     bad([](LedgerSettings& s) { s.lease = 10ms; });
--- a/tests/limits/world.h
+++ b/tests/data_plane/limits/simulated_gateways.h
@@ -12,7 +12,7 @@
 #include <set>
 #include <string>
 
-#include "limits/ledger.h"
+#include "data_plane/limits/quota_state_table.h"
 
 namespace shaletray::limits::test {
 
@@ -92,7 +92,7 @@
         settings_.reserve = chance(0.2) ? 0.0 : 0.25;
         settings_.alone_share = real(0.3, 1.0);
         for (int i = 0; i < 3; ++i) {
-            valehall::PlanSettings p;
+            decision::PlanSettings p;
             p.rate = real(2.0, 20.0);
             p.burst = p.rate * real(1.0, 5.0);
             if (i != 1) {    // the last one so small that a part of it is hardly one request
@@ -110,7 +110,7 @@
             c.plan = static_cast<int>(id % 3);
             c.width = between(1, std::min(n, 6));
             c.first = between(0, n - 1);
-            const valehall::PlanSettings& p = plan(c);
+            const decision::PlanSettings& p = plan(c);
             c.ceiling = {p.ceiling_rate, p.ceiling_burst, p.ceiling_burst, 0.0, now_};
             const double apart = 1.0 + (c.width - 1) * settings_.alone_share;
             const double more = faults.any ? apart : 1.0;
@@ -193,7 +193,7 @@
     double real(double a, double b) { return std::uniform_real_distribution<>(a, b)(random_); }
     int between(int a, int b) { return std::uniform_int_distribution<>(a, b)(random_); }
     bool chance(double p) { return real(0.0, 1.0) < p; }
-    const valehall::PlanSettings& plan(const Customer& c) const {
+    const decision::PlanSettings& plan(const Customer& c) const {
         return settings_.plans[static_cast<std::size_t>(c.plan)];
     }
     Store& any_store() {
--- a/tests/plans/desk_test.cpp
+++ b/tests/data_plane/plans/plan_service_test.cpp
@@ -1,6 +1,6 @@
 // Plans that change in service, over ledgers of several gateways in virtual time: what is admitted through
 // all of them against one store that sees everything, for thousands of seeded histories.
-#include "plans/desk.h"
+#include "data_plane/plans/plan_service.h"
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 #include <memory>
 #include <random>
 
-#include "control_socket/office.h"
-#include "plans/spread.h"
+#include "balancer/control_socket/plan_command_handler.h"
+#include "data_plane/plans/change_replicator.h"
 
 namespace shaletray::plans {
 namespace {
@@ -23,7 +23,7 @@
 
 double secs(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-std::vector<valehall::PlanSettings> platform() {
+std::vector<decision::PlanSettings> platform() {
     return {{"equipo", 4.0, 16.0, 0, 8.0, 40.0, 4.0, 1.0, 0.5, 0.2},
             {"empresa", 10.0, 40.0, 0, 20.0, 80.0, 8.0, 3.0, 0.0, 0.0}};
 }
@@ -31,7 +31,7 @@
 // The module's side, as far as it is told.
 struct Grants {
     struct Stores {
-        valehall::Allowance a;
+        decision::Allowance a;
         double quota = 0.0, ceiling = 0.0;
         TimePoint at{};
         bool known = false;
@@ -44,7 +44,7 @@
         if (s.ceiling < s.a.ceiling_burst)
             s.ceiling = std::min(s.a.ceiling_burst, s.ceiling + s.a.ceiling_rate * dt);
     }
-    void told(const valehall::Allowance& a, TimePoint now) {
+    void told(const decision::Allowance& a, TimePoint now) {
         Stores& s = stores[a.customer];
         refill(s, now);
         if (!s.known)
@@ -113,12 +113,12 @@
         for (std::size_t i = 0; i < gateways.size(); ++i) gateways[i]->desk->take(*change, clock(i));
         return *change;
     }
-    void tell(Gateway& g, const std::vector<valehall::Allowance>& all, TimePoint at) {
+    void tell(Gateway& g, const std::vector<decision::Allowance>& all, TimePoint at) {
         for (const auto& a : all) g.grants.told(a, at);
     }
     void tick(std::size_t i) {
         Gateway& g = *gateways[i];
-        std::vector<valehall::Allowance> told;
+        std::vector<decision::Allowance> told;
         g.desk->due(clock(i), told);
         g.ledger->tick(clock(i), told);
         tell(g, told, clock(i));
@@ -128,7 +128,7 @@
                                     int asked_plan = 0, CustomerId id = kAnna) {
         Gateway& g = *gateways[i];
         tick(i);
-        std::vector<valehall::Allowance> told;
+        std::vector<decision::Allowance> told;
         const Desk::Ruling r = g.desk->rule(id, asked_plan, 0, static_cast<int>(gateways.size()), units,
                                             reservation, clock(i), told);
         tell(g, told, clock(i));
@@ -166,7 +166,7 @@
     Fleet f;
     const Change c = f.spread(Assign{kAnna, "empresa"}, kStart + 5s);
     EXPECT_EQ(f.drain(0), 16.0);
-    std::vector<valehall::Allowance> told;
+    std::vector<decision::Allowance> told;
     // Taken under the old plan, sent after the change: it stays what it was.
     const Desk::Ruling before = f.gateways[0]->desk->rule(kAnna, 0, 0, 1, 1.0, {}, f.now, told);
     f.now = c.at;
@@ -272,7 +272,7 @@
     ASSERT_TRUE(f->ask(0, 4.0, "payroll"));
     f->drain(0);
     const double before = f->gateways[0]->ledger->level(kAnna, f->now);
-    std::vector<valehall::Allowance> told;
+    std::vector<decision::Allowance> told;
     const Desk::Ruling in_flight = f->gateways[0]->desk->rule(kAnna, 0, 0, 1, 2.0, "payroll", f->now, told);
     EXPECT_EQ(in_flight.reservation, c.version);
     const double account = f->gateways[0]->ledger->level(in_flight.account, f->now);
--- a/tests/plans/book_test.cpp
+++ b/tests/data_plane/plans/plan_table_test.cpp
@@ -1,5 +1,5 @@
 // The plan book: its rules by cases, and thousands of seeded histories against a plain re-reading of the log.
-#include "plans/book.h"
+#include "data_plane/plans/plan_table.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/clients_test.cpp
+++ b/tests/data_plane/proxy/client_connection_test.cpp
@@ -7,8 +7,8 @@
 #include <optional>
 #include <random>
 
-#include "loop.h"
-#include "net/listener.h"
+#include "base/net/loop.h"
+#include "data_plane/proxy/client_listener.h"
 
 using namespace shaletray;
 using namespace std::chrono_literals;
--- a/tests/net/servers_test.cpp
+++ b/tests/data_plane/proxy/server_pool_test.cpp
@@ -1,4 +1,6 @@
 // A pool and its engine against a scripted server: which answer is whose, and what connections are kept.
+#include "data_plane/proxy/server_pool.h"
+
 #include <Poco/Net/ServerSocket.h>
 #include <criterion/criterion.h>
 #include <fmt/format.h>
@@ -7,8 +9,7 @@
 #include <optional>
 #include <random>
 
-#include "loop.h"
-#include "net/server_pool.h"
+#include "base/net/loop.h"
 
 using namespace shaletray;
 using namespace std::chrono_literals;
@@ -60,8 +61,8 @@
     }
 };
 
-valehall::Settings one_class() {
-    valehall::Settings s;
+decision::Settings one_class() {
+    decision::Settings s;
     s.classes.resize(1);
     s.classes[0].aim = s.classes[0].give_up = 10s;
     s.plans.resize(1);
@@ -76,7 +77,7 @@
           pool(engine, hosts, dialect, budget, counters, loop.reactor, limits) {
         engine.connect(pool, *this, *this);
         engine.behave({true, true});
-        valehall::HostList list;
+        decision::HostList list;
         list.hosts.resize(1);
         list.hosts[0].host = HostId{1};
         engine.list_heard(std::move(list));
--- a/tests/control_quota_test.cpp
+++ b/tests/decision/control_quota_test.cpp
@@ -1,10 +1,10 @@
 // Quota stores and their pairwise balancing.
 #include <gtest/gtest.h>
 
-#include "gateway_script.h"
-#include "module/peer_message.h"
+#include "balancer/service/gateway_script.h"
+#include "decision/peer_message.h"
 
-namespace valehall::test {
+namespace shaletray::decision::test {
 namespace {
 
 // Mail to the gateway under test, as a neighbour would write it.
@@ -426,4 +426,4 @@
 }
 
 }    // namespace
-}    // namespace valehall::test
+}    // namespace shaletray::decision::test
--- a/tests/control_rules_test.cpp
+++ b/tests/decision/control_rules_test.cpp
@@ -5,9 +5,9 @@
 #include <random>
 #include <set>
 
-#include "gateway_script.h"
+#include "balancer/service/gateway_script.h"
 
-namespace valehall::test {
+namespace shaletray::decision::test {
 namespace {
 
 TEST(FinalAnswer, RequestIsSentAtOnceAndFinishesOnItsOutcome) {
@@ -392,4 +392,4 @@
 }
 
 }    // namespace
-}    // namespace valehall::test
+}    // namespace shaletray::decision::test
--- a/tests/control_servers_test.cpp
+++ b/tests/decision/control_servers_test.cpp
@@ -3,9 +3,9 @@
 
 #include <map>
 
-#include "gateway_script.h"
+#include "balancer/service/gateway_script.h"
 
-namespace valehall::test {
+namespace shaletray::decision::test {
 namespace {
 
 // Traffic for a while; host `bad` answers with `outcome`, the others serve.
@@ -406,4 +406,4 @@
 }
 
 }    // namespace
-}    // namespace valehall::test
+}    // namespace shaletray::decision::test
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/decision/fleet/cold_start_test.cpp
@@ -1,5 +1,5 @@
 // Cold servers under a whole fleet: never over the rule, never left idle.
-#include "fleet/cold_start.h"
+#include "decision/fleet/cold_start.h"
 
 #include <gtest/gtest.h>
 
@@ -7,9 +7,9 @@
 #include <deque>
 #include <random>
 
-#include "../gateway_script.h"
+#include "balancer/service/gateway_script.h"
 
-namespace valehall::test {
+namespace shaletray::decision::test {
 namespace {
 
 Settings fleet_site(int gateways) {
@@ -108,4 +108,4 @@
 }
 
 }    // namespace
-}    // namespace valehall::test
+}    // namespace shaletray::decision::test
--- a/tests/handover_state_test.cpp
+++ b/tests/decision/handover_state_test.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
-#include "gateway_script.h"
+#include "balancer/service/gateway_script.h"
 
-namespace valehall::test {
+namespace shaletray::decision::test {
 namespace {
 
 Settings site() {
@@ -70,4 +70,4 @@
 }
 
 }    // namespace
-}    // namespace valehall::test
+}    // namespace shaletray::decision::test
--- a/tests/peer_message_test.cpp
+++ b/tests/decision/peer_message_test.cpp
@@ -1,10 +1,10 @@
-#include "module/peer_message.h"
+#include "decision/peer_message.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-namespace valehall {
+namespace shaletray::decision {
 namespace {
 
 TEST(PeerMessage, RoundTrip) {
@@ -101,4 +101,4 @@
 }
 
 }    // namespace
-}    // namespace valehall
+}    // namespace shaletray::decision
--- a/tests/wire_test.cpp
+++ b/tests/decision/wire/wire_test.cpp
@@ -6,9 +6,9 @@
 #include <cstdio>
 #include <fstream>
 
-#include "wire_codec.h"
+#include "decision/wire/wire_codec.h"
 
-namespace valehall::wire {
+namespace shaletray::decision::wire {
 namespace {
 
 const std::string kSetup =
@@ -140,4 +140,4 @@
 }
 
 }    // namespace
-}    // namespace valehall::wire
+}    // namespace shaletray::decision::wire
--- a/tests/pilot/lookout_test.cpp
+++ b/tests/gateway/control_plane_client_test.cpp
@@ -1,5 +1,5 @@
 // What a pilot makes of the lighthouses' words, lost, late, twice and from several at a time.
-#include "pilot/lookout.h"
+#include "gateway/control_plane_client.h"
 
 #include <criterion/criterion.h>
 
@@ -9,14 +9,14 @@
 
 using namespace std::chrono_literals;
 using namespace shaletray;
-using namespace shaletray::pilot;
+using namespace shaletray::gateway;
 
 const TimePoint kStart = TimePoint{} + 100s;
 
-chart::Chart chart_of(std::uint64_t version) {
-    chart::Chart c;
+configuration::Chart chart_of(std::uint64_t version) {
+    configuration::Chart c;
     c.version = version;
-    chart::Route r;
+    configuration::Route r;
     r.name = "r" + std::to_string(version % 5);
     r.hostname = "a.example";
     r.path_prefix = "/p" + std::to_string(version) + "/";
@@ -32,8 +32,8 @@
     bool confirmed = true;
 
     // What it would say to someone who has `have`: a patch where that is the chart before, the whole else.
-    std::string news(const watch::Have& have, std::uint64_t held_before) const {
-        watch::News n;
+    std::string news(const subscription::Have& have, std::uint64_t held_before) const {
+        subscription::News n;
         n.life = life;
         n.confirmed = confirmed;
         n.version = version;
@@ -41,9 +41,9 @@
         n.sequence = sequence;
         if (have.version < version && version > 0)
             n.update = have.version == held_before && have.version > 0
-                           ? chart::write_patch(chart_of(have.version), chart_of(version))
-                           : chart::write_whole(chart_of(version));
-        return watch::encode(n);
+                           ? configuration::write_patch(chart_of(have.version), chart_of(version))
+                           : configuration::write_whole(chart_of(version));
+        return subscription::encode(n);
     }
 };
 
@@ -54,10 +54,10 @@
     return Lookout(s);
 }
 
-watch::Have said(const Lookout::Actions& out, const std::string& to) {
+subscription::Have said(const Lookout::Actions& out, const std::string& to) {
     for (const auto& send : out.sends) {
         if (send.to != to) continue;
-        auto have = watch::decode_have(send.bytes);
+        auto have = subscription::decode_have(send.bytes);
         cr_assert(have.has_value());
         return *have;
     }
@@ -101,12 +101,12 @@
     Lookout::Actions out;
     l.tick(kStart, 1, out);
     l.heard("a", 7, Lighthouse{.version = 2}.news({}, 0), kStart, out);
-    watch::News n;
+    subscription::News n;
     n.life = 7;
     n.version = 6;
-    n.update = chart::write_patch(chart_of(5), chart_of(6));
+    n.update = configuration::write_patch(chart_of(5), chart_of(6));
     Lookout::Actions refused;
-    l.heard("a", 7, watch::encode(n), kStart + 1s, refused);
+    l.heard("a", 7, subscription::encode(n), kStart + 1s, refused);
     cr_assert(l.table()->chart().version == 2 && !refused.chart_changed);
     cr_assert(said(refused, "a").version == 0, "at once, as one that has nothing");
     Lookout::Actions healed;
@@ -159,7 +159,7 @@
                 l.tick(now, 1, step);
                 for (const auto& send : step.sends) {
                     Lookout::Actions answer;
-                    const auto have = watch::decode_have(send.bytes);
+                    const auto have = subscription::decode_have(send.bytes);
                     l.heard(send.to, 7, houses[send.to].news(*have, 0), now, answer);
                 }
             }
@@ -203,12 +203,12 @@
             if (!under_way.empty() && random() % 2 == 0) {
                 const std::size_t at = random() % under_way.size();
                 const auto [from, bytes] = under_way[at];
-                const auto news = watch::decode_news(bytes);
+                const auto news = subscription::decode_news(bytes);
                 l.heard(from, news->life, bytes, now, out);
                 if (random() % 3 != 0) under_way.erase(under_way.begin() + static_cast<std::ptrdiff_t>(at));
             }
             for (const auto& send : out.sends) {
-                const auto have = watch::decode_have(send.bytes);
+                const auto have = subscription::decode_have(send.bytes);
                 if (step > 250 || random() % 2 == 0)
                     under_way.emplace_back(send.to,
                                            houses[send.to].news(*have, random() % 2 ? have->version : 0));
@@ -224,7 +224,7 @@
             for (const auto& send : out.sends) {
                 houses[send.to].version = version;
                 l.heard(send.to, houses[send.to].life,
-                        houses[send.to].news(*watch::decode_have(send.bytes), 0), now, more);
+                        houses[send.to].news(*subscription::decode_have(send.bytes), 0), now, more);
             }
         }
         cr_assert(version == 0 || (l.caught_up() && l.table()->chart() == chart_of(version)), "seed %u",
--- a/tests/channel/passage_test.cpp
+++ b/tests/gateway/http_mapping/request_mapper_test.cpp
@@ -1,5 +1,5 @@
 // What clients' requests and servers' answers mean: fed as bytes, whole and cut anywhere.
-#include "channel/passage.h"
+#include "gateway/http_mapping/request_mapper.h"
 
 #include <criterion/criterion.h>
 
@@ -9,29 +9,29 @@
 
 using namespace std::chrono_literals;
 using namespace shaletray;
-using namespace shaletray::channel;
+using namespace shaletray::http_mapping;
 
-std::shared_ptr<const chart::Table> table(std::uint64_t version = 1) {
-    chart::Chart c;
+std::shared_ptr<const configuration::Table> table(std::uint64_t version = 1) {
+    configuration::Chart c;
     c.version = version;
-    chart::Route claims;
+    configuration::Route claims;
     claims.name = "claims";
     claims.hostname = "a.example";
     claims.path_prefix = "/claims/";
-    claims.kind = chart::RouteKind::NonIdempotent;
+    claims.kind = configuration::RouteKind::NonIdempotent;
     claims.timeout = 800ms;
     claims.priority = 3;
     claims.to = {{"pay", 1}};
-    chart::Route open = claims;
+    configuration::Route open = claims;
     open.name = "open";
     open.path_prefix = "/claims/open/";
-    open.kind = chart::RouteKind::Idempotent;
+    open.kind = configuration::RouteKind::Idempotent;
     open.is_public = true;
     c.routes = {claims, open};
     c.services = {{"pay", "/health", 10}};
-    c.tenants =
-        std::vector<chart::Tenant>{{"norte", {"k1", "k2"}, 0, 5.0, 5.0}, {"sur", {"k3"}, {}, 0.0, 0.0}};
-    return std::make_shared<const chart::Table>(std::move(c));
+    c.tenants = std::vector<configuration::Tenant>{{"norte", {"k1", "k2"}, 0, 5.0, 5.0},
+                                                   {"sur", {"k3"}, {}, 0.0, 0.0}};
+    return std::make_shared<const configuration::Table>(std::move(c));
 }
 
 struct Read {
--- a/tests/channel/fleet_test.cpp
+++ b/tests/gateway/http_mapping/upstream_hosts_test.cpp
@@ -1,5 +1,5 @@
 // The servers of all services, as the decision module sees them.
-#include "channel/fleet.h"
+#include "gateway/http_mapping/upstream_hosts.h"
 
 #include <criterion/criterion.h>
 
@@ -7,12 +7,12 @@
 
 using namespace std::chrono_literals;
 using namespace shaletray;
-using namespace shaletray::channel;
+using namespace shaletray::http_mapping;
 
 const TimePoint kStart = TimePoint{} + 100s;
 
-muster::Server server(const std::string& id, muster::State state = muster::State::InService) {
-    muster::Server s;
+registry::Server server(const std::string& id, registry::State state = registry::State::InService) {
+    registry::Server s;
     s.id = id;
     s.service = "pay";
     s.address = "10.0.0." + id.substr(2) + ":80";
@@ -23,12 +23,12 @@
     return s;
 }
 
-using Servers = std::map<std::string, muster::Server>;
+using Servers = std::map<std::string, registry::Server>;
 Servers servers(int count, int lost = 0) {
     Servers all;
     for (int i = 1; i <= count; ++i) {
         const std::string id = "i-" + std::to_string(i);
-        all[id] = server(id, i <= lost ? muster::State::Lost : muster::State::InService);
+        all[id] = server(id, i <= lost ? registry::State::Lost : registry::State::InService);
     }
     return all;
 }
@@ -40,11 +40,11 @@
     Servers all = servers(1);
     all["i-1"].ramp_left = 2s;
     cr_assert(fleet.take(all, kStart) == std::set<std::string>{"pay"});
-    const valehall::HostEntry young = fleet.list("pay").hosts.at(0);
+    const decision::HostEntry young = fleet.list("pay").hosts.at(0);
     cr_assert(young.rating == 3.0 && young.zone == 1);
     cr_assert(fleet.take(all, kStart + 1s).empty(), "nothing differs");
     cr_assert(fleet.take(all, kStart + 3s).size() == 1);
-    const valehall::HostEntry grown = fleet.list("pay").hosts.at(0);
+    const decision::HostEntry grown = fleet.list("pay").hosts.at(0);
     cr_assert(grown.rating == 6.0 && grown.host == young.host);
     cr_assert(*fleet.id_of(grown.host) == "i-1");
 }
@@ -55,12 +55,12 @@
     fleet.take(all, kStart);
     const HostId host = fleet.list("pay").hosts.at(0).host;
     const std::string id = *fleet.id_of(host);
-    all[id].state = muster::State::Draining;
+    all[id].state = registry::State::Draining;
     fleet.take(all, kStart + 1s);
     cr_assert(fleet.may_begin(host, kStart + 1200ms), "a connection that was coming up");
     cr_assert(!fleet.may_begin(host, kStart + 1400ms));
     cr_assert(fleet.find(host) != nullptr, "what runs there ends there");
-    all[id].state = muster::State::Gone;
+    all[id].state = registry::State::Gone;
     fleet.take(all, kStart + 2s);
     cr_assert(fleet.find(host) == nullptr && !fleet.may_begin(host, kStart + 2s));
     cr_assert(fleet.in_service("pay") == 1);
--- a/tests/pilot/quota_test.cpp
+++ b/tests/gateway/quota_lease_test.cpp
@@ -2,13 +2,13 @@
 // of one that is gone for good comes back to the others.
 #include <criterion/criterion.h>
 
-#include "quota_world.h"
+#include "gateway/quota_lease_world.h"
 
 namespace {
 
 using namespace shaletray;
-using namespace shaletray::pilot;
-using namespace shaletray::pilot::world;
+using namespace shaletray::gateway;
+using namespace shaletray::gateway::world;
 
 using Side = std::set<std::string>;
 
--- a/tests/pilot/quota_world.h
+++ b/tests/gateway/quota_lease_world.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "../convoy/network.h"
-#include "../tide/world.h"
-#include "pilot/quota_lease.h"
+#include "cluster/membership/network.h"
+#include "cluster/quota/balancer_world.h"
+#include "gateway/quota_lease.h"
 
-namespace shaletray::pilot::world {
+namespace shaletray::gateway::world {
 
 using namespace std::chrono_literals;
-using convoy::Network;
+using membership::Network;
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr std::uint64_t kLess = 24;    // everything takes so much longer
@@ -26,7 +26,7 @@
 
 constexpr Duration kStep = 50ms, kLook = 250ms, kWord = 500ms;
 
-inline double rule(const tide::Quota& q) { return (q.rate * 5.0 + q.burst) * 1.1 + 20.0; }
+inline double rule(const quota::Quota& q) { return (q.rate * 5.0 + q.burst) * 1.1 + 20.0; }
 
 class World {
 public:
@@ -42,7 +42,7 @@
     struct Pilot {
         std::uint64_t life = 0;
         std::unique_ptr<QuotaLease> lease;
-        std::unique_ptr<tide::Tide> tide;
+        std::unique_ptr<quota::Tide> tide;
         std::map<std::string, TimePoint> words;    // of lighthouses that a quorum bore out
         TimePoint looks{}, said{};
     };
@@ -78,7 +78,7 @@
     double excess() const {
         double worst = -1e9;
         for (const auto& [name, quota] : quotas)
-            worst = std::max(worst, tide::world::World::excess(grants, name, rule(quota), 5s));
+            worst = std::max(worst, quota::world::World::excess(grants, name, rule(quota), 5s));
         return worst;
     }
     bool frozen(const std::string& address) const { return net.now < net.processes.at(address).frozen_until; }
@@ -91,8 +91,8 @@
     std::mt19937_64 random;
     Network net;
     std::map<std::string, Pilot> pilots;    // that run
-    std::vector<tide::world::World::Grant> grants;
-    const std::map<std::string, tide::Quota> quotas{{"large", {200, 20}}, {"small", {10, 5}}};
+    std::vector<quota::world::World::Grant> grants;
+    const std::map<std::string, quota::Quota> quotas{{"large", {200, 20}}, {"small", {10, 5}}};
     std::function<bool(const std::string& from, const std::string& to)> cut = [](const auto&, const auto&) {
         return false;
     };
@@ -102,11 +102,11 @@
 private:
     std::uint64_t life() { return static_cast<std::uint64_t>(net.now.time_since_epoch().count()) + ++lives_; }
     void begin(const std::string& address, Pilot& p) {
-        tide::Settings s;
+        quota::Settings s;
         s.me = address;
         s.life = p.life;
         s.seed = random();
-        p.tide = std::make_unique<tide::Tide>(s, net.now);
+        p.tide = std::make_unique<quota::Tide>(s, net.now);
         p.tide->quotas(quotas, net.now);
     }
     bool open(const std::string& a, const std::string& b) const { return !cut(a, b) && !cut(b, a); }
@@ -135,10 +135,10 @@
         // Before anything else is looked at: the worst that a process just woken can do.
         for (const auto& [name, quota] : quotas) {
             Duration retry{};
-            while (greedy && p.tide->ask(name, 0ms, net.now, retry) == tide::Ruling::Granted)
+            while (greedy && p.tide->ask(name, 0ms, net.now, retry) == quota::Ruling::Granted)
                 grants.push_back({net.now, name});
         }
-        convoy::Convoy& c = net[address];
+        membership::Convoy& c = net[address];
         if (c.me().life != p.life) {
             p.life = c.me().life;
             p.lease->end();
@@ -154,11 +154,11 @@
             net.touched(address);
         }
         if (p.tide->next() > net.now) return;
-        tide::Actions out;
+        quota::Actions out;
         p.tide->tick(net.now, out);
         carry(address, out);
     }
-    void carry(const std::string& from, const tide::Actions& out) {
+    void carry(const std::string& from, const quota::Actions& out) {
         for (const auto& send : out.sends) {
             if (cut(from, send.to)) continue;
             net.at(net.now + 1ms,
@@ -172,7 +172,7 @@
             net.at(net.processes.at(to).frozen_until, [=, this] { arrive(from, to, bytes); });
             return;
         }
-        tide::Actions out;
+        quota::Actions out;
         it->second.tide->heard(from, bytes, net.now, out);
         carry(to, out);
     }
@@ -182,4 +182,4 @@
     std::uint64_t lives_ = 0;
 };
 
-}    // namespace shaletray::pilot::world
+}    // namespace shaletray::gateway::world
--- a/tests/pilot/answers_test.cpp
+++ b/tests/gateway/request_dispatcher_test.cpp
@@ -1,8 +1,8 @@
 // Which answer is whose, what may have run, and what is sent again: from the client's and the servers' side.
-#include "answers.h"
-
 #include <random>
 
+#include "gateway/response_test_site.h"
+
 using namespace shaletray;
 using namespace shaletray::test;
 using namespace std::chrono_literals;
--- a/tests/pilot/answers.h
+++ b/tests/gateway/response_test_site.h
@@ -17,9 +17,9 @@
 #include <string>
 #include <vector>
 
-#include "loop.h"
-#include "net/listener.h"
-#include "pilot/desk.h"
+#include "base/net/loop.h"
+#include "data_plane/proxy/client_listener.h"
+#include "gateway/request_dispatcher.h"
 
 namespace shaletray::test {
 
@@ -126,21 +126,21 @@
 
     Loop loop;
     Counters counters;
-    channel::Fleet fleet{{{"a"}, 300ms}};
-    tide::Tide tide;
-    channel::Passage passage;
-    std::optional<pilot::Desk> desk;
+    http_mapping::Fleet fleet{{{"a"}, 300ms}};
+    quota::Tide tide;
+    http_mapping::Passage passage;
+    std::optional<gateway::Desk> desk;
     std::optional<Listener> listener;
     std::vector<std::unique_ptr<ScriptedServer>> servers;
 
     explicit AnswersSite(int count, std::uint64_t seed = 1) : tide(tide_settings(), loop.clock.now()) {
-        pilot::DeskSettings d;
+        gateway::DeskSettings d;
         d.seed = seed;
         d.retry_slack = 5000.0;
         desk.emplace(d, loop.reactor, loop.timers, counters, fleet, tide, [] {});
         for (int i = 0; i < count; ++i)
             servers.push_back(std::make_unique<ScriptedServer>(fmt::format("i-{}", ++last_server_)));
-        auto table = std::make_shared<const chart::Table>(chart_of());
+        auto table = std::make_shared<const configuration::Table>(chart_of());
         passage.chart(table);
         tell_fleet();
         desk->chart(table);
@@ -150,9 +150,9 @@
     }
     // The list as it stands, told to the pilot.
     void tell_fleet() {
-        std::map<std::string, muster::Server> all;
+        std::map<std::string, registry::Server> all;
         for (const auto& server : servers) {
-            muster::Server s;
+            registry::Server s;
             s.id = server->id;
             s.service = "pay";
             s.address = server->address;
@@ -193,28 +193,28 @@
     }
 
 private:
-    static tide::Settings tide_settings() {
-        tide::Settings s;
+    static quota::Settings tide_settings() {
+        quota::Settings s;
         s.me = "127.0.0.1:1";
         s.life = 1;
         return s;
     }
-    static chart::Chart chart_of() {
-        chart::Chart c;
+    static configuration::Chart chart_of() {
+        configuration::Chart c;
         c.version = 1;
-        chart::Route pay;
+        configuration::Route pay;
         pay.name = "pay";
         pay.hostname = "a.example";
         pay.path_prefix = "/pay/";
-        pay.kind = chart::RouteKind::NonIdempotent;
+        pay.kind = configuration::RouteKind::NonIdempotent;
         pay.timeout = 400ms;
         pay.target_latency = 300ms;
         pay.to = {{"pay", 1}};
         pay.max_attempts = 3;
-        chart::Route read = pay;
+        configuration::Route read = pay;
         read.name = "read";
         read.path_prefix = "/read/";
-        read.kind = chart::RouteKind::Idempotent;
+        read.kind = configuration::RouteKind::Idempotent;
         c.routes = {pay, read};
         c.services = {{"pay", "/health", 0}};
         return c;
--- a/tests/lab/lab_test.cpp
+++ b/tests/simulator/simulator_test.cpp
@@ -7,18 +7,18 @@
 #include <filesystem>
 #include <set>
 
-#include "harness.h"
-#include "lab/kernel.h"
-#include "lab/load.h"
-#include "lab/report.h"
-#include "lab/scenario.h"
-#include "lab/server.h"
-#include "lab/world.h"
-#include "live.h"
-#include "platform/config.h"
-#include "settings/value.h"
-
-namespace shaletray::lab {
+#include "balancer/platform/gateway_config.h"
+#include "balancer/settings/value.h"
+#include "live_run.h"
+#include "simulator/kernel.h"
+#include "simulator/load.h"
+#include "simulator/report.h"
+#include "simulator/scenario.h"
+#include "simulator/server.h"
+#include "simulator/world.h"
+#include "test_processes.h"
+
+namespace shaletray::testbed {
 namespace {
 
 using namespace std::chrono_literals;
@@ -206,7 +206,7 @@
     explicit OneServer(const Scenario& s) : server(s, 1, TimePoint{}, *this) {}
     TimePoint now() const override { return at; }
     void wake(TimePoint when, std::uint64_t number) override { due.emplace(when, number); }
-    void answer(const JobId& job, valehall::Outcome outcome) override {
+    void answer(const JobId& job, decision::Outcome outcome) override {
         answers.emplace_back(job.request, outcome);
     }
     void until(TimePoint end) {
@@ -220,7 +220,7 @@
     }
     TimePoint at = TimePoint{} + 1000s;
     std::multimap<TimePoint, std::uint64_t> due;
-    std::vector<std::pair<std::uint32_t, valehall::Outcome>> answers;
+    std::vector<std::pair<std::uint32_t, decision::Outcome>> answers;
     EmulatedServer server;
 };
 
@@ -230,7 +230,7 @@
     OneServer one(s);
     for (std::uint32_t i = 1; i <= 4; ++i) one.server.arrived({1, i, 0}, 0, false);
     ASSERT_EQ(one.answers.size(), 1u);
-    EXPECT_EQ(one.answers[0], (std::pair<std::uint32_t, valehall::Outcome>{4, valehall::Outcome::Full}));
+    EXPECT_EQ(one.answers[0], (std::pair<std::uint32_t, decision::Outcome>{4, decision::Outcome::Full}));
     EXPECT_EQ(one.server.load().outstanding, 3.0);
     EXPECT_EQ(one.server.load().backlog, 2.0);
     one.server.called_off({1, 2, 0});    // it waits
@@ -259,7 +259,7 @@
     };
     one.server.trouble(crash, true);
     one.server.arrived({1, 1, 0}, 0, false);
-    EXPECT_EQ(one.answers.back().second, valehall::Outcome::ConnectFailed);
+    EXPECT_EQ(one.answers.back().second, decision::Outcome::ConnectFailed);
     one.server.trouble(crash, false);
     press(50.0, 3s);    // it can do 20 a second then, and more as it warms: under four times that
     EXPECT_FALSE(one.server.down());
@@ -316,10 +316,10 @@
 TEST(Live, GatewaysAreToldWhatTheModelsGatewaysAreTold) {
     Scenario s = small();
     for (int me = 0; me < s.gateways; ++me) {
-        const valehall::Settings want = gateway_settings(s, me);
+        const decision::Settings want = gateway_settings(s, me);
         const Config config = parse_config(fmt::format(
             R"({{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{}}})", settings_json(s, me)));
-        const valehall::Settings& got = config.settings;
+        const decision::Settings& got = config.settings;
         EXPECT_EQ(got.me, want.me);
         EXPECT_EQ(got.gateways, want.gateways);
         EXPECT_EQ(got.zone, want.zone);
@@ -533,4 +533,4 @@
 }
 
 }    // namespace
-}    // namespace shaletray::lab
+}    // namespace shaletray::testbed
