--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 MORE_PACKAGES = libgtest-dev libcriterion-dev gnuplot-nox clang-format clang-tidy shellcheck cmake-format
 
 .PHONY: deps experiment mutations build test test-plain test-sanitize lint lint-format lint-shell lint-cmake \
-  lint-nolint format run run-balancer serve example clean
+  lint-includes lint-nolint format run run-balancer serve example clean
 
 # Needs the right to install packages.
 deps:
@@ -41,7 +41,7 @@
 	cmake --build build-sanitize -j$(JOBS)
 	ctest --test-dir build-sanitize --output-on-failure -j$(TEST_JOBS)
 
-lint: lint-format lint-shell lint-cmake lint-nolint
+lint: lint-format lint-shell lint-cmake lint-includes lint-nolint
 
 lint-format:
 	@clang-format --dry-run --Werror $(SOURCES)
@@ -52,6 +52,9 @@
 lint-cmake:
 	@cmake-lint --suppress-decorations $(CMAKE_FILES)
 
+lint-includes:
+	tools/lint/include_direction.sh
+
 # Prints how many findings of clang-tidy are silenced, and demands a reason for each.
 lint-nolint:
 	tools/lint/nolint.sh
