--- a/tests/cluster/quota/balancer_world.h
+++ b/tests/cluster/quota/balancer_world.h
@@ -131,19 +131,24 @@
     };
     struct Figures {
         std::uint64_t asked = 0, granted = 0, waited = 0, refused = 0, sent = 0, bytes = 0;
-        double refused_part() const { return asked ? static_cast<double>(refused) / asked : 0.0; }
+        double refused_part() const {
+            return asked ? static_cast<double>(refused) / static_cast<double>(asked) : 0.0;
+        }
     };
 
-    World(std::size_t pilots, std::uint64_t seed) : random(seed) {
-        for (std::size_t i = 0; i < pilots; ++i) {
-            pilots_.emplace_back();
-            pilots_.back().address =
+    World(std::size_t count, std::uint64_t seed) : random(seed) {
+        for (std::size_t i = 0; i < count; ++i) {
+            pilots.emplace_back();
+            pilots.back().address =
                 "10.1." + std::to_string(i / 10) + "." + std::to_string(100 + i) + ":7100";
         }
     }
 
+    Duration part_of(Duration whole) {
+        return Duration(static_cast<std::int64_t>(chance() * static_cast<double>(whole.count())));
+    }
     double chance() { return std::uniform_real_distribution<>(0.0, 1.0)(random); }
-    std::size_t any() { return random() % pilots_.size(); }
+    std::size_t any() { return random() % pilots.size(); }
     void at(TimePoint t, std::function<void()> what) { events_.push({t, ++number_, std::move(what)}); }
     void run(Duration for_how_long) {
         const TimePoint end = now + for_how_long;
@@ -157,14 +162,14 @@
     }
 
     void start(std::size_t i) {
-        Pilot& p = pilots_[i];
+        Pilot& p = pilots[i];
         if (p.up) return;
         p.up = true;
         p.frozen = false;
         p.later.clear();
         p.waiting.clear();
         p.life = ++lives_;
-        p.caller = std::make_unique<Caller>(p.address, p.life, pilots_.size());
+        p.caller = std::make_unique<Caller>(p.address, p.life, pilots.size());
         Settings s;
         s.me = p.address;
         s.life = p.life;
@@ -176,13 +181,13 @@
         beat(i, p.life);
     }
     void kill(std::size_t i) {
-        pilots_[i].up = false;
-        for (const auto& [name, waiting] : pilots_[i].waiting) figures.refused += waiting.size();
-        pilots_[i].waiting.clear();
+        pilots[i].up = false;
+        for (const auto& [name, waiting] : pilots[i].waiting) figures.refused += waiting.size();
+        pilots[i].waiting.clear();
     }
-    void freeze(std::size_t i) { pilots_[i].frozen = pilots_[i].up; }
+    void freeze(std::size_t i) { pilots[i].frozen = pilots[i].up; }
     void wake(std::size_t i) {
-        Pilot& p = pilots_[i];
+        Pilot& p = pilots[i];
         if (!p.up || !p.frozen) return;
         p.frozen = false;
         std::deque<std::function<void()>> later;
@@ -193,11 +198,11 @@
     // A new configuration reaches each pilot after up to `spread`.
     void configure(std::map<std::string, Quota> by_tenant, Duration spread) {
         quotas = by_tenant;
-        for (std::size_t i = 0; i < pilots_.size(); ++i)
-            at(now + Duration(static_cast<std::int64_t>(chance() * spread.count())), [=, this] {
+        for (std::size_t i = 0; i < pilots.size(); ++i)
+            at(now + part_of(spread), [=, this] {
                 deliver(i, [=, this] {
-                    pilots_[i].quotas = by_tenant;
-                    pilots_[i].tide->quotas(by_tenant, now);
+                    pilots[i].quotas = by_tenant;
+                    pilots[i].tide->quotas(by_tenant, now);
                     after(i);
                 });
             });
@@ -225,7 +230,7 @@
     Duration patience = 150ms;
     double returns = 0.0;    // part of what is granted that never ran
     std::map<std::string, Quota> quotas;
-    std::vector<Pilot> pilots_;
+    std::vector<Pilot> pilots;
     std::vector<Grant> grants;
     Figures figures;
 
@@ -238,38 +243,38 @@
     };
 
     void deliver(std::size_t i, std::function<void()> what) {
-        Pilot& p = pilots_[i];
+        Pilot& p = pilots[i];
         if (!p.up) return;
         if (!p.frozen) {
             what();
         } else if (p.later.size() < 1000) {
             p.later.push_back([=, this, life = p.life] {
-                if (pilots_[i].up && pilots_[i].life == life) what();
+                if (pilots[i].up && pilots[i].life == life) what();
             });
         }
     }
     void carry(std::size_t from, const std::string& to, std::function<void(std::size_t)> what) {
-        for (std::size_t i = 0; i < pilots_.size(); ++i) {
-            if (pilots_[i].address != to) continue;
+        for (std::size_t i = 0; i < pilots.size(); ++i) {
+            if (pilots[i].address != to) continue;
             for (int copies = chance() < net.twice ? 2 : 1; copies > 0; --copies) {
-                if (chance() < net.loss || pilots_[from].cut != pilots_[i].cut) continue;
-                Duration d = net.delay + Duration(static_cast<std::int64_t>(chance() * net.jitter.count()));
+                if (chance() < net.loss || pilots[from].cut != pilots[i].cut) continue;
+                Duration d = net.delay + part_of(net.jitter);
                 if (chance() < net.late) d += Duration(static_cast<std::int64_t>(chance() * 1e6));
                 at(now + d, [=, this] {
-                    if (pilots_[from].cut == pilots_[i].cut) deliver(i, [=] { what(i); });
+                    if (pilots[from].cut == pilots[i].cut) deliver(i, [=] { what(i); });
                 });
             }
         }
     }
     void beat(std::size_t i, std::uint64_t life) {
-        Pilot& p = pilots_[i];
+        Pilot& p = pilots[i];
         if (!p.up || p.life != life) return;
         if (!p.frozen) {
-            for (const Pilot& o : pilots_)
+            for (const Pilot& o : pilots)
                 if (o.address != p.address)
                     carry(i, o.address, [this, b = p.caller->beat(o.address, now)](std::size_t to) {
-                        pilots_[to].caller->heard(b, now);
-                        pilots_[to].tide->peers(pilots_[to].caller->peers(now), now);
+                        pilots[to].caller->heard(b, now);
+                        pilots[to].tide->peers(pilots[to].caller->peers(now), now);
                         after(to);
                     });
             p.tide->peers(p.caller->peers(now), now);
@@ -289,9 +294,9 @@
     }
     void request(std::size_t i, const std::string& tenant) {
         ++figures.asked;
-        if (!pilots_[i].up) return;
+        if (!pilots[i].up) return;
         deliver(i, [=, this] {
-            Pilot& p = pilots_[i];
+            Pilot& p = pilots[i];
             if (!p.quotas.contains(tenant)) return;    // its keys are not known there
             Duration retry{};
             switch (p.tide->ask(tenant, patience, now, retry)) {
@@ -308,19 +313,19 @@
         });
     }
     void expire(std::size_t i, const std::string& tenant) {
-        auto& waiting = pilots_[i].waiting[tenant];
+        auto& waiting = pilots[i].waiting[tenant];
         while (!waiting.empty() && waiting.front() <= now) {
             waiting.pop_front();
-            pilots_[i].tide->waits(tenant, -1);
+            pilots[i].tide->waits(tenant, -1);
             ++figures.refused;
         }
         after(i);
     }
     void granted(std::size_t i, const std::string& tenant) {
         if (chance() < returns) {
-            at(now + 30ms, [=, this, life = pilots_[i].life] {
+            at(now + 30ms, [=, this, life = pilots[i].life] {
                 deliver(i, [=, this] {
-                    if (pilots_[i].life == life) pilots_[i].tide->give_back(tenant, now);
+                    if (pilots[i].life == life) pilots[i].tide->give_back(tenant, now);
                 });
             });
             return;
@@ -330,13 +335,13 @@
     }
     // Sends what is to be sent, lets those ask again that wait, and comes back when it is due.
     void act(std::size_t i, Actions& out) {
-        Pilot& p = pilots_[i];
+        Pilot& p = pilots[i];
         for (Actions::Send& send : out.sends) {
             ++figures.sent;
             figures.bytes += send.bytes.size();
             carry(i, send.to, [this, from = p.address, bytes = std::move(send.bytes)](std::size_t to) {
                 Actions more;
-                pilots_[to].tide->heard(from, bytes, now, more);
+                pilots[to].tide->heard(from, bytes, now, more);
                 act(to, more);
             });
         }
@@ -356,16 +361,16 @@
         after(i);
     }
     void after(std::size_t i) {
-        Pilot& p = pilots_[i];
+        Pilot& p = pilots[i];
         const TimePoint due = p.tide->next();
         if (due >= p.ticks) return;
         p.ticks = due;
         at(std::max(now, due), [=, this, life = p.life] {
-            if (pilots_[i].life != life || pilots_[i].ticks != due) return;
-            pilots_[i].ticks = TimePoint::max();
+            if (pilots[i].life != life || pilots[i].ticks != due) return;
+            pilots[i].ticks = TimePoint::max();
             deliver(i, [=, this] {
                 Actions out;
-                pilots_[i].tide->tick(now, out);
+                pilots[i].tide->tick(now, out);
                 act(i, out);
             });
         });
--- a/tests/cluster/quota/quota_balancer_test.cpp
+++ b/tests/cluster/quota/quota_balancer_test.cpp
@@ -19,7 +19,7 @@
 
 Tenant tenant(World& w, const std::string& name, Quota quota) {
     Tenant t{name, quota, {}};
-    for (std::size_t i = 0; i < w.pilots_.size(); ++i) t.weight.push_back(1.0 + 4.0 * w.chance());
+    for (std::size_t i = 0; i < w.pilots.size(); ++i) t.weight.push_back(1.0 + 4.0 * w.chance());
     return t;
 }
 
@@ -28,16 +28,16 @@
     const std::size_t i = w.any();
     switch (w.random() % 6) {
         case 0:
-            for (std::size_t k = 0; k < w.pilots_.size(); ++k)
+            for (std::size_t k = 0; k < w.pilots.size(); ++k)
                 if (k == i || w.chance() < 0.3) {
                     w.kill(k);
                     w.at(end, [&w, k] { w.start(k); });
                 }
             break;
         case 1:
-            for (std::size_t k = 0; k < w.pilots_.size(); ++k) w.pilots_[k].cut = k == i || w.chance() < 0.3;
+            for (std::size_t k = 0; k < w.pilots.size(); ++k) w.pilots[k].cut = k == i || w.chance() < 0.3;
             w.at(end, [&w] {
-                for (auto& p : w.pilots_) p.cut = false;
+                for (auto& p : w.pilots) p.cut = false;
             });
             break;
         case 2:
@@ -71,7 +71,7 @@
         const std::vector<Tenant> tenants{tenant(w, "small", {5, 5}), tenant(w, "middle", {40, 20}),
                                           tenant(w, "deep", {5, 80})};
         for (const Tenant& t : tenants) w.quotas[t.name] = t.quota;
-        for (std::size_t i = 0; i < w.pilots_.size(); ++i)
+        for (std::size_t i = 0; i < w.pilots.size(); ++i)
             if (w.chance() < 0.7) w.start(i);
         for (int episode = 0; episode < 16; ++episode) {
             // Short, or long enough for the others to count on the shares of those that are gone.
--- a/tests/cluster/subscription/subscription_test.cpp
+++ b/tests/cluster/subscription/subscription_test.cpp
@@ -18,7 +18,7 @@
     n.update = std::string(3000, '\0') + "patch";
     n.since = 3;
     n.sequence = 9;
-    n.servers = "bytes\0more";
+    n.servers = std::string("bytes\0more", 10);
     return n;
 }
 
