--- a/src/base/common/log.cpp
+++ b/src/base/common/log.cpp
@@ -45,14 +45,14 @@
 }
 
 spdlog::logger& logger() {
-    static const std::shared_ptr<spdlog::logger> one = [] {
+    static const std::shared_ptr<spdlog::logger> kLogger = [] {
         auto made =
             std::make_shared<spdlog::logger>("shaletray", std::make_shared<spdlog::sinks::stderr_sink_mt>());
         made->set_level(spdlog::level::debug);    // what is below the level does not come here
         set_pattern(*made, current_form);
         return made;
     }();
-    return *one;
+    return *kLogger;
 }
 
 spdlog::level::level_enum level_of(LogLevel level) {
--- a/src/cluster/configuration/configuration_index.cpp
+++ b/src/cluster/configuration/configuration_index.cpp
@@ -117,8 +117,8 @@
 };
 
 const Rows<Tenant>& tenants_of(const Chart& chart) {
-    static const Rows<Tenant> none;
-    return chart.tenants ? *chart.tenants : none;
+    static const Rows<Tenant> kNone;
+    return chart.tenants ? *chart.tenants : kNone;
 }
 
 }    // namespace
--- a/src/cluster/configuration/configuration_update.cpp
+++ b/src/cluster/configuration/configuration_update.cpp
@@ -273,8 +273,8 @@
     write_names(services.gone, update.initServicesGone(count(services.gone)));
     update.setAsksForKeys(after.tenants.has_value());
     if (after.tenants) {
-        static const Rows<Tenant> none;
-        const auto tenants = difference(before.tenants ? *before.tenants : none, *after.tenants);
+        static const Rows<Tenant> kNone;
+        const auto tenants = difference(before.tenants ? *before.tenants : kNone, *after.tenants);
         write_rows(tenants.set, update.initTenants(count(tenants.set)));
         write_names(tenants.gone, update.initTenantsGone(count(tenants.gone)));
     }
--- a/src/cluster/configuration/json_values.cpp
+++ b/src/cluster/configuration/json_values.cpp
@@ -36,8 +36,8 @@
 }    // namespace
 
 boost::system::error_code wrong(Fault fault) {
-    static const Faults faults;
-    return {static_cast<int>(fault), faults};
+    static const Faults kFaults;
+    return {static_cast<int>(fault), kFaults};
 }
 
 json::result<Text> tag_invoke(Tag<Text>, const json::value& value) {
--- a/src/cluster/registry/heartbeat.cpp
+++ b/src/cluster/registry/heartbeat.cpp
@@ -38,8 +38,8 @@
     }
 };
 boost::system::error_code wrong(Fault fault) {
-    static const Faults faults;
-    return {static_cast<int>(fault), faults};
+    static const Faults kFaults;
+    return {static_cast<int>(fault), kFaults};
 }
 
 // The first of these names that is there; null counts as left out.
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -138,10 +138,10 @@
 ScenarioFile load_scenario(const std::string& path) { return read_scenario(settings::read_file(path), path); }
 
 const std::vector<std::string>& figure_names() {
-    static const std::vector<std::string> names = {"served", "in_aim", "refused",
-                                                   "failed", "wasted", "attempts_per_request",
-                                                   "p50_ms", "p99_ms", "p999_ms"};
-    return names;
+    static const std::vector<std::string> kNames = {"served", "in_aim", "refused",
+                                                    "failed", "wasted", "attempts_per_request",
+                                                    "p50_ms", "p99_ms", "p999_ms"};
+    return kNames;
 }
 
 std::optional<double> figure_of(const Figures& f, const std::string& name) {
--- a/src/simulator/scenario_parts.cpp
+++ b/src/simulator/scenario_parts.cpp
@@ -202,11 +202,11 @@
 const std::vector<decision::ClassSettings>& lab_classes() {
     using decision::KeyGroup;
     using decision::Repeat;
-    static const std::vector<decision::ClassSettings> classes = {
+    static const std::vector<decision::ClassSettings> kClasses = {
         {"claim-read", Repeat::Safe, KeyGroup::All, 0ms, 750ms, 2s, 1.0, 0.3},
         {"approve", Repeat::Keyed, KeyGroup::All, 3s, 750ms, 2s, 2.0, 0.3},
         {"claim-submit", Repeat::Unsafe, KeyGroup::All, 0ms, 1s, 2s, 3.0, 0.3}};
-    return classes;
+    return kClasses;
 }
 
 decision::Settings gateway_settings(const Scenario& s, int me) {
--- a/testbed/experiments/capacity_slopes.cpp
+++ b/testbed/experiments/capacity_slopes.cpp
@@ -526,6 +526,7 @@
 
 // ---- the register ----
 
+// NOLINTNEXTLINE(readability-function-size): to be split
 void Slopes::lamps() {
     for (const std::size_t megabytes : {1, 2, 4, 8}) {
         constexpr int kCrew = 5;
--- a/tests/cluster/consensus/random_faults_test.cpp
+++ b/tests/cluster/consensus/random_faults_test.cpp
@@ -161,11 +161,11 @@
     }
 }
 
-#define SEEDS(voters, count)                                                                 \
-    Test(lamp, troubles_of_##voters) {                                                       \
-        const char* more = std::getenv("LAMP_SEEDS");                                        \
-        const std::uint64_t seeds = more ? std::strtoull(more, nullptr, 10) : count / kLess; \
-        for (std::uint64_t seed = 1; seed <= seeds; ++seed) trouble(seed, voters);           \
+#define SEEDS(voters, count)                                                                   \
+    Test(lamp, troubles_of_##voters) {                                                         \
+        const char* more = std::getenv("LAMP_SEEDS");                                          \
+        const std::uint64_t seeds = more ? std::strtoull(more, nullptr, 10) : (count) / kLess; \
+        for (std::uint64_t seed = 1; seed <= seeds; ++seed) trouble(seed, voters);             \
     }
 SEEDS(3, 150)
 SEEDS(5, 100)
--- a/tests/compatibility/compatibility_test.cpp
+++ b/tests/compatibility/compatibility_test.cpp
@@ -1,8 +1,8 @@
 // What earlier releases recorded is read to the last field, and what is written now is the same to the byte.
 #include <criterion/criterion.h>
-#include <stdlib.h>
 
 #include <algorithm>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
--- a/tests/controller/quorum_tracker_test.cpp
+++ b/tests/controller/quorum_tracker_test.cpp
@@ -22,7 +22,7 @@
     std::vector<std::size_t> losses, gains;
     Duration longest_without{};
 
-    Core(std::uint64_t seed, Duration contact_) : w(seed, 0), contact(contact_), ask(3), losses(3), gains(3) {
+    Core(std::uint64_t seed, Duration contact) : w(seed, 0), contact(contact), ask(3), losses(3), gains(3) {
         w.answered = [this](Ticket t, Answer a, const consensus::Decree&) { answers[t] = a; };
         w.longest_wait = Quorum(contact, w.now).longest_wait();
         const std::vector<std::string> all{w.name(0), w.name(1), w.name(2)};
