--- a/src/balancer/command/completion.cpp
+++ b/src/balancer/command/completion.cpp
@@ -6,7 +6,7 @@
 
 namespace shaletray::command {
 
-std::vector<std::string> candidates(const CLI::App& app, const std::vector<std::string>& words) {
+std::vector<std::string> completion_candidates(const CLI::App& app, const std::vector<std::string>& words) {
     const CLI::App* at = &app;
     for (const std::string& word : words) {
         // Options and their values choose no sub-command.
@@ -24,9 +24,10 @@
     return out;
 }
 
-bool completes(const CLI::App& app, int argc, char** argv) {
+bool run_completion(const CLI::App& app, int argc, char** argv) {
     if (argc < 2 || std::string_view(argv[1]) != "__complete") return false;
-    for (const std::string& word : candidates(app, {argv + 2, argv + argc})) fmt::print("{}\n", word);
+    for (const std::string& word : completion_candidates(app, {argv + 2, argv + argc}))
+        fmt::print("{}\n", word);
     return true;
 }
 
--- a/src/balancer/command/completion.h
+++ b/src/balancer/command/completion.h
@@ -9,8 +9,8 @@
 namespace shaletray::command {
 
 // Sub-commands and options that may come after these words.
-std::vector<std::string> candidates(const CLI::App& app, const std::vector<std::string>& words);
+std::vector<std::string> completion_candidates(const CLI::App& app, const std::vector<std::string>& words);
 // True where the line asked for that, which is printed then, a line each.
-bool completes(const CLI::App& app, int argc, char** argv);
+bool run_completion(const CLI::App& app, int argc, char** argv);
 
 }    // namespace shaletray::command
--- a/src/balancer/control_socket/control_server.cpp
+++ b/src/balancer/control_socket/control_server.cpp
@@ -9,45 +9,46 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostConnections = 8;    // descriptors are for clients
-constexpr Duration kIdle = 10s;
+constexpr std::size_t kMaxConnections = 8;    // descriptors are for clients
+constexpr Duration kIdleTimeout = 10s;
 
-class Lines : public Talk {
+class CommandProtocol : public LineProtocol {
 public:
-    Lines(Office& office, const Clock& clock, std::uint64_t& asked)
-        : office_(office), clock_(clock), asked_(asked) {}
-    Next take(http::Buffer& in, std::string& out) override {
+    CommandProtocol(PlanCommandHandler& office, const Clock& clock, std::uint64_t& asked)
+        : command_handler_(office), clock_(clock), commands_received_(asked) {}
+    NextStep process_input(http::Buffer& in, std::string& out) override {
         while (true) {
             const std::string_view bytes = in.unread();
             const std::size_t end = bytes.find('\n');
             if (end == std::string_view::npos) {
-                if (bytes.size() <= kLongestLine) return Next::Wait;
+                if (bytes.size() <= kMaxLineLength) return NextStep::ReadMore;
                 out += "{\"ok\":false,\"why\":\"wrong\",\"text\":\"the line is longer than 16 KiB\"}\n";
-                return Next::End;
+                return NextStep::Close;
             }
-            ++asked_;
-            out += office_.answer(bytes.substr(0, end), clock_.now()) + "\n";
+            ++commands_received_;
+            out += command_handler_.handle_line(bytes.substr(0, end), clock_.now()) + "\n";
             in.consume(end + 1);
         }
     }
 
 private:
-    Office& office_;
+    PlanCommandHandler& command_handler_;
     const Clock& clock_;
-    std::uint64_t& asked_;
+    std::uint64_t& commands_received_;
 };
 
 }    // namespace
 
-Server::Server(Office office, Reactor& reactor, std::string path, int mode)
-    : office_(std::move(office)), path_(std::move(path)) {
+ControlServer::ControlServer(PlanCommandHandler office, Reactor& reactor, std::string path, int mode)
+    : command_handler_(std::move(office)), path_(std::move(path)) {
     const Clock& clock = reactor.clock();
-    talks_ = std::make_unique<TalkServer>(reactor, listen_at(path_, mode, static_cast<int>(kMostConnections)),
-                                          TalkServer::Limits{kMostConnections, kIdle, true}, [this, &clock] {
-                                              return std::make_unique<Lines>(office_, clock, asked_);
-                                          });
+    line_server_ = std::make_unique<LineProtocolServer>(
+        reactor, listen_at(path_, mode, static_cast<int>(kMaxConnections)),
+        LineProtocolServer::Limits{kMaxConnections, kIdleTimeout, true}, [this, &clock] {
+            return std::make_unique<CommandProtocol>(command_handler_, clock, commands_received_);
+        });
 }
 
-Server::~Server() { ::unlink(path_.c_str()); }
+ControlServer::~ControlServer() { ::unlink(path_.c_str()); }
 
 }    // namespace shaletray::control_socket
--- a/src/balancer/control_socket/control_server.h
+++ b/src/balancer/control_socket/control_server.h
@@ -10,22 +10,22 @@
 
 namespace shaletray::control_socket {
 
-class Server {
+class ControlServer {
 public:
     // Takes over the path from a process that is gone. Throws std::runtime_error where another one listens
     // there, and Poco::Exception where the path cannot be used.
-    Server(Office office, Reactor& reactor, std::string path, int mode);
-    ~Server();
-    Server(const Server&) = delete;
-    Server& operator=(const Server&) = delete;
+    ControlServer(PlanCommandHandler office, Reactor& reactor, std::string path, int mode);
+    ~ControlServer();
+    ControlServer(const ControlServer&) = delete;
+    ControlServer& operator=(const ControlServer&) = delete;
 
-    std::uint64_t asked() const { return asked_; }
+    std::uint64_t commands_received() const { return commands_received_; }
 
 private:
-    Office office_;
+    PlanCommandHandler command_handler_;
     std::string path_;
-    std::uint64_t asked_ = 0;
-    std::unique_ptr<TalkServer> talks_;
+    std::uint64_t commands_received_ = 0;
+    std::unique_ptr<LineProtocolServer> line_server_;
 };
 
 }    // namespace shaletray::control_socket
--- a/src/balancer/control_socket/plan_command_handler.h
+++ b/src/balancer/control_socket/plan_command_handler.h
@@ -12,24 +12,24 @@
 
 using decision::TimePoint;
 
-constexpr std::size_t kLongestLine = 16 * 1024;
-constexpr std::size_t kMostListed = 1000;    // in one answer; the next page is asked for by `after`
+constexpr std::size_t kMaxLineLength = 16 * 1024;
+constexpr std::size_t kMaxListedEntries = 1000;    // in one answer; the next page is asked for by `after`
 
-class Office {
+class PlanCommandHandler {
 public:
     // Puts a change into the book and where it lasts. Throws with what stands in the way; nothing is changed
     // then.
-    using Make = std::function<void(const plans::Change&)>;
+    using ChangeMaker = std::function<void(const plans::PlanChange&)>;
 
-    Office(const plans::Desk& desk, bool keeper, Make make);
+    PlanCommandHandler(const plans::PlanService& desk, bool keeper, ChangeMaker make);
 
     // {"do": "list|show|history|propose|status", ...}. Always one line without its end.
-    std::string answer(std::string_view line, TimePoint now);
+    std::string handle_line(std::string_view line, TimePoint now);
 
 private:
-    const plans::Desk& desk_;
-    bool keeper_;
-    Make make_;
+    const plans::PlanService& plan_service_;
+    bool is_owner_;
+    ChangeMaker make_change_;
 };
 
 }    // namespace shaletray::control_socket
--- a/src/balancer/handover/handover_server.h
+++ b/src/balancer/handover/handover_server.h
@@ -12,32 +12,32 @@
 namespace shaletray::handover {
 
 // Empty where there is no such place: TMPDIR is not set, the port is any, or the path would be too long.
-std::string place_for(const std::string& listen_address);
+std::string socket_path_for(const std::string& listen_address);
 
 // Asks the process that serves now, and waits for at most two seconds in all. Empty where there is none or it
 // does not answer. To be called once the clients' address is listened on, so that nobody is turned away
 // meanwhile.
-std::string ask_predecessor(const std::string& place);
+std::string request_predecessor_state(const std::string& place);
 
 // Answers a successor, once.
-class Heir {
+class HandoverServer {
 public:
     // `release` stops taking clients; `state` gives what is handed over, and ends the rest; `resume` undoes
     // the first, where the successor is gone before it asked for the second. Throws as listen_at.
-    Heir(Reactor& reactor, std::string place, std::function<void()> release,
-         std::function<std::string()> state, std::function<void()> resume);
-    ~Heir();
-    Heir(const Heir&) = delete;
-    Heir& operator=(const Heir&) = delete;
+    HandoverServer(Reactor& reactor, std::string place, std::function<void()> release,
+                   std::function<std::string()> state, std::function<void()> resume);
+    ~HandoverServer();
+    HandoverServer(const HandoverServer&) = delete;
+    HandoverServer& operator=(const HandoverServer&) = delete;
 
 private:
-    class Asked;
-    std::string place_;
-    std::function<void()> release_;
-    std::function<std::string()> state_;
-    std::function<void()> resume_;
-    bool released_ = false, given_ = false;
-    std::unique_ptr<TalkServer> talks_;
+    class HandoverProtocol;
+    std::string socket_path_;
+    std::function<void()> release_listeners_;
+    std::function<std::string()> export_state_;
+    std::function<void()> resume_service_;
+    bool is_released_ = false, state_sent_ = false;
+    std::unique_ptr<LineProtocolServer> line_server_;
 };
 
 }    // namespace shaletray::handover
--- a/src/balancer/handover/handover_state.h
+++ b/src/balancer/handover/handover_state.h
@@ -10,16 +10,16 @@
 
 namespace shaletray::handover {
 
-constexpr int kVersion = 1;
+constexpr int kFormatVersion = 1;
 
-struct Handover {
-    bool draining = false;
-    std::vector<TakenOut> out;    // servers taken out by hand
-    std::string module;           // as the module wrote it
+struct HandoverState {
+    bool is_draining = false;
+    std::vector<EjectedHost> ejected_hosts;    // servers taken out by hand
+    std::string module_state;                  // as the module wrote it
 };
 
-std::string write(const Handover& handover);
+std::string serialize_state(const HandoverState& handover);
 // Throws std::invalid_argument with what is wrong.
-Handover read(std::string_view text);
+HandoverState parse_state(std::string_view text);
 
 }    // namespace shaletray::handover
--- a/src/balancer/main.cpp
+++ b/src/balancer/main.cpp
@@ -38,16 +38,16 @@
 }
 
 // The budget in the configuration is worth nothing above what the system lets us open.
-void fit_descriptors(shaletray::Config& config) {
+void fit_descriptors(shaletray::GatewayConfig& config) {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
     limit.rlim_cur = limit.rlim_max;
     setrlimit(RLIMIT_NOFILE, &limit);
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY)
-        config.sockets = std::min<std::size_t>(config.sockets, limit.rlim_cur);
+        config.max_sockets = std::min<std::size_t>(config.max_sockets, limit.rlim_cur);
     // Fewer than this leave nothing to share out between clients and servers.
-    if (config.sockets < shaletray::kFewestSockets)
-        throw shaletray::BadConfig("too few descriptors may be opened");
+    if (config.max_sockets < shaletray::kMinSockets)
+        throw shaletray::ConfigError("too few descriptors may be opened");
 }
 
 // The operator's own file, where one is named. Without it nothing of what it sets is on.
@@ -61,45 +61,48 @@
 void log_as(const shaletray::settings::OperatorSettings& settings) {
     if (!settings.log) return;
     if (!settings.log->level.empty()) shaletray::set_log_level(std::string_view(settings.log->level));
-    shaletray::set_log_form(settings.log->json ? shaletray::LogForm::Json : shaletray::LogForm::KeyValue);
+    shaletray::set_log_format(settings.log->use_json ? shaletray::LogFormat::Json
+                                                     : shaletray::LogFormat::KeyValue);
 }
 
 // A file that cannot be used changes nothing, nor does the other one then: the gateway goes on as it is.
-void reload(shaletray::Service& service) {
+void reload(shaletray::GatewayService& service) {
     try {
-        const shaletray::Config config = shaletray::config_from_file();
+        const shaletray::GatewayConfig config = shaletray::config_from_file();
         const shaletray::settings::OperatorSettings settings = operator_settings();
-        const bool changed = service.reload(config);
-        const std::size_t made = service.reload(settings);
+        const bool changed = service.apply_reload(config);
+        const std::size_t made = service.apply_reload(settings);
         log_as(settings);
-        service.reload_taken();
-        if (!changed && made == 0) shaletray::log(shaletray::LogLevel::Info, shaletray::Event::ReloadNothing);
+        service.record_reload_accepted();
+        if (!changed && made == 0)
+            shaletray::log(shaletray::LogLevel::Info, shaletray::Event::ReloadUnchanged);
     } catch (const std::exception& error) {
-        service.reload_failed();
+        service.record_reload_failed();
         shaletray::log(shaletray::LogLevel::Error, shaletray::Event::ReloadFailed,
-                       {shaletray::kv("why", error.what())});
+                       {shaletray::log_field("why", error.what())});
     }
 }
 
 int serve() {
     if (const char* level = std::getenv("SHALETRAY_LOG");
         level != nullptr && !shaletray::set_log_level(std::string_view(level))) {
-        throw shaletray::BadConfig("SHALETRAY_LOG must be error, warning, info or debug");
+        throw shaletray::ConfigError("SHALETRAY_LOG must be error, warning, info or debug");
     }
-    shaletray::Config config = shaletray::config_from_environment();
+    shaletray::GatewayConfig config = shaletray::config_from_environment();
     fit_descriptors(config);
     const std::string name = config.name;
     handle_signals();
     const shaletray::settings::OperatorSettings settings = operator_settings();
     log_as(settings);
-    shaletray::Service service(std::move(config), settings);
+    shaletray::GatewayService service(std::move(config), settings);
     const auto print = [&] { fmt::print(stderr, "{}", service.counters_text()); };
-    shaletray::log(shaletray::LogLevel::Info, shaletray::Event::Listening,
-                   {shaletray::kv("name", name), shaletray::kv("address", service.address())});
+    shaletray::log(
+        shaletray::LogLevel::Info, shaletray::Event::Listening,
+        {shaletray::log_field("name", name), shaletray::log_field("address", service.client_address())});
     service.run([&] {
         if (counters_wanted.exchange(false)) print();
         if (reload_wanted.exchange(false)) reload(service);
-        if (stop_wanted) service.stop();
+        if (stop_wanted) service.request_stop();
     });
     print();
     return EXIT_SUCCESS;
@@ -112,7 +115,7 @@
             shaletray::settings::load_operator_settings(file);
             if (show) {
                 std::ifstream in(file, std::ios::binary);
-                fmt::print("{}", shaletray::settings::explained(
+                fmt::print("{}", shaletray::settings::explain_settings(
                                      std::string(std::istreambuf_iterator<char>(in), {}), file));
             } else {
                 fmt::print("{}: good\n", file);
@@ -159,7 +162,7 @@
     app.add_subcommand("store", "The store of use records: backup, verify, compact");
     std::function<int()> chosen;
     shaletray::control_socket::add_plans_command(app, chosen);
-    if (shaletray::command::completes(app, argc, argv)) return EXIT_SUCCESS;
+    if (shaletray::command::run_completion(app, argc, argv)) return EXIT_SUCCESS;
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
@@ -176,10 +179,10 @@
         return run(argc, argv);
     } catch (const Poco::Exception& error) {
         shaletray::log(shaletray::LogLevel::Error, shaletray::Event::Failed,
-                       {shaletray::kv("why", error.displayText())});
+                       {shaletray::log_field("why", error.displayText())});
     } catch (const std::exception& error) {
         shaletray::log(shaletray::LogLevel::Error, shaletray::Event::Failed,
-                       {shaletray::kv("why", error.what())});
+                       {shaletray::log_field("why", error.what())});
     }
     return EXIT_FAILURE;
 }
--- a/src/balancer/operations/metrics.h
+++ b/src/balancer/operations/metrics.h
@@ -9,12 +9,12 @@
 namespace shaletray::operations {
 
 // Beside what is counted: how things stand now.
-struct Standing {
+struct ServiceStatus {
     std::size_t in_progress = 0;        // requests taken and not ended
     std::size_t known_servers = 0;      // in the list
     std::size_t skipped_servers = 0;    // of those, avoided now: taken out by hand, or ejected
 };
 
-std::string figures(const Counters& counters, const Standing& standing);
+std::string format_metrics(const Counters& counters, const ServiceStatus& standing);
 
 }    // namespace shaletray::operations
--- a/src/balancer/operations/router.h
+++ b/src/balancer/operations/router.h
@@ -11,39 +11,40 @@
 
 namespace shaletray::operations {
 
-class Operations {
+class AdminOperations {
 public:
-    virtual ~Operations() = default;
-    virtual bool ready() const = 0;
-    virtual std::string figures() const = 0;    // Prometheus text format
+    virtual ~AdminOperations() = default;
+    virtual bool is_ready() const = 0;
+    virtual std::string metrics_text() const = 0;    // Prometheus text format
     // False where no such server is known. Either may come twice.
-    virtual bool take_out(const std::string& server) = 0;
-    virtual bool bring_back(const std::string& server) = 0;
-    virtual void drain(bool wanted) = 0;
+    virtual bool eject_server(const std::string& server) = 0;
+    virtual bool reinstate_server(const std::string& server) = 0;
+    virtual void set_draining(bool wanted) = 0;
 };
 
-struct Reply {
-    int status = 200;
+struct AdminReply {
+    int status_code = 200;
     std::string text;
-    std::string_view type = "text/plain; charset=utf-8";
-    std::string_view allow = {};    // with 405: the method that the call takes
+    std::string_view content_type = "text/plain; charset=utf-8";
+    std::string_view allowed_methods = {};    // with 405: the method that the call takes
 };
 
 // `target` may carry a query, which says nothing. Unknown paths 404, other methods 405, no or a malformed id
 // 400, an unknown one 404.
-Reply answer(Operations& operations, std::string_view method, std::string_view target, std::string_view body);
+AdminReply answer_call(AdminOperations& operations, std::string_view method, std::string_view target,
+                       std::string_view body);
 
 // One call a connection; what is no HTTP, or larger than a call may be, is answered and closed.
-class Call : public Talk {
+class AdminProtocol : public LineProtocol {
 public:
-    static constexpr std::size_t kLongestHead = 8 * 1024, kLongestBody = 4 * 1024;
-    explicit Call(Operations& operations) : operations_(operations) {}
-    Next take(http::Buffer& in, std::string& out) override;
+    static constexpr std::size_t kMaxHeadSize = 8 * 1024, kMaxBodySize = 4 * 1024;
+    explicit AdminProtocol(AdminOperations& operations) : operations_(operations) {}
+    NextStep process_input(http::Buffer& in, std::string& out) override;
 
 private:
-    Operations& operations_;
-    http::Parser parser_{http::Parser::Kind::Request, {kLongestHead, kLongestBody, 64}};
-    bool continued_ = false;
+    AdminOperations& operations_;
+    http::Parser parser_{http::Parser::Kind::Request, {kMaxHeadSize, kMaxBodySize, 64}};
+    bool continue_sent_ = false;
 };
 
 }    // namespace shaletray::operations
--- a/src/balancer/platform/discovery_watch.cpp
+++ b/src/balancer/platform/discovery_watch.cpp
@@ -7,55 +7,56 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kFirstBackoff = 50ms, kLongestBackoff = 1s;
+constexpr Duration kInitialBackoff = 50ms, kMaxBackoff = 1s;
 // An empty line comes every two seconds. Without one the connection may be gone without a word, and what
 // would have come on it counts as told six seconds later all the same.
-constexpr Duration kSilence = 3s;
-constexpr std::size_t kLongestLine = 8 * 1024 * 1024;
+constexpr Duration kReceiveTimeout = 3s;
+constexpr std::size_t kMaxLineLength = 8 * 1024 * 1024;
 
 }    // namespace
 
-DiscoveryWatch::DiscoveryWatch(Engine& engine, HostDirectory& hosts, const Config& config, Counters& counters,
-                               Reactor& reactor, std::function<void()> heard)
+DiscoveryWatch::DiscoveryWatch(Engine& engine, HostDirectory& hosts, const GatewayConfig& config,
+                               Counters& counters, Reactor& reactor, std::function<void()> on_change)
     : engine_(engine),
       hosts_(hosts),
       config_(config),
-      address_(config.discovery),
+      address_(config.discovery_address),
       counters_(counters),
       reactor_(reactor),
-      heard_(std::move(heard)),
-      parser_(http::Parser::Kind::Response, {16 * 1024, kLongestLine, 100}),
-      revision_(config.known.revision) {}
+      on_change_(std::move(on_change)),
+      parser_(http::Parser::Kind::Response, {16 * 1024, kMaxLineLength, 100}),
+      revision_(config.known_hosts.revision) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
-    reactor_.cancel(retry_timer_);
-    reactor_.cancel(silence_timer_);
+    reactor_.cancel_timer(retry_timer_);
+    reactor_.cancel_timer(timeout_timer_);
 }
 
 // From the list that the gateway had before its start, which may be old.
 void DiscoveryWatch::start() {
-    engine_.list_heard(hosts_.apply(config_.known, decision::ListKind::Cached, reactor_.clock().now()));
-    heard_();
+    engine_.on_host_list(
+        hosts_.apply_list(config_.known_hosts, decision::ListKind::Cached, reactor_.clock().now()));
+    on_change_();
     if (!config_.settings.ask_for_list) connect();
 }
 
 void DiscoveryWatch::connect() {
-    reactor_.cancel(retry_timer_);
-    if (stream_) retire(reactor_, std::move(stream_));
-    ++counters_.watches;
+    reactor_.cancel_timer(retry_timer_);
+    if (stream_) destroy_stream_later(reactor_, std::move(stream_));
+    ++counters_.discovery_watches;
     parser_.reset();
-    scanned_ = 0;
+    scanned_bytes_ = 0;
     stream_ = std::make_unique<Stream>(reactor_, static_cast<StreamOwner&>(*this));
-    last_heard_ = reactor_.clock().now();
-    reactor_.cancel(silence_timer_);
-    check_silence();
-    if (!stream_->dial(address_)) return broken("cannot connect");
-    stream_->send(write_watch(address_, revision_));
+    last_received_at_ = reactor_.clock().now();
+    reactor_.cancel_timer(timeout_timer_);
+    check_timeout();
+    if (!stream_->connect(address_)) return on_connection_lost("cannot connect");
+    stream_->write_bytes(write_list_watch(address_, revision_));
 }
 
-void DiscoveryWatch::move_to(const std::string& address) {
+void DiscoveryWatch::set_address(const std::string& address) {
     if (address == address_) return;
-    read_now();    // what the old one has told counts as told
+    read_available();    // what the old one has told counts as told
     address_ = address;
     // Another discovery need not count its revisions as the last one did: from 0 on it tells all it has.
     revision_ = 0;
@@ -63,73 +64,77 @@
     connect();
 }
 
-void DiscoveryWatch::read_now() {
-    if (stream_) stream_->read_now();
+void DiscoveryWatch::read_available() {
+    if (stream_) stream_->read_available();
 }
 
 void DiscoveryWatch::on_input() {
-    last_heard_ = reactor_.clock().now();
-    const http::Status status = parser_.parse(stream_->input());
-    if (status == http::Status::Bad) return broken("malformed answer");
-    if (!parser_.head_done()) return;
-    if (parser_.status() != 200) return broken("refused");
-    take_lines();
-    if (status == http::Status::Done && stream_ && stream_->is_open()) broken("it ended");
+    last_received_at_ = reactor_.clock().now();
+    const http::ParseStatus status = parser_.parse(stream_->input_buffer());
+    if (status == http::ParseStatus::Malformed) return on_connection_lost("malformed answer");
+    if (!parser_.head_complete()) return;
+    if (parser_.status_code() != 200) return on_connection_lost("refused");
+    process_lines();
+    if (status == http::ParseStatus::Complete && stream_ && stream_->is_open())
+        on_connection_lost("it ended");
 }
 
-void DiscoveryWatch::take_lines() {
+void DiscoveryWatch::process_lines() {
     while (true) {
-        const std::string_view body = parser_.body(stream_->input());
-        const std::size_t end = body.find('\n', scanned_);
+        const std::string_view body = parser_.body(stream_->input_buffer());
+        const std::size_t end = body.find('\n', scanned_bytes_);
         if (end == std::string_view::npos) {
-            scanned_ = body.size();
+            scanned_bytes_ = body.size();
             return;
         }
-        take(http::trimmed(body.substr(0, end > 0 && body[end - 1] == '\r' ? end - 1 : end)));
-        parser_.drop_body(stream_->input(), end + 1);
-        scanned_ = 0;
+        process_line(http::trim(body.substr(0, end > 0 && body[end - 1] == '\r' ? end - 1 : end)));
+        parser_.consume_body(stream_->input_buffer(), end + 1);
+        scanned_bytes_ = 0;
     }
 }
 
-void DiscoveryWatch::take(std::string_view line) {
+void DiscoveryWatch::process_line(std::string_view line) {
     backoff_ = Duration(0);
     if (line.empty()) return;
-    MemberList list;
+    HostMemberList list;
     std::string error;
-    if (!parse_member_list(line, config_.places, list, error)) {
-        ++counters_.bad_lines;
-        if (gate_.open()) log(LogLevel::Warning, Event::DiscoveryBadLine, {kv("why", error)});
+    if (!parse_member_list(line, config_.locations, list, error)) {
+        ++counters_.malformed_list_lines;
+        if (log_limiter_.try_acquire())
+            log(LogLevel::Warning, Event::DiscoveryMalformedLine, {log_field("why", error)});
         return;
     }
     if (list.skipped > 0) {
-        counters_.bad_lines += list.skipped;
-        if (gate_.open()) log(LogLevel::Warning, Event::DiscoveryBadEntries, {kv("entries", list.skipped)});
+        counters_.malformed_list_lines += list.skipped;
+        if (log_limiter_.try_acquire())
+            log(LogLevel::Warning, Event::DiscoveryMalformedEntries, {log_field("entries", list.skipped)});
     }
     revision_ = list.revision;
-    const bool full = list.complete;
-    ++(full ? counters_.lists_full : counters_.lists_changed);
-    const auto kind = full ? decision::ListKind::Full : decision::ListKind::Delta;
-    engine_.list_heard(hosts_.apply(list, kind, reactor_.clock().now()));
-    heard_();
+    const bool is_full = list.complete;
+    ++(is_full ? counters_.full_lists_received : counters_.list_updates_received);
+    const auto kind = is_full ? decision::ListKind::Full : decision::ListKind::Delta;
+    engine_.on_host_list(hosts_.apply_list(list, kind, reactor_.clock().now()));
+    on_change_();
 }
 
-void DiscoveryWatch::broken(std::string_view why) {
-    if (gate_.open()) log(LogLevel::Info, Event::DiscoveryBroken, {kv("why", why)});
+void DiscoveryWatch::on_connection_lost(std::string_view reason) {
+    if (log_limiter_.try_acquire())
+        log(LogLevel::Info, Event::DiscoveryConnectionLost, {log_field("why", reason)});
     stream_->close();
-    reactor_.cancel(silence_timer_);
+    reactor_.cancel_timer(timeout_timer_);
     if (config_.settings.ask_for_list) {
-        engine_.list_heard({decision::ListKind::Failed, {}});    // the module says when to ask again
+        engine_.on_host_list({decision::ListKind::Failed, {}});    // the module says when to ask again
         return;
     }
-    backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kLongestBackoff);
-    reactor_.cancel(retry_timer_);
-    retry_timer_ = reactor_.after(backoff_, [this] { connect(); });
+    backoff_ = std::clamp(backoff_ * 2, kInitialBackoff, kMaxBackoff);
+    reactor_.cancel_timer(retry_timer_);
+    retry_timer_ = reactor_.schedule_after(backoff_, [this] { connect(); });
 }
 
-void DiscoveryWatch::check_silence() {
-    const TimePoint due = last_heard_ + kSilence;
-    if (reactor_.clock().now() >= due) return broken("silence");
-    silence_timer_ = reactor_.at(due, [this] { check_silence(); });
+void DiscoveryWatch::check_timeout() {
+    const TimePoint timeout_at = last_received_at_ + kReceiveTimeout;
+    if (reactor_.clock().now() >= timeout_at) return on_connection_lost("silence");
+    timeout_timer_ = reactor_.schedule_at(timeout_at, [this] { check_timeout(); });
 }
 
 }    // namespace shaletray
--- a/src/balancer/platform/discovery_watch.h
+++ b/src/balancer/platform/discovery_watch.h
@@ -10,44 +10,44 @@
 
 namespace shaletray {
 
-class DiscoveryWatch : public ListSource, private StreamOwner {
+class DiscoveryWatch : public HostListSource, private StreamOwner {
 public:
     // `heard` is called after each change.
-    DiscoveryWatch(Engine& engine, HostDirectory& hosts, const Config& config, Counters& counters,
-                   Reactor& reactor, std::function<void()> heard);
+    DiscoveryWatch(Engine& engine, HostDirectory& hosts, const GatewayConfig& config, Counters& counters,
+                   Reactor& reactor, std::function<void()> on_change);
     ~DiscoveryWatch() override;
 
     void start();
     void subscribe() override { connect(); }
     // Goes on at another address, at once. What was heard stays until that one speaks.
-    void move_to(const std::string& address);
+    void set_address(const std::string& address);
     // Takes in what has come, so that it counts before anything is sent in this turn.
-    void read_now();
+    void read_available();
 
 private:
     void on_input() override;
-    void on_broken() override { broken("it ended"); }
+    void on_disconnected() override { on_connection_lost("it ended"); }
     void connect();
-    void take_lines();
-    void take(std::string_view line);
-    void broken(std::string_view why);
-    void check_silence();
+    void process_lines();
+    void process_line(std::string_view line);
+    void on_connection_lost(std::string_view reason);
+    void check_timeout();
 
     Engine& engine_;
     HostDirectory& hosts_;
-    const Config& config_;
+    const GatewayConfig& config_;
     std::string address_;
     Counters& counters_;
     Reactor& reactor_;
-    std::function<void()> heard_;
+    std::function<void()> on_change_;
     std::unique_ptr<Stream> stream_;
     http::Parser parser_;
-    std::size_t scanned_ = 0;    // of the line that has begun
+    std::size_t scanned_bytes_ = 0;    // of the line that has begun
     std::int64_t revision_ = 0;
     Duration backoff_{0};
-    TimePoint last_heard_{};
-    Timers::Id retry_timer_ = 0, silence_timer_ = 0;
-    LogGate gate_;
+    TimePoint last_received_at_{};
+    Timers::Id retry_timer_ = 0, timeout_timer_ = 0;
+    LogRateLimiter log_limiter_;
 };
 
 }    // namespace shaletray
--- a/src/balancer/platform/host_directory.cpp
+++ b/src/balancer/platform/host_directory.cpp
@@ -15,13 +15,13 @@
 using decision::HostState;
 using decision::ListKind;
 
-int place_of(const std::vector<std::string>& names, const std::string& name) {
+int index_of(const std::vector<std::string>& names, const std::string& name) {
     const auto it = std::find(names.begin(), names.end(), name);
     // A name the settings do not hold is like no place of ours.
     return it == names.end() ? static_cast<int>(names.size()) : static_cast<int>(it - names.begin());
 }
 
-bool parse_member(const Json& json, const PlaceNames& places, Member& member) {
+bool parse_member(const Json& json, const LocationNames& places, HostMember& member) {
     if (!json.is_object()) return false;
     const auto text = [&](const char* name, std::string& value) {
         const auto it = json.find(name);
@@ -37,8 +37,8 @@
     else return false;
     if (!text("host_port", member.address) && member.entry.state != HostState::Gone) return false;
     if (!member.address.empty() && !is_numeric_address(member.address)) return false;
-    if (text("locality", zone)) member.entry.zone = place_of(places.zones, zone);
-    if (text("flavor", kind)) member.entry.kind = place_of(places.kinds, kind);
+    if (text("locality", zone)) member.entry.zone = index_of(places.zones, zone);
+    if (text("flavor", kind)) member.entry.kind = index_of(places.kinds, kind);
     const auto number = [&](const char* name, double fallback) {
         const auto it = json.find(name);
         return it != json.end() && it->is_number() ? it->get<double>() : fallback;
@@ -52,7 +52,7 @@
 }
 
 // FNV-1a: the same number at every gateway and after every start.
-std::uint32_t hashed(std::string_view text) {
+std::uint32_t hash_text(std::string_view text) {
     std::uint32_t hash = 2166136261U;
     for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
     return hash;
@@ -75,7 +75,7 @@
     return inet_pton(six ? AF_INET6 : AF_INET, std::string(host).c_str(), &parsed) == 1;
 }
 
-bool parse_member_list(std::string_view text, const PlaceNames& places, MemberList& list,
+bool parse_member_list(std::string_view text, const LocationNames& places, HostMemberList& list,
                        std::string& error) {
     const Json json = Json::parse(text, nullptr, false);
     const auto members = json.is_object() ? json.find("members") : json.end();
@@ -93,117 +93,119 @@
     list.revision = revision->get<std::int64_t>();
     list.complete = complete->get<bool>();
     for (const Json& item : *members) {
-        Member member;
+        HostMember member;
         if (parse_member(item, places, member)) list.members.push_back(std::move(member));
         else ++list.skipped;
     }
     // Numbers are given in this order, so that gateways agree however their lists are sorted.
     std::sort(list.members.begin(), list.members.end(),
-              [](const Member& a, const Member& b) { return a.id < b.id; });
+              [](const HostMember& a, const HostMember& b) { return a.id < b.id; });
     return true;
 }
 
 // Two ids with the same hash must not become one server: the later one's is hashed again until it is free.
-HostId HostDirectory::number_for(const std::string& id) {
-    if (const auto it = numbers_.find(id); it != numbers_.end()) return it->second;
-    HostId number{hashed(id)};
+HostId HostDirectory::host_id_for(const std::string& id) {
+    if (const auto it = host_ids_.find(id); it != host_ids_.end()) return it->second;
+    HostId number{hash_text(id)};
     for (int salt = 1; hosts_.contains(number); ++salt)
-        number = HostId{hashed(id + "#" + std::to_string(salt))};
-    numbers_.emplace(id, number);
+        number = HostId{hash_text(id + "#" + std::to_string(salt))};
+    host_ids_.emplace(id, number);
     return number;
 }
 
-decision::HostList HostDirectory::apply(const MemberList& list, ListKind kind, TimePoint now) {
+decision::HostList HostDirectory::apply_list(const HostMemberList& list, ListKind kind, TimePoint now) {
     decision::HostList result;
     result.kind = kind;
     if (kind != ListKind::Delta) {
         for (auto& [number, host] : hosts_) {
-            host.listed.state = HostState::Gone;
-            settle(host, now);
+            host.listed_entry.state = HostState::Gone;
+            resolve_state(host, now);
         }
     }
-    for (const Member& member : list.members) {
-        const HostId number = number_for(member.id);
+    for (const HostMember& member : list.members) {
+        const HostId number = host_id_for(member.id);
         Host& host = hosts_[number];
         host.id = member.id;
         if (!member.address.empty()) host.address = member.address;
-        host.listed = member.entry;
-        host.listed.host = number;
-        host.born = member.entry.born;
-        result.hosts.push_back(settle(host, now));
+        host.listed_entry = member.entry;
+        host.listed_entry.host = number;
+        host.process_started_at = member.entry.born;
+        result.hosts.push_back(resolve_state(host, now));
     }
     std::erase_if(hosts_, [&](const auto& item) {
         if (item.second.state != HostState::Gone) return false;
-        numbers_.erase(item.second.id);
+        host_ids_.erase(item.second.id);
         return true;
     });
     return result;
 }
 
-decision::HostEntry HostDirectory::settle(Host& host, TimePoint now) const {
-    decision::HostEntry entry = host.listed;
-    if (entry.state == HostState::Healthy && out_.contains(host.id)) entry.state = HostState::Draining;
+decision::HostEntry HostDirectory::resolve_state(Host& host, TimePoint now) const {
+    decision::HostEntry entry = host.listed_entry;
+    if (entry.state == HostState::Healthy && ejected_since_.contains(host.id))
+        entry.state = HostState::Draining;
     // A list repeats that a server drains: its grace runs from when that was told first.
-    if (entry.state == HostState::Healthy) host.left = TimePoint{};
-    else if (host.left == TimePoint{}) host.left = now;
+    if (entry.state == HostState::Healthy) host.unavailable_since = TimePoint{};
+    else if (host.unavailable_since == TimePoint{}) host.unavailable_since = now;
     host.state = entry.state;
     return entry;
 }
 
-std::optional<decision::HostList> HostDirectory::take_out(const std::string& id, TimePoint now) {
-    const auto number = numbers_.find(id);
-    if (number == numbers_.end() && !out_.contains(id)) return std::nullopt;
-    out_.emplace(id, now);
+std::optional<decision::HostList> HostDirectory::eject_host(const std::string& id, TimePoint now) {
+    const auto number = host_ids_.find(id);
+    if (number == host_ids_.end() && !ejected_since_.contains(id)) return std::nullopt;
+    ejected_since_.emplace(id, now);
     decision::HostList told{ListKind::Delta, {}};
-    if (number != numbers_.end()) told.hosts.push_back(settle(hosts_.at(number->second), now));
+    if (number != host_ids_.end()) told.hosts.push_back(resolve_state(hosts_.at(number->second), now));
     return told;
 }
 
-std::optional<decision::HostList> HostDirectory::bring_back(const std::string& id, TimePoint now) {
-    const auto number = numbers_.find(id);
-    const auto out = out_.find(id);
-    if (number == numbers_.end() && out == out_.end()) return std::nullopt;
+std::optional<decision::HostList> HostDirectory::reinstate_host(const std::string& id, TimePoint now) {
+    const auto number = host_ids_.find(id);
+    const auto out = ejected_since_.find(id);
+    if (number == host_ids_.end() && out == ejected_since_.end()) return std::nullopt;
     decision::HostList told{ListKind::Delta, {}};
-    if (out == out_.end()) return told;
+    if (out == ejected_since_.end()) return told;
     const TimePoint since = out->second;
-    out_.erase(out);
-    if (number == numbers_.end()) return told;
-    told.hosts.push_back(settle(hosts_.at(number->second), now));
+    ejected_since_.erase(out);
+    if (number == host_ids_.end()) return told;
+    told.hosts.push_back(resolve_state(hosts_.at(number->second), now));
     if (told.hosts.back().born < since) told.hosts.back().born = now;
     return told;
 }
 
-std::vector<TakenOut> HostDirectory::out() const {
-    std::vector<TakenOut> all;
-    for (const auto& [id, since] : out_) all.push_back({id, since});
+std::vector<EjectedHost> HostDirectory::ejected_hosts() const {
+    std::vector<EjectedHost> all;
+    for (const auto& [id, since] : ejected_since_) all.push_back({id, since});
     return all;
 }
 
-void HostDirectory::restore(const std::vector<TakenOut>& out) {
-    for (const TakenOut& o : out) out_.emplace(o.id, o.since);
+void HostDirectory::restore_ejected(const std::vector<EjectedHost>& out) {
+    for (const EjectedHost& o : out) ejected_since_.emplace(o.id, o.ejected_at);
 }
 
-std::size_t HostDirectory::listed() const {
+std::size_t HostDirectory::listed_count() const {
     return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [](const auto& item) {
-        return item.second.listed.state != HostState::Gone;
+        return item.second.listed_entry.state != HostState::Gone;
     }));
 }
 
-std::size_t HostDirectory::taken_out() const {
-    return static_cast<std::size_t>(std::count_if(
-        out_.begin(), out_.end(), [this](const auto& item) { return numbers_.contains(item.first); }));
+std::size_t HostDirectory::ejected_count() const {
+    return static_cast<std::size_t>(
+        std::count_if(ejected_since_.begin(), ejected_since_.end(),
+                      [this](const auto& item) { return host_ids_.contains(item.first); }));
 }
 
-const HostDirectory::Host* HostDirectory::find(HostId host) const {
+const HostDirectory::Host* HostDirectory::find_host(HostId host) const {
     const auto it = hosts_.find(host);
     return it == hosts_.end() ? nullptr : &it->second;
 }
 
-bool HostDirectory::may_begin(HostId host, TimePoint now) const {
-    const Host* const known = find(host);
+bool HostDirectory::may_send_to(HostId host, TimePoint now) const {
+    const Host* const known = find_host(host);
     if (known == nullptr) return false;
     // Half of the grace, so that a byte that leaves late is still in time.
-    return known->state == HostState::Healthy || now - known->left < drain_grace_ / 2;
+    return known->state == HostState::Healthy || now - known->unavailable_since < drain_grace_ / 2;
 }
 
 }    // namespace shaletray
--- a/src/balancer/platform/messages.h
+++ b/src/balancer/platform/messages.h
@@ -15,10 +15,11 @@
 namespace shaletray {
 
 // Of a request whose body is still coming the body is left to the caller, as its `upload`.
-std::variant<Arrival, Rejection> read_request(const http::Parser& parser, const http::Buffer& buffer,
-                                              const Config& config);
+std::variant<IncomingRequest, ImmediateRejection> read_request(const http::Parser& parser,
+                                                               const http::Buffer& buffer,
+                                                               const GatewayConfig& config);
 std::string_view correlation_id(const http::Parser& parser, const http::Buffer& buffer);
-bool asks_ready(const http::Parser& parser, const http::Buffer& buffer);
+bool is_readiness_check(const http::Parser& parser, const http::Buffer& buffer);
 
 // "480m" or "480000u"; nothing below zero.
 bool parse_time_left(std::string_view text, Duration& left);
@@ -27,47 +28,49 @@
 
 // To a server.
 std::string write_request(const Payload& request, Duration left);
-std::string write_probe(std::string_view host);
-std::string write_watch(std::string_view host, std::int64_t revision);
+std::string write_health_check(std::string_view host);
+std::string write_list_watch(std::string_view host, std::int64_t revision);
 
 // From a server.
 Outcome outcome_of(const http::Parser& parser, const http::Buffer& buffer);
-LoadReport report_of(const http::Parser& parser, const http::Buffer& buffer);
+LoadReport load_report_of(const http::Parser& parser, const http::Buffer& buffer);
 Payload answer_of(const http::Parser& parser, const http::Buffer& buffer, bool with_body = true);
 // The true units that a good answer tells where units are settled afterwards ("X-Cost-Units: 3"): above 0.
 // kUnitsUntold where it tells none; kUnitsMalformed where it tells anything else, or twice.
 double settled_units_of(const http::Parser& parser, const http::Buffer& buffer);
 
 // To a client.
-std::string retry_after(Duration wait);
+std::string format_retry_after(Duration wait);
 
 // The above, as the parts on sockets ask for it.
-class PlatformDoor : public Door {
+class PlatformRequestMapping : public RequestMapping {
 public:
-    explicit PlatformDoor(const Config& config) : config_(config) {}
+    explicit PlatformRequestMapping(const GatewayConfig& config) : config_(config) {}
 
-    bool asks_ready(const http::Parser& parser, const http::Buffer& buffer) const override;
-    std::variant<Taken, Rejection> read(const http::Parser& parser, const http::Buffer& buffer,
-                                        TimePoint now) override;
-    Rejection faulty(http::Fault fault) const override;
-    http::Limits limits() const override;
+    bool is_readiness_check(const http::Parser& parser, const http::Buffer& buffer) const override;
+    std::variant<MappedRequest, ImmediateRejection> map_request(const http::Parser& parser,
+                                                                const http::Buffer& buffer,
+                                                                TimePoint now) override;
+    ImmediateRejection map_parse_error(http::ParseError fault) const override;
+    http::Limits parser_limits() const override;
     Duration header_timeout() const override;
     Duration idle_timeout(std::uint64_t asked) const override;
-    Final refused(Refusal why, Duration wait) const override;
-    Final failed(Failure why) const override;
+    GatewayAnswer rejection_answer(RejectionReason why, Duration wait) const override;
+    GatewayAnswer failure_answer(FailureReason why) const override;
 
 private:
-    const Config& config_;
+    const GatewayConfig& config_;
 };
 
-class PlatformDialect : public Dialect {
+class PlatformUpstreamProtocol : public UpstreamProtocol {
 public:
     std::string write_request(const Payload& request, HostId host, Duration left) const override;
-    std::string write_probe(HostId host, std::string_view address) const override;
-    Outcome outcome_of(const Asked& asked, const http::Parser& parser,
+    std::string write_health_check(HostId host, std::string_view address) const override;
+    Outcome outcome_of(const ExchangeContext& asked, const http::Parser& parser,
                        const http::Buffer& buffer) const override;
-    bool good(const Asked& asked, const http::Parser& parser, const http::Buffer& buffer) const override;
-    LoadReport report_of(const http::Parser& parser, const http::Buffer& buffer) const override;
+    bool is_forwardable(const ExchangeContext& asked, const http::Parser& parser,
+                        const http::Buffer& buffer) const override;
+    LoadReport load_report_of(const http::Parser& parser, const http::Buffer& buffer) const override;
     Payload answer_of(const http::Parser& parser, const http::Buffer& buffer, bool with_body) const override;
     double settled_units_of(const http::Parser& parser, const http::Buffer& buffer) const override;
 };
--- a/src/balancer/platform/peer_socket.cpp
+++ b/src/balancer/platform/peer_socket.cpp
@@ -8,25 +8,26 @@
 namespace shaletray {
 namespace {
 
-constexpr int kMostAtOnce = 64;    // of mail in one go, so that a flood does not keep clients waiting
+constexpr int kMaxDatagramsPerEvent =
+    64;    // of mail in one go, so that a flood does not keep clients waiting
 
 }    // namespace
 
-PeerSocket::PeerSocket(Engine& engine, const Config& config, Counters& counters, Reactor& reactor)
+PeerSocket::PeerSocket(Engine& engine, const GatewayConfig& config, Counters& counters, Reactor& reactor)
     : engine_(engine), counters_(counters), reactor_(reactor) {
     for (const std::string& peer : config.peers) {
         peers_.emplace_back(peer);
         const int number = static_cast<int>(peers_.size()) - 1;
-        if (number != config.settings.me) numbers_.emplace(peers_.back(), PeerId{number});
+        if (number != config.settings.me) peer_ids_.emplace(peers_.back(), PeerId{number});
     }
-    if (!config.peers_all.empty()) {
-        all_ = Poco::Net::SocketAddress(config.peers_all);
-        has_all_ = true;
+    if (!config.all_peer_addresses.empty()) {
+        broadcast_address_ = Poco::Net::SocketAddress(config.all_peer_addresses);
+        has_broadcast_address_ = true;
     }
-    if (config.peer_listen.empty()) return;
-    socket_.bind(Poco::Net::SocketAddress(config.peer_listen), true);
+    if (config.peer_listen_address.empty()) return;
+    socket_.bind(Poco::Net::SocketAddress(config.peer_listen_address), true);
     socket_.setBlocking(false);
-    open_ = true;
+    is_open_ = true;
     reactor_.addEventHandler(socket_, Poco::NObserver<PeerSocket, Poco::Net::ReadableNotification>(
                                           *this, &PeerSocket::on_readable));
 }
@@ -34,33 +35,34 @@
 PeerSocket::~PeerSocket() { close(); }
 
 void PeerSocket::close() {
-    if (!std::exchange(open_, false)) return;
+    if (!std::exchange(is_open_, false)) return;
     reactor_.removeEventHandler(socket_, Poco::NObserver<PeerSocket, Poco::Net::ReadableNotification>(
                                              *this, &PeerSocket::on_readable));
     socket_.close();
 }
 
-void PeerSocket::tell(PeerId to, const std::vector<std::uint8_t>& bytes) {
-    const auto number = static_cast<std::int32_t>(to);
-    const bool known = number < 0 ? has_all_ : static_cast<std::size_t>(number) < peers_.size();
+void PeerSocket::send_to_peer(PeerId recipient, const std::vector<std::uint8_t>& bytes) {
+    const auto number = static_cast<std::int32_t>(recipient);
+    const bool is_known =
+        number < 0 ? has_broadcast_address_ : static_cast<std::size_t>(number) < peers_.size();
     // Mail may be lost in any case: what cannot be sent now is not kept.
-    if (!open_ || !known || bytes.size() > kLongest) {
+    if (!is_open_ || !is_known || bytes.size() > kMaxDatagramSize) {
         ++counters_.peer_send_failed;
         return;
     }
     try {
         const Poco::Net::SocketAddress& address =
-            number < 0 ? all_ : peers_[static_cast<std::size_t>(number)];
+            number < 0 ? broadcast_address_ : peers_[static_cast<std::size_t>(number)];
         const int sent = socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()), address);
-        ++(sent < 0 ? counters_.peer_send_failed : counters_.peer_sent);
+        ++(sent < 0 ? counters_.peer_send_failed : counters_.peer_messages_sent);
     } catch (const Poco::Exception&) {
         ++counters_.peer_send_failed;
     }
 }
 
 void PeerSocket::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    std::array<std::uint8_t, kLongest + 1> bytes{};    // one more shows what is too long
-    for (int i = 0; i < kMostAtOnce; ++i) {
+    std::array<std::uint8_t, kMaxDatagramSize + 1> bytes{};    // one more shows what is too long
+    for (int count = 0; count < kMaxDatagramsPerEvent; ++count) {
         Poco::Net::SocketAddress from;
         int length = -1;
         try {
@@ -69,15 +71,15 @@
             continue;    // what an earlier datagram met on its way; the next call reads on
         }
         if (length < 0) break;
-        const auto it = numbers_.find(from);
-        if (it == numbers_.end() || length == 0 || static_cast<std::size_t>(length) > kLongest) {
-            ++counters_.peer_dropped;
+        const auto found = peer_ids_.find(from);
+        if (found == peer_ids_.end() || length == 0 || static_cast<std::size_t>(length) > kMaxDatagramSize) {
+            ++counters_.peer_messages_dropped;
             continue;
         }
-        ++counters_.peer_taken;
-        engine_.mail_heard(it->second, {bytes.begin(), bytes.begin() + length});
+        ++counters_.peer_messages_received;
+        engine_.on_peer_message(found->second, {bytes.begin(), bytes.begin() + length});
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
 }    // namespace shaletray
--- a/src/balancer/platform/peer_socket.h
+++ b/src/balancer/platform/peer_socket.h
@@ -14,19 +14,19 @@
 
 namespace shaletray {
 
-class PeerSocket : public Mail {
+class PeerSocket : public PeerMessenger {
 public:
-    static constexpr std::size_t kLongest = 256;
+    static constexpr std::size_t kMaxDatagramSize = 256;
 
     // Throws Poco::Exception where an address is no good.
-    PeerSocket(Engine& engine, const Config& config, Counters& counters, Reactor& reactor);
+    PeerSocket(Engine& engine, const GatewayConfig& config, Counters& counters, Reactor& reactor);
     ~PeerSocket() override;
     PeerSocket(const PeerSocket&) = delete;
     PeerSocket& operator=(const PeerSocket&) = delete;
 
-    void tell(PeerId to, const std::vector<std::uint8_t>& bytes) override;
+    void send_to_peer(PeerId recipient, const std::vector<std::uint8_t>& bytes) override;
     void close();    // neither hears nor tells from now on
-    std::string address() const { return open_ ? socket_.address().toString() : std::string(); }
+    std::string address() const { return is_open_ ? socket_.address().toString() : std::string(); }
 
 private:
     void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>& event);
@@ -35,11 +35,11 @@
     Counters& counters_;
     Reactor& reactor_;
     Poco::Net::DatagramSocket socket_;
-    bool open_ = false;
+    bool is_open_ = false;
     std::vector<Poco::Net::SocketAddress> peers_;
-    std::map<Poco::Net::SocketAddress, PeerId> numbers_;    // without our own
-    Poco::Net::SocketAddress all_;
-    bool has_all_ = false;
+    std::map<Poco::Net::SocketAddress, PeerId> peer_ids_;    // without our own
+    Poco::Net::SocketAddress broadcast_address_;
+    bool has_broadcast_address_ = false;
 };
 
 }    // namespace shaletray
--- a/src/balancer/service/gateway_service.h
+++ b/src/balancer/service/gateway_service.h
@@ -26,99 +26,99 @@
 namespace shaletray {
 
 // Puts what was admitted into the journal, and the units that reservations gave beside it.
-class UseLog : public UseKeeper {
+class UsageLogRecorder : public UsageRecorder {
 public:
     // Throws what the journal throws where it cannot begin.
-    UseLog(const settings::UsageSettings& settings, int gateway, TimePoint now);
-    void admitted(const Admission& admission) override;
-    const usage_log::WriterStats& stats() const { return recorder_.stats(); }
+    UsageLogRecorder(const settings::UsageSettings& settings, int gateway_index, TimePoint now);
+    void record_admission(const AdmittedRequest& admission) override;
+    const usage_log::WriterStatistics& statistics() const { return recorder_.statistics(); }
 
 private:
-    usage_log::Recorder recorder_;
-    LogGate gate_{std::chrono::minutes(1)};
+    usage_log::UsageRecorder recorder_;
+    LogRateLimiter log_limiter_{std::chrono::minutes(1)};
 };
 
-class Service : private operations::Operations {
+class GatewayService : private operations::AdminOperations {
 public:
     // Throws BadSettings, or Poco::Exception where an address cannot be used.
-    explicit Service(Config config, settings::OperatorSettings settings = {});
-    ~Service() override;
+    explicit GatewayService(GatewayConfig config, settings::OperatorSettings settings = {});
+    ~GatewayService() override;
 
     // Until stopped. `look` runs once a turn, and at least ten times a second.
     void run(std::function<void()> look);
     // Finishes what was taken, then ends run().
-    void stop();
+    void request_stop();
     // Takes over what may change in service: discovery's address, the classes and the limits of requests.
     // False where nothing differs. Throws BadConfig or BadSettings and changes nothing where the file is not
     // whole.
-    bool reload(const Config& changed);
+    bool apply_reload(const GatewayConfig& changed);
     // Takes over what the operator's file wants of plans, where this gateway keeps the book; everything else
     // in it takes a restart. How many changes were made.
-    std::size_t reload(const settings::OperatorSettings& changed);
-    void reload_taken() { ++counters_.loads; }
-    void reload_failed() { ++counters_.reloads_failed; }
+    std::size_t apply_reload(const settings::OperatorSettings& changed);
+    void record_reload_accepted() { ++counters_.configurations_loaded; }
+    void record_reload_failed() { ++counters_.reloads_failed; }
 
-    std::string address() const { return listener_->address(); }
-    std::string admin_address() const { return admin_ ? admin_->address() : std::string(); }
-    std::string peer_address() const { return peers_->address(); }
+    std::string client_address() const { return client_listener_->address(); }
+    std::string admin_address() const { return admin_server_ ? admin_server_->address() : std::string(); }
+    std::string peer_address() const { return peer_socket_->address(); }
     const Counters& counters() const { return counters_; }
     // All counters as they are printed, those of the shared counter too where one is used.
     std::string counters_text() const;
-    const shared_counter::Client* shared_counter() const { return shared_counter_.get(); }
+    const shared_counter::SharedCounterClient* shared_counter_client() const { return shared_counter_.get(); }
 
 private:
-    bool listed() const;
+    bool is_list_received() const;
     // What operators ask over the second address.
-    bool ready() const override;
-    std::string figures() const override;
-    bool take_out(const std::string& server) override;
-    bool bring_back(const std::string& server) override;
-    void drain(bool wanted) override;
-    void take_over(const std::string& text);
-    void release();
-    void resume();
-    std::string hand_over();
-    bool take_terms(const Config& changed);
+    bool is_ready() const override;
+    std::string metrics_text() const override;
+    bool eject_server(const std::string& server) override;
+    bool reinstate_server(const std::string& server) override;
+    void set_draining(bool wanted) override;
+    void import_state(const std::string& text);
+    void release_listeners();
+    void resume_service();
+    std::string export_state();
+    bool apply_plan_terms(const GatewayConfig& changed);
     bool tell(std::optional<decision::HostList>&& change);
-    void begin_stop();
-    void look_after_stop();
-    void begin_plans(const settings::PlansSettings& settings);
-    void make_change(const plans::Change& change);
-    std::size_t make_wanted(const settings::PlansSettings& settings);
-    void changes_due();
+    void start_shutdown();
+    void check_shutdown();
+    void start_plans(const settings::PlansSettings& settings);
+    void commit_change(const plans::PlanChange& change);
+    std::size_t commit_configured_plans(const settings::PlansSettings& settings);
+    void apply_due_changes();
 
-    Config config_;
+    GatewayConfig config_;
     SystemClock clock_;
     Timers timers_;
     Counters counters_;
     Reactor reactor_{clock_, timers_};
     HostDirectory hosts_;
-    std::unique_ptr<limits::Ledger> ledger_;
-    std::unique_ptr<BookFile> book_file_;
-    std::unique_ptr<plans::Desk> desk_;
-    std::unique_ptr<plans::Spread> spread_;
-    std::unique_ptr<usage_log::Tallies> tallies_;
-    std::unique_ptr<UseLog> use_log_;
+    std::unique_ptr<limits::QuotaStateTable> quota_state_table_;
+    std::unique_ptr<PlanTableFile> plan_table_file_;
+    std::unique_ptr<plans::PlanService> plan_service_;
+    std::unique_ptr<plans::ChangeReplicator> change_replicator_;
+    std::unique_ptr<usage_log::PersistentCounters> persistent_counters_;
+    std::unique_ptr<UsageLogRecorder> usage_log_recorder_;
     Engine engine_;
-    EngineIntake intake_{engine_};
-    PlatformDoor door_{config_};
-    PlatformDialect dialect_;
-    std::unique_ptr<ConnectionBudget> budget_;
-    std::unique_ptr<ServerPool> pool_;
-    std::unique_ptr<PeerSocket> peers_;
-    std::unique_ptr<Listener> listener_;
-    std::unique_ptr<DiscoveryWatch> watch_;
-    std::unique_ptr<shared_counter::Client> shared_counter_;
-    std::unique_ptr<control_socket::Server> control_;
-    std::unique_ptr<TalkServer> admin_;
-    std::unique_ptr<handover::Heir> heir_;
-    bool keeper_ = false;
+    EngineRequestHandler request_handler_{engine_};
+    PlatformRequestMapping request_mapping_{config_};
+    PlatformUpstreamProtocol upstream_protocol_;
+    std::unique_ptr<ConnectionBudget> connection_budget_;
+    std::unique_ptr<ServerPool> server_pool_;
+    std::unique_ptr<PeerSocket> peer_socket_;
+    std::unique_ptr<ClientListener> client_listener_;
+    std::unique_ptr<DiscoveryWatch> discovery_watch_;
+    std::unique_ptr<shared_counter::SharedCounterClient> shared_counter_;
+    std::unique_ptr<control_socket::ControlServer> control_server_;
+    std::unique_ptr<LineProtocolServer> admin_server_;
+    std::unique_ptr<handover::HandoverServer> handover_server_;
+    bool is_owner_ = false;
     Timers::Id changes_timer_ = 0;
-    LogGate gate_{std::chrono::minutes(1)};
-    bool listed_ = false;
-    TimePoint started_ = clock_.now();
+    LogRateLimiter log_limiter_{std::chrono::minutes(1)};
+    bool list_received_ = false;
+    TimePoint started_at_ = clock_.now();
     TimePoint stopping_since_{};
-    bool told_to_stop_ = false;    // and not only asked by a successor
+    bool stop_logged_ = false;    // and not only asked by a successor
 };
 
 }    // namespace shaletray
--- a/src/balancer/settings/operator_settings.h
+++ b/src/balancer/settings/operator_settings.h
@@ -22,43 +22,44 @@
 
 struct CounterSettings {
     std::vector<StoreSettings> stores;    // in the order of preference
-    std::string prefix;
-    std::chrono::microseconds lease{}, alone_after{}, demand_window{}, every{}, standby_every{}, timeout{};
-    double reserve = 0.0, alone_share = 0.0;
-    std::size_t most_customers = 0, most_rows = 0;
+    std::string key_prefix;
+    std::chrono::microseconds lease_duration{}, isolation_timeout{}, demand_window{}, interval{},
+        standby_interval{}, timeout{};
+    double reserve = 0.0, isolated_share = 0.0;
+    std::size_t max_customers = 0, max_rows_per_call = 0;
 };
 
-struct PlanFigures {
-    std::string plan, like;    // like: the plan itself where the file names none
-    double rate = 0.0, burst = 0.0, ceiling_rate = 0.0, ceiling_burst = 0.0, ceiling_slack = 0.0;
+struct PlanTerms {
+    std::string plan_name, base_plan;    // like: the plan itself where the file names none
+    double rate = 0.0, burst = 0.0, rate_limit = 0.0, rate_limit_burst = 0.0, rate_limit_slack = 0.0;
 };
 
 struct PlansSettings {
-    std::vector<PlanFigures> plans;                                // as they should be
+    std::vector<PlanTerms> plans;                                  // as they should be
     std::vector<std::pair<std::string, std::string>> customers;    // sixteen hexadecimal digits, and the plan
-    std::string book;                                              // file
-    bool keeper = false;
-    bool book_wins = false;
-    std::string control;    // path of the socket; empty: none
+    std::string table_path;                                        // file
+    bool is_owner = false;
+    bool table_overrides_request = false;
+    std::string control_socket_path;    // path of the socket; empty: none
     int control_mode = 0660;
-    std::chrono::microseconds lead{};
-    double most_carved = 0.0;
-    bool refuse_damage = true;
+    std::chrono::microseconds lead_time{};
+    double max_reserved_fraction = 0.0;
+    bool reject_damaged = true;
 };
 
 struct UsageSettings {
-    std::string journal, store, files, form, endpoint;
-    std::uint32_t segment_rows = 0, lines = 0;
-    std::uint64_t most_segments = 0, most_store = 0;
-    int keep_batches = 0;
-    bool refuse_trouble = true;
-    std::chrono::microseconds settle{}, every{}, timeout{}, check_every{};
+    std::string journal_directory, store_path, export_directory, export_format, endpoint;
+    std::uint32_t segment_records = 0, max_batch_lines = 0;
+    std::uint64_t max_segments = 0, max_store_bytes = 0;
+    int retained_batches = 0;
+    bool reject_on_failure = true;
+    std::chrono::microseconds settling_time{}, interval{}, timeout{}, check_interval{};
     std::vector<std::string> plans, classes;    // names of the platform's, for the lines
 };
 
 struct LogSettings {
     std::string level;    // empty: as the environment has it
-    bool json = false;
+    bool use_json = false;
 };
 
 struct OperatorSettings {
@@ -69,10 +70,10 @@
 };
 
 // Both throw BadSettingsFile with all that is wrong.
-OperatorSettings read_operator_settings(std::string_view text, const std::string& file);
+OperatorSettings parse_operator_settings(std::string_view text, const std::string& file);
 OperatorSettings load_operator_settings(const std::string& path);
 
 // The whole file as it holds, defaults included, in the settings' own language.
-std::string explained(std::string_view text, const std::string& file);
+std::string explain_settings(std::string_view text, const std::string& file);
 
 }    // namespace shaletray::settings
--- a/src/balancer/settings/parse.cpp
+++ b/src/balancer/settings/parse.cpp
@@ -14,7 +14,7 @@
 namespace peg = tao::pegtl;
 
 // Deeper nesting than any settings need would only serve to exhaust the stack.
-constexpr std::size_t kDeepest = 64, kLongestFile = 1024 * 1024;
+constexpr std::size_t kMaxDepth = 64, kMaxFileSize = 1024 * 1024;
 
 // ---- grammar ----
 // As in CUE a line's end closes a field, so an operator stands at the end of its line and not at the start of
@@ -111,44 +111,44 @@
 
 class Builder {
 public:
-    explicit Builder(const std::string& file) : file_(file) {}
+    explicit Builder(const std::string& file) : file_name_(file) {}
 
-    ValuePtr file(const Node& root) {
+    ValuePtr build_file(const Node& root) {
         // The text is a record with or without its braces.
         const Node* top = root.children.front().get();
         if (top->children.size() == 1 && top->children[0]->is_type<record>()) top = top->children[0].get();
-        return record_of(*top, root.children.front()->begin(), true);
+        return build_record(*top, root.children.front()->begin(), true);
     }
 
 private:
     using Position = decltype(std::declval<Node>().begin());
 
-    [[noreturn]] void wrong(const Position& at, std::string text) const {
-        fail({file_, at.line, at.column}, "", std::move(text));
+    [[noreturn]] void throw_syntax_error(const Position& at, std::string text) const {
+        throw_problem({file_name_, at.line, at.column}, "", std::move(text));
     }
-    std::shared_ptr<Value> make(const Position& at, Value::Kind kind) const {
+    std::shared_ptr<Value> make_value(const Position& at, Value::Kind kind) const {
         auto value = std::make_shared<Value>();
         value->kind = kind;
-        value->place = {file_, at.line, at.column};
+        value->position = {file_name_, at.line, at.column};
         return value;
     }
-    ValuePtr build(const Node& node) {
+    ValuePtr build_value(const Node& node) {
         if (node.is_type<text>()) {
-            auto value = make(node.begin(), Value::Kind::Text);
-            value->text = unescaped(node);
+            auto value = make_value(node.begin(), Value::Kind::Text);
+            value->text_value = unescape_text(node);
             return value;
         }
-        if (node.is_type<number>()) return number_of(node);
-        if (node.is_type<name>()) return named(node);
-        if (node.is_type<definition>()) return defined(node);
-        if (node.is_type<record>()) return record_of(node, node.begin(), false);
-        if (node.is_type<list>()) return list_of(node);
-        if (node.is_type<bound>()) return bound_of(node);
-        if (node.is_type<both>()) return both_of(node);
-        if (node.is_type<either>()) return either_of(node);
-        wrong(node.begin(), "not understood");
+        if (node.is_type<number>()) return build_number(node);
+        if (node.is_type<name>()) return build_name(node);
+        if (node.is_type<definition>()) return build_reference(node);
+        if (node.is_type<record>()) return build_record(node, node.begin(), false);
+        if (node.is_type<list>()) return build_list(node);
+        if (node.is_type<bound>()) return build_bound(node);
+        if (node.is_type<both>()) return build_conjunction(node);
+        if (node.is_type<either>()) return build_alternatives(node);
+        throw_syntax_error(node.begin(), "not understood");
     }
-    std::string unescaped(const Node& node) const {
+    std::string unescape_text(const Node& node) const {
         const std::string_view raw = node.string_view().substr(1, node.string_view().size() - 2);
         std::string out;
         for (std::size_t i = 0; i < raw.size(); ++i) {
@@ -162,7 +162,7 @@
                 unsigned code = 0;
                 std::from_chars(raw.data() + i + 1, raw.data() + i + 5, code, 16);
                 if (code == 0 || (code >= 0xd800 && code < 0xe000))
-                    wrong(node.begin(), "a text may not hold this character by its number");
+                    throw_syntax_error(node.begin(), "a text may not hold this character by its number");
                 append_utf8(out, code);
                 i += 4;
             } else if (const std::size_t at = kFrom.find(c); at != std::string_view::npos) {
@@ -185,11 +185,11 @@
             out += static_cast<char>(0x80 | (code & 0x3f));
         }
     }
-    ValuePtr number_of(const Node& node) const {
+    ValuePtr build_number(const Node& node) const {
         std::string plain;
         for (const char c : node.string_view())
             if (c != '_' && c != '+') plain += c;
-        auto value = make(node.begin(), Value::Kind::Number);
+        auto value = make_value(node.begin(), Value::Kind::Number);
         double times = 1.0;
         const std::size_t unit = plain.find_first_of("KMGT");
         if (unit != std::string::npos) {
@@ -197,22 +197,23 @@
             times = std::pow(base, 1.0 + static_cast<double>(std::string_view("KMGT").find(plain[unit])));
             plain.resize(unit);
         }
-        value->whole = plain.find_first_of(".eE") == std::string::npos;
-        const auto [end, error] = std::from_chars(plain.data(), plain.data() + plain.size(), value->number);
-        value->number *= times;
-        if (error != std::errc{} || end != plain.data() + plain.size() || !std::isfinite(value->number))
-            wrong(node.begin(), "a number that is too large");
+        value->is_integer = plain.find_first_of(".eE") == std::string::npos;
+        const auto [end, error] =
+            std::from_chars(plain.data(), plain.data() + plain.size(), value->number_value);
+        value->number_value *= times;
+        if (error != std::errc{} || end != plain.data() + plain.size() || !std::isfinite(value->number_value))
+            throw_syntax_error(node.begin(), "a number that is too large");
         return value;
     }
-    ValuePtr named(const Node& node) const {
+    ValuePtr build_name(const Node& node) const {
         const std::string_view word = node.string_view();
         if (word == "true" || word == "false") {
-            auto value = make(node.begin(), Value::Kind::Bool);
-            value->truth = word == "true";
+            auto value = make_value(node.begin(), Value::Kind::Bool);
+            value->bool_value = word == "true";
             return value;
         }
-        if (word == "null") return make(node.begin(), Value::Kind::Null);
-        if (word == "_") return make(node.begin(), Value::Kind::Top);
+        if (word == "null") return make_value(node.begin(), Value::Kind::Null);
+        if (word == "_") return make_value(node.begin(), Value::Kind::Top);
         static const std::map<std::string_view, int> kTypes = {{"bool", Value::kBool},
                                                                {"int", Value::kInt},
                                                                {"float", Value::kFloat},
@@ -220,26 +221,28 @@
                                                                {"string", Value::kText}};
         const auto type = kTypes.find(word);
         if (type == kTypes.end())
-            wrong(node.begin(), fmt::format("{} is no type and no value; a text stands in quotes", word));
-        auto value = make(node.begin(), Value::Kind::Type);
-        value->types = type->second;
+            throw_syntax_error(node.begin(),
+                               fmt::format("{} is no type and no value; a text stands in quotes", word));
+        auto value = make_value(node.begin(), Value::Kind::Type);
+        value->type_mask = type->second;
         return value;
     }
-    ValuePtr defined(const Node& node) const {
+    ValuePtr build_reference(const Node& node) const {
         const std::string_view word = node.string_view();
         if (word == "#Duration" || word == "#Size") {
-            auto value = make(node.begin(), Value::Kind::Type);
-            value->types = Value::kText;
+            auto value = make_value(node.begin(), Value::Kind::Type);
+            value->type_mask = Value::kText;
             value->unit = word == "#Size" ? Value::Unit::Size : Value::Unit::Duration;
-            if (word == "#Size") value->types |= Value::kInt;
+            if (word == "#Size") value->type_mask |= Value::kInt;
             return value;
         }
         const auto it = definitions_.find(std::string(word));
-        if (it == definitions_.end()) wrong(node.begin(), fmt::format("{} is not defined above", word));
+        if (it == definitions_.end())
+            throw_syntax_error(node.begin(), fmt::format("{} is not defined above", word));
         return it->second;
     }
-    ValuePtr record_of(const Node& node, const Position& at, bool top) {
-        auto value = make(at, Value::Kind::Record);
+    ValuePtr build_record(const Node& node, const Position& at, bool top) {
+        auto value = make_value(at, Value::Kind::Record);
         for (const auto& child : node.children) add_field(*value, *child, top);
         return value;
     }
@@ -249,10 +252,10 @@
             if (node.children[i]->is_type<optional_mark>()) heads.back().second = true;
             else heads.emplace_back(node.children[i].get(), false);
         }
-        if (heads.size() > kDeepest) wrong(node.begin(), "nested too deeply");
-        ValuePtr value = build(*node.children.back());
+        if (heads.size() > kMaxDepth) throw_syntax_error(node.begin(), "nested too deeply");
+        ValuePtr value = build_value(*node.children.back());
         for (; heads.size() > 1; heads.pop_back()) {    // a: b: 3, from the inside
-            auto inner = make(heads.back().first->begin(), Value::Kind::Record);
+            auto inner = make_value(heads.back().first->begin(), Value::Kind::Record);
             add_named(*inner, *heads.back().first, heads.back().second, value, false);
             value = inner;
         }
@@ -261,79 +264,80 @@
     void add_named(Value& into, const Node& label_node, bool optional, const ValuePtr& value, bool top) {
         const Node* const key = &label_node;
         if (key->is_type<definition>()) {
-            if (!top) wrong(key->begin(), "a definition stands at the top of the file");
+            if (!top) throw_syntax_error(key->begin(), "a definition stands at the top of the file");
             auto closed = std::make_shared<Value>(*value);
-            closed->closed = closed->kind == Value::Kind::Record;
+            closed->is_closed = closed->kind == Value::Kind::Record;
             if (!definitions_.emplace(std::string(key->string_view()), closed).second)
-                wrong(key->begin(), fmt::format("{} is defined twice", key->string_view()));
+                throw_syntax_error(key->begin(), fmt::format("{} is defined twice", key->string_view()));
             return;
         }
-        const std::string called = key->is_type<text>() ? unescaped(*key) : std::string(key->string_view());
+        const std::string called =
+            key->is_type<text>() ? unescape_text(*key) : std::string(key->string_view());
         const auto [it, is_new] = into.fields.try_emplace(called, Value::Field{value, optional});
         if (is_new) {
-            into.order.push_back(called);
+            into.field_order.push_back(called);
             return;
         }
         // The same field twice holds both, as in CUE.
         std::vector<Problem> problems;
         it->second.value = unify(it->second.value, value, called, problems);
-        it->second.optional = it->second.optional && optional;
-        if (!problems.empty()) throw BadSettingsFile(std::move(problems));
+        it->second.is_optional = it->second.is_optional && optional;
+        if (!problems.empty()) throw SettingsFileError(std::move(problems));
     }
-    ValuePtr list_of(const Node& node) {
-        auto value = make(node.begin(), Value::Kind::List);
+    ValuePtr build_list(const Node& node) {
+        auto value = make_value(node.begin(), Value::Kind::List);
         for (const auto& child : node.children) {
-            if (value->rest) wrong(child->begin(), "nothing may follow ... in a list");
+            if (value->rest_type) throw_syntax_error(child->begin(), "nothing may follow ... in a list");
             if (child->is_type<rest>()) {
-                value->rest = child->children.empty() ? make(child->begin(), Value::Kind::Top)
-                                                      : build(*child->children.front());
+                value->rest_type = child->children.empty() ? make_value(child->begin(), Value::Kind::Top)
+                                                           : build_value(*child->children.front());
             } else {
-                value->items.push_back(build(*child));
+                value->items.push_back(build_value(*child));
             }
         }
         return value;
     }
-    ValuePtr bound_of(const Node& node) {
+    ValuePtr build_bound(const Node& node) {
         static const std::map<std::string_view, Value::Op> kOps = {
             {"<", Value::Op::Less},       {"<=", Value::Op::LessEqual}, {">", Value::Op::More},
             {">=", Value::Op::MoreEqual}, {"!=", Value::Op::Not},       {"=~", Value::Op::Match},
             {"!~", Value::Op::NoMatch}};
         const Value::Op op = kOps.at(node.children[0]->string_view());
-        const ValuePtr to = build(*node.children[1]);
-        auto value = make(node.begin(), Value::Kind::Type);
+        const ValuePtr to = build_value(*node.children[1]);
+        auto value = make_value(node.begin(), Value::Kind::Type);
         const bool match = op == Value::Op::Match || op == Value::Op::NoMatch;
-        if (to->kind == Value::Kind::Text) value->types = Value::kText;
-        else if (to->kind == Value::Kind::Number && !match) value->types = Value::kInt | Value::kFloat;
-        else if (op == Value::Op::Not && to->kind == Value::Kind::Null) value->types = ~Value::kNull;
-        else wrong(node.begin(), "this cannot be compared with");
+        if (to->kind == Value::Kind::Text) value->type_mask = Value::kText;
+        else if (to->kind == Value::Kind::Number && !match) value->type_mask = Value::kInt | Value::kFloat;
+        else if (op == Value::Op::Not && to->kind == Value::Kind::Null) value->type_mask = ~Value::kNull;
+        else throw_syntax_error(node.begin(), "this cannot be compared with");
         // Sizes may be written as numbers or as texts: what a text is compared with may be either.
         value->bounds.push_back({op, to});
         return value;
     }
-    ValuePtr both_of(const Node& node) {
+    ValuePtr build_conjunction(const Node& node) {
         std::vector<Problem> problems;
-        ValuePtr value = build(*node.children.front());
+        ValuePtr value = build_value(*node.children.front());
         for (std::size_t i = 1; i < node.children.size(); ++i)
-            value = unify(value, build(*node.children[i]), "", problems);
-        if (!problems.empty()) throw BadSettingsFile(std::move(problems));
+            value = unify(value, build_value(*node.children[i]), "", problems);
+        if (!problems.empty()) throw SettingsFileError(std::move(problems));
         return value;
     }
-    ValuePtr either_of(const Node& node) {
-        auto value = make(node.begin(), Value::Kind::Choice);
+    ValuePtr build_alternatives(const Node& node) {
+        auto value = make_value(node.begin(), Value::Kind::Choice);
         for (const auto& child : node.children) {
             const bool marked = child->children.size() > 1;
-            value->alternatives.push_back({build(*child->children.back()), marked});
+            value->alternatives.push_back({build_value(*child->children.back()), marked});
         }
         if (value->alternatives.size() == 1 && !value->alternatives[0].is_default)
             return value->alternatives[0].value;
         return value;
     }
 
-    const std::string& file_;
+    const std::string& file_name_;
     std::map<std::string, ValuePtr> definitions_;
 };
 
-void check_depth(std::string_view text, const std::string& file) {
+void check_nesting_depth(std::string_view text, const std::string& file) {
     std::size_t depth = 0, line = 1;
     bool quoted = false;
     for (std::size_t i = 0; i < text.size(); ++i) {
@@ -347,7 +351,7 @@
         } else if (text.substr(i, 2) == "//") {
             while (i + 1 < text.size() && text[i + 1] != '\n') ++i;
         } else if (c == '{' || c == '[' || c == '(') {
-            if (++depth > kDeepest) fail({file, line, 0}, "", "nested too deeply");
+            if (++depth > kMaxDepth) throw_problem({file, line, 0}, "", "nested too deeply");
         } else if ((c == '}' || c == ']' || c == ')') && depth > 0) {
             --depth;
         }
@@ -357,19 +361,20 @@
 }    // namespace
 
 ValuePtr parse(std::string_view source, const std::string& file) {
-    if (source.size() > kLongestFile) fail({file, 0, 0}, "", "longer than 1 MiB, which no settings are");
-    check_depth(source, file);
+    if (source.size() > kMaxFileSize)
+        throw_problem({file, 0, 0}, "", "longer than 1 MiB, which no settings are");
+    check_nesting_depth(source, file);
     peg::memory_input in(source.data(), source.data() + source.size(), file);
     try {
         const auto root = peg::parse_tree::parse<whole_file, selector, peg::nothing, control>(in);
         if (!root) {
             const auto at = in.position();
-            fail({file, at.line, at.column}, "", "expected fields as in name: value");
+            throw_problem({file, at.line, at.column}, "", "expected fields as in name: value");
         }
-        return Builder(file).file(*root);
+        return Builder(file).build_file(*root);
     } catch (const peg::parse_error& error) {
         const auto& at = error.positions().front();
-        fail({file, at.line, at.column}, "", std::string(error.message()));
+        throw_problem({file, at.line, at.column}, "", std::string(error.message()));
     }
 }
 
--- a/src/balancer/settings/record.cpp
+++ b/src/balancer/settings/record.cpp
@@ -5,25 +5,25 @@
 
 namespace shaletray::settings {
 
-ValuePtr settled(std::string_view text, const std::string& file, const char* schema_text,
-                 const char* schema_name) {
+ValuePtr resolve_settings(std::string_view text, const std::string& file, const char* schema_text,
+                          const char* schema_name) {
     auto closed = std::make_shared<Value>(*parse(schema_text, schema_name));
-    closed->closed = true;
+    closed->is_closed = true;
     const ValuePtr schema = closed;
     std::vector<Problem> problems;
     const ValuePtr both = unify(schema, parse(text, file), "", problems);
-    ValuePtr out = settle(both, "", problems);
+    ValuePtr out = resolve_value(both, "", problems);
     for (Problem& p : problems) {    // a field that the file leaves out has its place in the schema only
-        if (p.place.file != file) p.place = {file, 0, 0};
+        if (p.position.file != file) p.position = {file, 0, 0};
     }
-    if (!problems.empty()) throw BadSettingsFile(std::move(problems));
+    if (!problems.empty()) throw SettingsFileError(std::move(problems));
     return out;
 }
 
 std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     std::string text(std::istreambuf_iterator<char>(in), {});
-    if (!in.is_open() || in.bad()) fail({path, 0, 0}, "", "cannot be read");
+    if (!in.is_open() || in.bad()) throw_problem({path, 0, 0}, "", "cannot be read");
     return text;
 }
 
--- a/src/balancer/settings/record.h
+++ b/src/balancer/settings/record.h
@@ -18,25 +18,29 @@
     explicit Record(const ValuePtr& value) : value_(value) {}
 
     bool has(const std::string& name) const { return value_->fields.contains(name); }
-    const ValuePtr& at(const std::string& name) const { return value_->fields.at(name).value; }
-    std::string text(const std::string& name) const { return has(name) ? at(name)->text : std::string(); }
-    double number(const std::string& name) const { return at(name)->number; }
+    const ValuePtr& value_at(const std::string& name) const { return value_->fields.at(name).value; }
+    std::string text_at(const std::string& name) const {
+        return has(name) ? value_at(name)->text_value : std::string();
+    }
+    double number_at(const std::string& name) const { return value_at(name)->number_value; }
     template <class T>
-    T whole(const std::string& name) const {
-        return static_cast<T>(number(name));
+    T integer_at(const std::string& name) const {
+        return static_cast<T>(number_at(name));
     }
-    bool truth(const std::string& name) const { return at(name)->truth; }
-    std::uint64_t size(const std::string& name) const {
-        const Value& v = *at(name);
-        return static_cast<std::uint64_t>(v.kind == Value::Kind::Text ? read_size(v.text).value() : v.number);
+    bool bool_at(const std::string& name) const { return value_at(name)->bool_value; }
+    std::uint64_t size_at(const std::string& name) const {
+        const Value& v = *value_at(name);
+        return static_cast<std::uint64_t>(v.kind == Value::Kind::Text ? parse_size(v.text_value).value()
+                                                                      : v.number_value);
     }
-    std::vector<std::string> texts(const std::string& name) const {
+    std::vector<std::string> texts_at(const std::string& name) const {
         std::vector<std::string> out;
-        for (const ValuePtr& item : at(name)->items) out.push_back(item->text);
+        for (const ValuePtr& item : value_at(name)->items) out.push_back(item->text_value);
         return out;
     }
-    std::chrono::microseconds duration(const std::string& name) const {
-        return std::chrono::microseconds(static_cast<std::int64_t>(read_duration(at(name)->text).value()));
+    std::chrono::microseconds duration_at(const std::string& name) const {
+        return std::chrono::microseconds(
+            static_cast<std::int64_t>(parse_duration(value_at(name)->text_value).value()));
     }
 
 private:
@@ -44,7 +48,8 @@
 };
 
 // The file unified with a schema, defaults taken. Throws BadSettingsFile with all that is wrong.
-ValuePtr settled(std::string_view text, const std::string& file, const char* schema, const char* schema_name);
+ValuePtr resolve_settings(std::string_view text, const std::string& file, const char* schema,
+                          const char* schema_name);
 // Throws BadSettingsFile where it cannot be read.
 std::string read_file(const std::string& path);
 
--- a/src/balancer/settings/value.cpp
+++ b/src/balancer/settings/value.cpp
@@ -13,42 +13,42 @@
 using Kind = Value::Kind;
 using Op = Value::Op;
 
-constexpr std::size_t kLongestShown = 60;
-constexpr std::size_t kMostAlternatives = 64;
+constexpr std::size_t kMaxShownLength = 60;
+constexpr std::size_t kMaxAlternatives = 64;
 
-int type_of(const Value& v) {
+int type_mask_of(const Value& v) {
     switch (v.kind) {
         case Kind::Null: return Value::kNull;
         case Kind::Bool: return Value::kBool;
-        case Kind::Number: return v.whole ? Value::kInt : Value::kFloat;
+        case Kind::Number: return v.is_integer ? Value::kInt : Value::kFloat;
         case Kind::Text: return Value::kText;
         case Kind::Record: return Value::kRecord;
         case Kind::List: return Value::kList;
-        case Kind::Type: return v.types;
+        case Kind::Type: return v.type_mask;
         default: return ~0;
     }
 }
 
-bool is_one(const Value& v) {
+bool is_concrete(const Value& v) {
     return v.kind == Kind::Null || v.kind == Kind::Bool || v.kind == Kind::Number || v.kind == Kind::Text;
 }
 
-bool same(const Value& a, const Value& b) {
+bool values_equal(const Value& a, const Value& b) {
     if (a.kind != b.kind) return false;
     switch (a.kind) {
-        case Kind::Bool: return a.truth == b.truth;
-        case Kind::Number: return a.number == b.number;
-        case Kind::Text: return a.text == b.text;
+        case Kind::Bool: return a.bool_value == b.bool_value;
+        case Kind::Number: return a.number_value == b.number_value;
+        case Kind::Text: return a.text_value == b.text_value;
         default: return a.kind == Kind::Null;
     }
 }
 
-const char* shown(Op op) {
+const char* operator_text(Op op) {
     static constexpr const char* kOps[] = {"<", "<=", ">", ">=", "!=", "=~", "!~"};
     return kOps[static_cast<std::size_t>(op)];
 }
 
-std::string shown_type(const Value& v) {
+std::string type_text(const Value& v) {
     if (v.unit == Value::Unit::Duration) return "duration such as \"250ms\"";
     if (v.unit == Value::Unit::Size) return "size such as \"64MiB\"";
     static constexpr std::pair<int, const char*> kTypes[] = {{Value::kInt | Value::kFloat, "number"},
@@ -60,7 +60,7 @@
                                                              {Value::kRecord, "record"},
                                                              {Value::kList, "list"}};
     std::string out;
-    int left = v.types;
+    int left = v.type_mask;
     for (const auto& [types, called] : kTypes) {
         if ((left & types) != types) continue;
         if (!out.empty()) out += " or ";
@@ -71,15 +71,15 @@
 }
 
 // What a text or number stands for where it is compared: its figure, by the unit.
-std::optional<double> measured(const Value& v, Value::Unit unit) {
-    if (v.kind == Kind::Number) return v.number;
+std::optional<double> measure_text(const Value& v, Value::Unit unit) {
+    if (v.kind == Kind::Number) return v.number_value;
     if (v.kind != Kind::Text) return std::nullopt;
-    if (unit == Value::Unit::Duration) return read_duration(v.text);
-    if (unit == Value::Unit::Size) return read_size(v.text);
+    if (unit == Value::Unit::Duration) return parse_duration(v.text_value);
+    if (unit == Value::Unit::Size) return parse_size(v.text_value);
     return std::nullopt;
 }
 
-bool matches(const std::string& text, const std::string& pattern) {
+bool matches_pattern(const std::string& text, const std::string& pattern) {
     // std::regex recurses over the text: one that is longer than any that is meant would exhaust the stack.
     if (text.size() > 4096) return false;
     try {
@@ -89,15 +89,16 @@
     }
 }
 
-bool holds(const Value& v, const Value::Bound& bound, Value::Unit unit) {
-    const Value& to = *bound.to;
+bool satisfies_bound(const Value& v, const Value::Bound& bound, Value::Unit unit) {
+    const Value& to = *bound.limit;
     if (bound.op == Op::Match || bound.op == Op::NoMatch)
-        return v.kind == Kind::Text && matches(v.text, to.text) == (bound.op == Op::Match);
-    if (bound.op == Op::Not && !measured(v, unit)) return !same(v, to);
+        return v.kind == Kind::Text &&
+               matches_pattern(v.text_value, to.text_value) == (bound.op == Op::Match);
+    if (bound.op == Op::Not && !measure_text(v, unit)) return !values_equal(v, to);
     int order = 0;
-    const std::optional<double> a = measured(v, unit), b = measured(to, unit);
+    const std::optional<double> a = measure_text(v, unit), b = measure_text(to, unit);
     if (a && b) order = *a < *b ? -1 : *a > *b ? 1 : 0;
-    else if (v.kind == Kind::Text && to.kind == Kind::Text) order = v.text.compare(to.text);
+    else if (v.kind == Kind::Text && to.kind == Kind::Text) order = v.text_value.compare(to.text_value);
     else return false;
     switch (bound.op) {
         case Op::Less: return order < 0;
@@ -108,40 +109,42 @@
     }
 }
 
-Problem clash(const Value& expected, const Value& found, const std::string& path) {
+Problem conflict_problem(const Value& expected, const Value& found, const std::string& path) {
     // The file is unified into the schema: the later of the two is what stands there.
-    return {found.place, path, fmt::format("expected {}, found {}", expected.shown(), found.shown())};
+    return {found.position, path, fmt::format("expected {}, found {}", expected.to_text(), found.to_text())};
 }
 
-std::string within(const std::string& path, const std::string& name) {
+std::string join_path(const std::string& path, const std::string& name) {
     return path.empty() ? name : fmt::format("{}.{}", path, name);
 }
 
 ValuePtr unify_records(const Value& a, const Value& b, const std::string& path,
                        std::vector<Problem>& problems) {
     auto out = std::make_shared<Value>(a);
-    out->closed = a.closed || b.closed;
-    if (b.place.line > 0) out->place = b.place;
-    for (const std::string& name : b.order) {
+    out->is_closed = a.is_closed || b.is_closed;
+    if (b.position.line > 0) out->position = b.position;
+    for (const std::string& name : b.field_order) {
         const Value::Field& theirs = b.fields.at(name);
         const auto it = out->fields.find(name);
         if (it != out->fields.end()) {
-            it->second.value = unify(it->second.value, theirs.value, within(path, name), problems);
-            it->second.optional = it->second.optional && theirs.optional;
-        } else if (a.closed) {
+            it->second.value = unify(it->second.value, theirs.value, join_path(path, name), problems);
+            it->second.is_optional = it->second.is_optional && theirs.is_optional;
+        } else if (a.is_closed) {
             std::string known;
-            for (const std::string& n : a.order) known += fmt::format("{}{}", known.empty() ? "" : ", ", n);
-            problems.push_back({theirs.value->place, within(path, name),
+            for (const std::string& n : a.field_order)
+                known += fmt::format("{}{}", known.empty() ? "" : ", ", n);
+            problems.push_back({theirs.value->position, join_path(path, name),
                                 fmt::format("no such field; there are {}", known.empty() ? "none" : known)});
         } else {
             out->fields.emplace(name, theirs);
-            out->order.push_back(name);
+            out->field_order.push_back(name);
         }
     }
-    if (b.closed) {
-        for (const std::string& name : a.order) {
+    if (b.is_closed) {
+        for (const std::string& name : a.field_order) {
             if (!b.fields.contains(name))
-                problems.push_back({a.fields.at(name).value->place, within(path, name), "no such field"});
+                problems.push_back(
+                    {a.fields.at(name).value->position, join_path(path, name), "no such field"});
         }
     }
     return out;
@@ -153,17 +156,18 @@
     out->items.clear();
     const std::size_t n = std::max(a.items.size(), b.items.size());
     for (std::size_t i = 0; i < n; ++i) {
-        const ValuePtr x = i < a.items.size() ? a.items[i] : a.rest;
-        const ValuePtr y = i < b.items.size() ? b.items[i] : b.rest;
+        const ValuePtr x = i < a.items.size() ? a.items[i] : a.rest_type;
+        const ValuePtr y = i < b.items.size() ? b.items[i] : b.rest_type;
         if (!x || !y) {
-            problems.push_back({b.place, path,
+            problems.push_back({b.position, path,
                                 fmt::format("expected {} items{}, found {}", a.items.size(),
-                                            a.rest ? " or more" : "", b.items.size())});
+                                            a.rest_type ? " or more" : "", b.items.size())});
             return out;
         }
         out->items.push_back(unify(x, y, fmt::format("{}[{}]", path, i), problems));
     }
-    out->rest = a.rest && b.rest ? unify(a.rest, b.rest, path + "[...]", problems) : nullptr;
+    out->rest_type =
+        a.rest_type && b.rest_type ? unify(a.rest_type, b.rest_type, path + "[...]", problems) : nullptr;
     return out;
 }
 
@@ -191,14 +195,16 @@
         for (const Value::Alternative& y : other->alternatives)
             add(x.value, y.value, (x.is_default || !marked) && (y.is_default || !also) && (marked || also));
     }
-    if (out->alternatives.size() > kMostAlternatives) {
-        problems.push_back({other->place, path, "too many alternatives"});
+    if (out->alternatives.size() > kMaxAlternatives) {
+        problems.push_back({other->position, path, "too many alternatives"});
         return other;
     }
     if (out->alternatives.empty()) {
         const bool deeper = !best.empty() && best.front().path.size() > path.size();
         if (deeper) problems.insert(problems.end(), best.begin(), best.end());
-        else problems.push_back(choice_first ? clash(*choice, *other, path) : clash(*other, *choice, path));
+        else
+            problems.push_back(choice_first ? conflict_problem(*choice, *other, path)
+                                            : conflict_problem(*other, *choice, path));
         return other;
     }
     if (out->alternatives.size() == 1) return out->alternatives.front().value;
@@ -208,40 +214,42 @@
 ValuePtr unify_type(const ValuePtr& type, const ValuePtr& other, const std::string& path,
                     std::vector<Problem>& problems, bool type_first) {
     const auto fail = [&] {
-        problems.push_back(type_first ? clash(*type, *other, path) : clash(*other, *type, path));
+        problems.push_back(type_first ? conflict_problem(*type, *other, path)
+                                      : conflict_problem(*other, *type, path));
         return other;
     };
     if (other->kind == Kind::Type) {
         auto out = std::make_shared<Value>(*type);
-        out->types &= other->types;
+        out->type_mask &= other->type_mask;
         // A bound is written against a text; what has a unit may be a number too.
         if (type->unit != Value::Unit::None || other->unit != Value::Unit::None)
-            out->types = type->unit != Value::Unit::None ? type->types : other->types;
+            out->type_mask = type->unit != Value::Unit::None ? type->type_mask : other->type_mask;
         if (type->unit != Value::Unit::None && other->unit != Value::Unit::None && type->unit != other->unit)
             return fail();
         if (out->unit == Value::Unit::None) out->unit = other->unit;
         out->bounds.insert(out->bounds.end(), other->bounds.begin(), other->bounds.end());
-        if (out->types == 0) return fail();
-        if (!type_first) out->place = type->place;
+        if (out->type_mask == 0) return fail();
+        if (!type_first) out->position = type->position;
         return out;
     }
-    const int is = type_of(*other);
+    const int is = type_mask_of(*other);
     // A whole number is a number wherever a float is meant.
-    const bool fits = (is & type->types) != 0 || (is == Value::kInt && (type->types & Value::kFloat) != 0);
+    const bool fits =
+        (is & type->type_mask) != 0 || (is == Value::kInt && (type->type_mask & Value::kFloat) != 0);
     if (!fits) return fail();
     if (type->unit != Value::Unit::None) {
-        const auto figure = measured(*other, type->unit);
+        const auto figure = measure_text(*other, type->unit);
         if (!figure || *figure < 0.0) return fail();
     }
     for (const Value::Bound& bound : type->bounds) {
-        if (!holds(*other, bound, type->unit)) return fail();
+        if (!satisfies_bound(*other, bound, type->unit)) return fail();
     }
     return other;
 }
 
-std::optional<double> read_units(std::string_view text,
-                                 const std::vector<std::pair<std::string_view, double>>& units, bool many,
-                                 double bare) {
+std::optional<double> parse_with_units(std::string_view text,
+                                       const std::vector<std::pair<std::string_view, double>>& units,
+                                       bool many, double bare) {
     double sum = 0.0;
     if (text.empty()) return std::nullopt;
     while (!text.empty()) {
@@ -269,52 +277,52 @@
 
 }    // namespace
 
-std::string Problem::line() const {
-    std::string out = place.file;
-    if (place.line > 0) out += fmt::format(":{}", place.line);
-    if (place.line > 0 && place.column > 0) out += fmt::format(":{}", place.column);
+std::string Problem::to_line() const {
+    std::string out = position.file;
+    if (position.line > 0) out += fmt::format(":{}", position.line);
+    if (position.line > 0 && position.column > 0) out += fmt::format(":{}", position.column);
     if (!path.empty()) out += fmt::format("{}{}", out.empty() ? "" : ": ", path);
-    return out.empty() ? text : out + ": " + text;
+    return out.empty() ? message : out + ": " + message;
 }
 
-BadSettingsFile::BadSettingsFile(std::vector<Problem> problems)
+SettingsFileError::SettingsFileError(std::vector<Problem> problems)
     : std::runtime_error([&] {
           std::string all;
-          for (const Problem& p : problems) all += fmt::format("{}{}", all.empty() ? "" : "\n", p.line());
+          for (const Problem& p : problems) all += fmt::format("{}{}", all.empty() ? "" : "\n", p.to_line());
           return all;
       }()),
       problems_(std::move(problems)) {}
 
-void fail(Place place, std::string path, std::string text) {
+void throw_problem(SourcePosition place, std::string path, std::string text) {
     std::vector<Problem> problems;
     problems.push_back({std::move(place), std::move(path), std::move(text)});
-    throw BadSettingsFile(std::move(problems));
+    throw SettingsFileError(std::move(problems));
 }
 
-std::string Value::shown() const {
+std::string Value::to_text() const {
     std::string out;
     switch (kind) {
         case Kind::Top: out = "anything"; break;
         case Kind::Null: out = "null"; break;
-        case Kind::Bool: out = truth ? "true" : "false"; break;
-        case Kind::Number: out = fmt::format("{}", number); break;
-        case Kind::Text: out = fmt::format("\"{}\"", text); break;
+        case Kind::Bool: out = bool_value ? "true" : "false"; break;
+        case Kind::Number: out = fmt::format("{}", number_value); break;
+        case Kind::Text: out = fmt::format("\"{}\"", text_value); break;
         case Kind::Record: out = "a record"; break;
-        case Kind::List: out = items.empty() && !rest ? "an empty list" : "a list"; break;
+        case Kind::List: out = items.empty() && !rest_type ? "an empty list" : "a list"; break;
         case Kind::Type:
-            out = shown_type(*this);
+            out = type_text(*this);
             if (!bounds.empty()) out += ' ';
             for (const Bound& b : bounds)
-                out += fmt::format("{}{}{}", &b == &bounds.front() ? "" : " and ", settings::shown(b.op),
-                                   b.to->shown());
+                out += fmt::format("{}{}{}", &b == &bounds.front() ? "" : " and ",
+                                   settings::operator_text(b.op), b.limit->to_text());
             return out;
         case Kind::Choice:
             for (const Alternative& a : alternatives)
-                out += fmt::format("{}{}", out.empty() ? "" : " or ", a.value->shown());
+                out += fmt::format("{}{}", out.empty() ? "" : " or ", a.value->to_text());
             return out;
     }
-    if (out.size() > kLongestShown) {
-        out.resize(kLongestShown);
+    if (out.size() > kMaxShownLength) {
+        out.resize(kMaxShownLength);
         out += "...";
     }
     return out;
@@ -330,12 +338,12 @@
     if (b->kind == Kind::Type) return unify_type(b, a, path, problems, false);
     if (a->kind == Kind::Record && b->kind == Kind::Record) return unify_records(*a, *b, path, problems);
     if (a->kind == Kind::List && b->kind == Kind::List) return unify_lists(*a, *b, path, problems);
-    if (is_one(*a) && same(*a, *b)) return b;
-    problems.push_back(clash(*a, *b, path));
+    if (is_concrete(*a) && values_equal(*a, *b)) return b;
+    problems.push_back(conflict_problem(*a, *b, path));
     return b;
 }
 
-ValuePtr settle(const ValuePtr& value, const std::string& path, std::vector<Problem>& problems) {
+ValuePtr resolve_value(const ValuePtr& value, const std::string& path, std::vector<Problem>& problems) {
     switch (value->kind) {
         case Kind::Choice: {
             const Value::Alternative* chosen = nullptr;
@@ -346,49 +354,49 @@
                 chosen = &a;
             }
             if (marked != 1) break;
-            return settle(chosen->value, path, problems);
+            return resolve_value(chosen->value, path, problems);
         }
         case Kind::Record: {
             auto out = std::make_shared<Value>(*value);
-            std::erase_if(out->order, [&](const std::string& name) {
+            std::erase_if(out->field_order, [&](const std::string& name) {
                 Value::Field& f = out->fields.at(name);
                 // A field that may be left out, and was, is not there.
-                if (!f.optional) return false;
+                if (!f.is_optional) return false;
                 out->fields.erase(name);
                 return true;
             });
-            for (const std::string& name : out->order) {
+            for (const std::string& name : out->field_order) {
                 Value::Field& f = out->fields.at(name);
-                f.value = settle(f.value, within(path, name), problems);
+                f.value = resolve_value(f.value, join_path(path, name), problems);
             }
             return out;
         }
         case Kind::List: {
             auto out = std::make_shared<Value>(*value);
-            out->rest = nullptr;
+            out->rest_type = nullptr;
             for (std::size_t i = 0; i < out->items.size(); ++i)
-                out->items[i] = settle(out->items[i], fmt::format("{}[{}]", path, i), problems);
+                out->items[i] = resolve_value(out->items[i], fmt::format("{}[{}]", path, i), problems);
             return out;
         }
         case Kind::Type:
         case Kind::Top: break;
         default: return value;
     }
-    problems.push_back({value->place, path, fmt::format("missing; expected {}", value->shown())});
+    problems.push_back({value->position, path, fmt::format("missing; expected {}", value->to_text())});
     return value;
 }
 
-std::optional<double> read_duration(std::string_view text) {
+std::optional<double> parse_duration(std::string_view text) {
     static const std::vector<std::pair<std::string_view, double>> kUnits = {
         {"ms", 1e3}, {"us", 1.0}, {"h", 3.6e9}, {"m", 6e7}, {"s", 1e6}};
-    return read_units(text, kUnits, true, 0.0);
+    return parse_with_units(text, kUnits, true, 0.0);
 }
 
-std::optional<double> read_size(std::string_view text) {
+std::optional<double> parse_size(std::string_view text) {
     static const std::vector<std::pair<std::string_view, double>> kUnits = {
         {"KiB", 1024.0}, {"MiB", 1048576.0}, {"GiB", 1073741824.0}, {"kB", 1e3},
         {"KB", 1e3},     {"MB", 1e6},        {"GB", 1e9},           {"B", 1.0}};
-    return read_units(text, kUnits, false, 1.0);
+    return parse_with_units(text, kUnits, false, 1.0);
 }
 
 }    // namespace shaletray::settings
--- a/src/balancer/shared_counter/resp.h
+++ b/src/balancer/shared_counter/resp.h
@@ -14,39 +14,39 @@
 
 namespace shaletray::shared_counter {
 
-struct Reply {
+struct RespReply {
     enum class Kind { Nil, Text, Status, Error, Integer, List };
     Kind kind = Kind::Nil;
     std::string text;    // Text, Status, Error
     std::int64_t integer = 0;
-    std::vector<Reply> items;    // List
+    std::vector<RespReply> items;    // List
 };
 
 // The bytes are no RESP: nothing that follows can be read.
-class NotResp : public std::runtime_error {
+class RespProtocolError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-std::string write_command(const std::vector<std::string>& words);
+std::string serialize_command(const std::vector<std::string>& words);
 
 // Takes replies (or, for a server, commands, which have the form of a list) out of a stream of bytes.
-class Replies {
+class RespReader {
 public:
     // What a peer may make us hold: a longer reply is none of ours.
-    static constexpr std::size_t kLongest = 16 * 1024 * 1024;
+    static constexpr std::size_t kMaxReplySize = 16 * 1024 * 1024;
 
-    Replies();
+    RespReader();
     void feed(std::string_view bytes);
     // Nothing until a whole one is there. Throws NotResp.
-    std::optional<Reply> next();
+    std::optional<RespReply> next_reply();
 
 private:
     struct Free {
         void operator()(redisReader* reader) const;
     };
     std::unique_ptr<redisReader, Free> reader_;
-    std::size_t unread_ = 0;    // bytes since the last whole reply
+    std::size_t pending_bytes_ = 0;    // bytes since the last whole reply
 };
 
 }    // namespace shaletray::shared_counter
--- a/src/balancer/shared_counter/shared_counter_client.h
+++ b/src/balancer/shared_counter/shared_counter_client.h
@@ -12,41 +12,45 @@
 
 namespace shaletray::shared_counter {
 
-class Client {
+class SharedCounterClient {
 public:
-    Client(ExchangeSettings settings, Ledger& ledger, Engine& engine, Reactor& reactor);
-    ~Client();
-    Client(const Client&) = delete;
-    Client& operator=(const Client&) = delete;
-
-    void carry(plans::Notices& notices) { exchange_.carry(notices); }
+    SharedCounterClient(StoreExchangeSettings settings, QuotaStateTable& quota_state_table, Engine& engine,
+                        Reactor& reactor);
+    ~SharedCounterClient();
+    SharedCounterClient(const SharedCounterClient&) = delete;
+    SharedCounterClient& operator=(const SharedCounterClient&) = delete;
+
+    void set_field_exchange(plans::FieldExchange& field_exchange) {
+        exchange_.set_field_exchange(field_exchange);
+    }
     void start();
-    const CounterStats& stats() const { return stats_; }
+    const SharedCounterStatistics& statistics() const { return statistics_; }
 
 private:
     struct Connection : StreamOwner {
-        Connection(Client& of, Session& s) : client(of), session(s) {}
+        Connection(SharedCounterClient& owner, StoreSession& store_session)
+            : client(owner), session(store_session) {}
         void on_connected() override;
         void on_input() override;
-        void on_broken() override;
+        void on_disconnected() override;
 
-        Client& client;
-        Session& session;
+        SharedCounterClient& client;
+        StoreSession& session;
         std::unique_ptr<Stream> stream;
-        bool told_up = false;
-        LogGate gate{std::chrono::minutes(1)}, spoilt_gate{std::chrono::minutes(1)};
+        bool connect_logged = false;
+        LogRateLimiter log_limiter{std::chrono::minutes(1)}, malformed_log_limiter{std::chrono::minutes(1)};
     };
 
-    void step();
-    void serve(Connection& connection);
-    void lose(Connection& connection, const std::string& why);
-    void arm();
+    void run_exchange();
+    void process_session(Connection& connection);
+    void on_connection_lost(Connection& connection, const std::string& reason);
+    void schedule_next();
 
     Engine& engine_;
-    Ledger& ledger_;
+    QuotaStateTable& quota_state_table_;
     Reactor& reactor_;
-    CounterStats stats_;
-    Exchange exchange_;
+    SharedCounterStatistics statistics_;
+    StoreExchange exchange_;
     std::vector<std::unique_ptr<Connection>> connections_;
     Timers::Id timer_ = 0;
 };
--- a/src/balancer/shared_counter/store_exchange.h
+++ b/src/balancer/shared_counter/store_exchange.h
@@ -10,40 +10,41 @@
 
 namespace shaletray::shared_counter {
 
-struct ExchangeSettings {
-    std::vector<SessionSettings> stores;    // in the order of preference
-    Duration every{500'000}, standby_every{5'000'000};
-    std::size_t most_rows = 1024;    // in a call; the rest waits its turn
-    std::uint64_t seed = 1;
+struct StoreExchangeSettings {
+    std::vector<StoreSessionSettings> stores;    // in the order of preference
+    Duration interval{500'000}, standby_interval{5'000'000};
+    std::size_t max_rows_per_call = 1024;    // in a call; the rest waits its turn
+    std::uint64_t random_seed = 1;
 };
 
-class Exchange {
+class StoreExchange {
 public:
-    Exchange(ExchangeSettings settings, Ledger& ledger, CounterStats& stats);
+    StoreExchange(StoreExchangeSettings settings, QuotaStateTable& quota_state_table,
+                  SharedCounterStatistics& statistics);
 
-    std::size_t size() const { return stores_.size(); }
-    Session& at(std::size_t i) { return *stores_[i].session; }
-    void carry(plans::Notices& notices) {
-        for (Store& store : stores_) store.session->carry(&notices);
+    std::size_t store_count() const { return stores_.size(); }
+    StoreSession& session_at(std::size_t index) { return *stores_[index].session; }
+    void set_field_exchange(plans::FieldExchange& field_exchange) {
+        for (Store& store : stores_) store.session->set_field_exchange(&field_exchange);
     }
     // What is due: time-outs, and calls to the stores whose turn it is.
     void tick(TimePoint now);
-    std::optional<TimePoint> next() const;
+    std::optional<TimePoint> next_deadline() const;
 
 private:
     struct Store {
-        std::unique_ptr<Session> session;
-        TimePoint due{};
+        std::unique_ptr<StoreSession> session;
+        TimePoint next_due{};
         TimePoint active_until{};    // asked as often as the first: somebody is heard only there
         bool was_up = false;
     };
 
-    ExchangeSettings s_;
-    Ledger& ledger_;
-    CounterStats& stats_;
+    StoreExchangeSettings settings_;
+    QuotaStateTable& quota_state_table_;
+    SharedCounterStatistics& statistics_;
     std::vector<Store> stores_;
-    int quick_ = 0;    // exchanges that may follow at once
-    TimePoint quick_at_{};
+    int immediate_exchanges_ = 0;    // exchanges that may follow at once
+    TimePoint immediate_allowed_at_{};
 };
 
 }    // namespace shaletray::shared_counter
--- a/src/balancer/shared_counter/store_session.cpp
+++ b/src/balancer/shared_counter/store_session.cpp
@@ -9,246 +9,264 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kFirstBackoff = 50ms, kLongestBackoff = 800ms;
-constexpr Duration kRefusedBackoff = 5s;    // wrong password, wrong database: that takes an operator
-constexpr int kPatience = 8;    // time-outs without an answer, after which a connection is given up
-constexpr Duration kLeastPatience = 3s;    // a store that is two seconds slow is slow and not gone
+constexpr Duration kInitialBackoff = 50ms, kMaxBackoff = 800ms;
+constexpr Duration kRejectedBackoff = 5s;    // wrong password, wrong database: that takes an operator
+constexpr int kAbandonTimeoutFactor =
+    8;    // time-outs without an answer, after which a connection is given up
+constexpr Duration kMinAbandonTimeout = 3s;    // a store that is two seconds slow is slow and not gone
 
-std::string field_of(CustomerId id, int gateway) {
-    return fmt::format("{:x}:{}", static_cast<std::uint64_t>(id), gateway);
+std::string row_field_name(CustomerId customer_id, int gateway_index) {
+    return fmt::format("{:x}:{}", static_cast<std::uint64_t>(customer_id), gateway_index);
 }
 
 }    // namespace
 
-Session::Session(SessionSettings settings, Ledger& ledger, CounterStats& stats, std::uint64_t seed)
-    : s_(std::move(settings)), ledger_(ledger), stats_(stats), random_(seed) {}
+StoreSession::StoreSession(StoreSessionSettings settings, QuotaStateTable& quota_state_table,
+                           SharedCounterStatistics& statistics, std::uint64_t seed)
+    : settings_(std::move(settings)),
+      quota_state_table_(quota_state_table),
+      statistics_(statistics),
+      random_(seed) {}
 
 // ---- its connection ----
 
-void Session::dialling(TimePoint now) {
+void StoreSession::on_dialling(TimePoint now) {
     state_ = State::Dialling;
-    since_ = now;
-    wrong_.reset();
-    calls_.clear();
+    state_since_ = now;
+    close_reason_.reset();
+    pending_calls_.clear();
     output_.clear();
-    replies_ = Replies();
+    replies_ = RespReader();
 }
 
-void Session::connected(TimePoint now) {
-    state_ = State::Greeting;
-    since_ = now;
-    ++stats_.connects;
-    if (!s_.password.empty()) {
+void StoreSession::on_connected(TimePoint now) {
+    state_ = State::Handshaking;
+    state_since_ = now;
+    ++statistics_.connects;
+    if (!settings_.password.empty()) {
         std::vector<std::string> words{"AUTH"};
-        if (!s_.username.empty()) words.push_back(s_.username);
-        words.push_back(s_.password);
-        call(Ask::Greeting, words, now);
+        if (!settings_.username.empty()) words.push_back(settings_.username);
+        words.push_back(settings_.password);
+        send_call(CallKind::Handshake, words, now);
     }
-    if (s_.database != 0) call(Ask::Greeting, {"SELECT", std::to_string(s_.database)}, now);
-    call(Ask::RunId, {"INFO", "server"}, now);
+    if (settings_.database != 0)
+        send_call(CallKind::Handshake, {"SELECT", std::to_string(settings_.database)}, now);
+    send_call(CallKind::RunId, {"INFO", "server"}, now);
 }
 
-void Session::broke(TimePoint now) {
+void StoreSession::on_disconnected(TimePoint now) {
     if (state_ == State::Down) return;
-    ++stats_.lost;
-    stats_.late += static_cast<std::uint64_t>(
-        std::count_if(calls_.begin(), calls_.end(), [](const Call& c) { return !c.late; }));
-    calls_.clear();
+    ++statistics_.connections_lost;
+    statistics_.late_answers += static_cast<std::uint64_t>(std::count_if(
+        pending_calls_.begin(), pending_calls_.end(), [](const Call& c) { return !c.is_late; }));
+    pending_calls_.clear();
     state_ = State::Down;
-    backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, std::max(kLongestBackoff, backoff_));
+    backoff_ = std::clamp(backoff_ * 2, kInitialBackoff, std::max(kMaxBackoff, backoff_));
     // Between half and all of it: gateways that lost the same store do not all come back at once.
     retry_at_ =
         now + backoff_ / 2 +
         Duration(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(backoff_.count() / 2)));
-    wrong_.reset();
+    close_reason_.reset();
 }
 
-void Session::received(std::string_view bytes, TimePoint now) {
-    if (state_ != State::Greeting && state_ != State::Up) return;
+void StoreSession::on_received(std::string_view bytes, TimePoint now) {
+    if (state_ != State::Handshaking && state_ != State::Up) return;
     try {
         replies_.feed(bytes);
-        while (!wrong_) {
-            const std::optional<Reply> reply = replies_.next();
+        while (!close_reason_) {
+            const std::optional<RespReply> reply = replies_.next_reply();
             if (!reply) break;
-            if (calls_.empty()) throw NotResp("an answer that nobody asked for");
-            const Call call = std::move(calls_.front());
-            calls_.pop_front();
-            answered(call, *reply, now);
+            if (pending_calls_.empty()) throw RespProtocolError("an answer that nobody asked for");
+            const Call call = std::move(pending_calls_.front());
+            pending_calls_.pop_front();
+            on_answer(call, *reply, now);
         }
-    } catch (const NotResp& error) {
-        wrong_ = fmt::format("it does not speak the Redis protocol: {}", error.what());
-        backoff_ = kRefusedBackoff;
+    } catch (const RespProtocolError& error) {
+        close_reason_ = fmt::format("it does not speak the Redis protocol: {}", error.what());
+        backoff_ = kRejectedBackoff;
     }
 }
 
-void Session::answered(const Call& call, const Reply& reply, TimePoint now) {
-    if (reply.kind == Reply::Kind::Error) {
-        ++stats_.errors;
-        const bool refused = call.ask == Ask::Greeting || reply.text.starts_with("NOAUTH") ||
+void StoreSession::on_answer(const Call& call, const RespReply& reply, TimePoint now) {
+    if (reply.kind == RespReply::Kind::Error) {
+        ++statistics_.error_answers;
+        const bool refused = call.kind == CallKind::Handshake || reply.text.starts_with("NOAUTH") ||
                              reply.text.starts_with("WRONGPASS") || reply.text.starts_with("NOPERM");
-        if (refused) backoff_ = kRefusedBackoff;
+        if (refused) backoff_ = kRejectedBackoff;
         // LOADING, READONLY, MOVED, OOM and whatever else: it cannot keep rows now.
-        wrong_ = fmt::format("it answered {}", reply.text.substr(0, 80));
+        close_reason_ = fmt::format("it answered {}", reply.text.substr(0, 80));
         return;
     }
-    switch (call.ask) {
-        case Ask::Greeting: break;
-        case Ask::RunId: greeted(reply, now); break;
-        case Ask::Write:
-            if (reply.kind != Reply::Kind::Integer) wrong_ = "it answered a write with no number";
+    switch (call.kind) {
+        case CallKind::Handshake: break;
+        case CallKind::RunId: on_greeting(reply, now); break;
+        case CallKind::Write:
+            if (reply.kind != RespReply::Kind::Integer) close_reason_ = "it answered a write with no number";
             break;
-        case Ask::Read: read(call, reply, now); break;
+        case CallKind::Read: process_read_reply(call, reply, now); break;
     }
 }
 
-void Session::greeted(const Reply& reply, TimePoint) {
-    if (reply.kind != Reply::Kind::Text) {
-        wrong_ = "it told nothing of itself";
+void StoreSession::on_greeting(const RespReply& reply, TimePoint) {
+    if (reply.kind != RespReply::Kind::Text) {
+        close_reason_ = "it told nothing of itself";
         return;
     }
-    std::string id;
+    std::string reservation_id;
     if (const std::size_t at = reply.text.find("run_id:"); at != std::string::npos) {
-        id = reply.text.substr(at + 7);
-        id.resize(std::min(id.size(), id.find_first_of("\r\n")));
+        reservation_id = reply.text.substr(at + 7);
+        reservation_id.resize(std::min(reservation_id.size(), reservation_id.find_first_of("\r\n")));
     }
     // For the operator's eyes only: nothing that is granted rests on which process answers.
-    if (!run_id_.empty() && id != run_id_) ++stats_.replaced;
-    run_id_ = id;
+    if (!run_id_.empty() && reservation_id != run_id_) ++statistics_.stores_replaced;
+    run_id_ = reservation_id;
     state_ = State::Up;
     backoff_ = Duration(0);
     epoch_ = -1;
-    news_written_ = ~std::uint64_t{0};
-    ledger_.refresh();    // it may have lost what it held
+    announcement_written_ = ~std::uint64_t{0};
+    quota_state_table_.rewrite_all_rows();    // it may have lost what it held
 }
 
-void Session::bad_value(const std::string& field) {
-    ++stats_.bad_values;
-    if (!spoilt_) spoilt_ = field;
+void StoreSession::record_malformed_value(const std::string& field) {
+    ++statistics_.bad_values;
+    if (!malformed_field_) malformed_field_ = field;
 }
 
-void Session::read(const Call& call, const Reply& reply, TimePoint now) {
-    const std::size_t gateways = static_cast<std::size_t>(s_.gateways);
-    if (reply.kind != Reply::Kind::List ||
-        reply.items.size() != gateways + call.wanted.size() + call.notices.size()) {
-        wrong_ = "it answered a read with no list of that length";
+void StoreSession::process_read_reply(const Call& call, const RespReply& reply, TimePoint now) {
+    const std::size_t gateways = static_cast<std::size_t>(settings_.gateway_count);
+    if (reply.kind != RespReply::Kind::List ||
+        reply.items.size() != gateways + call.requested_rows.size() + call.requested_fields.size()) {
+        close_reason_ = "it answered a read with no list of that length";
         return;
     }
     // Nothing where no value is. What is no text is no row either.
-    const auto text = [&](const Reply& item) -> const std::string* {
-        return item.kind == Reply::Kind::Nil ? nullptr : &item.text;
+    const auto text = [&](const RespReply& item) -> const std::string* {
+        return item.kind == RespReply::Kind::Nil ? nullptr : &item.text;
     };
-    for (std::size_t i = 0; i < gateways; ++i) {
-        const std::string* const value = text(reply.items[i]);
-        if (value == nullptr || static_cast<int>(i) == s_.me) continue;
-        if (const auto news = limits::read_news(*value)) ledger_.news_heard(static_cast<int>(i), *news, now);
-        else bad_value(fmt::format("news:{}", i));
-    }
-    for (std::size_t i = 0; i < call.wanted.size(); ++i) {
-        const std::string* const value = text(reply.items[gateways + i]);
+    for (std::size_t index = 0; index < gateways; ++index) {
+        const std::string* const value = text(reply.items[index]);
+        if (value == nullptr || static_cast<int>(index) == settings_.own_index) continue;
+        if (const auto announcement = limits::parse_announcement(*value))
+            quota_state_table_.on_announcement(static_cast<int>(index), *announcement, now);
+        else record_malformed_value(fmt::format("news:{}", index));
+    }
+    for (std::size_t index = 0; index < call.requested_rows.size(); ++index) {
+        const std::string* const value = text(reply.items[gateways + index]);
         if (value == nullptr) continue;
-        if (const auto row = limits::read_row(*value)) {
-            ++stats_.rows_read;
-            const auto& [customer, gateway] = call.wanted[i];
-            const bool missed = ledger_.overdue(customer, gateway, now);
-            if (ledger_.row_heard(customer, gateway, *row, now) && missed) brought_news_ = true;
+        if (const auto row = limits::parse_row(*value)) {
+            ++statistics_.rows_read;
+            const auto& [customer_id, gateway] = call.requested_rows[index];
+            const bool missed = quota_state_table_.is_overdue(customer_id, gateway, now);
+            if (quota_state_table_.on_row(customer_id, gateway, *row, now) && missed) row_surprise_ = true;
         } else {
-            bad_value(field_of(call.wanted[i].first, call.wanted[i].second));
+            record_malformed_value(
+                row_field_name(call.requested_rows[index].first, call.requested_rows[index].second));
         }
     }
-    for (std::size_t i = 0; i < call.notices.size(); ++i) {
-        const std::string* const value = text(reply.items[gateways + call.wanted.size() + i]);
-        if (value != nullptr) notices_->heard(call.notices[i], *value, now);
-        else notices_->absent(call.notices[i]);
+    for (std::size_t index = 0; index < call.requested_fields.size(); ++index) {
+        const std::string* const value = text(reply.items[gateways + call.requested_rows.size() + index]);
+        if (value != nullptr) field_exchange_->on_field_read(call.requested_fields[index], *value, now);
+        else field_exchange_->on_field_absent(call.requested_fields[index]);
     }
 }
 
 // ---- calls ----
 
-void Session::call(Ask ask, const std::vector<std::string>& words, TimePoint now,
-                   std::vector<std::pair<CustomerId, int>> wanted) {
-    ++stats_.calls;
-    calls_.push_back({ask, now, false, std::move(wanted), {}});
-    output_ += write_command(words);
+void StoreSession::send_call(CallKind kind, const std::vector<std::string>& words, TimePoint now,
+                             std::vector<std::pair<CustomerId, int>> requested_rows) {
+    ++statistics_.calls;
+    pending_calls_.push_back({kind, now, false, std::move(requested_rows), {}});
+    output_ += serialize_command(words);
 }
 
-bool Session::prompt(TimePoint now) const {
-    return up() && (calls_.empty() || now - calls_.front().at <= s_.timeout);
+bool StoreSession::is_responsive(TimePoint now) const {
+    return is_up() && (pending_calls_.empty() || now - pending_calls_.front().sent_at <= settings_.timeout);
 }
 
-Duration Session::patience() const { return std::max(kLeastPatience, kPatience * s_.timeout); }
+Duration StoreSession::response_timeout() const {
+    return std::max(kMinAbandonTimeout, kAbandonTimeoutFactor * settings_.timeout);
+}
 
 // All rows of a while in one hash, which the store drops by itself: what dead gateways and customers that are
 // gone leave behind does not stay. Gateways whose clocks differ miss each other's rows for that much at its
 // end.
-std::string Session::rows_key(TimePoint now) {
-    const std::int64_t epoch = now.time_since_epoch() / s_.epoch;
-    const std::string key = fmt::format("{}:rows:{}", s_.prefix, epoch);
+std::string StoreSession::rows_key(TimePoint now) {
+    const std::int64_t epoch = now.time_since_epoch() / settings_.epoch_duration;
+    const std::string key = fmt::format("{}:rows:{}", settings_.key_prefix, epoch);
     if (epoch != epoch_) {
         epoch_ = epoch;
-        news_written_ = ~std::uint64_t{0};
-        ledger_.refresh();
+        announcement_written_ = ~std::uint64_t{0};
+        quota_state_table_.rewrite_all_rows();
     }
     return key;
 }
 
-void Session::exchange(const std::vector<std::pair<CustomerId, limits::Row>>& rows,
-                       const std::vector<std::pair<CustomerId, int>>& wanted, TimePoint now) {
-    const bool first = now.time_since_epoch() / s_.epoch != epoch_;
+void StoreSession::exchange_rows(const std::vector<std::pair<CustomerId, limits::QuotaRow>>& rows,
+                                 const std::vector<std::pair<CustomerId, int>>& rows_to_read, TimePoint now) {
+    const bool first = now.time_since_epoch() / settings_.epoch_duration != epoch_;
     const std::string key = rows_key(now);
     std::vector<std::string> write{"HSET", key};
-    const limits::News news = ledger_.news();
-    if (news.last != news_written_) {
-        write.push_back(fmt::format("news:{}", s_.me));
-        write.push_back(limits::write_news(news));
-        news_written_ = news.last;
-    }
-    for (const auto& [id, row] : rows) {
-        write.push_back(field_of(id, s_.me));
-        write.push_back(limits::write_row(row));
-    }
-    if (notices_ != nullptr) {
-        for (auto& [field, value] : notices_->to_write()) {
+    const limits::Announcement announcement = quota_state_table_.announcement();
+    if (announcement.item_count != announcement_written_) {
+        write.push_back(fmt::format("news:{}", settings_.own_index));
+        write.push_back(limits::serialize_announcement(announcement));
+        announcement_written_ = announcement.item_count;
+    }
+    for (const auto& [customer_id, row] : rows) {
+        write.push_back(row_field_name(customer_id, settings_.own_index));
+        write.push_back(limits::serialize_row(row));
+    }
+    if (field_exchange_ != nullptr) {
+        for (auto& [field, value] : field_exchange_->fields_to_write()) {
             write.push_back(std::move(field));
             write.push_back(std::move(value));
         }
     }
-    stats_.rows_written += rows.size();
+    statistics_.rows_written += rows.size();
     if (write.size() > 2) {
-        call(Ask::Write, write, now);
-        if (first) call(Ask::Write, {"PEXPIRE", key, std::to_string(3 * s_.epoch / 1ms)}, now);
+        send_call(CallKind::Write, write, now);
+        if (first)
+            send_call(CallKind::Write, {"PEXPIRE", key, std::to_string(3 * settings_.epoch_duration / 1ms)},
+                      now);
     }
     std::vector<std::string> read{"HMGET", key};
-    for (int i = 0; i < s_.gateways; ++i) read.push_back(fmt::format("news:{}", i));
-    for (const auto& [id, gateway] : wanted) read.push_back(field_of(id, gateway));
+    for (int index = 0; index < settings_.gateway_count; ++index)
+        read.push_back(fmt::format("news:{}", index));
+    for (const auto& [customer_id, gateway] : rows_to_read)
+        read.push_back(row_field_name(customer_id, gateway));
     std::vector<std::string> notices;
-    if (notices_ != nullptr) notices = notices_->wanted();
+    if (field_exchange_ != nullptr) notices = field_exchange_->fields_to_read();
     read.insert(read.end(), notices.begin(), notices.end());
-    call(Ask::Read, read, now, wanted);
-    calls_.back().notices = std::move(notices);
+    send_call(CallKind::Read, read, now, rows_to_read);
+    pending_calls_.back().requested_fields = std::move(notices);
 }
 
-void Session::tick(TimePoint now) {
-    if (state_ == State::Down || wrong_) return;
-    for (Call& c : calls_) {
-        if (c.late || now - c.at <= s_.timeout) continue;
-        c.late = true;
-        ++stats_.late;
+void StoreSession::tick(TimePoint now) {
+    if (state_ == State::Down || close_reason_) return;
+    for (Call& c : pending_calls_) {
+        if (c.is_late || now - c.sent_at <= settings_.timeout) continue;
+        c.is_late = true;
+        ++statistics_.late_answers;
     }
-    if (state_ != State::Up && now - since_ >= patience()) wrong_ = "nothing was heard after the greeting";
-    if (state_ == State::Dialling && now - since_ >= 4 * s_.timeout) wrong_ = "no connection came up";
-    if (state_ == State::Up && !calls_.empty() && now - calls_.front().at >= patience())
-        wrong_ = "it has not answered for long";
+    if (state_ != State::Up && now - state_since_ >= response_timeout())
+        close_reason_ = "nothing was heard after the greeting";
+    if (state_ == State::Dialling && now - state_since_ >= 4 * settings_.timeout)
+        close_reason_ = "no connection came up";
+    if (state_ == State::Up && !pending_calls_.empty() &&
+        now - pending_calls_.front().sent_at >= response_timeout())
+        close_reason_ = "it has not answered for long";
 }
 
-std::optional<TimePoint> Session::next() const {
+std::optional<TimePoint> StoreSession::next_deadline() const {
     switch (state_) {
         case State::Down: return retry_at_;
-        case State::Dialling: return since_ + 4 * s_.timeout;
-        case State::Greeting: return since_ + patience();
+        case State::Dialling: return state_since_ + 4 * settings_.timeout;
+        case State::Handshaking: return state_since_ + response_timeout();
         case State::Up: break;
     }
-    if (calls_.empty()) return std::nullopt;
-    return calls_.front().late ? calls_.front().at + patience() : calls_.front().at + s_.timeout;
+    if (pending_calls_.empty()) return std::nullopt;
+    return pending_calls_.front().is_late ? pending_calls_.front().sent_at + response_timeout()
+                                          : pending_calls_.front().sent_at + settings_.timeout;
 }
 
 }    // namespace shaletray::shared_counter
--- a/src/balancer/usage/export.cpp
+++ b/src/balancer/usage/export.cpp
@@ -8,103 +8,105 @@
 
 namespace shaletray::usage {
 
-FileExport::FileExport(Collector& collector, usage_log::Files& files, std::string folder, Form form,
-                       Names names)
+FileExport::FileExport(UsageCollector& collector, usage_log::FileSystem& files, std::string folder,
+                       ExportFormat form, ExportNames names)
     : collector_(collector),
-      files_(files),
-      folder_(std::move(folder)),
-      form_(form),
+      file_system_(files),
+      directory_(std::move(folder)),
+      format_(form),
       names_(std::move(names)) {}
 
-std::string FileExport::name_of(std::uint64_t batch) const {
-    return fmt::format("usage-{}-{:010}.{}", collector_.exporter(), batch,
-                       form_ == Form::Csv ? "csv" : "jsonl");
+std::string FileExport::file_name_of(std::uint64_t batch) const {
+    return fmt::format("usage-{}-{:010}.{}", collector_.exporter_name(), batch,
+                       format_ == ExportFormat::Csv ? "csv" : "jsonl");
 }
 
-std::uint64_t FileExport::run() {
+std::uint64_t FileExport::export_batches() {
     std::uint64_t done = 0;
-    const std::uint64_t last = collector_.sealed();
-    for (std::uint64_t id = collector_.served(sink()) + 1; id <= last; ++id, ++done) {
-        const auto batch = collector_.batch(id);
+    const std::uint64_t last = collector_.last_sealed_batch();
+    for (std::uint64_t id = collector_.acknowledged_batch(sink_name()) + 1; id <= last; ++id, ++done) {
+        const auto batch = collector_.read_batch(id);
         if (!batch)
             throw std::runtime_error(fmt::format("batch {} is dropped here and was never exported", id));
-        const std::string place = folder_ + "/" + name_of(id), making = place + ".making";
+        const std::string place = directory_ + "/" + file_name_of(id), making = place + ".making";
         {
-            const auto file = files_.open(making, O_WRONLY | O_CREAT | O_TRUNC);
-            files_.write(*file, write_batch(*batch, form_, names_.plans, names_.classes));
-            files_.sync(*file);
+            const auto file = file_system_.open(making, O_WRONLY | O_CREAT | O_TRUNC);
+            file_system_.write(*file, write_batch(*batch, format_, names_.plans, names_.classes));
+            file_system_.sync(*file);
         }
-        files_.rename(making, place);    // the same bytes, should it be there already
-        files_.sync_folder(folder_);
-        collector_.serve(sink(), id);
+        file_system_.rename(making, place);    // the same bytes, should it be there already
+        file_system_.sync_directory(directory_);
+        collector_.set_acknowledged(sink_name(), id);
     }
     return done;
 }
 
-std::optional<std::uint64_t> read_have(const std::string& body) {
+std::optional<std::uint64_t> parse_acknowledged_batch(const std::string& body) {
     const auto json = nlohmann::json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("have") || !json["have"].is_number_unsigned())
         return std::nullopt;
     return json["have"].get<std::uint64_t>();
 }
 
-SinkExport::SinkExport(Collector& collector, std::string url, Post post, Names names)
-    : collector_(collector), url_(std::move(url)), post_(std::move(post)), names_(std::move(names)) {}
+SinkExport::SinkExport(UsageCollector& collector, std::string url, SinkPost post, ExportNames names)
+    : collector_(collector), url_(std::move(url)), send_post_(std::move(post)), names_(std::move(names)) {}
 
-SinkExport::State SinkExport::stop(std::string why) {
-    trouble_ = std::move(why);
+SinkExport::State SinkExport::stop_with_error(std::string why) {
+    last_error_ = std::move(why);
     return State::Stopped;
 }
 
-SinkExport::State SinkExport::take(const SinkAnswer& answer, std::uint64_t last) {
-    if (!answer.heard) {
-        trouble_ = answer.trouble;
-        return State::Later;
+SinkExport::State SinkExport::handle_reply(const SinkReply& answer, std::uint64_t last) {
+    if (!answer.received) {
+        last_error_ = answer.error_text;
+        return State::RetryLater;
     }
-    if (answer.have > last)
-        return stop(
+    if (answer.acknowledged_batch > last)
+        return stop_with_error(
             fmt::format("the endpoint has batch {} of this store, which made {}: a copy of the store exports "
                         "too, or it was restored from a backup",
-                        answer.have, last));
+                        answer.acknowledged_batch, last));
     return State::Done;
 }
 
-SinkExport::State SinkExport::check() {
-    trouble_.clear();
-    ++posts_;
-    const SinkAnswer answer = post_(collector_.exporter(), 0, {});
-    const State state = take(answer, collector_.sealed());
-    if (state == State::Done && answer.have != collector_.served(sink()))
-        collector_.serve(sink(), answer.have);
+SinkExport::State SinkExport::check_sink() {
+    last_error_.clear();
+    ++post_count_;
+    const SinkReply answer = send_post_(collector_.exporter_name(), 0, {});
+    const State state = handle_reply(answer, collector_.last_sealed_batch());
+    if (state == State::Done && answer.acknowledged_batch != collector_.acknowledged_batch(sink_name()))
+        collector_.set_acknowledged(sink_name(), answer.acknowledged_batch);
     return state;
 }
 
-SinkExport::State SinkExport::run() {
-    trouble_.clear();
-    const std::uint64_t last = collector_.sealed();
+SinkExport::State SinkExport::export_batches() {
+    last_error_.clear();
+    const std::uint64_t last = collector_.last_sealed_batch();
     // An endpoint that keeps falling back is not followed round for ever within one call.
-    for (std::uint64_t left = 2 * (last - std::min(last, collector_.served(sink()))) + 64; left > 0; --left) {
-        const std::uint64_t id = collector_.served(sink()) + 1;
+    for (std::uint64_t left = 2 * (last - std::min(last, collector_.acknowledged_batch(sink_name()))) + 64;
+         left > 0; --left) {
+        const std::uint64_t id = collector_.acknowledged_batch(sink_name()) + 1;
         if (id > last) return State::Done;
-        const auto batch = collector_.batch(id);
+        const auto batch = collector_.read_batch(id);
         if (!batch)
-            return stop(
+            return stop_with_error(
                 fmt::format("the endpoint has batches up to {}, and those up to {} are dropped here: fetch "
                             "them from the files",
-                            id - 1, collector_.oldest() - 1));
-        ++posts_;
-        const SinkAnswer answer = post_(collector_.exporter(), id,
-                                        write_batch(*batch, Form::JsonLines, names_.plans, names_.classes));
-        if (const State state = take(answer, last); state != State::Done) return state;
+                            id - 1, collector_.oldest_batch() - 1));
+        ++post_count_;
+        const SinkReply answer =
+            send_post_(collector_.exporter_name(), id,
+                       write_batch(*batch, ExportFormat::JsonLines, names_.plans, names_.classes));
+        if (const State state = handle_reply(answer, last); state != State::Done) return state;
         // Up to where it has them: also further, where answers were lost, and further back, where it forgot.
-        if (answer.have + 1 == id) {
-            trouble_ = fmt::format("the endpoint answered and did not take batch {}", id);
-            return State::Later;
+        if (answer.acknowledged_batch + 1 == id) {
+            last_error_ = fmt::format("the endpoint answered and did not take batch {}", id);
+            return State::RetryLater;
         }
-        collector_.serve(sink(), answer.have);
+        collector_.set_acknowledged(sink_name(), answer.acknowledged_batch);
     }
-    trouble_ = "the endpoint keeps falling back";
-    return State::Later;
+    last_error_ = "the endpoint keeps falling back";
+    return State::RetryLater;
 }
 
 }    // namespace shaletray::usage
--- a/src/balancer/usage/shaletray_usage.cpp
+++ b/src/balancer/usage/shaletray_usage.cpp
@@ -26,7 +26,7 @@
 
 using namespace std::chrono_literals;
 
-std::atomic<bool> stop_wanted{false};
+std::atomic<bool> stop_requested{false};
 
 TimePoint unix_now() {
     return TimePoint(
@@ -34,9 +34,9 @@
 }
 
 // One question to the billing endpoint; whatever is no good answer to it is trouble, and tried again later.
-SinkAnswer post(const std::string& url, Duration timeout, const std::string& exporter, std::uint64_t batch,
-                const std::string& body) {
-    SinkAnswer answer;
+SinkReply post_batch(const std::string& url, Duration timeout, const std::string& exporter,
+                     std::uint64_t batch, const std::string& body) {
+    SinkReply answer;
     try {
         const Poco::URI uri(url);
         Poco::Net::HTTPClientSession session(uri.getHost(), uri.getPort());
@@ -58,222 +58,231 @@
         std::istream& in = session.receiveResponse(response);
         std::string text;
         Poco::StreamCopier::copyToString(in, text);
-        const auto have = read_have(text);
-        answer.heard = response.getStatus() == Poco::Net::HTTPResponse::HTTP_OK && have.has_value();
-        answer.have = have.value_or(0);
-        if (!answer.heard)
-            answer.trouble = fmt::format("{} answered {} and not how far it is", url,
-                                         static_cast<int>(response.getStatus()));
+        const auto have = parse_acknowledged_batch(text);
+        answer.received = response.getStatus() == Poco::Net::HTTPResponse::HTTP_OK && have.has_value();
+        answer.acknowledged_batch = have.value_or(0);
+        if (!answer.received)
+            answer.error_text = fmt::format("{} answered {} and not how far it is", url,
+                                            static_cast<int>(response.getStatus()));
     } catch (const Poco::Exception& error) {
-        answer.trouble = fmt::format("{}: {}", url, error.displayText());
+        answer.error_text = fmt::format("{}: {}", url, error.displayText());
     }
     return answer;
 }
 
 struct Options {
-    std::string settings;
+    std::string settings_path;
     settings::UsageSettings usage;
 };
 
-CollectorSettings collector_settings(const settings::UsageSettings& u) {
+CollectorSettings make_collector_settings(const settings::UsageSettings& u) {
     CollectorSettings c;
-    c.journal = u.journal;
-    c.store = u.store;
-    c.most_bytes = u.most_store;
-    c.settle = u.settle;
-    c.lines = u.lines;
-    c.keep_batches = u.keep_batches;
+    c.journal_directory = u.journal_directory;
+    c.store_path = u.store_path;
+    c.max_store_bytes = u.max_store_bytes;
+    c.settling_time = u.settling_time;
+    c.max_batch_lines = u.max_batch_lines;
+    c.retained_batches = u.retained_batches;
     return c;
 }
 
 class Exporter {
 public:
     explicit Exporter(const settings::UsageSettings& u)
-        : s_(u), collector_(collector_settings(u), usage_log::real_files()) {
-        const Names names{u.plans, u.classes};
-        const Form form = u.form == "csv" ? Form::Csv : Form::JsonLines;
-        if (!u.files.empty()) {
-            std::filesystem::create_directories(u.files);
-            files_ = std::make_unique<FileExport>(collector_, usage_log::real_files(), u.files, form, names);
-            sinks_.push_back(files_->sink());
+        : settings_(u), collector_(make_collector_settings(u), usage_log::real_file_system()) {
+        const ExportNames names{u.plans, u.classes};
+        const ExportFormat form = u.export_format == "csv" ? ExportFormat::Csv : ExportFormat::JsonLines;
+        if (!u.export_directory.empty()) {
+            std::filesystem::create_directories(u.export_directory);
+            file_export_ = std::make_unique<FileExport>(collector_, usage_log::real_file_system(),
+                                                        u.export_directory, form, names);
+            sink_names_.push_back(file_export_->sink_name());
         }
         if (!u.endpoint.empty()) {
-            sink_ = std::make_unique<SinkExport>(
+            sink_export_ = std::make_unique<SinkExport>(
                 collector_, u.endpoint,
                 [this](const std::string& exporter, std::uint64_t batch, const std::string& body) {
-                    return post(s_.endpoint, s_.timeout, exporter, batch, body);
+                    return post_batch(settings_.endpoint, settings_.timeout, exporter, batch, body);
                 },
                 names);
-            sinks_.push_back(sink_->sink());
+            sink_names_.push_back(sink_export_->sink_name());
         }
     }
 
     // One round; false where something stood in the way.
-    bool round(bool all) {
+    bool run_round(bool all) {
         bool good = true;
         const auto told = [&](const std::string& what) {
             good = false;
-            if (gate_.open()) log(LogLevel::Warning, Event::ExportTrouble, {kv("why", what)});
+            if (log_limiter_.try_acquire())
+                log(LogLevel::Warning, Event::ExportFailed, {log_field("why", what)});
         };
         try {
-            collector_.ingest();
-            for (const std::string& complaint : collector_.complaints()) told(complaint);
+            collector_.ingest_records();
+            for (const std::string& complaint : collector_.warnings()) told(complaint);
         } catch (const usage_store::StoreError& error) {
             // Full: segments wait in the journal, as far as its own bound lets them.
             if (error.kind() != usage_store::StoreError::Kind::Full) throw;
             told(error.what());
         }
-        collector_.seal(unix_now(), all);
+        collector_.seal_batches(unix_now(), all);
         try {
-            if (files_) files_->run();
+            if (file_export_) file_export_->export_batches();
         } catch (const usage_log::FileError& error) {
             told(error.what());
         }
-        if (sink_ && std::chrono::steady_clock::now() >= next_try_) send(told);
-        collector_.prune(sinks_);
+        if (sink_export_ && std::chrono::steady_clock::now() >= next_attempt_) run_exports(told);
+        collector_.prune_batches(sink_names_);
         return good;
     }
-    int run(bool all) {
+    int run_loop(bool all) {
         log(LogLevel::Info, Event::ExportStarted,
-            {kv("exporter", collector_.exporter()), kv("journal", s_.journal)});
-        while (!stop_wanted) {
-            round(all);
-            const auto until = std::chrono::steady_clock::now() + s_.every;
-            while (!stop_wanted && std::chrono::steady_clock::now() < until)
+            {log_field("exporter", collector_.exporter_name()),
+             log_field("journal", settings_.journal_directory)});
+        while (!stop_requested) {
+            run_round(all);
+            const auto until = std::chrono::steady_clock::now() + settings_.interval;
+            while (!stop_requested && std::chrono::steady_clock::now() < until)
                 std::this_thread::sleep_for(20ms);
         }
-        round(all);
+        run_round(all);
         return EXIT_SUCCESS;
     }
-    int once(bool all) {
-        const bool good = round(all);
-        if (sink_) sink_->check();
-        const bool done = good && (!sink_ || collector_.served(sink_->sink()) == collector_.sealed());
-        fmt::print("batches={} exported_rows={} pending_rows={}\n", collector_.sealed(),
-                   collector_.exported().rows, collector_.pending().rows);
+    int run_once(bool all) {
+        const bool good = run_round(all);
+        if (sink_export_) sink_export_->check_sink();
+        const bool done =
+            good && (!sink_export_ || collector_.acknowledged_batch(sink_export_->sink_name()) ==
+                                          collector_.last_sealed_batch());
+        fmt::print("batches={} exported_rows={} pending_rows={}\n", collector_.last_sealed_batch(),
+                   collector_.exported_totals().record_count, collector_.pending_totals().record_count);
         return done ? EXIT_SUCCESS : EXIT_FAILURE;
     }
-    int reconcile();
+    int reconcile_with_sink();
 
 private:
     template <class Told>
-    void send(Told told) {
-        const bool nothing = collector_.served(sink_->sink()) >= collector_.sealed();
+    void run_exports(Told told) {
+        const bool nothing =
+            collector_.acknowledged_batch(sink_export_->sink_name()) >= collector_.last_sealed_batch();
         SinkExport::State state = SinkExport::State::Done;
         if (nothing && std::chrono::steady_clock::now() < next_check_) return;
         if (nothing) {
-            state = sink_->check();
-            next_check_ = std::chrono::steady_clock::now() + s_.check_every;
+            state = sink_export_->check_sink();
+            next_check_ = std::chrono::steady_clock::now() + settings_.check_interval;
         }
-        if (state == SinkExport::State::Done) state = sink_->run();
+        if (state == SinkExport::State::Done) state = sink_export_->export_batches();
         if (state == SinkExport::State::Done) {
             backoff_ = Duration(0);
             return;
         }
         backoff_ = std::clamp<Duration>(backoff_ * 2, 100ms, 30s);
         // Exporters that lost the same endpoint do not all come back at once.
-        next_try_ =
+        next_attempt_ =
             std::chrono::steady_clock::now() + backoff_ / 2 +
             Duration(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(backoff_.count() / 2)));
-        told(sink_->trouble());
+        told(sink_export_->last_error());
     }
 
-    settings::UsageSettings s_;
-    Collector collector_;
-    std::unique_ptr<FileExport> files_;
-    std::unique_ptr<SinkExport> sink_;
-    std::vector<std::string> sinks_;
-    LogGate gate_{std::chrono::milliseconds(5000)};
+    settings::UsageSettings settings_;
+    UsageCollector collector_;
+    std::unique_ptr<FileExport> file_export_;
+    std::unique_ptr<SinkExport> sink_export_;
+    std::vector<std::string> sink_names_;
+    LogRateLimiter log_limiter_{std::chrono::milliseconds(5000)};
     std::mt19937_64 random_{std::random_device{}()};
     Duration backoff_{0};
-    std::chrono::steady_clock::time_point next_try_{}, next_check_{};
+    std::chrono::steady_clock::time_point next_attempt_{}, next_check_{};
 };
 
-std::string sums_text(const Sums& s) {
-    return fmt::format("rows={} unrecorded_rows={} units={}.{:06}", s.rows, s.gap_rows, s.units / 1'000'000,
-                       s.units % 1'000'000);
+std::string format_totals(const UsageTotals& s) {
+    return fmt::format("rows={} unrecorded_rows={} units={}.{:06}", s.record_count, s.unrecorded_count,
+                       s.unit_millionths / 1'000'000, s.unit_millionths % 1'000'000);
 }
 
 // Each figure beside the one that it must equal; what differs is named.
-int Exporter::reconcile() {
+int Exporter::reconcile_with_sink() {
     int differences = 0;
-    const auto same = [&](const char* what, const Sums& a, const Sums& b) {
+    const auto same = [&](const char* what, const UsageTotals& a, const UsageTotals& b) {
         if (a == b) return;
         ++differences;
-        fmt::print("DIFFERS {}: {} against {}\n", what, sums_text(a), sums_text(b));
+        fmt::print("DIFFERS {}: {} against {}\n", what, format_totals(a), format_totals(b));
     };
-    const auto add = [](const Sums& a, const Sums& b) {
-        return Sums{a.rows + b.rows, a.gap_rows + b.gap_rows, a.units + b.units};
+    const auto add = [](const UsageTotals& a, const UsageTotals& b) {
+        return UsageTotals{a.record_count + b.record_count, a.unrecorded_count + b.unrecorded_count,
+                           a.unit_millionths + b.unit_millionths};
     };
-    Sums stored;
-    for (const auto& [life, sums] : collector_.stored()) {
-        fmt::print("stored   gateway {} life {:016x}: {}\n", life.first, life.second, sums_text(sums));
+    UsageTotals stored;
+    for (const auto& [life, sums] : collector_.stored_totals()) {
+        fmt::print("stored   gateway {} life {:016x}: {}\n", life.first, life.second, format_totals(sums));
         stored = add(stored, sums);
     }
-    const Sums waiting = collector_.waiting(), pending = collector_.pending(),
-               exported = collector_.exported();
+    const UsageTotals waiting = collector_.unread_totals(), pending = collector_.pending_totals(),
+                      exported = collector_.exported_totals();
     fmt::print("admitted {}\nstored   {}\nwaiting  {}\npending  {}\nexported {}\n",
-               sums_text(add(stored, waiting)), sums_text(stored), sums_text(waiting), sums_text(pending),
-               sums_text(exported));
+               format_totals(add(stored, waiting)), format_totals(stored), format_totals(waiting),
+               format_totals(pending), format_totals(exported));
     same("stored and what is pending or exported", stored, add(pending, exported));
-    const Collector::Trouble trouble = collector_.trouble();
-    if (trouble.damaged > 0) {
+    const UsageCollector::ReadErrors trouble = collector_.read_errors();
+    if (trouble.damaged_slots > 0) {
         ++differences;
-        fmt::print("DIFFERS records: {} were written and can no longer be read\n", trouble.damaged);
+        fmt::print("DIFFERS records: {} were written and can no longer be read\n", trouble.damaged_slots);
     }
-    if (exported.gap_rows + pending.gap_rows > 0) {
+    if (exported.unrecorded_count + pending.unrecorded_count > 0) {
         ++differences;
         fmt::print("DIFFERS records: {} tries were admitted and only counted, for want of room\n",
-                   exported.gap_rows + pending.gap_rows);
+                   exported.unrecorded_count + pending.unrecorded_count);
     }
-    if (trouble.torn > 0)
+    if (trouble.torn_segments > 0)
         fmt::print("note: {} records were being written at a kill; their tries were never sent\n",
-                   trouble.torn);
-    for (const std::string& sink : sinks_) {
-        const std::uint64_t upto = collector_.served(sink), all = collector_.sealed();
+                   trouble.torn_segments);
+    for (const std::string& sink : sink_names_) {
+        const std::uint64_t upto = collector_.acknowledged_batch(sink), all = collector_.last_sealed_batch();
         fmt::print("served   {} up to batch {} of {}\n", sink, upto, all);
         if (upto == all) continue;
         ++differences;
         fmt::print("DIFFERS {}: batches {} to {} are not there yet\n", sink, upto + 1, all);
     }
-    if (sink_) {
-        const std::uint64_t said = collector_.served(sink_->sink());
-        if (sink_->check() != SinkExport::State::Done) {
+    if (sink_export_) {
+        const std::uint64_t said = collector_.acknowledged_batch(sink_export_->sink_name());
+        if (sink_export_->check_sink() != SinkExport::State::Done) {
             ++differences;
-            fmt::print("DIFFERS {}: {}\n", sink_->sink(), sink_->trouble());
-        } else if (const std::uint64_t has = collector_.served(sink_->sink()); has != said) {
+            fmt::print("DIFFERS {}: {}\n", sink_export_->sink_name(), sink_export_->last_error());
+        } else if (const std::uint64_t has = collector_.acknowledged_batch(sink_export_->sink_name());
+                   has != said) {
             ++differences;
             fmt::print("DIFFERS {}: it said it had batch {}, and now has {}; the rest is sent again\n",
-                       sink_->sink(), said, has);
+                       sink_export_->sink_name(), said, has);
         }
     }
-    for (const std::string& complaint : collector_.complaints()) fmt::print("note: {}\n", complaint);
+    for (const std::string& complaint : collector_.warnings()) fmt::print("note: {}\n", complaint);
     fmt::print("{}\n", differences == 0 ? "all agree" : fmt::format("{} differences", differences));
     return differences == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 // The newest lines of the store; the exporter may be at work on it.
-int tail(const settings::UsageSettings& u, int most) {
-    usage_store::Database database({u.store, false, 0, schema()});
+int print_tail(const settings::UsageSettings& u, int most) {
+    usage_store::Database database({u.store_path, false, 0, database_schema()});
     usage_store::Statement get(
         database,
         "SELECT batch, line, minute, customer, plan, version, class, gateway, reservation, gap, rows, "
         "units FROM lines ORDER BY batch DESC, line DESC LIMIT ?");
-    get.each(
+    get.for_each_row(
         [&] {
             fmt::print(
                 "{}:{} {} customer {:016x} plan {} version {} class {} gateway {} reservation {}{} rows {} "
                 "units {:.6f}\n",
-                get.whole(0), get.whole(1), minute_text(get.whole(2)),
-                static_cast<std::uint64_t>(get.whole(3)), get.whole(4), get.whole(5), get.whole(6),
-                get.whole(7), get.whole(8), get.whole(9) != 0 ? " (not recorded one by one)" : "",
-                get.whole(10), static_cast<double>(get.whole(11)) / 1e6);
+                get.integer_column(0), get.integer_column(1), format_minute(get.integer_column(2)),
+                static_cast<std::uint64_t>(get.integer_column(3)), get.integer_column(4),
+                get.integer_column(5), get.integer_column(6), get.integer_column(7), get.integer_column(8),
+                get.integer_column(9) != 0 ? " (not recorded one by one)" : "", get.integer_column(10),
+                static_cast<double>(get.integer_column(11)) / 1e6);
         },
         most);
     return EXIT_SUCCESS;
 }
 
-settings::UsageSettings usage_settings(std::string path) {
+settings::UsageSettings load_usage_settings(std::string path) {
     if (path.empty()) {
         const char* const named = std::getenv("SHALETRAY_SETTINGS");
         path = named == nullptr ? "" : named;
@@ -285,7 +294,7 @@
     return *all.usage;
 }
 
-int run(int argc, char** argv) {
+int run_command(int argc, char** argv) {
     CLI::App app{"Exports what the gateways recorded of use, each unit once."};
     app.require_subcommand(1);
     std::string file, to;
@@ -308,29 +317,29 @@
     backing->add_option("to", to, "The copy")->required();
     CLI::App* const verifying = keeping->add_subcommand("verify", "Look for damage");
     CLI::App* const compacting = keeping->add_subcommand("compact", "Give back room that is not used");
-    if (command::completes(app, argc, argv)) return EXIT_SUCCESS;
+    if (command::run_completion(app, argc, argv)) return EXIT_SUCCESS;
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         return app.exit(error);
     }
-    const settings::UsageSettings s = usage_settings(file);
+    const settings::UsageSettings s = load_usage_settings(file);
     struct sigaction action {};
-    action.sa_handler = [](int) { stop_wanted = true; };
+    action.sa_handler = [](int) { stop_requested = true; };
     for (const int signal : {SIGTERM, SIGINT}) sigaction(signal, &action, nullptr);
-    if (running->parsed()) return Exporter(s).run(all);
-    if (exporting->parsed()) return Exporter(s).once(all);
-    if (reconciling->parsed()) return Exporter(s).reconcile();
-    if (tailing->parsed()) return tail(s, most);
+    if (running->parsed()) return Exporter(s).run_loop(all);
+    if (exporting->parsed()) return Exporter(s).run_once(all);
+    if (reconciling->parsed()) return Exporter(s).reconcile_with_sink();
+    if (tailing->parsed()) return print_tail(s, most);
     // A backup and a check need not stop the exporter; to compact does.
-    usage_store::Database database({s.store, compacting->parsed(), 0, schema()});
-    if (backing->parsed()) database.backup(to);
+    usage_store::Database database({s.store_path, compacting->parsed(), 0, database_schema()});
+    if (backing->parsed()) database.backup_to(to);
     if (compacting->parsed()) database.compact();
     if (verifying->parsed()) {
-        const auto problems = database.problems();
+        const auto problems = database.check_integrity();
         for (const std::string& problem : problems) fmt::print("{}\n", problem);
         if (!problems.empty()) return EXIT_FAILURE;
-        fmt::print("{}: sound\n", s.store);
+        fmt::print("{}: sound\n", s.store_path);
     }
     return EXIT_SUCCESS;
 }
@@ -340,10 +349,10 @@
 
 int main(int argc, char** argv) {
     try {
-        return shaletray::usage::run(argc, argv);
+        return shaletray::usage::run_command(argc, argv);
     } catch (const std::exception& error) {
         shaletray::log(shaletray::LogLevel::Error, shaletray::Event::Failed,
-                       {shaletray::kv("why", error.what())});
+                       {shaletray::log_field("why", error.what())});
     }
     return EXIT_FAILURE;
 }
--- a/src/balancer/usage_log/file_system.h
+++ b/src/balancer/usage_log/file_system.h
@@ -35,28 +35,28 @@
 // Memory that is a file's; it stays with the system when this process is killed.
 class Mapping {
 public:
-    Mapping(void* at, std::size_t size) : at_(at), size_(size) {}
+    Mapping(void* address, std::size_t size) : address_(address), size_(size) {}
     ~Mapping();
     Mapping(const Mapping&) = delete;
     Mapping& operator=(const Mapping&) = delete;
-    std::byte* data() const { return static_cast<std::byte*>(at_); }
+    std::byte* data() const { return static_cast<std::byte*>(address_); }
     std::size_t size() const { return size_; }
 
 private:
-    void* at_;
+    void* address_;
     std::size_t size_;
 };
 
-class Files {
+class FileSystem {
 public:
-    virtual ~Files() = default;
+    virtual ~FileSystem() = default;
     virtual std::unique_ptr<File> open(const std::string& path, int flags) = 0;
     virtual void write(File& file, std::string_view bytes) = 0;
     // Room that is really there, so that a full disk is told here and not at a store to memory.
-    virtual void reserve(File& file, std::size_t size) = 0;
-    virtual std::unique_ptr<Mapping> map(File& file, std::size_t size, bool writable) = 0;
+    virtual void allocate(File& file, std::size_t size) = 0;
+    virtual std::unique_ptr<Mapping> map_file(File& file, std::size_t size, bool writable) = 0;
     virtual void sync(File& file) = 0;
-    virtual void sync_folder(const std::string& path) = 0;
+    virtual void sync_directory(const std::string& path) = 0;
     virtual void rename(const std::string& from, const std::string& to) = 0;
     virtual void remove(const std::string& path) = 0;
     virtual void truncate(File& file, std::size_t size) = 0;
@@ -64,11 +64,11 @@
     virtual bool lock(File& file) = 0;
 
     // These change nothing.
-    virtual std::vector<std::string> list(const std::string& folder);
-    virtual std::string read(const std::string& path);
-    virtual bool exists(const std::string& path);
+    virtual std::vector<std::string> list_directory(const std::string& directory);
+    virtual std::string read_file(const std::string& path);
+    virtual bool file_exists(const std::string& path);
 };
 
-Files& real_files();
+FileSystem& real_file_system();
 
 }    // namespace shaletray::usage_log
--- a/src/balancer/usage_log/persistent_counters.cpp
+++ b/src/balancer/usage_log/persistent_counters.cpp
@@ -12,48 +12,50 @@
 
 }    // namespace
 
-Tallies::Tallies(std::string path, Files& files) {
-    const bool is_new = !files.exists(path);
-    file_ = files.open(path, O_RDWR | O_CREAT);
-    if (!files.lock(*file_)) throw std::runtime_error(path + ": another process has it open");
+PersistentCounters::PersistentCounters(std::string path, FileSystem& file_system) {
+    const bool is_new = !file_system.file_exists(path);
+    file_ = file_system.open(path, O_RDWR | O_CREAT);
+    if (!file_system.lock(*file_)) throw std::runtime_error(path + ": another process has it open");
     const std::size_t size = (kSlots + 1) * sizeof(Slot);
-    files.reserve(*file_, size);
-    map_ = files.map(*file_, size, true);
-    Slot* const head = reinterpret_cast<Slot*>(map_->data());
+    file_system.allocate(*file_, size);
+    mapping_ = file_system.map_file(*file_, size, true);
+    Slot* const head = reinterpret_cast<Slot*>(mapping_->data());
     // A kill may have come between its making and its head: then nothing is in it.
     if (is_new || head->key == 0) head->key = kMagic;
     if (head->key != kMagic) throw std::runtime_error(path + " holds something else");
-    for (std::size_t i = 0; i < kSlots; ++i) {
-        if (slots()[i].key == 0) continue;
-        read_[slots()[i].key] = slots()[i].value;
-        at_[slots()[i].key] = i;
+    for (std::size_t index = 0; index < kSlots; ++index) {
+        if (slots()[index].key == 0) continue;
+        initial_values_[slots()[index].key] = slots()[index].value;
+        slots_by_key_[slots()[index].key] = index;
     }
 }
 
-Tallies::Slot* Tallies::slots() const { return reinterpret_cast<Slot*>(map_->data()) + 1; }
+PersistentCounters::Slot* PersistentCounters::slots() const {
+    return reinterpret_cast<Slot*>(mapping_->data()) + 1;
+}
 
-bool Tallies::put(std::uint64_t key, std::int64_t value) {
-    if (const auto it = at_.find(key); it != at_.end()) {
+bool PersistentCounters::set_value(std::uint64_t key, std::int64_t value) {
+    if (const auto found = slots_by_key_.find(key); found != slots_by_key_.end()) {
         // One store each: a kill leaves the old figure or the new one.
-        std::atomic_ref(slots()[it->second].value).store(value, std::memory_order_relaxed);
+        std::atomic_ref(slots()[found->second].value).store(value, std::memory_order_relaxed);
         return true;
     }
-    for (std::size_t i = 0; i < kSlots; ++i) {
-        if (slots()[i].key != 0) continue;
-        std::atomic_ref(slots()[i].value).store(value, std::memory_order_relaxed);
+    for (std::size_t index = 0; index < kSlots; ++index) {
+        if (slots()[index].key != 0) continue;
+        std::atomic_ref(slots()[index].value).store(value, std::memory_order_relaxed);
         std::atomic_signal_fence(std::memory_order_seq_cst);
-        std::atomic_ref(slots()[i].key).store(key, std::memory_order_relaxed);
-        at_[key] = i;
+        std::atomic_ref(slots()[index].key).store(key, std::memory_order_relaxed);
+        slots_by_key_[key] = index;
         return true;
     }
     return false;
 }
 
-void Tallies::drop(std::uint64_t key) {
-    const auto it = at_.find(key);
-    if (it == at_.end()) return;
-    std::atomic_ref(slots()[it->second].key).store(0, std::memory_order_relaxed);
-    at_.erase(it);
+void PersistentCounters::remove_key(std::uint64_t key) {
+    const auto found = slots_by_key_.find(key);
+    if (found == slots_by_key_.end()) return;
+    std::atomic_ref(slots()[found->second].key).store(0, std::memory_order_relaxed);
+    slots_by_key_.erase(found);
 }
 
 }    // namespace shaletray::usage_log
--- a/src/balancer/usage_log/persistent_counters.h
+++ b/src/balancer/usage_log/persistent_counters.h
@@ -10,18 +10,18 @@
 
 namespace shaletray::usage_log {
 
-class Tallies {
+class PersistentCounters {
 public:
     static constexpr std::size_t kSlots = 4096;
 
     // Throws FileError, or std::runtime_error where another process has it or it is something else.
-    explicit Tallies(std::string path, Files& files = real_files());
+    explicit PersistentCounters(std::string path, FileSystem& file_system = real_file_system());
 
     // As they were read at the start, by key.
-    const std::map<std::uint64_t, std::int64_t>& read() const { return read_; }
+    const std::map<std::uint64_t, std::int64_t>& initial_values() const { return initial_values_; }
     // False where there is no room for another key.
-    bool put(std::uint64_t key, std::int64_t value);
-    void drop(std::uint64_t key);
+    bool set_value(std::uint64_t key, std::int64_t value);
+    void remove_key(std::uint64_t key);
 
 private:
     struct Slot {
@@ -31,9 +31,9 @@
     Slot* slots() const;
 
     std::unique_ptr<File> file_;
-    std::unique_ptr<Mapping> map_;
-    std::map<std::uint64_t, std::int64_t> read_;
-    std::map<std::uint64_t, std::size_t> at_;
+    std::unique_ptr<Mapping> mapping_;
+    std::map<std::uint64_t, std::int64_t> initial_values_;
+    std::map<std::uint64_t, std::size_t> slots_by_key_;
 };
 
 }    // namespace shaletray::usage_log
--- a/src/balancer/usage_log/segment.cpp
+++ b/src/balancer/usage_log/segment.cpp
@@ -12,229 +12,238 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kTryAgain = 200ms;    // where a segment could not be made
+constexpr auto kRetryDelay = 200ms;    // where a segment could not be made
 
-std::string own_part(std::uint32_t gateway) { return fmt::format("use-{}-", gateway); }
+std::string own_name_prefix(std::uint32_t gateway_index) { return fmt::format("use-{}-", gateway_index); }
 
 }    // namespace
 
-void WriterSettings::check() const {
+void WriterSettings::validate() const {
     if (folder.empty()) throw std::invalid_argument("journal: no folder");
     if (incarnation == 0) throw std::invalid_argument("journal: the incarnation must be above 0");
-    if (slots < 2 || slots > 1u << 20) throw std::invalid_argument("journal: slots must be 2 to 1048576");
-    if (most_segments < 2) throw std::invalid_argument("journal: most_segments must be 2 or more");
+    if (slot_count < 2 || slot_count > 1u << 20)
+        throw std::invalid_argument("journal: slots must be 2 to 1048576");
+    if (max_segments < 2) throw std::invalid_argument("journal: most_segments must be 2 or more");
 }
 
 // Made under another name and put in place when it is whole: a reader finds whole ones only.
-Segment::Segment(Files& files, const std::string& folder, const SegmentHead& head)
-    : head_(head), path_(folder + "/" + segment_name(head)) {
+Segment::Segment(FileSystem& file_system, const std::string& directory, const SegmentHeader& header)
+    : header_(header), path_(directory + "/" + segment_name(header)) {
     const std::string making = path_ + ".making";
-    const std::size_t size = (static_cast<std::size_t>(head.capacity) + 1) * kSlot;
+    const std::size_t size = (static_cast<std::size_t>(header.capacity) + 1) * kSlotSize;
     try {
-        file_ = files.open(making, O_RDWR | O_CREAT | O_EXCL);
-        if (!files.lock(*file_)) throw FileError(EWOULDBLOCK, "locking " + making);
-        files.reserve(*file_, size);
-        map_ = files.map(*file_, size, true);
-        write_head(head, std::span<std::byte, kSlot>(map_->data(), kSlot));
-        files.rename(making, path_);
+        file_ = file_system.open(making, O_RDWR | O_CREAT | O_EXCL);
+        if (!file_system.lock(*file_)) throw FileError(EWOULDBLOCK, "locking " + making);
+        file_system.allocate(*file_, size);
+        mapping_ = file_system.map_file(*file_, size, true);
+        write_header(header, std::span<std::byte, kSlotSize>(mapping_->data(), kSlotSize));
+        file_system.rename(making, path_);
     } catch (const FileError&) {
         try {
-            files.remove(making);
+            file_system.remove(making);
         } catch (const FileError&) {    // left for the next start
         }
         throw;
     }
 }
 
-Writer::Writer(WriterSettings settings, std::unique_ptr<Segment> first)
-    : s_(std::move(settings)), now_(std::move(first)) {
-    stats_.segments = 1;
+SegmentWriter::SegmentWriter(WriterSettings settings, std::unique_ptr<Segment> first_segment)
+    : settings_(std::move(settings)), current_segment_(std::move(first_segment)) {
+    statistics_.segments = 1;
 }
 
-SegmentHead Writer::next_head() const {
-    SegmentHead head = now_->head();
-    ++head.number;
-    head.first += head.capacity;
-    return head;
+SegmentHeader SegmentWriter::next_segment_header() const {
+    SegmentHeader header = current_segment_->header();
+    ++header.segment_number;
+    header.first_sequence += header.capacity;
+    return header;
 }
 
-void Writer::take_next(std::unique_ptr<Segment> next) {
-    next_ = std::move(next);
-    ++stats_.segments;
+void SegmentWriter::set_next_segment(std::unique_ptr<Segment> next_segment) {
+    next_segment_ = std::move(next_segment);
+    ++statistics_.segments;
 }
 
-bool Writer::append(Use use) {
-    if (used_ == usable() && next_) {
-        now_ = std::move(next_);    // the old one's lock ends with it: a reader knows that it is whole
-        used_ = 0;
-        gap_ = {};
+bool SegmentWriter::append(UsageRecord record) {
+    if (used_slots_ == usable_slots() && next_segment_) {
+        current_segment_ =
+            std::move(next_segment_);    // the old one's lock ends with it: a reader knows that it is whole
+        used_slots_ = 0;
+        unrecorded_ = {};
     }
-    if (used_ < usable()) {
-        use.sequence = sequence_ = now_->head().first + used_;
-        write_use(use, s_.incarnation, now_->slot(used_++));
-        ++stats_.rows;
+    if (used_slots_ < usable_slots()) {
+        record.sequence = last_sequence_ = current_segment_->header().first_sequence + used_slots_;
+        write_record(record, settings_.incarnation, current_segment_->slot(used_slots_++));
+        ++statistics_.records;
         return true;
     }
     // What cannot be written is added up in the segment's last slot, so that no kill loses count of it.
-    ++stats_.unrecorded;
-    stats_.unrecorded_units += use.units;
-    gap_.kind = Use::Kind::Gap;
-    gap_.sequence = now_->head().first + usable();
-    if (gap_.at == TimePoint{}) gap_.at = use.at;
-    gap_.rows =
-        static_cast<std::uint32_t>(std::min<std::uint64_t>(gap_.units == 0 ? 1 : gap_.rows + 1ULL, ~0u));
-    gap_.units += use.units;
-    write_use(gap_, s_.incarnation, now_->slot(usable()));
+    ++statistics_.unrecorded_requests;
+    statistics_.unrecorded_units += record.unit_millionths;
+    unrecorded_.kind = UsageRecord::Kind::Unrecorded;
+    unrecorded_.sequence = current_segment_->header().first_sequence + usable_slots();
+    if (unrecorded_.admitted_at == TimePoint{}) unrecorded_.admitted_at = record.admitted_at;
+    unrecorded_.record_count = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(unrecorded_.unit_millionths == 0 ? 1 : unrecorded_.record_count + 1ULL, ~0u));
+    unrecorded_.unit_millionths += record.unit_millionths;
+    write_record(unrecorded_, settings_.incarnation, current_segment_->slot(usable_slots()));
     return false;
 }
 
-void Writer::close(Files& files) {
-    if (next_) files.remove(next_->path());
-    if (used_ == 0 && gap_.rows == 0) files.remove(now_->path());
-    next_.reset();
+void SegmentWriter::close_segments(FileSystem& file_system) {
+    if (next_segment_) file_system.remove(next_segment_->path());
+    if (used_slots_ == 0 && unrecorded_.record_count == 0) file_system.remove(current_segment_->path());
+    next_segment_.reset();
 }
 
-Recorder::Recorder(WriterSettings settings, Files& files) : s_(std::move(settings)), files_(files) {
-    s_.check();
-    for (const std::string& name : files_.list(s_.folder)) {
-        if (name.starts_with(own_part(s_.gateway)) && name.ends_with(".making"))
-            files_.remove(s_.folder + "/" + name);
+UsageRecorder::UsageRecorder(WriterSettings settings, FileSystem& file_system)
+    : settings_(std::move(settings)), file_system_(file_system) {
+    settings_.validate();
+    for (const std::string& name : file_system_.list_directory(settings_.folder)) {
+        if (name.starts_with(own_name_prefix(settings_.gateway_index)) && name.ends_with(".making"))
+            file_system_.remove(settings_.folder + "/" + name);
     }
-    const SegmentHead head{s_.gateway, s_.slots, s_.incarnation, 0, 1};
-    writer_ = std::make_unique<Writer>(s_, std::make_unique<Segment>(files_, s_.folder, head));
-    thread_ = std::thread([this] { prepare(); });
+    const SegmentHeader header{settings_.gateway_index, settings_.slot_count, settings_.incarnation, 0, 1};
+    writer_ = std::make_unique<SegmentWriter>(
+        settings_, std::make_unique<Segment>(file_system_, settings_.folder, header));
+    thread_ = std::thread([this] { prepare_segments(); });
     const std::lock_guard lock(mutex_);
-    wanted_ = writer_->next_head();
-    asked_ = true;
-    wake_.notify_one();
+    requested_header_ = writer_->next_segment_header();
+    segment_requested_ = true;
+    wake_condition_.notify_one();
 }
 
-Recorder::~Recorder() {
+UsageRecorder::~UsageRecorder() {
     {
         const std::lock_guard lock(mutex_);
-        ending_ = true;
-        wake_.notify_one();
+        is_stopping_ = true;
+        wake_condition_.notify_one();
     }
     thread_.join();
-    if (made_) writer_->take_next(std::move(made_));
+    if (prepared_segment_) writer_->set_next_segment(std::move(prepared_segment_));
     try {
-        writer_->close(files_);
+        writer_->close_segments(file_system_);
     } catch (const FileError&) {    // an empty segment stays, which harms nobody
     }
 }
 
-bool Recorder::append(const Use& use) {
-    const bool written = writer_->append(use);
-    if (!writer_->wants_next()) return written;
+bool UsageRecorder::append(const UsageRecord& record) {
+    const bool written = writer_->append(record);
+    if (!writer_->needs_next_segment()) return written;
     const std::lock_guard lock(mutex_);
-    if (made_) {
-        writer_->take_next(std::move(made_));
-        asked_ = false;
-    } else if (!asked_) {
-        wanted_ = writer_->next_head();
-        asked_ = true;
-        wake_.notify_one();
+    if (prepared_segment_) {
+        writer_->set_next_segment(std::move(prepared_segment_));
+        segment_requested_ = false;
+    } else if (!segment_requested_) {
+        requested_header_ = writer_->next_segment_header();
+        segment_requested_ = true;
+        wake_condition_.notify_one();
     }
     return written;
 }
 
-std::string Recorder::trouble() const {
+std::string UsageRecorder::last_error() const {
     const std::lock_guard lock(mutex_);
-    return trouble_;
+    return last_error_;
 }
 
 // On its own thread.
-void Recorder::prepare() {
+void UsageRecorder::prepare_segments() {
     std::unique_lock lock(mutex_);
-    while (!ending_) {
-        if (!wanted_) {
-            wake_.wait(lock);
+    while (!is_stopping_) {
+        if (!requested_header_) {
+            wake_condition_.wait(lock);
             continue;
         }
-        const SegmentHead head = *wanted_;
+        const SegmentHeader header = *requested_header_;
         lock.unlock();
         std::unique_ptr<Segment> made;
         std::string trouble;
         try {
-            const auto names = files_.list(s_.folder);
+            const auto names = file_system_.list_directory(settings_.folder);
             const auto own = static_cast<std::uint64_t>(
                 std::count_if(names.begin(), names.end(), [&](const std::string& name) {
-                    return name.starts_with(own_part(s_.gateway)) && name.ends_with(".seg");
+                    return name.starts_with(own_name_prefix(settings_.gateway_index)) &&
+                           name.ends_with(".seg");
                 }));
-            if (own >= s_.most_segments)
+            if (own >= settings_.max_segments)
                 trouble = fmt::format("{} segments wait to be read, and no more may", own);
-            else made = std::make_unique<Segment>(files_, s_.folder, head);
+            else made = std::make_unique<Segment>(file_system_, settings_.folder, header);
         } catch (const std::exception& error) {
             trouble = error.what();
         }
         lock.lock();
-        trouble_ = trouble;
+        last_error_ = trouble;
         if (made) {
-            made_ = std::move(made);
-            wanted_.reset();
-        } else if (!ending_) {
+            prepared_segment_ = std::move(made);
+            requested_header_.reset();
+        } else if (!is_stopping_) {
             ++failures_;
-            wake_.wait_for(lock, kTryAgain);
+            wake_condition_.wait_for(lock, kRetryDelay);
         }
     }
 }
 
-ReadResult read_segment(Files& files, const std::string& path, std::uint32_t from, std::uint32_t most,
-                        const std::function<void(const SegmentHead&, const Use&)>& take) {
-    const auto file = files.open(path, O_RDONLY);
+ReadResult read_segment(FileSystem& file_system, const std::string& path, std::uint32_t first_slot,
+                        std::uint32_t max_slots,
+                        const std::function<void(const SegmentHeader&, const UsageRecord&)>& on_record) {
+    const auto file = file_system.open(path, O_RDONLY);
     // Asked before anything is read: what is read after its writer let go is all there will be.
-    const bool whole = files.lock(*file);
+    const bool whole = file_system.lock(*file);
     Slot first;
-    if (::pread(file->handle(), first.data(), kSlot, 0) != static_cast<ssize_t>(kSlot))
+    if (::pread(file->handle(), first.data(), kSlotSize, 0) != static_cast<ssize_t>(kSlotSize))
         throw std::runtime_error(path + " is cut short");
-    const auto head = read_head(first);
-    if (!head || head->capacity < 2) throw std::runtime_error(path + " is no segment of use records");
-    const std::size_t size = (static_cast<std::size_t>(head->capacity) + 1) * kSlot;
+    const auto header = read_header(first);
+    if (!header || header->capacity < 2) throw std::runtime_error(path + " is no segment of use records");
+    const std::size_t size = (static_cast<std::size_t>(header->capacity) + 1) * kSlotSize;
     if (::lseek(file->handle(), 0, SEEK_END) < static_cast<off_t>(size))
         throw std::runtime_error(path + " is cut short");
-    const auto map = files.map(*file, size, false);
-    const auto slot = [&](std::uint32_t i) {
-        return std::span<const std::byte, kSlot>(map->data() + (i + std::size_t{1}) * kSlot, kSlot);
+    const auto map = file_system.map_file(*file, size, false);
+    const auto slot = [&](std::uint32_t index) {
+        return std::span<const std::byte, kSlotSize>(map->data() + (index + std::size_t{1}) * kSlotSize,
+                                                     kSlotSize);
     };
-    const std::uint32_t usable = head->capacity - 1;
+    const std::uint32_t usable = header->capacity - 1;
     ReadResult result;
-    if (from >= head->capacity) {
-        result.next = head->capacity;
-        result.ended = true;
+    if (first_slot >= header->capacity) {
+        result.next_slot = header->capacity;
+        result.is_ended = true;
         return result;
     }
-    result.next = from;
+    result.next_slot = first_slot;
     std::uint32_t given = 0;
-    Use use;
-    const auto good = [&](std::uint32_t i) {
-        return read_use(slot(i), head->incarnation, use) == Found::Use && use.sequence == head->first + i;
+    UsageRecord usage_record;
+    const auto good = [&](std::uint32_t index) {
+        return read_record(slot(index), header->incarnation, usage_record) == SlotState::Record &&
+               usage_record.sequence == header->first_sequence + index;
     };
-    while (result.next < usable && given < most) {
-        if (good(result.next)) {
-            take(*head, use);
+    while (result.next_slot < usable && given < max_slots) {
+        if (good(result.next_slot)) {
+            on_record(*header, usage_record);
             ++given;
-            ++result.next;
+            ++result.next_slot;
             continue;
         }
-        const Found found = read_use(slot(result.next), head->incarnation, use);
+        const SlotState found = read_record(slot(result.next_slot), header->incarnation, usage_record);
         if (!whole) return result;    // it may be about to be written
         // With anything behind it, it was written once and is spoilt now; without, it is where the writer
         // ended.
         bool more = false;
-        for (std::uint32_t i = result.next + 1; i < usable && !more; ++i) more = good(i);
+        for (std::uint32_t i = result.next_slot + 1; i < usable && !more; ++i) more = good(i);
         if (!more) {
-            result.torn = found == Found::Torn;
-            result.next = usable;
+            result.is_torn = found == SlotState::Torn;
+            result.next_slot = usable;
             break;
         }
-        ++result.damaged;
-        ++result.next;
+        ++result.damaged_slots;
+        ++result.next_slot;
     }
-    if (result.next == usable && whole && given < most) {
-        if (good(usable)) take(*head, use);
-        else if (read_use(slot(usable), head->incarnation, use) == Found::Torn) ++result.damaged;
-        result.next = head->capacity;
-        result.ended = true;
+    if (result.next_slot == usable && whole && given < max_slots) {
+        if (good(usable)) on_record(*header, usage_record);
+        else if (read_record(slot(usable), header->incarnation, usage_record) == SlotState::Torn)
+            ++result.damaged_slots;
+        result.next_slot = header->capacity;
+        result.is_ended = true;
     }
     return result;
 }
--- a/src/balancer/usage_log/usage_record.cpp
+++ b/src/balancer/usage_log/usage_record.cpp
@@ -14,116 +14,120 @@
 static_assert(std::endian::native == std::endian::little);
 
 constexpr std::uint64_t kMagic = 0x3165737579617274;    // "trayuse1"
-constexpr std::size_t kChecked = kSlot - 8;
+constexpr std::size_t kChecksummedSize = kSlotSize - 8;
 
 // The figures of a slot one behind the other, without gaps, whatever the compiler would put between them.
-class Cursor {
+class SlotWriter {
 public:
-    explicit Cursor(std::byte* at) : at_(at) {}
+    explicit SlotWriter(std::byte* at) : offset_(at) {}
     template <class T>
-    void put(T value) {
-        std::memcpy(at_, &value, sizeof value);
-        at_ += sizeof value;
+    void append(T value) {
+        std::memcpy(offset_, &value, sizeof value);
+        offset_ += sizeof value;
     }
 
 private:
-    std::byte* at_;
+    std::byte* offset_;
 };
-class Reader {
+class SlotReader {
 public:
-    explicit Reader(const std::byte* at) : at_(at) {}
+    explicit SlotReader(const std::byte* at) : offset_(at) {}
     template <class T>
     T get() {
         T value;
-        std::memcpy(&value, at_, sizeof value);
-        at_ += sizeof value;
+        std::memcpy(&value, offset_, sizeof value);
+        offset_ += sizeof value;
         return value;
     }
 
 private:
-    const std::byte* at_;
+    const std::byte* offset_;
 };
 
-void seal(std::span<std::byte, kSlot> slot, const Slot& bytes, std::uint64_t seed) {
-    const std::uint64_t check = XXH64(bytes.data(), kChecked, seed);
+void checksum(std::span<std::byte, kSlotSize> slot, const Slot& bytes, std::uint64_t seed) {
+    const std::uint64_t check = XXH64(bytes.data(), kChecksummedSize, seed);
     // The check comes last: who reads along, or after a kill, sees a whole slot or a torn one.
-    std::memcpy(slot.data(), bytes.data(), kChecked);
+    std::memcpy(slot.data(), bytes.data(), kChecksummedSize);
     std::atomic_signal_fence(std::memory_order_release);
-    std::memcpy(slot.data() + kChecked, &check, sizeof check);
+    std::memcpy(slot.data() + kChecksummedSize, &check, sizeof check);
 }
 
-bool sealed(std::span<const std::byte, kSlot> slot, std::uint64_t seed) {
-    return Reader(slot.data() + kChecked).get<std::uint64_t>() == XXH64(slot.data(), kChecked, seed);
+bool has_valid_checksum(std::span<const std::byte, kSlotSize> slot, std::uint64_t seed) {
+    return SlotReader(slot.data() + kChecksummedSize).get<std::uint64_t>() ==
+           XXH64(slot.data(), kChecksummedSize, seed);
 }
 
 }    // namespace
 
-std::int64_t millionths(double units) { return std::llround(units * kMillionths); }
+std::int64_t to_millionths(double units) { return std::llround(units * kMillionths); }
 
-void write_use(const Use& use, std::uint64_t incarnation, std::span<std::byte, kSlot> slot) {
+void write_record(const UsageRecord& record, std::uint64_t incarnation,
+                  std::span<std::byte, kSlotSize> slot) {
     Slot bytes{};
-    Cursor c(bytes.data());
-    c.put(use.sequence);
-    c.put(static_cast<std::int64_t>(use.at.time_since_epoch().count()));
-    c.put(static_cast<std::uint64_t>(use.customer));
-    c.put(use.units);
-    c.put(use.plan_version);
-    c.put(use.rows);
-    c.put(use.plan);
-    c.put(use.class_index);
-    c.put(static_cast<std::uint16_t>(use.kind));
-    c.put(std::uint16_t{0});
-    c.put(use.reservation);
-    seal(slot, bytes, incarnation);
+    SlotWriter c(bytes.data());
+    c.append(record.sequence);
+    c.append(static_cast<std::int64_t>(record.admitted_at.time_since_epoch().count()));
+    c.append(static_cast<std::uint64_t>(record.customer));
+    c.append(record.unit_millionths);
+    c.append(record.plan_version);
+    c.append(record.record_count);
+    c.append(record.plan_index);
+    c.append(record.class_index);
+    c.append(static_cast<std::uint16_t>(record.kind));
+    c.append(std::uint16_t{0});
+    c.append(record.reservation_version);
+    checksum(slot, bytes, incarnation);
 }
 
-Found read_use(std::span<const std::byte, kSlot> slot, std::uint64_t incarnation, Use& use) {
+SlotState read_record(std::span<const std::byte, kSlotSize> slot, std::uint64_t incarnation,
+                      UsageRecord& record) {
     Slot copy;    // a writer may be at it
-    std::memcpy(copy.data(), slot.data(), kSlot);
-    Reader r(copy.data());
-    use.sequence = r.get<std::uint64_t>();
-    use.at = TimePoint(decision::Duration(r.get<std::int64_t>()));
-    use.customer = CustomerId{r.get<std::uint64_t>()};
-    use.units = r.get<std::int64_t>();
-    use.plan_version = r.get<std::uint32_t>();
-    use.rows = r.get<std::uint32_t>();
-    use.plan = r.get<std::uint16_t>();
-    use.class_index = r.get<std::uint16_t>();
+    std::memcpy(copy.data(), slot.data(), kSlotSize);
+    SlotReader r(copy.data());
+    record.sequence = r.get<std::uint64_t>();
+    record.admitted_at = TimePoint(decision::Duration(r.get<std::int64_t>()));
+    record.customer = CustomerId{r.get<std::uint64_t>()};
+    record.unit_millionths = r.get<std::int64_t>();
+    record.plan_version = r.get<std::uint32_t>();
+    record.record_count = r.get<std::uint32_t>();
+    record.plan_index = r.get<std::uint16_t>();
+    record.class_index = r.get<std::uint16_t>();
     const auto kind = r.get<std::uint16_t>();
     r.get<std::uint16_t>();
-    use.reservation = r.get<std::uint64_t>();
-    use.kind = static_cast<Use::Kind>(kind);
-    if (copy == Slot{}) return Found::Empty;
-    if (!sealed(copy, incarnation) || kind > 1) return Found::Torn;
-    return Found::Use;
+    record.reservation_version = r.get<std::uint64_t>();
+    record.kind = static_cast<UsageRecord::Kind>(kind);
+    if (copy == Slot{}) return SlotState::Empty;
+    if (!has_valid_checksum(copy, incarnation) || kind > 1) return SlotState::Torn;
+    return SlotState::Record;
 }
 
-void write_head(const SegmentHead& head, std::span<std::byte, kSlot> slot) {
+void write_header(const SegmentHeader& header, std::span<std::byte, kSlotSize> slot) {
     Slot bytes{};
-    Cursor c(bytes.data());
-    c.put(kMagic);
-    c.put(head.gateway);
-    c.put(head.capacity);
-    c.put(head.incarnation);
-    c.put(head.number);
-    c.put(head.first);
-    seal(slot, bytes, kMagic);
+    SlotWriter c(bytes.data());
+    c.append(kMagic);
+    c.append(header.gateway_index);
+    c.append(header.capacity);
+    c.append(header.incarnation);
+    c.append(header.segment_number);
+    c.append(header.first_sequence);
+    checksum(slot, bytes, kMagic);
 }
 
-std::optional<SegmentHead> read_head(std::span<const std::byte, kSlot> slot) {
-    Reader r(slot.data());
-    if (r.get<std::uint64_t>() != kMagic || !sealed(slot, kMagic)) return std::nullopt;
-    SegmentHead head;
-    head.gateway = r.get<std::uint32_t>();
-    head.capacity = r.get<std::uint32_t>();
-    head.incarnation = r.get<std::uint64_t>();
-    head.number = r.get<std::uint64_t>();
-    head.first = r.get<std::uint64_t>();
-    return head;
+std::optional<SegmentHeader> read_header(std::span<const std::byte, kSlotSize> slot) {
+    SlotReader r(slot.data());
+    if (r.get<std::uint64_t>() != kMagic || !has_valid_checksum(slot, kMagic)) return std::nullopt;
+    SegmentHeader header;
+    header.gateway_index = r.get<std::uint32_t>();
+    header.capacity = r.get<std::uint32_t>();
+    header.incarnation = r.get<std::uint64_t>();
+    header.segment_number = r.get<std::uint64_t>();
+    header.first_sequence = r.get<std::uint64_t>();
+    return header;
 }
 
-std::string segment_name(const SegmentHead& head) {
-    return fmt::format("use-{}-{:016x}-{:08}.seg", head.gateway, head.incarnation, head.number);
+std::string segment_name(const SegmentHeader& header) {
+    return fmt::format("use-{}-{:016x}-{:08}.seg", header.gateway_index, header.incarnation,
+                       header.segment_number);
 }
 
 std::optional<SegmentName> read_segment_name(std::string_view name) {
@@ -136,8 +140,8 @@
         name.remove_prefix(static_cast<std::size_t>(end - name.data()));
         return true;
     };
-    if (!take("use-", out.gateway, 10) || !take("-", out.incarnation, 16) || !take("-", out.number, 10) ||
-        name != ".seg")
+    if (!take("use-", out.gateway_index, 10) || !take("-", out.incarnation, 16) ||
+        !take("-", out.segment_number, 10) || name != ".seg")
         return std::nullopt;
     return out;
 }
