--- a/src/balancer/usage_store/database.cpp
+++ b/src/balancer/usage_store/database.cpp
@@ -13,10 +13,10 @@
 namespace shaletray::usage_store {
 namespace {
 
-constexpr int kBusyMs = 2000;    // a reader's checkpoint or backup may hold a moment
-constexpr int kPage = 4096;
+constexpr int kBusyTimeoutMs = 2000;    // a reader's checkpoint or backup may hold a moment
+constexpr int kPageSize = 4096;
 
-StoreError::Kind kind_of(int code) {
+StoreError::Kind error_kind(int code) {
     switch (code & 0xff) {
         case SQLITE_CORRUPT:
         case SQLITE_NOTADB: return StoreError::Kind::Corrupt;
@@ -30,7 +30,7 @@
     }
 }
 
-const char* advice(StoreError::Kind kind) {
+const char* advice_for(StoreError::Kind kind) {
     switch (kind) {
         case StoreError::Kind::Corrupt: return "; restore it from a backup, or move it away to begin anew";
         case StoreError::Kind::Full: return "; make room, or raise the bound on its size";
@@ -48,7 +48,7 @@
 Statement::Statement(Database& database, std::string_view sql) : database_(&database) {
     if (sqlite3_prepare_v3(database.handle_, sql.data(), static_cast<int>(sql.size()),
                            SQLITE_PREPARE_PERSISTENT, &statement_, nullptr) != SQLITE_OK)
-        database.fail("preparing");
+        database.throw_error("preparing");
 }
 
 Statement::~Statement() { sqlite3_finalize(statement_); }
@@ -56,31 +56,33 @@
 Statement::Statement(Statement&& other) noexcept
     : database_(other.database_), statement_(std::exchange(other.statement_, nullptr)) {}
 
-void Statement::bind(int at, std::int64_t value) {
-    if (sqlite3_bind_int64(statement_, at, value) != SQLITE_OK) database_->fail("binding");
+void Statement::bind_value(int at, std::int64_t value) {
+    if (sqlite3_bind_int64(statement_, at, value) != SQLITE_OK) database_->throw_error("binding");
 }
 
-void Statement::bind(int at, std::string_view value) {
+void Statement::bind_value(int at, std::string_view value) {
     if (sqlite3_bind_text(statement_, at, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT) !=
         SQLITE_OK)
-        database_->fail("binding");
+        database_->throw_error("binding");
 }
 
-bool Statement::step() {
+bool Statement::step_row() {
     const int code = sqlite3_step(statement_);
     if (code == SQLITE_ROW) return true;
-    if (code != SQLITE_DONE) database_->fail("running");
+    if (code != SQLITE_DONE) database_->throw_error("running");
     return false;
 }
 
-void Statement::reset() noexcept {
+void Statement::reset_statement() noexcept {
     sqlite3_reset(statement_);
     sqlite3_clear_bindings(statement_);
 }
 
-std::int64_t Statement::whole(int column) const { return sqlite3_column_int64(statement_, column); }
-bool Statement::null(int column) const { return sqlite3_column_type(statement_, column) == SQLITE_NULL; }
-std::string Statement::text(int column) const {
+std::int64_t Statement::integer_column(int column) const { return sqlite3_column_int64(statement_, column); }
+bool Statement::is_null_column(int column) const {
+    return sqlite3_column_type(statement_, column) == SQLITE_NULL;
+}
+std::string Statement::text_column(int column) const {
     const auto* const bytes = sqlite3_column_text(statement_, column);
     return bytes == nullptr ? std::string()
                             : std::string(reinterpret_cast<const char*>(bytes),
@@ -89,57 +91,60 @@
 
 // ---- the database ----
 
-Database::Database(OpenSettings settings) : s_(std::move(settings)) {
+Database::Database(OpenSettings settings) : settings_(std::move(settings)) {
     try {
-        open();
+        open_file();
     } catch (...) {
         sqlite3_close_v2(handle_);
-        if (lock_ >= 0) ::close(lock_);
+        if (lock_descriptor_ >= 0) ::close(lock_descriptor_);
         throw;
     }
 }
 
-void Database::open() {
-    if (s_.writer) {
-        const std::string name = s_.path + ".lock";
-        lock_ = ::open(name.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0640);
-        if (lock_ < 0) {
+void Database::open_file() {
+    if (settings_.is_writer) {
+        const std::string name = settings_.path + ".lock";
+        lock_descriptor_ = ::open(name.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0640);
+        if (lock_descriptor_ < 0) {
             const auto kind =
                 errno == EROFS || errno == EACCES ? StoreError::Kind::ReadOnly : StoreError::Kind::Unreadable;
-            throw StoreError(kind, fmt::format("{}: {}{}", name, std::strerror(errno), advice(kind)));
+            throw StoreError(kind, fmt::format("{}: {}{}", name, std::strerror(errno), advice_for(kind)));
         }
-        if (flock(lock_, LOCK_EX | LOCK_NB) != 0)
-            throw StoreError(StoreError::Kind::InUse, fmt::format("{}: another process has it open{}",
-                                                                  s_.path, advice(StoreError::Kind::InUse)));
+        if (flock(lock_descriptor_, LOCK_EX | LOCK_NB) != 0)
+            throw StoreError(StoreError::Kind::InUse,
+                             fmt::format("{}: another process has it open{}", settings_.path,
+                                         advice_for(StoreError::Kind::InUse)));
     }
-    const int flags = s_.writer ? SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE : SQLITE_OPEN_READWRITE;
-    if (sqlite3_open_v2(s_.path.c_str(), &handle_, flags | SQLITE_OPEN_NOMUTEX, nullptr) != SQLITE_OK)
-        fail("opening");
+    const int flags =
+        settings_.is_writer ? SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE : SQLITE_OPEN_READWRITE;
+    if (sqlite3_open_v2(settings_.path.c_str(), &handle_, flags | SQLITE_OPEN_NOMUTEX, nullptr) != SQLITE_OK)
+        throw_error("opening");
     sqlite3_extended_result_codes(handle_, 1);
-    sqlite3_busy_timeout(handle_, kBusyMs);
+    sqlite3_busy_timeout(handle_, kBusyTimeoutMs);
     execute("PRAGMA journal_mode=WAL");
     execute("PRAGMA synchronous=NORMAL");
     execute("PRAGMA temp_store=MEMORY");
     execute("PRAGMA cache_size=-8192");
-    if (s_.most_bytes > 0) execute(fmt::format("PRAGMA max_page_count={}", s_.most_bytes / kPage).c_str());
-    migrate();
+    if (settings_.max_bytes > 0)
+        execute(fmt::format("PRAGMA max_page_count={}", settings_.max_bytes / kPageSize).c_str());
+    migrate_schema();
 }
 
-void Database::migrate() {
-    const std::int64_t have = number("PRAGMA user_version");
-    const auto want = static_cast<std::int64_t>(s_.schema.size());
+void Database::migrate_schema() {
+    const std::int64_t have = query_integer("PRAGMA user_version");
+    const auto want = static_cast<std::int64_t>(settings_.schema.size());
     if (have > want)
         throw StoreError(
-            StoreError::Kind::Newer,
+            StoreError::Kind::NewerSchema,
             fmt::format("{}: its schema is version {}, and this program knows {}; use the newer program",
-                        s_.path, have, want));
-    if (have < want && !s_.writer)
+                        settings_.path, have, want));
+    if (have < want && !settings_.is_writer)
         throw StoreError(StoreError::Kind::Other,
                          fmt::format("{}: its schema is version {} of {}; let its writer open it first",
-                                     s_.path, have, want));
+                                     settings_.path, have, want));
     for (std::int64_t i = have; i < want; ++i) {
-        transact([&] {
-            execute(s_.schema[static_cast<std::size_t>(i)]);
+        run_transaction([&] {
+            execute(settings_.schema[static_cast<std::size_t>(i)]);
             execute(fmt::format("PRAGMA user_version={}", i + 1).c_str());
         });
     }
@@ -147,31 +152,31 @@
 
 Database::~Database() {
     sqlite3_close_v2(handle_);
-    if (lock_ >= 0) ::close(lock_);
+    if (lock_descriptor_ >= 0) ::close(lock_descriptor_);
 }
 
-void Database::fail(const std::string& doing) const {
+void Database::throw_error(const std::string& doing) const {
     const int code = handle_ == nullptr ? SQLITE_NOMEM : sqlite3_extended_errcode(handle_);
-    const StoreError::Kind kind = kind_of(code);
+    const StoreError::Kind kind = error_kind(code);
     throw StoreError(
-        kind, fmt::format("{}: {}: {}{}", s_.path, doing,
-                          handle_ == nullptr ? "out of memory" : sqlite3_errmsg(handle_), advice(kind)));
+        kind, fmt::format("{}: {}: {}{}", settings_.path, doing,
+                          handle_ == nullptr ? "out of memory" : sqlite3_errmsg(handle_), advice_for(kind)));
 }
 
 void Database::execute(const char* sql) {
-    if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail("running");
+    if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) throw_error("running");
 }
 
-std::int64_t Database::number(const char* sql) {
+std::int64_t Database::query_integer(const char* sql) {
     Statement statement(*this, sql);
     std::int64_t value = 0;
-    statement.each([&] { value = statement.whole(0); });
+    statement.for_each_row([&] { value = statement.integer_column(0); });
     return value;
 }
 
-std::int64_t Database::changes() const { return sqlite3_changes64(handle_); }
+std::int64_t Database::changed_rows() const { return sqlite3_changes64(handle_); }
 
-void Database::transact(const std::function<void()>& what) {
+void Database::run_transaction(const std::function<void()>& what) {
     execute("BEGIN IMMEDIATE");
     try {
         what();
@@ -184,12 +189,12 @@
     }
 }
 
-void Database::settle() {
+void Database::checkpoint_log() {
     if (sqlite3_wal_checkpoint_v2(handle_, nullptr, SQLITE_CHECKPOINT_FULL, nullptr, nullptr) != SQLITE_OK)
-        fail("settling");
+        throw_error("settling");
 }
 
-void Database::backup(const std::string& to) {
+void Database::backup_to(const std::string& to) {
     const std::string making = to + ".making";
     ::unlink(making.c_str());
     sqlite3* copy = nullptr;
@@ -204,16 +209,16 @@
     sqlite3_close_v2(copy);
     if (code == SQLITE_OK && ::rename(making.c_str(), to.c_str()) == 0) return;
     ::unlink(making.c_str());
-    const StoreError::Kind kind = kind_of(code);
-    throw StoreError(kind, fmt::format("{}: copying: {}{}", to, text, advice(kind)));
+    const StoreError::Kind kind = error_kind(code);
+    throw StoreError(kind, fmt::format("{}: copying: {}{}", to, text, advice_for(kind)));
 }
 
-std::vector<std::string> Database::problems() {
+std::vector<std::string> Database::check_integrity() {
     std::vector<std::string> out;
     try {
         Statement check(*this, "PRAGMA integrity_check(100)");
-        check.each([&] {
-            if (check.text(0) != "ok") out.push_back(check.text(0));
+        check.for_each_row([&] {
+            if (check.text_column(0) != "ok") out.push_back(check.text_column(0));
         });
     } catch (const StoreError& error) {
         out.emplace_back(error.what());
@@ -225,7 +230,7 @@
     execute("VACUUM");
     if (sqlite3_wal_checkpoint_v2(handle_, nullptr, SQLITE_CHECKPOINT_TRUNCATE, nullptr, nullptr) !=
         SQLITE_OK)
-        fail("compacting");
+        throw_error("compacting");
 }
 
 }    // namespace shaletray::usage_store
--- a/src/balancer/usage_store/database.h
+++ b/src/balancer/usage_store/database.h
@@ -17,7 +17,7 @@
 
 class StoreError : public std::runtime_error {
 public:
-    enum class Kind { Corrupt, Full, ReadOnly, Newer, InUse, Unreadable, Other };
+    enum class Kind { Corrupt, Full, ReadOnly, NewerSchema, InUse, Unreadable, Other };
     StoreError(Kind kind, const std::string& text) : std::runtime_error(text), kind_(kind) {}
     Kind kind() const { return kind_; }
 
@@ -39,33 +39,33 @@
     // Runs it with these; rows are given to `row`.
     template <class... Args>
     void run(const Args&... args) {
-        each([] {}, args...);
+        for_each_row([] {}, args...);
     }
     template <class Row, class... Args>
-    void each(Row row, const Args&... args) {
+    void for_each_row(Row row, const Args&... args) {
         const Reset reset{*this};
         int at = 0;
-        (bind(++at, args), ...);
-        while (step()) row();
+        (bind_value(++at, args), ...);
+        while (step_row()) row();
     }
-    std::int64_t whole(int column) const;
-    std::string text(int column) const;
-    bool null(int column) const;
+    std::int64_t integer_column(int column) const;
+    std::string text_column(int column) const;
+    bool is_null_column(int column) const;
 
 private:
     struct Reset {
-        Statement& of;
-        ~Reset() { of.reset(); }
+        Statement& target;
+        ~Reset() { target.reset_statement(); }
     };
-    void bind(int at, std::int64_t value);
-    void bind(int at, std::uint64_t value) { bind(at, static_cast<std::int64_t>(value)); }
-    void bind(int at, int value) { bind(at, static_cast<std::int64_t>(value)); }
-    void bind(int at, unsigned value) { bind(at, static_cast<std::int64_t>(value)); }
-    void bind(int at, std::string_view value);
-    void bind(int at, const std::string& value) { bind(at, std::string_view(value)); }
-    void bind(int at, const char* value) { bind(at, std::string_view(value)); }
-    bool step();
-    void reset() noexcept;
+    void bind_value(int at, std::int64_t value);
+    void bind_value(int at, std::uint64_t value) { bind_value(at, static_cast<std::int64_t>(value)); }
+    void bind_value(int at, int value) { bind_value(at, static_cast<std::int64_t>(value)); }
+    void bind_value(int at, unsigned value) { bind_value(at, static_cast<std::int64_t>(value)); }
+    void bind_value(int at, std::string_view value);
+    void bind_value(int at, const std::string& value) { bind_value(at, std::string_view(value)); }
+    void bind_value(int at, const char* value) { bind_value(at, std::string_view(value)); }
+    bool step_row();
+    void reset_statement() noexcept;
 
     Database* database_;
     sqlite3_stmt* statement_ = nullptr;
@@ -73,8 +73,8 @@
 
 struct OpenSettings {
     std::string path;
-    bool writer = true;                 // takes the lock; readers look on
-    std::uint64_t most_bytes = 0;       // of the file; 0: no bound
+    bool is_writer = true;              // takes the lock; readers look on
+    std::uint64_t max_bytes = 0;        // of the file; 0: no bound
     std::vector<const char*> schema;    // step by step; how many were taken is kept in the file
 };
 
@@ -87,27 +87,27 @@
     Database& operator=(const Database&) = delete;
 
     void execute(const char* sql);
-    std::int64_t number(const char* sql);
-    std::int64_t changes() const;
+    std::int64_t query_integer(const char* sql);
+    std::int64_t changed_rows() const;
     // All of it holds, or none.
-    void transact(const std::function<void()>& what);
+    void run_transaction(const std::function<void()>& what);
     // What was committed is on the disk from here on, and the log is folded into the file.
-    void settle();
+    void checkpoint_log();
     // A whole copy that can be opened, made while this is in use.
-    void backup(const std::string& to);
+    void backup_to(const std::string& to);
     // All that SQLite finds wrong, nothing where it is sound.
-    std::vector<std::string> problems();
+    std::vector<std::string> check_integrity();
     void compact();
-    const std::string& path() const { return s_.path; }
+    const std::string& path() const { return settings_.path; }
 
 private:
     friend class Statement;
-    [[noreturn]] void fail(const std::string& doing) const;
-    void open();
-    void migrate();
+    [[noreturn]] void throw_error(const std::string& doing) const;
+    void open_file();
+    void migrate_schema();
 
-    OpenSettings s_;
-    int lock_ = -1;
+    OpenSettings settings_;
+    int lock_descriptor_ = -1;
     sqlite3* handle_ = nullptr;
 };
 
--- a/src/base/common/clock.h
+++ b/src/base/common/clock.h
@@ -20,13 +20,13 @@
 class SystemClock : public Clock {
 public:
     TimePoint now() const override {
-        return TimePoint(base_) +
-               std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - start_);
+        return TimePoint(unix_time_at_start_) +
+               std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - steady_start_);
     }
 
 private:
-    std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
-    Duration base_ =
+    std::chrono::steady_clock::time_point steady_start_ = std::chrono::steady_clock::now();
+    Duration unix_time_at_start_ =
         std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 };
 
--- a/src/base/common/counters.cpp
+++ b/src/base/common/counters.cpp
@@ -4,29 +4,33 @@
 
 namespace shaletray {
 
-std::string Counters::text() const {
-    static constexpr std::array<const char*, 8> kOutcomes = {
+std::string Counters::to_text() const {
+    static constexpr std::array<const char*, 8> kOutcomeNames = {
         "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "not_sent"};
-    std::string out = fmt::format("requests: taken={} gone={} overdue={} turned_away={}\n", taken, gone,
-                                  overdue, turned_away);
-    out += fmt::format("attempts: sent={}", sent);
-    for (std::size_t i = 0; i < outcomes.size(); ++i) out += fmt::format(" {}={}", kOutcomes[i], outcomes[i]);
-    out += fmt::format(" called_off={}\nanswers:", cancelled);
-    for (const auto& [status, count] : answered) out += fmt::format(" {}={}", status, count);
-    out += fmt::format("\nprobes: sent={} failed={}\n", probes, probes_failed);
-    out += fmt::format("peers: sent={} send_failed={} taken={} dropped={}\n", peer_sent, peer_send_failed,
-                       peer_taken, peer_dropped);
-    out += fmt::format("clients: accepted={} open={} rejected={}\n", clients_accepted, clients_open,
-                       clients_rejected);
-    out += fmt::format("flows: begun={} open={} broken={} uploads={}\n", flows, flows_open, flows_broken,
-                       uploads);
-    out += fmt::format("servers: dialled={} dial_failed={} reused={} open={} bad_answers={}\n",
-                       servers_dialled, servers_dial_failed, servers_reused, servers_open, bad_answers);
-    out += fmt::format("lists: full={} changed={} watches={} bad_lines={}\n", lists_full, lists_changed,
-                       watches, bad_lines);
-    out += fmt::format("reloads: done={} failed={} taken={}\n", reloads, reloads_failed, loads);
-    out += fmt::format("units: settled={} untold={}\n", units_settled, units_untold);
-    return out;
+    std::string text =
+        fmt::format("requests: taken={} gone={} overdue={} turned_away={}\n", requests_accepted,
+                    requests_cancelled, requests_overdue, requests_rejected);
+    text += fmt::format("attempts: sent={}", attempts_sent);
+    for (std::size_t index = 0; index < outcomes.size(); ++index)
+        text += fmt::format(" {}={}", kOutcomeNames[index], outcomes[index]);
+    text += fmt::format(" called_off={}\nanswers:", attempts_cancelled);
+    for (const auto& [status, count] : answers_by_status) text += fmt::format(" {}={}", status, count);
+    text += fmt::format("\nprobes: sent={} failed={}\n", health_checks, health_checks_failed);
+    text += fmt::format("peers: sent={} send_failed={} taken={} dropped={}\n", peer_messages_sent,
+                        peer_send_failed, peer_messages_received, peer_messages_dropped);
+    text += fmt::format("clients: accepted={} open={} rejected={}\n", clients_accepted, open_clients,
+                        clients_rejected);
+    text += fmt::format("flows: begun={} open={} broken={} uploads={}\n", streamed_answers,
+                        open_streamed_answers, broken_streamed_answers, streamed_uploads);
+    text += fmt::format("servers: dialled={} dial_failed={} reused={} open={} bad_answers={}\n",
+                        server_connections_dialled, server_dials_failed, server_connections_reused,
+                        open_server_connections, malformed_answers);
+    text += fmt::format("lists: full={} changed={} watches={} bad_lines={}\n", full_lists_received,
+                        list_updates_received, discovery_watches, malformed_list_lines);
+    text +=
+        fmt::format("reloads: done={} failed={} taken={}\n", reloads, reloads_failed, configurations_loaded);
+    text += fmt::format("units: settled={} untold={}\n", units_settled, units_unreported);
+    return text;
 }
 
 }    // namespace shaletray
--- a/src/base/common/counters.h
+++ b/src/base/common/counters.h
@@ -9,32 +9,37 @@
 namespace shaletray {
 
 // Of one class of requests, by its name: how they were answered.
-struct ClassCounts {
-    std::uint64_t passed = 0, dropped = 0, failed = 0;
+struct RequestClassCounters {
+    std::uint64_t answered = 0, dropped = 0, failed = 0;
 };
 
 struct Counters {
-    using Count = std::uint64_t;
-
-    std::map<std::string, ClassCounts> classes;    // none is taken out
-
-    Count taken = 0, gone = 0, overdue = 0, turned_away = 0;    // requests
-    Count sent = 0, tries_written = 0;                          // attempts begun; written whole to a server
-    std::array<Count, 8> outcomes{};                            // by decision::Outcome
-    Count cancelled = 0, probes = 0, probes_failed = 0;
-    std::map<int, Count> answered;    // by the front's status
-    Count peer_sent = 0, peer_send_failed = 0, peer_taken = 0, peer_dropped = 0;
-    Count clients_accepted = 0, clients_open = 0, clients_rejected = 0;
-    Count uploads = 0;                                    // requests passed on while they come
-    Count flows = 0, flows_open = 0, flows_broken = 0;    // answers passed on in pieces
-    Count servers_dialled = 0, servers_dial_failed = 0, servers_reused = 0, servers_open = 0;
-    Count lists_full = 0, lists_changed = 0, watches = 0, bad_lines = 0, bad_answers = 0;
-    Count reloads = 0, reloads_failed = 0;        // discovery moved; files turned down
-    Count loads = 0;                              // files taken
-    Count units_settled = 0, units_untold = 0;    // good answers that told their true units, or did not
+    using Counter = std::uint64_t;
+
+    std::map<std::string, RequestClassCounters> classes;    // none is taken out
+
+    Counter requests_accepted = 0, requests_cancelled = 0, requests_overdue = 0,
+            requests_rejected = 0;                      // requests
+    Counter attempts_sent = 0, attempts_written = 0;    // attempts begun; written whole to a server
+    std::array<Counter, 8> outcomes{};                  // by decision::Outcome
+    Counter attempts_cancelled = 0, health_checks = 0, health_checks_failed = 0;
+    std::map<int, Counter> answers_by_status;    // by the front's status
+    Counter peer_messages_sent = 0, peer_send_failed = 0, peer_messages_received = 0,
+            peer_messages_dropped = 0;
+    Counter clients_accepted = 0, open_clients = 0, clients_rejected = 0;
+    Counter streamed_uploads = 0;    // requests passed on while they come
+    Counter streamed_answers = 0, open_streamed_answers = 0,
+            broken_streamed_answers = 0;    // answers passed on in pieces
+    Counter server_connections_dialled = 0, server_dials_failed = 0, server_connections_reused = 0,
+            open_server_connections = 0;
+    Counter full_lists_received = 0, list_updates_received = 0, discovery_watches = 0,
+            malformed_list_lines = 0, malformed_answers = 0;
+    Counter reloads = 0, reloads_failed = 0;            // discovery moved; files turned down
+    Counter configurations_loaded = 0;                  // files taken
+    Counter units_settled = 0, units_unreported = 0;    // good answers that told their true units, or did not
 
     // One line a subject.
-    std::string text() const;
+    std::string to_text() const;
 };
 
 }    // namespace shaletray
--- a/src/base/common/log.cpp
+++ b/src/base/common/log.cpp
@@ -11,8 +11,8 @@
 namespace shaletray {
 namespace {
 
-constexpr std::array<std::string_view, 4> kNames = {"error", "warning", "info", "debug"};
-constexpr std::array<std::string_view, static_cast<std::size_t>(Event::kCount)> kEvents = {
+constexpr std::array<std::string_view, 4> kLevelNames = {"error", "warning", "info", "debug"};
+constexpr std::array<std::string_view, static_cast<std::size_t>(Event::kCount)> kEventNames = {
     "listening",           "failed",
     "reload.nothing",      "reload.failed",
     "terms.changed",       "discovery.moved",
@@ -33,29 +33,29 @@
     "export.started",      "export.trouble"};
 
 std::atomic<LogLevel> current_level{LogLevel::Info};
-std::atomic<LogForm> current_form{LogForm::KeyValue};
+std::atomic<LogFormat> current_format{LogFormat::KeyValue};
 std::function<void(LogLevel, std::string_view)> current_sink;
 
 constexpr const char* kKeyValuePattern = "time=%Y-%m-%dT%H:%M:%S.%eZ level=%l %v";
 constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 
-void set_pattern(spdlog::logger& logger, LogForm form) {
-    logger.set_pattern(form == LogForm::Json ? kJsonPattern : kKeyValuePattern,
+void set_pattern(spdlog::logger& logger, LogFormat log_format) {
+    logger.set_pattern(log_format == LogFormat::Json ? kJsonPattern : kKeyValuePattern,
                        spdlog::pattern_time_type::utc);
 }
 
 spdlog::logger& logger() {
-    static const std::shared_ptr<spdlog::logger> one = [] {
-        auto made =
+    static const std::shared_ptr<spdlog::logger> instance = [] {
+        auto created =
             std::make_shared<spdlog::logger>("shaletray", std::make_shared<spdlog::sinks::stderr_sink_mt>());
-        made->set_level(spdlog::level::debug);    // what is below the level does not come here
-        set_pattern(*made, current_form);
-        return made;
+        created->set_level(spdlog::level::debug);    // what is below the level does not come here
+        set_pattern(*created, current_format);
+        return created;
     }();
-    return *one;
+    return *instance;
 }
 
-spdlog::level::level_enum level_of(LogLevel level) {
+spdlog::level::level_enum to_spdlog_level(LogLevel level) {
     switch (level) {
         case LogLevel::Error: return spdlog::level::err;
         case LogLevel::Warning: return spdlog::level::warn;
@@ -66,87 +66,95 @@
 }
 
 // How many bytes of a character in UTF-8 begin here; 0: none does.
-std::size_t character(std::string_view text) {
-    const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(text[i]); };
-    const std::size_t n = byte(0) < 0x80 ? 1 : byte(0) >= 0xC2 && byte(0) < 0xE0 ? 2 : byte(0) < 0xF0 ? 3 : 4;
-    if (byte(0) >= 0x80 && (byte(0) < 0xC2 || byte(0) > 0xF4)) return 0;
-    if (text.size() < n) return 0;
-    for (std::size_t i = 1; i < n; ++i)
-        if ((byte(i) & 0xC0) != 0x80) return 0;
-    return n;
+std::size_t utf8_sequence_length(std::string_view text) {
+    const auto byte_at = [&](std::size_t index) { return static_cast<unsigned char>(text[index]); };
+    const std::size_t length = byte_at(0) < 0x80                         ? 1
+                               : byte_at(0) >= 0xC2 && byte_at(0) < 0xE0 ? 2
+                               : byte_at(0) < 0xF0                       ? 3
+                                                                         : 4;
+    if (byte_at(0) >= 0x80 && (byte_at(0) < 0xC2 || byte_at(0) > 0xF4)) return 0;
+    if (text.size() < length) return 0;
+    for (std::size_t index = 1; index < length; ++index)
+        if ((byte_at(index) & 0xC0) != 0x80) return 0;
+    return length;
 }
 
 // What others sent may stand in a value: it must neither end the line nor pass for fields of its own.
-std::string quoted(std::string_view text) {
-    std::string out = "\"";
+std::string quote(std::string_view text) {
+    std::string result = "\"";
     while (!text.empty()) {
-        const char c = text[0];
-        const std::size_t n = character(text);
-        if (c == '"' || c == '\\') out += {'\\', c};
-        else if (c == '\n') out += "\\n";
-        else if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) out += fmt::format("\\u{:04x}", c);
-        else if (n == 0) out += "\\ufffd";
-        else out += text.substr(0, n);
-        text.remove_prefix(std::max<std::size_t>(1, n));
+        const char character = text[0];
+        const std::size_t length = utf8_sequence_length(text);
+        if (character == '"' || character == '\\') result += {'\\', character};
+        else if (character == '\n') result += "\\n";
+        else if (static_cast<unsigned char>(character) < 0x20 || character == 0x7f)
+            result += fmt::format("\\u{:04x}", character);
+        else if (length == 0) result += "\\ufffd";
+        else result += text.substr(0, length);
+        text.remove_prefix(std::max<std::size_t>(1, length));
     }
-    return out + '"';
+    return result + '"';
 }
 
-bool plain(std::string_view text) {
-    return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
-        return c > 0x20 && c < 0x7f && c != '"' && c != '=' && c != '\\';
+bool needs_no_quotes(std::string_view text) {
+    return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char character) {
+        return character > 0x20 && character < 0x7f && character != '"' && character != '=' &&
+               character != '\\';
     });
 }
 
 }    // namespace
 
-std::string_view name_of(Event event) { return kEvents[static_cast<std::size_t>(event)]; }
+std::string_view event_name(Event event) { return kEventNames[static_cast<std::size_t>(event)]; }
 
 void set_log_level(LogLevel level) { current_level = level; }
 LogLevel log_level() { return current_level; }
 
 bool set_log_level(std::string_view name) {
-    for (std::size_t i = 0; i < kNames.size(); ++i) {
-        if (kNames[i] != name) continue;
-        current_level = static_cast<LogLevel>(i);
+    for (std::size_t index = 0; index < kLevelNames.size(); ++index) {
+        if (kLevelNames[index] != name) continue;
+        current_level = static_cast<LogLevel>(index);
         return true;
     }
     return false;
 }
 
-void set_log_form(LogForm form) {
-    current_form = form;
-    set_pattern(logger(), form);
+void set_log_format(LogFormat format) {
+    current_format = format;
+    set_pattern(logger(), format);
 }
 
 void set_log_sink(std::function<void(LogLevel, std::string_view line)> sink) {
     current_sink = std::move(sink);
 }
 
-std::string log_line(LogForm form, Event event, std::initializer_list<LogField> fields) {
-    return log_line(form, name_of(event), fields);
+std::string format_log_line(LogFormat log_format, Event event, std::initializer_list<LogField> fields) {
+    return format_log_line(log_format, event_name(event), fields);
 }
 
-std::string log_line(LogForm form, std::string_view event, std::initializer_list<LogField> fields) {
-    const bool json = form == LogForm::Json;
-    std::string out = json ? fmt::format("\"event\":\"{}\"", event) : fmt::format("event={}", event);
-    for (const LogField& f : fields) {
-        if (json) out += fmt::format(",\"{}\":{}", f.name, quoted(f.value));
-        else out += fmt::format(" {}={}", f.name, plain(f.value) ? f.value : quoted(f.value));
+std::string format_log_line(LogFormat log_format, std::string_view event,
+                            std::initializer_list<LogField> fields) {
+    const bool json = log_format == LogFormat::Json;
+    std::string text = json ? fmt::format("\"event\":\"{}\"", event) : fmt::format("event={}", event);
+    for (const LogField& field : fields) {
+        if (json) text += fmt::format(",\"{}\":{}", field.name, quote(field.value));
+        else
+            text += fmt::format(" {}={}", field.name,
+                                needs_no_quotes(field.value) ? field.value : quote(field.value));
     }
-    return out;
+    return text;
 }
 
 void write_log(LogLevel level, Event event, std::initializer_list<LogField> fields) {
-    const std::string line = log_line(current_form, event, fields);
+    const std::string line = format_log_line(current_format, event, fields);
     if (current_sink) current_sink(level, line);
-    else logger().log(level_of(level), line);
+    else logger().log(to_spdlog_level(level), line);
 }
 
-bool LogGate::open() {
+bool LogRateLimiter::try_acquire() {
     const auto now = std::chrono::steady_clock::now();
-    if (now < next_) return false;
-    next_ = now + every_;
+    if (now < next_allowed_) return false;
+    next_allowed_ = now + interval_;
     return true;
 }
 
--- a/src/base/common/log.h
+++ b/src/base/common/log.h
@@ -13,55 +13,56 @@
 namespace shaletray {
 
 enum class LogLevel { Error, Warning, Info, Debug };
-enum class LogForm { KeyValue, Json };
+enum class LogFormat { KeyValue, Json };
 
 enum class Event {
     Listening,
     Failed,    // the program ends by it
-    ReloadNothing,
+    ReloadUnchanged,
     ReloadFailed,
-    TermsChanged,
-    DiscoveryMoved,
-    ServerTakenOut,
-    ServerBroughtBack,
-    DrainBegun,
+    PlanTermsChanged,
+    DiscoveryAddressChanged,
+    ServerEjected,
+    ServerReinstated,
+    DrainStarted,
     DrainEnded,
-    HandoverNone,
-    HandoverUnread,
-    HandedOver,
-    TakenOver,
-    DiscoveryBadLine,
-    DiscoveryBadEntries,
-    DiscoveryBroken,
-    ServerSpoiltAnswer,
-    ServerUnitsUntold,    // a good answer where units are settled afterwards tells none, or no such number
+    HandoverUnavailable,
+    HandoverMalformed,
+    HandoverExported,
+    HandoverImported,
+    DiscoveryMalformedLine,
+    DiscoveryMalformedEntries,
+    DiscoveryConnectionLost,
+    ServerMalformedAnswer,
+    ServerUnitsUnreported,    // a good answer where units are settled afterwards tells none, or no such
+                              // number
     SocketFailed,
     AcceptFailed,
     EngineFailed,
-    CounterUp,
-    CounterLost,
-    CounterSpoiltRow,
-    BookRead,
-    BookTorn,
-    BookDamaged,
-    BookNotDurable,
+    SharedCounterConnected,
+    SharedCounterDisconnected,
+    SharedCounterMalformedRow,
+    PlanTableLoaded,
+    PlanTableTruncated,
+    PlanTableDamaged,
+    PlanTableNotDurable,
     PlansChanged,
-    PlansRefused,
-    PlansRedeemedFull,
-    UsageOff,
-    UsageNotRecorded,
+    PlanChangeRejected,
+    RedemptionTableFull,
+    UsageLogDisabled,
+    UsageRecordsLost,
     ExportStarted,
-    ExportTrouble,
+    ExportFailed,
     kCount
 };
-std::string_view name_of(Event event);
+std::string_view event_name(Event event);
 
 struct LogField {
     std::string_view name;
     std::string value;
 };
 template <class T>
-LogField kv(std::string_view name, const T& value) {
+LogField log_field(std::string_view name, const T& value) {
     return {name, fmt::format("{}", value)};
 }
 
@@ -70,12 +71,13 @@
 LogLevel log_level();
 // False, and nothing changed, where the name is none of error, warning, info, debug.
 bool set_log_level(std::string_view name);
-void set_log_form(LogForm form);
+void set_log_format(LogFormat format);
 
 // A line without its time and level, in either form.
-std::string log_line(LogForm form, Event event, std::initializer_list<LogField> fields);
+std::string format_log_line(LogFormat log_format, Event event, std::initializer_list<LogField> fields);
 // The same for an event of a program that has a list of its own.
-std::string log_line(LogForm form, std::string_view event, std::initializer_list<LogField> fields);
+std::string format_log_line(LogFormat log_format, std::string_view event,
+                            std::initializer_list<LogField> fields);
 // From now on lines go there, without time and level, and not to standard error; none: as before. To be set
 // while only one thread runs; it is then called from any.
 void set_log_sink(std::function<void(LogLevel, std::string_view line)> sink);
@@ -87,14 +89,15 @@
 }
 
 // Lets a message through at most once in a while, so that a stream of bad input cannot fill the log.
-class LogGate {
+class LogRateLimiter {
 public:
-    explicit LogGate(std::chrono::milliseconds every = std::chrono::milliseconds(1000)) : every_(every) {}
-    bool open();
+    explicit LogRateLimiter(std::chrono::milliseconds interval = std::chrono::milliseconds(1000))
+        : interval_(interval) {}
+    bool try_acquire();
 
 private:
-    std::chrono::milliseconds every_;
-    std::chrono::steady_clock::time_point next_{};
+    std::chrono::milliseconds interval_;
+    std::chrono::steady_clock::time_point next_allowed_{};
 };
 
 }    // namespace shaletray
--- a/src/base/common/timers.cpp
+++ b/src/base/common/timers.cpp
@@ -2,10 +2,10 @@
 
 namespace shaletray {
 
-Timers::Id Timers::at(TimePoint when, Task task) {
-    heap_.push({when, ++last_});
-    tasks_.emplace(last_, std::move(task));
-    return last_;
+Timers::Id Timers::schedule_at(TimePoint deadline, Task task) {
+    deadlines_.push({deadline, ++last_id_});
+    tasks_.emplace(last_id_, std::move(task));
+    return last_id_;
 }
 
 void Timers::cancel(Id& id) {
@@ -15,21 +15,22 @@
 
 void Timers::run_due(TimePoint now) {
     // Taken out first: what a task adds must neither run in this call nor stand before what was due already.
-    std::vector<Id> due;
-    for (; !heap_.empty() && heap_.top().when <= now; heap_.pop()) due.push_back(heap_.top().id);
-    for (const Id id : due) {
-        const auto it = tasks_.find(id);
-        if (it == tasks_.end()) continue;    // cancelled, perhaps by a task before it
-        const Task task = std::move(it->second);
-        tasks_.erase(it);
+    std::vector<Id> due_ids;
+    for (; !deadlines_.empty() && deadlines_.top().deadline <= now; deadlines_.pop())
+        due_ids.push_back(deadlines_.top().id);
+    for (const Id id : due_ids) {
+        const auto found = tasks_.find(id);
+        if (found == tasks_.end()) continue;    // cancelled, perhaps by a task before it
+        const Task task = std::move(found->second);
+        tasks_.erase(found);
         task();
     }
 }
 
-std::optional<TimePoint> Timers::next() {
-    while (!heap_.empty() && !tasks_.contains(heap_.top().id)) heap_.pop();
-    if (heap_.empty()) return std::nullopt;
-    return heap_.top().when;
+std::optional<TimePoint> Timers::next_deadline() {
+    while (!deadlines_.empty() && !tasks_.contains(deadlines_.top().id)) deadlines_.pop();
+    if (deadlines_.empty()) return std::nullopt;
+    return deadlines_.top().deadline;
 }
 
 }    // namespace shaletray
--- a/src/base/common/timers.h
+++ b/src/base/common/timers.h
@@ -17,25 +17,25 @@
     using Id = std::uint64_t;    // 0 is never given
     using Task = std::function<void()>;
 
-    Id at(TimePoint when, Task task);
+    Id schedule_at(TimePoint deadline, Task task);
     // An id that is done, cancelled or 0 is ignored. The id is set to 0.
     void cancel(Id& id);
     // Runs what was due when it was called; what is added meanwhile waits for the next call.
     void run_due(TimePoint now);
-    std::optional<TimePoint> next();
+    std::optional<TimePoint> next_deadline();
     std::size_t size() const { return tasks_.size(); }
 
 private:
-    struct Entry {
-        TimePoint when;
+    struct ScheduledTask {
+        TimePoint deadline;
         Id id;
-        bool operator>(const Entry& other) const {
-            return when != other.when ? when > other.when : id > other.id;
+        bool operator>(const ScheduledTask& other) const {
+            return deadline != other.deadline ? deadline > other.deadline : id > other.id;
         }
     };
-    std::priority_queue<Entry, std::vector<Entry>, std::greater<>> heap_;
+    std::priority_queue<ScheduledTask, std::vector<ScheduledTask>, std::greater<>> deadlines_;
     std::unordered_map<Id, Task> tasks_;
-    Id last_ = 0;
+    Id last_id_ = 0;
 };
 
 }    // namespace shaletray
--- a/src/base/http/answer.cpp
+++ b/src/base/http/answer.cpp
@@ -35,21 +35,23 @@
 
 }    // namespace
 
-std::string write_answer_head(int status, std::string_view headers, Body body, std::uint64_t length,
-                              bool keep_alive) {
+std::string write_answer_head(int status, std::string_view headers, BodyFraming framing,
+                              std::uint64_t content_length, bool keep_alive) {
     const bool bodiless = status == 204 || status == 304;    // by their number, whatever they state
-    const std::string framing = bodiless                ? ""
-                                : body == Body::Stated  ? fmt::format("Content-Length: {}\r\n", length)
-                                : body == Body::Chunked ? "Transfer-Encoding: chunked\r\n"
-                                                        : "";
-    return fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", status, reason_of(status), headers, framing,
+    const std::string framing_header = bodiless ? ""
+                                       : framing == BodyFraming::ContentLength
+                                           ? fmt::format("Content-Length: {}\r\n", content_length)
+                                       : framing == BodyFraming::Chunked ? "Transfer-Encoding: chunked\r\n"
+                                                                         : "";
+    return fmt::format("HTTP/1.1 {} {}\r\n{}{}{}\r\n", status, reason_of(status), headers, framing_header,
                        keep_alive ? "" : "Connection: close\r\n");
 }
 
 std::string write_chunk(std::string_view bytes) { return fmt::format("{:x}\r\n{}\r\n", bytes.size(), bytes); }
 
 std::string write_answer(int status, std::string_view headers, std::string_view body, bool keep_alive) {
-    return write_answer_head(status, headers, Body::Stated, body.size(), keep_alive).append(body);
+    return write_answer_head(status, headers, BodyFraming::ContentLength, body.size(), keep_alive)
+        .append(body);
 }
 
 }    // namespace shaletray
--- a/src/base/http/buffer.cpp
+++ b/src/base/http/buffer.cpp
@@ -11,32 +11,32 @@
 
 }    // namespace
 
-char* Buffer::prepare(std::size_t least) {
-    if (room() < least && begin_ > 0) {
-        std::memmove(bytes_.data(), bytes_.data() + begin_, size());
-        end_ -= begin_;
-        begin_ = 0;
+char* Buffer::reserve(std::size_t min_size) {
+    if (writable_size() < min_size && read_offset_ > 0) {
+        std::memmove(bytes_.data(), bytes_.data() + read_offset_, size());
+        write_offset_ -= read_offset_;
+        read_offset_ = 0;
     }
-    if (room() < least) bytes_.resize(std::max(end_ + least, bytes_.size() * 2));
-    return bytes_.data() + end_;
+    if (writable_size() < min_size) bytes_.resize(std::max(write_offset_ + min_size, bytes_.size() * 2));
+    return bytes_.data() + write_offset_;
 }
 
 void Buffer::append(std::string_view bytes) {
-    std::copy(bytes.begin(), bytes.end(), prepare(bytes.size()));
+    std::copy(bytes.begin(), bytes.end(), reserve(bytes.size()));
     commit(bytes.size());
 }
 
 void Buffer::consume(std::size_t count) {
-    begin_ += std::min(count, size());
+    read_offset_ += std::min(count, size());
     if (!empty()) return;
-    begin_ = end_ = 0;
+    read_offset_ = write_offset_ = 0;
     if (bytes_.size() > kKept) std::vector<char>().swap(bytes_);
 }
 
-void Buffer::cut(std::size_t offset, std::size_t count) {
+void Buffer::erase(std::size_t offset, std::size_t count) {
     char* const at = data() + offset;
     std::memmove(at, at + count, size() - offset - count);
-    end_ -= count;
+    write_offset_ -= count;
 }
 
 }    // namespace shaletray::http
--- a/src/base/http/line_protocol.h
+++ b/src/base/http/line_protocol.h
@@ -7,12 +7,12 @@
 
 namespace shaletray {
 
-class Talk {
+class LineProtocol {
 public:
-    enum class Next { Wait, End };    // for more bytes; once what was said is written
-    virtual ~Talk() = default;
+    enum class NextStep { ReadMore, Close };    // for more bytes; once what was said is written
+    virtual ~LineProtocol() = default;
     // Consumes what it understood of `in`, and appends what is to be said to `out`.
-    virtual Next take(http::Buffer& in, std::string& out) = 0;
+    virtual NextStep process_input(http::Buffer& input, std::string& output) = 0;
 };
 
 }    // namespace shaletray
--- a/src/base/http/rejection.cpp
+++ b/src/base/http/rejection.cpp
@@ -2,11 +2,11 @@
 
 namespace shaletray {
 
-Rejection rejection_of(http::Fault fault) {
-    switch (fault) {
-        case http::Fault::HeadTooLarge: return {431, "headers too large"};
-        case http::Fault::BodyTooLarge: return {413, "body too large"};
-        case http::Fault::Unsupported: return {501, "transfer coding not supported"};
+ImmediateRejection rejection_for(http::ParseError error) {
+    switch (error) {
+        case http::ParseError::HeadTooLarge: return {431, "headers too large"};
+        case http::ParseError::BodyTooLarge: return {413, "body too large"};
+        case http::ParseError::Unsupported: return {501, "transfer coding not supported"};
         default: return {400, "malformed request"};
     }
 }
--- a/src/base/http/rejection.h
+++ b/src/base/http/rejection.h
@@ -8,15 +8,15 @@
 namespace shaletray {
 
 // The answer to a request that is not passed on.
-struct Rejection {
-    int status = 400;
+struct ImmediateRejection {
+    int status_code = 400;
     std::string_view reason;    // text that stays
     // Unless something is wrong with how the message was framed, its connection may serve the next one. Where
     // its body is still coming, it ends all the same.
-    bool keeps_connection = false;
+    bool keep_alive = false;
 };
 
 // Of a message that cannot be read.
-Rejection rejection_of(http::Fault fault);
+ImmediateRejection rejection_for(http::ParseError error);
 
 }    // namespace shaletray
--- a/src/base/net/api_server.cpp
+++ b/src/base/net/api_server.cpp
@@ -14,298 +14,318 @@
 using namespace std::chrono_literals;
 
 constexpr int kBacklog = 512;
-constexpr Duration kSweepEvery = 250ms;
-constexpr Duration kAcceptPause = 20ms;          // out of descriptors: the backlog waits
-constexpr Duration kLinger = 1s;                 // for the last answer to be read
-constexpr int kMostAtOnce = 16;                  // new connections in one go
-constexpr std::size_t kSmall = 64 * 1024;        // bytes that a call may always bring
-constexpr std::size_t kMostAhead = 64 * 1024;    // bytes that are read behind a call that is not answered yet
+constexpr Duration kSweepInterval = 250ms;
+constexpr Duration kAcceptPause = 20ms;                      // out of descriptors: the backlog waits
+constexpr Duration kLingerTimeout = 1s;                      // for the last answer to be read
+constexpr int kMaxAcceptsPerEvent = 16;                      // new connections in one go
+constexpr std::size_t kAlwaysAllowedCallSize = 64 * 1024;    // bytes that a call may always bring
+constexpr std::size_t kMaxPipelinedBytes =
+    64 * 1024;    // bytes that are read behind a call that is not answered yet
 
 }    // namespace
 
-struct CallServer::Connection : StreamOwner {
-    enum class State { Idle, Reading, Taken, Ending };
-    explicit Connection(CallServer& of)
-        : server(of),
-          parser(http::Parser::Kind::Request, {of.limits_.head, of.limits_.body, 100}),
-          stream(of.reactor_, *this) {}
-    void on_input() override { server.serve(*this); }
-    void on_sent() override { server.sent(*this); }
-    void on_broken() override { server.close(*this); }
+struct ApiServer::Connection : StreamOwner {
+    enum class State { Idle, Reading, Handling, Closing };
+    explicit Connection(ApiServer& owner)
+        : server(owner),
+          parser(http::Parser::Kind::Request,
+                 {owner.limits_.max_head_size, owner.limits_.max_body_size, 100}),
+          stream(owner.reactor_, *this) {}
+    void on_input() override { server.process_input(*this); }
+    void on_all_sent() override { server.on_all_sent(*this); }
+    void on_disconnected() override { server.close_connection(*this); }
 
-    CallServer& server;
+    ApiServer& server;
     http::Parser parser;
     Stream stream;
-    List::iterator place;
+    ConnectionList::iterator position;
     State state = State::Idle;
-    TimePoint since{};    // when the state began
-    std::size_t held = 0;
-    std::size_t most = 0;    // of this call's body
-    bool head_seen = false, keeps = true, serving = false, closed = false;
-    std::shared_ptr<Caller> caller;
+    TimePoint state_since{};    // when the state began
+    std::size_t pending_bytes = 0;
+    std::size_t max_body_size = 0;    // of this call's body
+    bool head_complete = false, keep_alive = true, is_processing = false, is_closed = false;
+    std::shared_ptr<ApiCaller> caller;
 };
 
-void Caller::answer(Reply reply) {
+void ApiCaller::send_reply(ApiReply reply) {
     if (connection_ == nullptr) return;
-    server_->answer(*static_cast<CallServer::Connection*>(connection_), std::move(reply));
+    server_->send_reply(*static_cast<ApiServer::Connection*>(connection_), std::move(reply));
 }
 
-Poco::Net::ServerSocket CallServer::listen(const std::string& address) {
+Poco::Net::ServerSocket ApiServer::listen(const std::string& address) {
     Poco::Net::ServerSocket socket;
     socket.bind(Poco::Net::SocketAddress(address), true, false);
     socket.listen(kBacklog);
     return socket;
 }
 
-CallServer::CallServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits, Taker take,
-                       BodyOf body_of)
+ApiServer::ApiServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits, CallHandler handle_call,
+                     BodySizeLimit body_size_limit)
     : reactor_(reactor),
       socket_(std::move(socket)),
       limits_(limits),
-      take_(std::move(take)),
-      body_of_(std::move(body_of)) {
+      handle_call_(std::move(handle_call)),
+      body_size_limit_(std::move(body_size_limit)) {
     socket_.setBlocking(false);
-    accept_on(true);
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    set_accepting(true);
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_stale_connections(); });
 }
 
-CallServer::~CallServer() {
-    accept_on(false);
-    reactor_.cancel(sweep_timer_);
-    reactor_.cancel(pause_timer_);
-    for (List* list : {&busy_, &idle_})
-        while (!list->empty()) close(*list->front());
-    reactor_.reap();
+ApiServer::~ApiServer() {
+    set_accepting(false);
+    reactor_.cancel_timer(sweep_timer_);
+    reactor_.cancel_timer(pause_timer_);
+    for (ConnectionList* list : {&busy_connections_, &idle_connections_})
+        while (!list->empty()) close_connection(*list->front());
+    reactor_.destroy_retired();
 }
 
-void CallServer::accept_on(bool wanted) {
-    if (wanted == accepting_) return;
-    const Poco::NObserver<CallServer, Poco::Net::ReadableNotification> observer(*this,
-                                                                                &CallServer::on_readable);
-    if (wanted) reactor_.addEventHandler(socket_, observer);
+void ApiServer::set_accepting(bool enabled) {
+    if (enabled == is_accepting_) return;
+    const Poco::NObserver<ApiServer, Poco::Net::ReadableNotification> observer(*this,
+                                                                               &ApiServer::on_readable);
+    if (enabled) reactor_.addEventHandler(socket_, observer);
     else reactor_.removeEventHandler(socket_, observer);
-    accepting_ = wanted;
+    is_accepting_ = enabled;
 }
 
-void CallServer::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    for (int i = 0; i < kMostAtOnce && accepting_; ++i) {
-        if (!accept()) break;
+void ApiServer::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+    for (int i = 0; i < kMaxAcceptsPerEvent && is_accepting_; ++i) {
+        if (!accept_one()) break;
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
-void CallServer::pause_accepting() {
-    accept_on(false);
+void ApiServer::pause_accepting() {
+    set_accepting(false);
     if (pause_timer_ != 0) return;
-    pause_timer_ = reactor_.after(kAcceptPause, [this] {
+    pause_timer_ = reactor_.schedule_after(kAcceptPause, [this] {
         pause_timer_ = 0;
-        if (!stopping_) accept_on(true);
+        if (!is_stopping_) set_accepting(true);
     });
 }
 
 // False where there was nothing more to accept.
-bool CallServer::accept() {
-    if (busy_.size() >= limits_.most) {    // all have a call under way: who comes waits
+bool ApiServer::accept_one() {
+    if (busy_connections_.size() >=
+        limits_.max_connections) {    // all have a call under way: who comes waits
         pause_accepting();
         return false;
     }
     try {
-        const Poco::Net::StreamSocket taken = socket_.acceptConnection();
-        if (busy_.size() + idle_.size() >= limits_.most) close(*idle_.front());
-        auto c = std::make_unique<Connection>(*this);
-        c->since = reactor_.clock().now();
-        c->stream.adopt(taken);
-        Connection& connection = *c;
-        connection.place = idle_.insert(idle_.end(), std::move(c));
-        ++counts_.accepted;
+        const Poco::Net::StreamSocket accepted = socket_.acceptConnection();
+        if (busy_connections_.size() + idle_connections_.size() >= limits_.max_connections)
+            close_connection(*idle_connections_.front());
+        auto new_connection = std::make_unique<Connection>(*this);
+        new_connection->state_since = reactor_.clock().now();
+        new_connection->stream.attach(accepted);
+        Connection& connection = *new_connection;
+        connection.position = idle_connections_.insert(idle_connections_.end(), std::move(new_connection));
+        ++counters_.accepted;
         return true;
     } catch (const Poco::Exception& error) {
         if (error.code() == POCO_EWOULDBLOCK) return false;    // none waits, or it left before that
-        if (gate_.open()) log(LogLevel::Warning, Event::AcceptFailed, {kv("why", error.displayText())});
-        if (!idle_.empty()) close(*idle_.front());
+        if (log_limiter_.try_acquire())
+            log(LogLevel::Warning, Event::AcceptFailed, {log_field("why", error.displayText())});
+        if (!idle_connections_.empty()) close_connection(*idle_connections_.front());
         pause_accepting();
         return false;
     }
 }
 
-void CallServer::serve(Connection& c) {
-    http::Buffer& in = c.stream.input();
-    if (c.state == Connection::State::Ending) return in.consume(in.size());
-    if (c.state == Connection::State::Taken) {
-        hold(c);
-        if (in.size() > kMostAhead) c.stream.read_on(false);
+void ApiServer::process_input(Connection& connection) {
+    http::Buffer& input = connection.stream.input_buffer();
+    if (connection.state == Connection::State::Closing) return input.consume(input.size());
+    if (connection.state == Connection::State::Handling) {
+        reserve_pending_bytes(connection);
+        if (input.size() > kMaxPipelinedBytes) connection.stream.set_reading(false);
         return;
     }
     // A call may be answered while it is taken: the next one is looked at here, and not within that.
-    c.serving = true;
-    while (!c.closed && take_next(c)) {
+    connection.is_processing = true;
+    while (!connection.is_closed && handle_next_call(connection)) {
     }
-    c.serving = false;
-    if (!c.closed) hold(c);
+    connection.is_processing = false;
+    if (!connection.is_closed) reserve_pending_bytes(connection);
 }
 
 // True where another call may be waiting behind one that was answered at once.
-bool CallServer::take_next(Connection& c) {
-    http::Buffer& in = c.stream.input();
-    if (in.empty()) return false;
-    if (c.state == Connection::State::Idle) {
-        c.state = Connection::State::Reading;
-        c.since = reactor_.clock().now();
-        busy_.splice(busy_.end(), idle_, c.place);
+bool ApiServer::handle_next_call(Connection& connection) {
+    http::Buffer& input = connection.stream.input_buffer();
+    if (input.empty()) return false;
+    if (connection.state == Connection::State::Idle) {
+        connection.state = Connection::State::Reading;
+        connection.state_since = reactor_.clock().now();
+        busy_connections_.splice(busy_connections_.end(), idle_connections_, connection.position);
     }
-    const http::Status status = c.parser.parse(in);
-    if (status == http::Status::Bad) {
-        const Rejection rejection = rejection_of(c.parser.fault());
-        refuse(c, rejection.status, rejection.reason);
+    const http::ParseStatus status = connection.parser.parse(input);
+    if (status == http::ParseStatus::Malformed) {
+        const ImmediateRejection rejection = rejection_for(connection.parser.error());
+        reject_call(connection, rejection.status_code, rejection.reason);
         return false;
     }
-    if (c.parser.head_done() && !c.head_seen) {
-        c.head_seen = true;
-        c.most = body_of_ ? body_of_(c.parser.method(in), c.parser.target(in)) : limits_.body;
-        if (c.parser.length().value_or(0) <= c.most && status == http::Status::More &&
-            c.parser.expects_continue() && !c.stream.send(std::string(kContinue))) {
-            close(c);
+    if (connection.parser.head_complete() && !connection.head_complete) {
+        connection.head_complete = true;
+        connection.max_body_size = body_size_limit_ ? body_size_limit_(connection.parser.method(input),
+                                                                       connection.parser.target(input))
+                                                    : limits_.max_body_size;
+        if (connection.parser.content_length().value_or(0) <= connection.max_body_size &&
+            status == http::ParseStatus::Incomplete && connection.parser.expects_continue() &&
+            !connection.stream.write_bytes(std::string(kContinueResponse))) {
+            close_connection(connection);
             return false;
         }
     }
-    if (c.parser.head_done() &&
-        std::max<std::uint64_t>(c.parser.length().value_or(0), c.parser.body(in).size()) > c.most) {
-        refuse(c, 413, "the body is too large");
+    if (connection.parser.head_complete() &&
+        std::max<std::uint64_t>(connection.parser.content_length().value_or(0),
+                                connection.parser.body(input).size()) > connection.max_body_size) {
+        reject_call(connection, 413, "the body is too large");
         return false;
     }
-    if (status == http::Status::More) {
-        hold(c);
-        if (held_ > limits_.held && in.size() > kSmall) refuse(c, 503, "too much is under way");
+    if (status == http::ParseStatus::Incomplete) {
+        reserve_pending_bytes(connection);
+        if (pending_bytes_ > limits_.max_pending_bytes && input.size() > kAlwaysAllowedCallSize)
+            reject_call(connection, 503, "too much is under way");
         return false;
     }
-    ++counts_.calls;
-    c.state = Connection::State::Taken;
-    c.keeps = c.parser.keep_alive();
-    c.caller = std::make_shared<Caller>();
-    c.caller->connection_ = &c;
-    c.caller->server_ = this;
-    const std::shared_ptr<Caller> caller = c.caller;
-    take_({c.parser.method(in), c.parser.target(in), c.parser.body(in)}, caller);
-    if (c.closed) return false;
-    in.consume(c.parser.size());
-    c.parser.reset();
-    c.head_seen = false;
-    if (c.caller != nullptr) return false;    // answered later
-    settle(c);
-    return c.state == Connection::State::Idle;
+    ++counters_.calls;
+    connection.state = Connection::State::Handling;
+    connection.keep_alive = connection.parser.keep_alive();
+    connection.caller = std::make_shared<ApiCaller>();
+    connection.caller->connection_ = &connection;
+    connection.caller->server_ = this;
+    const std::shared_ptr<ApiCaller> caller = connection.caller;
+    handle_call_(
+        {connection.parser.method(input), connection.parser.target(input), connection.parser.body(input)},
+        caller);
+    if (connection.is_closed) return false;
+    input.consume(connection.parser.message_size());
+    connection.parser.reset();
+    connection.head_complete = false;
+    if (connection.caller != nullptr) return false;    // answered later
+    release_pending_bytes(connection);
+    return connection.state == Connection::State::Idle;
 }
 
 // What cannot be taken is answered, and ends its connection.
-void CallServer::refuse(Connection& c, int status, std::string_view why) {
-    ++counts_.refused;
-    c.keeps = false;
-    c.stream.input().consume(c.stream.input().size());
-    hold(c);
-    write(c, {status, std::string(why) + "\n", "text/plain; charset=utf-8",
-              status == 503 ? "Retry-After: 0.2\r\n" : std::string()});
-    if (!c.closed) settle(c);
+void ApiServer::reject_call(Connection& connection, int status, std::string_view reason) {
+    ++counters_.rejected;
+    connection.keep_alive = false;
+    connection.stream.input_buffer().consume(connection.stream.input_buffer().size());
+    reserve_pending_bytes(connection);
+    write_reply(connection, {status, std::string(reason) + "\n", "text/plain; charset=utf-8",
+                             status == 503 ? "Retry-After: 0.2\r\n" : std::string()});
+    if (!connection.is_closed) release_pending_bytes(connection);
 }
 
-void CallServer::answer(Connection& c, Reply reply) {
-    c.caller->connection_ = nullptr;
-    c.caller.reset();
-    write(c, reply);
-    if (c.closed || c.serving) return;    // take_next goes on itself
-    settle(c);
-    if (c.state != Connection::State::Idle) return;
-    serve(c);
-    if (!c.closed) c.stream.read_on(true);
-    reactor_.reckon_timeout();
+void ApiServer::send_reply(Connection& connection, ApiReply reply) {
+    connection.caller->connection_ = nullptr;
+    connection.caller.reset();
+    write_reply(connection, reply);
+    if (connection.is_closed || connection.is_processing) return;    // take_next goes on itself
+    release_pending_bytes(connection);
+    if (connection.state != Connection::State::Idle) return;
+    process_input(connection);
+    if (!connection.is_closed) connection.stream.set_reading(true);
+    reactor_.update_poll_timeout();
 }
 
-void CallServer::write(Connection& c, const Reply& reply) {
-    c.keeps = c.keeps && !stopping_;
-    std::string headers = reply.headers;
-    if (!reply.body.empty()) headers.append("Content-Type: ").append(reply.type).append("\r\n");
-    if (!c.stream.send(write_answer(reply.status, headers, reply.body, c.keeps))) close(c);
+void ApiServer::write_reply(Connection& connection, const ApiReply& reply) {
+    connection.keep_alive = connection.keep_alive && !is_stopping_;
+    std::string headers = reply.extra_headers;
+    if (!reply.body.empty()) headers.append("Content-Type: ").append(reply.content_type).append("\r\n");
+    if (!connection.stream.write_bytes(
+            write_answer(reply.status_code, headers, reply.body, connection.keep_alive)))
+        close_connection(connection);
 }
 
 // After an answer: waits for the next call, or for the other side to have read the last answer.
-void CallServer::settle(Connection& c) {
-    c.since = reactor_.clock().now();
-    if (c.keeps) {
-        c.state = Connection::State::Idle;
-        idle_.splice(idle_.end(), busy_, c.place);
+void ApiServer::release_pending_bytes(Connection& connection) {
+    connection.state_since = reactor_.clock().now();
+    if (connection.keep_alive) {
+        connection.state = Connection::State::Idle;
+        idle_connections_.splice(idle_connections_.end(), busy_connections_, connection.position);
         return;
     }
-    c.state = Connection::State::Ending;
-    c.stream.read_on(true);
-    if (c.stream.sent_all()) sent(c);
+    connection.state = Connection::State::Closing;
+    connection.stream.set_reading(true);
+    if (connection.stream.all_sent()) on_all_sent(connection);
 }
 
 // Closing over bytes that were not read resets a connection, and its caller may lose the answer.
-void CallServer::sent(Connection& c) {
-    if (c.state == Connection::State::Ending) c.stream.end_sending();
+void ApiServer::on_all_sent(Connection& connection) {
+    if (connection.state == Connection::State::Closing) connection.stream.shutdown_sending();
 }
 
-void CallServer::hold(Connection& c) {
-    held_ = held_ - c.held + c.stream.input().size();
-    c.held = c.stream.input().size();
+void ApiServer::reserve_pending_bytes(Connection& connection) {
+    pending_bytes_ = pending_bytes_ - connection.pending_bytes + connection.stream.input_buffer().size();
+    connection.pending_bytes = connection.stream.input_buffer().size();
 }
 
-void CallServer::close(Connection& c) {
-    if (std::exchange(c.closed, true)) return;
-    if (c.caller != nullptr) {
-        c.caller->connection_ = nullptr;
-        ++counts_.gone;
+void ApiServer::close_connection(Connection& connection) {
+    if (std::exchange(connection.is_closed, true)) return;
+    if (connection.caller != nullptr) {
+        connection.caller->connection_ = nullptr;
+        ++counters_.abandoned;
     }
-    held_ -= c.held;
-    c.stream.close();
-    struct Gone : Retired {    // it may be on the call stack
-        explicit Gone(std::unique_ptr<Connection> of) : connection(std::move(of)) {}
+    pending_bytes_ -= connection.pending_bytes;
+    connection.stream.close();
+    struct RetiredConnection : RetiredObject {    // it may be on the call stack
+        explicit RetiredConnection(std::unique_ptr<Connection> retired) : connection(std::move(retired)) {}
         std::unique_ptr<Connection> connection;
     };
-    List& list = c.state == Connection::State::Idle ? idle_ : busy_;
-    const List::iterator place = c.place;
-    reactor_.retire(std::make_unique<Gone>(std::move(*place)));
-    list.erase(place);
+    ConnectionList& list =
+        connection.state == Connection::State::Idle ? idle_connections_ : busy_connections_;
+    const ConnectionList::iterator position = connection.position;
+    reactor_.destroy_later(std::make_unique<RetiredConnection>(std::move(*position)));
+    list.erase(position);
 }
 
-void CallServer::sweep() {
+void ApiServer::close_stale_connections() {
     using State = Connection::State;
     const TimePoint now = reactor_.clock().now();
-    std::vector<Connection*> old;
-    for (const auto& c : idle_)
-        if (now - c->since > limits_.idle) old.push_back(c.get());
-    for (const auto& c : busy_) {
-        const auto brought = std::chrono::duration<double>(static_cast<double>(c->stream.input().size()) /
-                                                           static_cast<double>(limits_.pace));
-        const Duration patience =
-            limits_.patience +
-            (c->head_seen ? std::chrono::duration_cast<Duration>(brought) + limits_.patience : Duration(0));
-        if (c->state == State::Reading && now - c->since > patience) old.push_back(c.get());
-        if (c->state == State::Ending && now - c->since > kLinger + (c->stream.sent_all() ? 0s : 10s))
-            old.push_back(c.get());
+    std::vector<Connection*> stale;
+    for (const auto& connection : idle_connections_)
+        if (now - connection->state_since > limits_.idle_timeout) stale.push_back(connection.get());
+    for (const auto& connection : busy_connections_) {
+        const auto body_seconds =
+            std::chrono::duration<double>(static_cast<double>(connection->stream.input_buffer().size()) /
+                                          static_cast<double>(limits_.min_body_rate));
+        const Duration allowed_time =
+            limits_.read_timeout +
+            (connection->head_complete
+                 ? std::chrono::duration_cast<Duration>(body_seconds) + limits_.read_timeout
+                 : Duration(0));
+        if (connection->state == State::Reading && now - connection->state_since > allowed_time)
+            stale.push_back(connection.get());
+        if (connection->state == State::Closing &&
+            now - connection->state_since > kLingerTimeout + (connection->stream.all_sent() ? 0s : 10s))
+            stale.push_back(connection.get());
     }
-    for (Connection* c : old) {
-        if (c->state == State::Reading) refuse(*c, 408, "it took too long");
-        else close(*c);
+    for (Connection* connection : stale) {
+        if (connection->state == State::Reading) reject_call(*connection, 408, "it took too long");
+        else close_connection(*connection);
     }
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_stale_connections(); });
 }
 
-void CallServer::stop() {
-    stopping_ = true;
-    accept_on(false);
-    while (!idle_.empty()) close(*idle_.front());
+void ApiServer::start_shutdown() {
+    is_stopping_ = true;
+    set_accepting(false);
+    while (!idle_connections_.empty()) close_connection(*idle_connections_.front());
 }
 
-std::unique_ptr<CallServer> serve_readiness(Reactor& reactor, const std::string& address,
-                                            std::function<bool()> ready) {
-    CallServer::Limits limits;
-    limits.most = 16;
-    limits.body = limits.held = 4 * 1024;
-    return std::make_unique<CallServer>(
-        reactor, CallServer::listen(address), limits,
-        [ready = std::move(ready)](const Call& call, const std::shared_ptr<Caller>& caller) {
-            if (call.target.substr(0, call.target.find('?')) != "/readiness") caller->answer({404});
-            else if (call.method != "GET") caller->answer({405, {}, {}, "Allow: GET\r\n"});
-            else caller->answer({ready() ? 200 : 503});
+std::unique_ptr<ApiServer> serve_readiness(Reactor& reactor, const std::string& address,
+                                           std::function<bool()> is_ready) {
+    ApiServer::Limits limits;
+    limits.max_connections = 16;
+    limits.max_body_size = limits.max_pending_bytes = 4 * 1024;
+    return std::make_unique<ApiServer>(
+        reactor, ApiServer::listen(address), limits,
+        [ready = std::move(is_ready)](const ApiCall& call, const std::shared_ptr<ApiCaller>& caller) {
+            if (call.target.substr(0, call.target.find('?')) != "/readiness") caller->send_reply({404});
+            else if (call.method != "GET") caller->send_reply({405, {}, {}, "Allow: GET\r\n"});
+            else caller->send_reply({ready() ? 200 : 503});
         });
 }
 
--- a/src/base/net/line_protocol_server.cpp
+++ b/src/base/net/line_protocol_server.cpp
@@ -8,44 +8,48 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kSweepEvery = 250ms;
-constexpr Duration kLinger = 1s;    // for the last answer to be read
-constexpr int kMostAtOnce = 16;
+constexpr Duration kSweepInterval = 250ms;
+constexpr Duration kLingerTimeout = 1s;    // for the last answer to be read
+constexpr int kMaxAcceptsPerEvent = 16;
 
 }    // namespace
 
-TalkServer::TalkServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits,
-                       std::function<std::unique_ptr<Talk>()> begin)
-    : reactor_(reactor), socket_(std::move(socket)), limits_(limits), begin_(std::move(begin)) {
+LineProtocolServer::LineProtocolServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits,
+                                       std::function<std::unique_ptr<LineProtocol>()> make_protocol)
+    : reactor_(reactor),
+      socket_(std::move(socket)),
+      limits_(limits),
+      make_protocol_(std::move(make_protocol)) {
     socket_.setBlocking(false);
-    reactor_.addEventHandler(socket_, Poco::NObserver<TalkServer, Poco::Net::ReadableNotification>(
-                                          *this, &TalkServer::on_readable));
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    reactor_.addEventHandler(socket_, Poco::NObserver<LineProtocolServer, Poco::Net::ReadableNotification>(
+                                          *this, &LineProtocolServer::on_readable));
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_stale_connections(); });
 }
 
-TalkServer::~TalkServer() {
-    reactor_.removeEventHandler(socket_, Poco::NObserver<TalkServer, Poco::Net::ReadableNotification>(
-                                             *this, &TalkServer::on_readable));
-    reactor_.cancel(sweep_timer_);
+LineProtocolServer::~LineProtocolServer() {
+    reactor_.removeEventHandler(socket_, Poco::NObserver<LineProtocolServer, Poco::Net::ReadableNotification>(
+                                             *this, &LineProtocolServer::on_readable));
+    reactor_.cancel_timer(sweep_timer_);
     connections_.clear();
-    reactor_.reap();
+    reactor_.destroy_retired();
 }
 
-void TalkServer::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    for (int i = 0; i < kMostAtOnce; ++i) {
-        if (!accept()) break;
+void LineProtocolServer::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+    for (int i = 0; i < kMaxAcceptsPerEvent; ++i) {
+        if (!accept_one()) break;
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
-bool TalkServer::accept() {
+bool LineProtocolServer::accept_one() {
     try {
-        const Poco::Net::StreamSocket taken = socket_.acceptConnection();
-        if (connections_.size() >= limits_.most) close(*connections_.front());
-        connections_.push_back(std::make_unique<Connection>(*this, begin_()));
-        Connection& c = *connections_.back();
-        c.since = reactor_.clock().now();
-        c.stream.adopt(taken, taken.address().family() == Poco::Net::SocketAddress::UNIX_LOCAL);
+        const Poco::Net::StreamSocket accepted = socket_.acceptConnection();
+        if (connections_.size() >= limits_.max_connections) close_connection(*connections_.front());
+        connections_.push_back(std::make_unique<Connection>(*this, make_protocol_()));
+        Connection& new_connection = *connections_.back();
+        new_connection.last_active_at = reactor_.clock().now();
+        new_connection.stream.attach(accepted,
+                                     accepted.address().family() == Poco::Net::SocketAddress::UNIX_LOCAL);
         return true;
     } catch (
         const Poco::Exception&) {    // none waits, it went away before it was taken, or no descriptor is left
@@ -53,44 +57,49 @@
     }
 }
 
-void TalkServer::serve(Connection& c) {
-    http::Buffer& in = c.stream.input();
-    if (c.ending) return in.consume(in.size());
-    if (limits_.renews) c.since = reactor_.clock().now();
-    std::string out;
-    c.ending = c.talk->take(in, out) == Talk::Next::End;
-    if (!out.empty() && !c.stream.send(std::move(out))) return close(c);
-    if (c.stream.sent_all()) sent(c);
+void LineProtocolServer::process_input(Connection& connection) {
+    http::Buffer& input = connection.stream.input_buffer();
+    if (connection.is_closing) return input.consume(input.size());
+    if (limits_.renews_on_input) connection.last_active_at = reactor_.clock().now();
+    std::string output;
+    connection.is_closing =
+        connection.protocol->process_input(input, output) == LineProtocol::NextStep::Close;
+    if (!output.empty() && !connection.stream.write_bytes(std::move(output)))
+        return close_connection(connection);
+    if (connection.stream.all_sent()) on_all_sent(connection);
 }
 
 // Closing over bytes that were not read resets a connection, and its caller may lose the answer.
-void TalkServer::sent(Connection& c) {
-    if (!c.ending) return;
-    c.since = reactor_.clock().now();
-    c.stream.end_sending();
+void LineProtocolServer::on_all_sent(Connection& connection) {
+    if (!connection.is_closing) return;
+    connection.last_active_at = reactor_.clock().now();
+    connection.stream.shutdown_sending();
 }
 
-void TalkServer::close(Connection& c) {
-    for (auto it = connections_.begin(); it != connections_.end(); ++it) {
-        if (it->get() != &c) continue;
-        struct Gone : Retired {    // it may be on the call stack
-            explicit Gone(std::unique_ptr<Connection> of) : connection(std::move(of)) {}
+void LineProtocolServer::close_connection(Connection& connection) {
+    for (auto position = connections_.begin(); position != connections_.end(); ++position) {
+        if (position->get() != &connection) continue;
+        struct RetiredConnection : RetiredObject {    // it may be on the call stack
+            explicit RetiredConnection(std::unique_ptr<Connection> retired)
+                : connection(std::move(retired)) {}
             std::unique_ptr<Connection> connection;
         };
-        c.stream.close();
-        reactor_.retire(std::make_unique<Gone>(std::move(*it)));
-        connections_.erase(it);
+        connection.stream.close();
+        reactor_.destroy_later(std::make_unique<RetiredConnection>(std::move(*position)));
+        connections_.erase(position);
         return;
     }
 }
 
-void TalkServer::sweep() {
+void LineProtocolServer::close_stale_connections() {
     const TimePoint now = reactor_.clock().now();
-    std::vector<Connection*> old;
-    for (const auto& c : connections_)
-        if (now - c->since > (c->ending ? kLinger : limits_.patience)) old.push_back(c.get());
-    for (Connection* c : old) close(*c);
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    std::vector<Connection*> stale;
+    for (const auto& connection : connections_)
+        if (now - connection->last_active_at >
+            (connection->is_closing ? kLingerTimeout : limits_.idle_timeout))
+            stale.push_back(connection.get());
+    for (Connection* connection : stale) close_connection(*connection);
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_stale_connections(); });
 }
 
 }    // namespace shaletray
--- a/src/base/net/line_protocol_server.h
+++ b/src/base/net/line_protocol_server.h
@@ -16,48 +16,48 @@
 
 namespace shaletray {
 
-class TalkServer {
+class LineProtocolServer {
 public:
     struct Limits {
-        std::size_t most = 8;    // connections
-        Duration patience{0};    // since a connection was taken or last brought bytes
-        bool renews = true;      // bytes begin its time anew
+        std::size_t max_connections = 8;    // connections
+        Duration idle_timeout{0};           // since a connection was taken or last brought bytes
+        bool renews_on_input = true;        // bytes begin its time anew
     };
     // `socket` listens; nothing is accepted of more than `limits.most` at once. The descriptors are the
     // caller's to keep back: `limits.most` and one.
-    TalkServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits,
-               std::function<std::unique_ptr<Talk>()> begin);
-    ~TalkServer();
-    TalkServer(const TalkServer&) = delete;
-    TalkServer& operator=(const TalkServer&) = delete;
+    LineProtocolServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits,
+                       std::function<std::unique_ptr<LineProtocol>()> make_protocol);
+    ~LineProtocolServer();
+    LineProtocolServer(const LineProtocolServer&) = delete;
+    LineProtocolServer& operator=(const LineProtocolServer&) = delete;
 
     std::string address() const { return socket_.address().toString(); }
 
 private:
     struct Connection : StreamOwner {
-        Connection(TalkServer& of, std::unique_ptr<Talk> t)
-            : server(of), talk(std::move(t)), stream(of.reactor_, *this) {}
-        void on_input() override { server.serve(*this); }
-        void on_sent() override { server.sent(*this); }
-        void on_broken() override { server.close(*this); }
+        Connection(LineProtocolServer& owner, std::unique_ptr<LineProtocol> line_protocol)
+            : server(owner), protocol(std::move(line_protocol)), stream(owner.reactor_, *this) {}
+        void on_input() override { server.process_input(*this); }
+        void on_all_sent() override { server.on_all_sent(*this); }
+        void on_disconnected() override { server.close_connection(*this); }
 
-        TalkServer& server;
-        std::unique_ptr<Talk> talk;
+        LineProtocolServer& server;
+        std::unique_ptr<LineProtocol> protocol;
         Stream stream;
-        TimePoint since{};
-        bool ending = false;
+        TimePoint last_active_at{};
+        bool is_closing = false;
     };
     void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-    bool accept();
-    void serve(Connection& c);
-    void sent(Connection& c);
-    void close(Connection& c);
-    void sweep();
+    bool accept_one();
+    void process_input(Connection& connection);
+    void on_all_sent(Connection& connection);
+    void close_connection(Connection& connection);
+    void close_stale_connections();
 
     Reactor& reactor_;
     Poco::Net::ServerSocket socket_;
     Limits limits_;
-    std::function<std::unique_ptr<Talk>()> begin_;
+    std::function<std::unique_ptr<LineProtocol>()> make_protocol_;
     std::list<std::unique_ptr<Connection>> connections_;    // the longest standing first
     Timers::Id sweep_timer_ = 0;
 };
--- a/src/base/net/reactor.cpp
+++ b/src/base/net/reactor.cpp
@@ -21,9 +21,9 @@
 
 private:
     void tell(const std::string& text) {
-        if (gate_.open()) log(LogLevel::Error, Event::SocketFailed, {kv("why", text)});
+        if (gate_.try_acquire()) log(LogLevel::Error, Event::SocketFailed, {log_field("why", text)});
     }
-    LogGate gate_;
+    LogRateLimiter gate_;
 };
 
 }    // namespace
@@ -31,30 +31,30 @@
 Reactor::Reactor(const Clock& clock, Timers& timers) : clock_(clock), timers_(timers) {
     static LoggingErrorHandler handler;
     Poco::ErrorHandler::set(&handler);
-    reckon_timeout();
+    update_poll_timeout();
 }
 
-Timers::Id Reactor::at(TimePoint when, Timers::Task task) {
-    const Timers::Id id = timers_.at(when, std::move(task));
-    reckon_timeout();
+Timers::Id Reactor::schedule_at(TimePoint deadline, Timers::Task task) {
+    const Timers::Id id = timers_.schedule_at(deadline, std::move(task));
+    update_poll_timeout();
     return id;
 }
 
 // POCO cuts the wait down to whole milliseconds: rounded up here, so that it neither spins in the last one
 // nor wakes before anything is due.
-void Reactor::reckon_timeout() {
+void Reactor::update_poll_timeout() {
     Duration wait = kLongestWait;
-    if (const auto next = timers_.next()) wait = std::clamp(*next - clock_.now(), Duration(0), wait);
-    if (spins_) wait = Duration(0);
+    if (const auto next = timers_.next_deadline()) wait = std::clamp(*next - clock_.now(), Duration(0), wait);
+    if (busy_polling_) wait = Duration(0);
     const auto ms = std::chrono::ceil<std::chrono::milliseconds>(wait);
     setTimeout(Poco::Timespan(ms.count() * 1000));
 }
 
-void Reactor::turn(bool sockets) {
-    reap();
-    if (before_turn_) before_turn_(sockets);
+void Reactor::run_once(bool poll_sockets) {
+    destroy_retired();
+    if (pre_poll_task_) pre_poll_task_(poll_sockets);
     timers_.run_due(clock_.now());
-    reckon_timeout();
+    update_poll_timeout();
 }
 
 }    // namespace shaletray
--- a/src/base/net/reactor.h
+++ b/src/base/net/reactor.h
@@ -12,9 +12,9 @@
 namespace shaletray {
 
 // What is closed during a turn may still be on the call stack: it is handed over here and destroyed later.
-class Retired {
+class RetiredObject {
 public:
-    virtual ~Retired() = default;
+    virtual ~RetiredObject() = default;
 };
 
 class Reactor : public Poco::Net::SocketReactor {
@@ -22,33 +22,37 @@
     Reactor(const Clock& clock, Timers& timers);
 
     // Runs first in each turn; it is told whether sockets are about to be served.
-    void before_turn(std::function<void(bool)> task) { before_turn_ = std::move(task); }
-    void retire(std::unique_ptr<Retired> done) { retired_.push_back(std::move(done)); }
+    void set_pre_poll_task(std::function<void(bool)> task) { pre_poll_task_ = std::move(task); }
+    void destroy_later(std::unique_ptr<RetiredObject> object) {
+        retired_objects_.push_back(std::move(object));
+    }
     // Destroys what was handed over. Only while nothing of it is on the call stack.
-    void reap() { retired_.clear(); }
+    void destroy_retired() { retired_objects_.clear(); }
     const Clock& clock() const { return clock_; }
 
-    Timers::Id at(TimePoint when, Timers::Task task);
-    Timers::Id after(Duration wait, Timers::Task task) { return at(clock_.now() + wait, std::move(task)); }
-    void cancel(Timers::Id& id) { timers_.cancel(id); }
+    Timers::Id schedule_at(TimePoint deadline, Timers::Task task);
+    Timers::Id schedule_after(Duration delay, Timers::Task task) {
+        return schedule_at(clock_.now() + delay, std::move(task));
+    }
+    void cancel_timer(Timers::Id& timer) { timers_.cancel(timer); }
     // The engine adds timers behind our back: to be called when a turn's work is done.
-    void reckon_timeout();
+    void update_poll_timeout();
     // Never sleeps: for who has to be on time within less than the millisecond that a wait is counted in.
-    void spin(bool wanted) { spins_ = wanted; }
+    void set_busy_polling(bool enabled) { busy_polling_ = enabled; }
 
 protected:
-    void onBusy() override { turn(true); }
-    void onTimeout() override { turn(false); }
-    void onIdle() override { turn(false); }
+    void onBusy() override { run_once(true); }
+    void onTimeout() override { run_once(false); }
+    void onIdle() override { run_once(false); }
 
 private:
-    void turn(bool sockets);
+    void run_once(bool poll_sockets);
 
     const Clock& clock_;
     Timers& timers_;
-    std::function<void(bool)> before_turn_;
-    bool spins_ = false;
-    std::vector<std::unique_ptr<Retired>> retired_;
+    std::function<void(bool)> pre_poll_task_;
+    bool busy_polling_ = false;
+    std::vector<std::unique_ptr<RetiredObject>> retired_objects_;
 };
 
 }    // namespace shaletray
--- a/src/base/net/stream.cpp
+++ b/src/base/net/stream.cpp
@@ -8,34 +8,34 @@
 namespace shaletray {
 namespace {
 
-constexpr std::size_t kReadAtLeast = 4096;
+constexpr std::size_t kMinReadSize = 4096;
 
-struct RetiredStream : Retired {
-    explicit RetiredStream(std::unique_ptr<Stream> s) : stream(std::move(s)) {}
+struct RetiredStream : RetiredObject {
+    explicit RetiredStream(std::unique_ptr<Stream> retired_stream) : stream(std::move(retired_stream)) {}
     std::unique_ptr<Stream> stream;
 };
 
 }    // namespace
 
-void retire(Reactor& reactor, std::unique_ptr<Stream> stream) {
+void destroy_stream_later(Reactor& reactor, std::unique_ptr<Stream> stream) {
     stream->close();
-    reactor.retire(std::make_unique<RetiredStream>(std::move(stream)));
+    reactor.destroy_later(std::make_unique<RetiredStream>(std::move(stream)));
 }
 
-void Stream::adopt(const Poco::Net::StreamSocket& accepted, bool local) {
+void Stream::attach(const Poco::Net::StreamSocket& accepted, bool is_local) {
     socket_ = accepted;
-    open_ = true;
+    is_open_ = true;
     socket_.setBlocking(false);
-    if (!local) socket_.setNoDelay(true);
-    read_on(true);
+    if (!is_local) socket_.setNoDelay(true);
+    set_reading(true);
 }
 
-bool Stream::dial(const std::string& address) {
+bool Stream::connect(const std::string& address) {
     try {
-        open_ = connecting_ = true;
+        is_open_ = is_connecting_ = true;
         socket_.connectNB(Poco::Net::SocketAddress(address));
         socket_.setNoDelay(true);
-        watch_for(false, true);
+        update_interest(false, true);
         return true;
     } catch (const Poco::Exception&) {
         close();
@@ -43,60 +43,62 @@
     }
 }
 
-bool Stream::send(std::string bytes) {
-    if (!open_) return false;
-    if (sent_all()) {
-        unsent_ = std::move(bytes);
-        sent_ = 0;
+bool Stream::write_bytes(std::string bytes) {
+    if (!is_open_) return false;
+    if (all_sent()) {
+        unsent_buffer_ = std::move(bytes);
+        sent_bytes_ = 0;
     } else {
-        unsent_ += bytes;
+        unsent_buffer_ += bytes;
     }
-    if (connecting_) return true;
-    if (!flush()) return false;
-    watch_for(reads_, !sent_all());
+    if (is_connecting_) return true;
+    if (!flush_unsent()) return false;
+    update_interest(watches_reads_, !all_sent());
     return true;
 }
 
-bool Stream::flush() {
+bool Stream::flush_unsent() {
     try {
-        while (!sent_all()) {
-            const int n = socket_.sendBytes(unsent_.data() + sent_, static_cast<int>(unsent_.size() - sent_));
-            if (n <= 0) return true;
-            sent_ += static_cast<std::size_t>(n);
+        while (!all_sent()) {
+            const int sent_count = socket_.sendBytes(unsent_buffer_.data() + sent_bytes_,
+                                                     static_cast<int>(unsent_buffer_.size() - sent_bytes_));
+            if (sent_count <= 0) return true;
+            sent_bytes_ += static_cast<std::size_t>(sent_count);
         }
-        std::string().swap(unsent_);
-        sent_ = 0;
+        std::string().swap(unsent_buffer_);
+        sent_bytes_ = 0;
         return true;
     } catch (const Poco::Exception& error) {
         return error.code() == POCO_EWOULDBLOCK;    // thrown, where the system takes nothing more for now
     }
 }
 
-Stream::Read Stream::read() {
+Stream::ReadResult Stream::read_once() {
     try {
-        char* const to = input_.prepare(kReadAtLeast);
-        const int n = socket_.receiveBytes(to, static_cast<int>(input_.room()));
-        if (n < 0) return Read::Nothing;
-        if (n == 0) {
-            ended_ = true;
-            return Read::Ended;
+        char* const destination = input_buffer_.reserve(kMinReadSize);
+        const int read_count =
+            socket_.receiveBytes(destination, static_cast<int>(input_buffer_.writable_size()));
+        if (read_count < 0) return ReadResult::WouldBlock;
+        if (read_count == 0) {
+            peer_ended_ = true;
+            return ReadResult::Ended;
         }
-        input_.commit(static_cast<std::size_t>(n));
-        return Read::Data;
+        input_buffer_.commit(static_cast<std::size_t>(read_count));
+        return ReadResult::Data;
     } catch (const Poco::Exception&) {
-        return Read::Ended;
+        return ReadResult::Ended;
     }
 }
 
-void Stream::read_now() {
-    if (!open_ || connecting_) return;
-    const Read result = read();
-    if (result == Read::Data) owner_.on_input();
-    else if (result == Read::Ended) owner_.on_broken();
+void Stream::read_available() {
+    if (!is_open_ || is_connecting_) return;
+    const ReadResult result = read_once();
+    if (result == ReadResult::Data) owner_.on_input();
+    else if (result == ReadResult::Ended) owner_.on_disconnected();
 }
 
-bool Stream::quiet() {
-    if (!open_ || !input_.empty()) return false;
+bool Stream::is_quiet() {
+    if (!is_open_ || !input_buffer_.empty()) return false;
     char byte = 0;
     try {
         return socket_.receiveBytes(&byte, 1, MSG_PEEK) < 0;
@@ -106,58 +108,59 @@
 }
 
 void Stream::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    read_now();
-    reactor_.reckon_timeout();
+    read_available();
+    reactor_.update_poll_timeout();
 }
 
 void Stream::on_writable(const Poco::AutoPtr<Poco::Net::WritableNotification>&) {
-    if (!open_) return;
-    if (connecting_) {
+    if (!is_open_) return;
+    if (is_connecting_) {
         if (socket_.impl()->socketError() != 0) {
-            owner_.on_broken();
+            owner_.on_disconnected();
         } else {
-            connecting_ = false;
-            watch_for(true, !sent_all());
+            is_connecting_ = false;
+            update_interest(true, !all_sent());
             owner_.on_connected();
         }
-    } else if (!flush()) {
-        owner_.on_broken();
-    } else if (sent_all()) {
-        watch_for(reads_, false);
-        owner_.on_sent();
+    } else if (!flush_unsent()) {
+        owner_.on_disconnected();
+    } else if (all_sent()) {
+        update_interest(watches_reads_, false);
+        owner_.on_all_sent();
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
-void Stream::read_on(bool wanted) { watch_for(wanted, writes_); }
+void Stream::set_reading(bool enabled) { update_interest(enabled, watches_writes_); }
 
 // POCO 1.11 goes on polling for what a removed handler wanted while the socket has another handler: left in
 // place after a dial, a writable socket would wake every turn and keep a whole core busy. Only the removal of
 // the last handler ends the polling, so all are removed before those still wanted are added.
-void Stream::watch_for(bool reads, bool writes) {
-    if (!open_ || (reads == reads_ && writes == writes_)) return;
-    const Poco::NObserver<Stream, Poco::Net::ReadableNotification> on_read(*this, &Stream::on_readable);
-    const Poco::NObserver<Stream, Poco::Net::WritableNotification> on_write(*this, &Stream::on_writable);
-    if (reads_) reactor_.removeEventHandler(socket_, on_read);
-    if (writes_) reactor_.removeEventHandler(socket_, on_write);
-    if (reads) reactor_.addEventHandler(socket_, on_read);
-    if (writes) reactor_.addEventHandler(socket_, on_write);
-    reads_ = reads;
-    writes_ = writes;
+void Stream::update_interest(bool watch_reads, bool watch_writes) {
+    if (!is_open_ || (watch_reads == watches_reads_ && watch_writes == watches_writes_)) return;
+    const Poco::NObserver<Stream, Poco::Net::ReadableNotification> read_observer(*this, &Stream::on_readable);
+    const Poco::NObserver<Stream, Poco::Net::WritableNotification> write_observer(*this,
+                                                                                  &Stream::on_writable);
+    if (watches_reads_) reactor_.removeEventHandler(socket_, read_observer);
+    if (watches_writes_) reactor_.removeEventHandler(socket_, write_observer);
+    if (watch_reads) reactor_.addEventHandler(socket_, read_observer);
+    if (watch_writes) reactor_.addEventHandler(socket_, write_observer);
+    watches_reads_ = watch_reads;
+    watches_writes_ = watch_writes;
 }
 
-void Stream::end_sending() {
+void Stream::shutdown_sending() {
     try {
-        if (open_) socket_.shutdownSend();
+        if (is_open_) socket_.shutdownSend();
     } catch (const Poco::Exception&) {
         // It broke meanwhile, which reading will tell.
     }
 }
 
 void Stream::close() {
-    if (!open_) return;
-    watch_for(false, false);
-    open_ = false;
+    if (!is_open_) return;
+    update_interest(false, false);
+    is_open_ = false;
     socket_.close();
 }
 
--- a/src/base/net/waker.cpp
+++ b/src/base/net/waker.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 struct PipeEnd : Poco::Net::StreamSocket {
-    explicit PipeEnd(int fd) : StreamSocket(new Poco::Net::StreamSocketImpl(fd)) {}
+    explicit PipeEnd(int descriptor) : StreamSocket(new Poco::Net::StreamSocketImpl(descriptor)) {}
 };
 
 }    // namespace
@@ -19,33 +19,33 @@
 Waker::Waker(Reactor& reactor, std::function<void()> task) : reactor_(reactor), task_(std::move(task)) {
     int ends[2];
     if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe can be made");
-    reading_ = ends[0];
-    writing_ = ends[1];
-    reads_ = PipeEnd(reading_);    // closes it in the end
+    read_descriptor_ = ends[0];
+    write_descriptor_ = ends[1];
+    poll_socket_ = PipeEnd(read_descriptor_);    // closes it in the end
     reactor_.addEventHandler(
-        reads_, Poco::NObserver<Waker, Poco::Net::ReadableNotification>(*this, &Waker::on_readable));
+        poll_socket_, Poco::NObserver<Waker, Poco::Net::ReadableNotification>(*this, &Waker::on_readable));
 }
 
 Waker::~Waker() {
     reactor_.removeEventHandler(
-        reads_, Poco::NObserver<Waker, Poco::Net::ReadableNotification>(*this, &Waker::on_readable));
-    ::close(writing_);
+        poll_socket_, Poco::NObserver<Waker, Poco::Net::ReadableNotification>(*this, &Waker::on_readable));
+    ::close(write_descriptor_);
 }
 
 void Waker::wake() {
-    if (woken_.exchange(true)) return;
+    if (wake_pending_.exchange(true)) return;
     const char byte = 0;
     // A full pipe wakes as well.
-    if (::write(writing_, &byte, 1) < 0) return;
+    if (::write(write_descriptor_, &byte, 1) < 0) return;
 }
 
 void Waker::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     char bytes[16];
-    while (::read(reading_, bytes, sizeof bytes) > 0) {
+    while (::read(read_descriptor_, bytes, sizeof bytes) > 0) {
     }
-    woken_ = false;    // before the task looks: what is done from now on wakes anew
+    wake_pending_ = false;    // before the task looks: what is done from now on wakes anew
     task_();
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
 }    // namespace shaletray
--- a/src/base/net/waker.h
+++ b/src/base/net/waker.h
@@ -25,9 +25,9 @@
 
     Reactor& reactor_;
     std::function<void()> task_;
-    Poco::Net::StreamSocket reads_;    // a pipe's end; what POCO makes of it is only waited on
-    int reading_ = -1, writing_ = -1;
-    std::atomic<bool> woken_{false};
+    Poco::Net::StreamSocket poll_socket_;    // a pipe's end; what POCO makes of it is only waited on
+    int read_descriptor_ = -1, write_descriptor_ = -1;
+    std::atomic<bool> wake_pending_{false};
 };
 
 }    // namespace shaletray
--- a/src/base/runtime/capnp_codec.h
+++ b/src/base/runtime/capnp_codec.h
@@ -18,31 +18,33 @@
 namespace shaletray::runtime {
 
 // Bytes that are no message of the kind they were taken for.
-struct Spoilt {
-    std::string why;
+struct MalformedMessage {
+    std::string reason;
 };
 
 inline std::string pack(capnp::MessageBuilder& message) {
-    kj::VectorOutputStream out;
-    capnp::writePackedMessage(out, message);
-    const auto bytes = out.getArray();
+    kj::VectorOutputStream stream;
+    capnp::writePackedMessage(stream, message);
+    const auto bytes = stream.getArray();
     return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
 // Calls `read` with the message's root, which is valid during the call only. Errors: Spoilt, and what `read`
 // returns as one.
-template <class Root, class Read>
-auto unpack(std::string_view bytes, Read&& read) -> decltype(read(std::declval<typename Root::Reader>())) {
+template <class Root, class Handler>
+auto unpack(std::string_view bytes, Handler&& handler)
+    -> decltype(handler(std::declval<typename Root::Reader>())) {
     try {
-        kj::ArrayInputStream in(kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
+        kj::ArrayInputStream stream(
+            kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
         // Packing shortens ours to a sixteenth at the most; what claims to unfold to more is not believed.
         capnp::ReaderOptions options;
         options.traversalLimitInWords = 1024 + 2 * static_cast<std::uint64_t>(bytes.size());
         options.nestingLimit = 16;
-        capnp::PackedMessageReader message(in, options);
-        return read(message.getRoot<Root>());
+        capnp::PackedMessageReader message(stream, options);
+        return handler(message.getRoot<Root>());
     } catch (const kj::Exception& error) {
-        return boost::leaf::new_error(Spoilt{error.getDescription().cStr()});
+        return boost::leaf::new_error(MalformedMessage{error.getDescription().cStr()});
     }
 }
 
@@ -53,6 +55,6 @@
 inline capnp::Data::Reader data_of(std::string_view bytes) {
     return {reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()};
 }
-inline capnp::Text::Reader words_of(const std::string& text) { return {text.c_str(), text.size()}; }
+inline capnp::Text::Reader text_reader_of(const std::string& text) { return {text.c_str(), text.size()}; }
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/command_line.cpp
+++ b/src/base/runtime/command_line.cpp
@@ -21,53 +21,60 @@
 namespace leaf = boost::leaf;
 
 leaf::result<std::string> read_file(const std::string& path) {
-    std::ifstream in(path, std::ios::binary);
-    std::string text(std::istreambuf_iterator<char>(in), {});
-    if (!in.is_open() || in.bad()) return leaf::new_error(BadSettings{path + ": cannot be read"});
+    std::ifstream stream(path, std::ios::binary);
+    std::string text(std::istreambuf_iterator<char>(stream), {});
+    if (!stream.is_open() || stream.bad()) return leaf::new_error(SettingsError{path + ": cannot be read"});
     return text;
 }
 
-std::variant<Start, int> begin(int argc, char** argv, const std::string& program) {
+std::variant<Startup, int> parse_command_line(int argc, char** argv, const std::string& program) {
     gflags::SetUsageMessage(program + " [--settings FILE] [--log_level LEVEL] [--check]");
     gflags::SetVersionString(SHALETRAY_VERSION);
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    const auto over = [](const std::string& why) {
-        std::fprintf(stderr, "%s\n", why.c_str());
+    const auto report_failure = [](const std::string& reason) {
+        std::fprintf(stderr, "%s\n", reason.c_str());
         return EXIT_FAILURE;
     };
-    if (argc > 1) return over(std::string("not understood: ") + argv[1]);
+    if (argc > 1) return report_failure(std::string("not understood: ") + argv[1]);
     if (!set_log_level(std::string_view(FLAGS_log_level)))
-        return over("--log_level: must be error, warning, info or debug");
-    Start start;
-    start.path = FLAGS_settings;
-    if (const char* named = std::getenv("SHALETRAY_BOOT"); start.path.empty() && named != nullptr)
-        start.path = named;
-    if (start.path.empty()) return over("neither --settings nor SHALETRAY_BOOT names a settings file");
+        return report_failure("--log_level: must be error, warning, info or debug");
+    Startup startup;
+    startup.settings_path = FLAGS_settings;
+    if (const char* environment_path = std::getenv("SHALETRAY_BOOT");
+        startup.settings_path.empty() && environment_path != nullptr)
+        startup.settings_path = environment_path;
+    if (startup.settings_path.empty())
+        return report_failure("neither --settings nor SHALETRAY_BOOT names a settings file");
     return leaf::try_handle_all(
-        [&]() -> leaf::result<std::variant<Start, int>> {
-            BOOST_LEAF_ASSIGN(start.text, read_file(start.path));
-            BOOST_LEAF_ASSIGN(start.settings, read_settings(start.text));
-            if (!FLAGS_check) return start;
-            std::printf("%s: good\n", start.path.c_str());
+        [&]() -> leaf::result<std::variant<Startup, int>> {
+            BOOST_LEAF_ASSIGN(startup.settings_text, read_file(startup.settings_path));
+            BOOST_LEAF_ASSIGN(startup.settings, parse_node_settings(startup.settings_text));
+            if (!FLAGS_check) return startup;
+            std::printf("%s: good\n", startup.settings_path.c_str());
             return EXIT_SUCCESS;
         },
-        [&](const BadSettings& bad) -> std::variant<Start, int> { return over(bad.what); },
-        [&]() -> std::variant<Start, int> { return over(start.path + ": cannot be used"); });
+        [&](const SettingsError& error) -> std::variant<Startup, int> {
+            return report_failure(error.message);
+        },
+        [&]() -> std::variant<Startup, int> {
+            return report_failure(startup.settings_path + ": cannot be used");
+        });
 }
 
-std::optional<NodeSettings> reread(Start& start) {
+std::optional<NodeSettings> reload_settings(Startup& startup) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::optional<NodeSettings>> {
-            BOOST_LEAF_AUTO(text, read_file(start.path));
-            if (text == start.text) return std::optional<NodeSettings>();
-            start.text = text;
-            BOOST_LEAF_ASSIGN(start.settings, read_settings(text));
-            event(LogLevel::Info, "settings_changed", {kv("path", start.path)});
-            return std::optional<NodeSettings>(start.settings);
+            BOOST_LEAF_AUTO(text, read_file(startup.settings_path));
+            if (text == startup.settings_text) return std::optional<NodeSettings>();
+            startup.settings_text = text;
+            BOOST_LEAF_ASSIGN(startup.settings, parse_node_settings(text));
+            log_event(LogLevel::Info, "settings_changed", {log_field("path", startup.settings_path)});
+            return std::optional<NodeSettings>(startup.settings);
         },
-        [](const BadSettings& bad) -> std::optional<NodeSettings> {
-            static LogGate gate(std::chrono::seconds(60));
-            if (gate.open()) event(LogLevel::Warning, "settings_not_taken", {kv("why", bad.what)});
+        [](const SettingsError& error) -> std::optional<NodeSettings> {
+            static LogRateLimiter log_gate(std::chrono::seconds(60));
+            if (log_gate.try_acquire())
+                log_event(LogLevel::Warning, "settings_not_taken", {log_field("why", error.message)});
             return std::nullopt;
         },
         []() -> std::optional<NodeSettings> { return std::nullopt; });
--- a/src/base/runtime/command_line.h
+++ b/src/base/runtime/command_line.h
@@ -11,17 +11,17 @@
 
 namespace shaletray::runtime {
 
-struct Start {
-    std::string path, text;    // of the settings file, as it was read
+struct Startup {
+    std::string settings_path, settings_text;    // of the settings file, as it was read
     NodeSettings settings;
 };
 // A whole file. Errors: BadSettings.
 boost::leaf::result<std::string> read_file(const std::string& path);
 // Sets the log's level. The other case is the status that the process ends with, after one line that says
 // why: what was asked for is done (--check), or the command line or the settings are no good.
-std::variant<Start, int> begin(int argc, char** argv, const std::string& program);
+std::variant<Startup, int> parse_command_line(int argc, char** argv, const std::string& program);
 // The file once more: its settings where it says something else than before and can be read. What cannot be
 // read is logged once, and changes nothing.
-std::optional<NodeSettings> reread(Start& start);
+std::optional<NodeSettings> reload_settings(Startup& startup);
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/lifecycle.cpp
+++ b/src/base/runtime/lifecycle.cpp
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 
-volatile std::sig_atomic_t stop_asked = 0, look_asked = 0;
-void on_signal(int number) { (number == SIGHUP ? look_asked : stop_asked) = 1; }
+volatile std::sig_atomic_t stop_requested = 0, reload_requested = 0;
+void on_signal(int number) { (number == SIGHUP ? reload_requested : stop_requested) = 1; }
 
-constexpr auto kLookEvery = 2s, kTellEvery = 10s;
+constexpr auto kReloadInterval = 2s, kCountersInterval = 10s;
 
 }    // namespace
 
@@ -21,22 +21,22 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-bool stop_was_asked() { return stop_asked != 0; }
+bool is_stop_requested() { return stop_requested != 0; }
 
-std::function<void()> look_after(Start& start, Loop loop) {
-    const auto begun = std::chrono::steady_clock::now();
-    return [&start, loop = std::move(loop), next_look = begun + kLookEvery,
-            next_tell = begun + kTellEvery]() mutable {
-        if (stop_asked != 0) loop.stop();
+std::function<void()> make_lifecycle_tick(Startup& startup, LifecycleHooks hooks) {
+    const auto started_at = std::chrono::steady_clock::now();
+    return [&startup, hooks = std::move(hooks), next_reload = started_at + kReloadInterval,
+            next_counters_log = started_at + kCountersInterval]() mutable {
+        if (stop_requested != 0) hooks.on_stop();
         const auto now = std::chrono::steady_clock::now();
-        if (now >= next_tell) {
-            next_tell = now + kTellEvery;
-            event(LogLevel::Debug, "counters", {kv("text", loop.counters())});
+        if (now >= next_counters_log) {
+            next_counters_log = now + kCountersInterval;
+            log_event(LogLevel::Debug, "counters", {log_field("text", hooks.describe_counters())});
         }
-        if (look_asked == 0 && now < next_look) return;
-        look_asked = 0;
-        next_look = now + kLookEvery;
-        if (const auto changed = reread(start)) loop.settings_changed(*changed);
+        if (reload_requested == 0 && now < next_reload) return;
+        reload_requested = 0;
+        next_reload = now + kReloadInterval;
+        if (const auto changed = reload_settings(startup)) hooks.on_settings_changed(*changed);
     };
 }
 
--- a/src/base/runtime/lifecycle.h
+++ b/src/base/runtime/lifecycle.h
@@ -8,15 +8,15 @@
 
 namespace shaletray::runtime {
 
-struct Loop {
-    std::function<void()> stop;
-    std::function<void(const NodeSettings&)> settings_changed;
-    std::function<std::string()> counters;
+struct LifecycleHooks {
+    std::function<void()> on_stop;
+    std::function<void(const NodeSettings&)> on_settings_changed;
+    std::function<std::string()> describe_counters;
 };
 // SIGTERM and SIGINT stop, SIGHUP looks at the settings file, SIGPIPE is ignored. Once, before the loop.
 void catch_signals();
-bool stop_was_asked();
+bool is_stop_requested();
 // Once a turn: acts on signals, looks at the settings file every 2 s, tells the counters every 10 s.
-std::function<void()> look_after(Start& start, Loop loop);
+std::function<void()> make_lifecycle_tick(Startup& startup, LifecycleHooks hooks);
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/log_sink.h
+++ b/src/base/runtime/log_sink.h
@@ -14,7 +14,7 @@
 void open_log(const std::string& node);
 // Names are lower case with underscores, "lamp_settled". Nothing is formatted below the level. Any thread.
 void write_event(LogLevel level, std::string_view name, std::initializer_list<LogField> fields);
-inline void event(LogLevel level, std::string_view name, std::initializer_list<LogField> fields = {}) {
+inline void log_event(LogLevel level, std::string_view name, std::initializer_list<LogField> fields = {}) {
     if (level <= log_level()) write_event(level, name, fields);
 }
 
--- a/src/base/runtime/settings_file.h
+++ b/src/base/runtime/settings_file.h
@@ -27,31 +27,31 @@
 };
 struct NodeSettings {
     std::string node_name, role, ip, zone, region;
-    std::map<std::string, std::string> zones;       // zone: region
-    std::string frontend, readiness, control;       // bind addresses; empty: not served
-    std::uint16_t first_port = 0, last_port = 0;    // internal
-    std::vector<std::string> seeds;                 // control addresses
+    std::map<std::string, std::string> region_by_zone;                   // zone: region
+    std::string frontend_address, readiness_address, control_address;    // bind addresses; empty: not served
+    std::uint16_t first_port = 0, last_port = 0;                         // internal
+    std::vector<std::string> seed_addresses;                             // control addresses
     bool bootstrap = false, quorum_member = false;
     double cpu_share = 1.0, memory_mb = 256.0;
     std::size_t max_open_files = 1024, disk_mb = 0;
     std::string data_directory;    // empty: no disk
     Duration heartbeat = std::chrono::milliseconds(1500);
-    int lost_machines = 0, lost_zones = 0, lost_regions = 0;    // fault_tolerance
+    int tolerated_machines = 0, tolerated_zones = 0, tolerated_regions = 0;    // fault_tolerance
     Bounds bounds;
 };
-struct BadSettings {
-    std::string what;    // one line: the field and what is wrong with it
+struct SettingsError {
+    std::string message;    // one line: the field and what is wrong with it
 };
 // "1500ms", "2.5s"; nothing below 0, nothing over 10^9 seconds. Errors: BadSettings.
-boost::leaf::result<Duration> read_time(std::string_view text);
+boost::leaf::result<Duration> parse_duration(std::string_view text);
 // Of a field that comes twice, the later line counts. `ip` and `internal_port_range` have to be there.
 // Errors: BadSettings.
-boost::leaf::result<NodeSettings> read_settings(std::string_view text);
+boost::leaf::result<NodeSettings> parse_node_settings(std::string_view text);
 
 // Internal addresses: a lighthouse's is its machine's first internal port, a pilot's the second.
-std::string lighthouse_address(const std::string& ip, const NodeSettings& settings);
-std::vector<std::string> lighthouse_seeds(const NodeSettings& settings);    // of its seeds' machines
-std::string pilot_address(const std::string& ip, const NodeSettings& settings);
+std::string controller_address(const std::string& ip, const NodeSettings& settings);
+std::vector<std::string> controller_seeds(const NodeSettings& settings);    // of its seeds' machines
+std::string gateway_address(const std::string& ip, const NodeSettings& settings);
 std::string ip_of(const std::string& address);
 
 }    // namespace shaletray::runtime
--- a/src/cluster/configuration/configuration_digest.cpp
+++ b/src/cluster/configuration/configuration_digest.cpp
@@ -11,24 +11,24 @@
 namespace shaletray::configuration {
 namespace {
 
-class Bytes {
+class FieldHasher {
 public:
-    void text(std::string_view text) {
-        number(text.size());
+    void add_text(std::string_view text) {
+        add_uint64(text.size());
         bytes_ += text;
     }
-    void number(std::uint64_t number) {
-        char raw[8];
-        for (char& c : raw) {
-            c = static_cast<char>(number);
+    void add_uint64(std::uint64_t number) {
+        char encoded[8];
+        for (char& byte : encoded) {
+            byte = static_cast<char>(number);
             number >>= 8;
         }
-        bytes_.append(raw, sizeof raw);
+        bytes_.append(encoded, sizeof encoded);
     }
-    void whole(std::int64_t number) { this->number(static_cast<std::uint64_t>(number)); }
-    void real(double number) { this->number(std::bit_cast<std::uint64_t>(number)); }
-    std::uint64_t hash(std::uint64_t kind) {
-        const std::uint64_t hash = XXH3_64bits_withSeed(bytes_.data(), bytes_.size(), kind);
+    void add_int64(std::int64_t number) { this->add_uint64(static_cast<std::uint64_t>(number)); }
+    void add_double(double number) { this->add_uint64(std::bit_cast<std::uint64_t>(number)); }
+    std::uint64_t finish(std::uint64_t seed) {
+        const std::uint64_t hash = XXH3_64bits_withSeed(bytes_.data(), bytes_.size(), seed);
         bytes_.clear();
         return hash;
     }
@@ -37,71 +37,71 @@
     std::string bytes_;
 };
 
-void put(Bytes& out, const Route& route) {
-    out.text(route.name);
-    out.text(route.hostname);
-    out.text(route.path_prefix);
-    out.whole(route.kind == RouteKind::Idempotent);
-    out.whole(route.is_public);
-    out.whole(route.priority);
-    out.whole(route.timeout.count());
-    out.whole(route.target_latency.count());
-    out.whole(route.max_attempts);
-    for (const Share& share : route.to) {
-        out.text(share.service);
-        out.number(share.weight);
+void add_fields(FieldHasher& hasher, const Route& route) {
+    hasher.add_text(route.name);
+    hasher.add_text(route.hostname);
+    hasher.add_text(route.path_prefix);
+    hasher.add_int64(route.kind == RouteKind::Idempotent);
+    hasher.add_int64(route.is_public);
+    hasher.add_int64(route.priority);
+    hasher.add_int64(route.timeout.count());
+    hasher.add_int64(route.target_latency.count());
+    hasher.add_int64(route.max_attempts);
+    for (const WeightedService& target : route.targets) {
+        hasher.add_text(target.service);
+        hasher.add_uint64(target.weight);
     }
 }
-void put(Bytes& out, const Service& service) {
-    out.text(service.name);
-    out.text(service.health_check);
-    out.whole(service.max_connections);
+void add_fields(FieldHasher& hasher, const Service& service) {
+    hasher.add_text(service.name);
+    hasher.add_text(service.health_check);
+    hasher.add_int64(service.max_connections);
 }
-void put(Bytes& out, const Tenant& tenant) {
-    out.text(tenant.name);
-    out.whole(tenant.priority.has_value());
-    out.whole(tenant.priority.value_or(0));
-    out.real(tenant.rate_per_s);
-    out.real(tenant.burst);
-    for (const std::string_view key : tenant.api_keys) out.text(key);
+void add_fields(FieldHasher& hasher, const Tenant& tenant) {
+    hasher.add_text(tenant.name);
+    hasher.add_int64(tenant.priority.has_value());
+    hasher.add_int64(tenant.priority.value_or(0));
+    hasher.add_double(tenant.rate_per_s);
+    hasher.add_double(tenant.burst);
+    for (const std::string_view key : tenant.api_keys) hasher.add_text(key);
 }
 
-template <class Row>
-std::uint64_t hash(const Row& row, std::uint64_t kind) {
+template <class Entry>
+std::uint64_t compute_hash(const Entry& entry, std::uint64_t seed) {
     // Kept from row to row, so that its memory is.
-    thread_local Bytes bytes;
-    put(bytes, row);
-    return bytes.hash(kind);
+    thread_local FieldHasher hasher;
+    add_fields(hasher, entry);
+    return hasher.finish(seed);
 }
-template <class Row>
-std::uint64_t sum(const Rows<Row>& rows) {
-    std::uint64_t sum = 0;
-    for (const auto& piece : rows.pieces())
-        if (piece->summed) sum += piece->sum;
+template <class Entry>
+std::uint64_t sum_hashes(const EntryList<Entry>& entries) {
+    std::uint64_t total = 0;
+    for (const auto& chunk : entries.chunks())
+        if (chunk->has_hash_sum) total += chunk->hash_sum;
         else
-            for (const Row& row : piece->rows) sum += row_hash(row);
-    return sum;
+            for (const Entry& entry : chunk->entries) total += entry_hash(entry);
+    return total;
 }
 
 }    // namespace
 
-std::uint64_t row_hash(const Route& route) { return hash(route, 1); }
-std::uint64_t row_hash(const Service& service) { return hash(service, 2); }
-std::uint64_t row_hash(const Tenant& tenant) { return hash(tenant, 3); }
+std::uint64_t entry_hash(const Route& route) { return compute_hash(route, 1); }
+std::uint64_t entry_hash(const Service& service) { return compute_hash(service, 2); }
+std::uint64_t entry_hash(const Tenant& tenant) { return compute_hash(tenant, 3); }
 
-std::uint64_t digest_of(const Chart& chart) {
-    Bytes bytes;
-    for (const std::uint64_t part : {chart.version, sum(chart.routes), sum(chart.services),
-                                     chart.tenants ? sum(*chart.tenants) : std::uint64_t{0}})
-        bytes.number(part);
-    bytes.whole(chart.tenants.has_value());
-    bytes.number(chart.limits.max_header_bytes);
-    bytes.number(chart.limits.max_body_bytes);
-    bytes.whole(chart.limits.header_timeout.count());
-    bytes.whole(chart.limits.idle_timeout.count());
-    return bytes.hash(0);
+std::uint64_t digest_of(const Configuration& config) {
+    FieldHasher hasher;
+    for (const std::uint64_t value : {config.version, sum_hashes(config.routes), sum_hashes(config.services),
+                                      config.tenants ? sum_hashes(*config.tenants) : std::uint64_t{0}})
+        hasher.add_uint64(value);
+    hasher.add_int64(config.tenants.has_value());
+    hasher.add_uint64(config.limits.max_header_bytes);
+    hasher.add_uint64(config.limits.max_body_bytes);
+    hasher.add_int64(config.limits.header_timeout.count());
+    hasher.add_int64(config.limits.idle_timeout.count());
+    return hasher.finish(0);
 }
 
-std::uint64_t key_hash(std::string_view key) { return XXH3_64bits(key.data(), key.size()); }
+std::uint64_t api_key_hash(std::string_view key) { return XXH3_64bits(key.data(), key.size()); }
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/configuration_update.cpp
+++ b/src/cluster/configuration/configuration_update.cpp
@@ -17,287 +17,296 @@
 namespace {
 
 // Of a message once unpacked; a chart of 64 MiB of text stays well below it.
-constexpr std::uint64_t kMostWords = 16 * 1024 * 1024;
+constexpr std::uint64_t kMaxMessageWords = 16 * 1024 * 1024;
 
-class IntoText : public kj::OutputStream {
+class StringOutputStream : public kj::OutputStream {
 public:
-    explicit IntoText(std::string& text) : text_(text) {}
+    explicit StringOutputStream(std::string& output) : output_(output) {}
     void write(const void* bytes, std::size_t size) override {
-        text_.append(static_cast<const char*>(bytes), size);
+        output_.append(static_cast<const char*>(bytes), size);
     }
 
 private:
-    std::string& text_;
+    std::string& output_;
 };
 
-::capnp::Text::Reader text(const std::string& text) { return {text.c_str(), text.size()}; }
-std::string text(::capnp::Text::Reader text) { return {text.begin(), text.size()}; }
+::capnp::Text::Reader convert_text(const std::string& text) { return {text.c_str(), text.size()}; }
+std::string convert_text(::capnp::Text::Reader text) { return {text.begin(), text.size()}; }
 
 // ---- rows ----
 
-void write(const Route& from, form::Route::Builder to) {
-    to.setName(text(from.name));
-    to.setHostname(text(from.hostname));
-    to.setPathPrefix(text(from.path_prefix));
-    to.setIdempotent(from.kind == RouteKind::Idempotent);
-    to.setIsPublic(from.is_public);
-    to.setPriority(from.priority);
-    to.setTimeout(from.timeout.count());
-    to.setTargetLatency(from.target_latency.count());
-    to.setMaxAttempts(from.max_attempts);
-    auto shares = to.initTo(static_cast<unsigned>(from.to.size()));
-    for (unsigned i = 0; i < shares.size(); ++i) {
-        shares[i].setService(text(from.to[i].service));
-        shares[i].setWeight(from.to[i].weight);
+void encode(const Route& entry, form::Route::Builder builder) {
+    builder.setName(convert_text(entry.name));
+    builder.setHostname(convert_text(entry.hostname));
+    builder.setPathPrefix(convert_text(entry.path_prefix));
+    builder.setIdempotent(entry.kind == RouteKind::Idempotent);
+    builder.setIsPublic(entry.is_public);
+    builder.setPriority(entry.priority);
+    builder.setTimeout(entry.timeout.count());
+    builder.setTargetLatency(entry.target_latency.count());
+    builder.setMaxAttempts(entry.max_attempts);
+    auto targets = builder.initTo(static_cast<unsigned>(entry.targets.size()));
+    for (unsigned i = 0; i < targets.size(); ++i) {
+        targets[i].setService(convert_text(entry.targets[i].service));
+        targets[i].setWeight(entry.targets[i].weight);
     }
 }
-Route read(form::Route::Reader from) {
+Route decode(form::Route::Reader reader) {
     Route route;
-    route.name = text(from.getName());
-    route.hostname = text(from.getHostname());
-    route.path_prefix = text(from.getPathPrefix());
-    route.kind = from.getIdempotent() ? RouteKind::Idempotent : RouteKind::NonIdempotent;
-    route.is_public = from.getIsPublic();
-    route.priority = from.getPriority();
-    route.timeout = Duration(from.getTimeout());
-    route.target_latency = Duration(from.getTargetLatency());
-    route.max_attempts = from.getMaxAttempts();
-    for (const auto share : from.getTo()) route.to.push_back({text(share.getService()), share.getWeight()});
-    route.to.shrink_to_fit();
+    route.name = convert_text(reader.getName());
+    route.hostname = convert_text(reader.getHostname());
+    route.path_prefix = convert_text(reader.getPathPrefix());
+    route.kind = reader.getIdempotent() ? RouteKind::Idempotent : RouteKind::NonIdempotent;
+    route.is_public = reader.getIsPublic();
+    route.priority = reader.getPriority();
+    route.timeout = Duration(reader.getTimeout());
+    route.target_latency = Duration(reader.getTargetLatency());
+    route.max_attempts = reader.getMaxAttempts();
+    for (const auto target : reader.getTo())
+        route.targets.push_back({convert_text(target.getService()), target.getWeight()});
+    route.targets.shrink_to_fit();
     return route;
 }
 
-void write(const Service& from, form::Service::Builder to) {
-    to.setName(text(from.name));
-    to.setHealthCheck(text(from.health_check));
-    to.setMaxConnections(from.max_connections);
+void encode(const Service& entry, form::Service::Builder builder) {
+    builder.setName(convert_text(entry.name));
+    builder.setHealthCheck(convert_text(entry.health_check));
+    builder.setMaxConnections(entry.max_connections);
 }
-Service read(form::Service::Reader from) {
-    return {text(from.getName()), text(from.getHealthCheck()), from.getMaxConnections()};
+Service decode(form::Service::Reader reader) {
+    return {convert_text(reader.getName()), convert_text(reader.getHealthCheck()),
+            reader.getMaxConnections()};
 }
 
-void write(const Tenant& from, form::Tenant::Builder to) {
-    to.setName(text(from.name));
-    auto keys = to.initApiKeys(static_cast<unsigned>(from.api_keys.size()));
+void encode(const Tenant& entry, form::Tenant::Builder builder) {
+    builder.setName(convert_text(entry.name));
+    auto keys = builder.initApiKeys(static_cast<unsigned>(entry.api_keys.size()));
     unsigned i = 0;
-    for (const std::string_view key : from.api_keys) {
-        auto room = keys.init(i++, static_cast<unsigned>(key.size()));
-        std::copy(key.begin(), key.end(), room.begin());
+    for (const std::string_view key : entry.api_keys) {
+        auto key_builder = keys.init(i++, static_cast<unsigned>(key.size()));
+        std::copy(key.begin(), key.end(), key_builder.begin());
     }
-    to.setHasPriority(from.priority.has_value());
-    to.setPriority(from.priority.value_or(0));
-    to.setRatePerS(from.rate_per_s);
-    to.setBurst(from.burst);
+    builder.setHasPriority(entry.priority.has_value());
+    builder.setPriority(entry.priority.value_or(0));
+    builder.setRatePerS(entry.rate_per_s);
+    builder.setBurst(entry.burst);
 }
-Tenant read(form::Tenant::Reader from) {
+Tenant decode(form::Tenant::Reader reader) {
     Tenant tenant;
-    tenant.name = text(from.getName());
-    for (const auto key : from.getApiKeys()) tenant.api_keys.push_back({key.begin(), key.size()});
+    tenant.name = convert_text(reader.getName());
+    for (const auto key : reader.getApiKeys()) tenant.api_keys.push_back({key.begin(), key.size()});
     tenant.api_keys.shrink_to_fit();
-    if (from.getHasPriority()) tenant.priority = from.getPriority();
-    tenant.rate_per_s = from.getRatePerS();
-    tenant.burst = from.getBurst();
+    if (reader.getHasPriority()) tenant.priority = reader.getPriority();
+    tenant.rate_per_s = reader.getRatePerS();
+    tenant.burst = reader.getBurst();
     return tenant;
 }
 
-void write(const Limits& from, form::Limits::Builder to) {
-    to.setMaxHeaderBytes(from.max_header_bytes);
-    to.setMaxBodyBytes(from.max_body_bytes);
-    to.setHeaderTimeout(from.header_timeout.count());
-    to.setIdleTimeout(from.idle_timeout.count());
+void encode(const Limits& entry, form::Limits::Builder builder) {
+    builder.setMaxHeaderBytes(entry.max_header_bytes);
+    builder.setMaxBodyBytes(entry.max_body_bytes);
+    builder.setHeaderTimeout(entry.header_timeout.count());
+    builder.setIdleTimeout(entry.idle_timeout.count());
 }
-Limits read(form::Limits::Reader from) {
-    return {from.getMaxHeaderBytes(), from.getMaxBodyBytes(), Duration(from.getHeaderTimeout()),
-            Duration(from.getIdleTimeout())};
+Limits decode(form::Limits::Reader reader) {
+    return {reader.getMaxHeaderBytes(), reader.getMaxBodyBytes(), Duration(reader.getHeaderTimeout()),
+            Duration(reader.getIdleTimeout())};
 }
 
 // ---- tables ----
 
-template <class Row>
-using Some = std::vector<const Row*>;
+template <class Entry>
+using EntryPointers = std::vector<const Entry*>;
 
-template <class Row>
+template <class Entry>
 struct Difference {
-    Some<Row> set, gone;
+    EntryPointers<Entry> changed, removed;
 };
-template <class Row>
-Difference<Row> difference(const Rows<Row>& from, const Rows<Row>& to) {
-    Difference<Row> difference;
-    auto old = from.begin();
-    for (const Row& row : to) {
-        for (; old != from.end() && old->name < row.name; ++old) difference.gone.push_back(&*old);
-        const bool had = old != from.end() && old->name == row.name;
+template <class Entry>
+Difference<Entry> compute_difference(const EntryList<Entry>& from, const EntryList<Entry>& to) {
+    Difference<Entry> result;
+    auto previous = from.begin();
+    for (const Entry& entry : to) {
+        for (; previous != from.end() && previous->name < entry.name; ++previous)
+            result.removed.push_back(&*previous);
+        const bool existed = previous != from.end() && previous->name == entry.name;
         // The same one, where they share it.
-        if (!had || (&*old != &row && *old != row)) difference.set.push_back(&row);
-        if (had) ++old;
+        if (!existed || (&*previous != &entry && *previous != entry)) result.changed.push_back(&entry);
+        if (existed) ++previous;
     }
-    for (; old != from.end(); ++old) difference.gone.push_back(&*old);
-    return difference;
+    for (; previous != from.end(); ++previous) result.removed.push_back(&*previous);
+    return result;
 }
 
-template <class Row, class List>
-void write_rows(const Some<Row>& rows, List list) {
-    for (unsigned i = 0; i < list.size(); ++i) write(*rows[i], list[i]);
+template <class Entry, class List>
+void encode_entries(const EntryPointers<Entry>& entries, List list) {
+    for (unsigned i = 0; i < list.size(); ++i) encode(*entries[i], list[i]);
 }
-template <class Row>
-void write_names(const Some<Row>& rows, ::capnp::List<::capnp::Text>::Builder list) {
-    for (unsigned i = 0; i < list.size(); ++i) list.set(i, text(rows[i]->name));
+template <class Entry>
+void encode_names(const EntryPointers<Entry>& entries, ::capnp::List<::capnp::Text>::Builder list) {
+    for (unsigned i = 0; i < list.size(); ++i) list.set(i, convert_text(entries[i]->name));
 }
-template <class Rows>
-unsigned count(const Rows& rows) {
-    return static_cast<unsigned>(rows.size());
+template <class Container>
+unsigned list_size(const Container& entries) {
+    return static_cast<unsigned>(entries.size());
 }
 
-struct Damaged {
-    const char* why;
+struct MalformedUpdate {
+    const char* reason;
 };
 
 // The rows that a table is left with; those held are in order. Throws Damaged.
-template <class Row, class List>
-Rows<Row> merged(const Rows<Row>& held, List set, ::capnp::List<::capnp::Text>::Reader gone,
-                 std::size_t most) {
+template <class Entry, class List>
+EntryList<Entry> merge_entries(const EntryList<Entry>& current, List changed,
+                               ::capnp::List<::capnp::Text>::Reader removed, std::size_t max_entries) {
     // An empty list may claim any length.
-    if (set.size() > most || gone.size() > most) throw Damaged{"claims more rows than it can hold"};
-    Builder<Row> rows;
-    unsigned next_set = 0, next_gone = 0;
-    std::optional<Row> next;
+    if (changed.size() > max_entries || removed.size() > max_entries)
+        throw MalformedUpdate{"claims more rows than it can hold"};
+    EntryListBuilder<Entry> builder;
+    unsigned next_changed = 0, next_removed = 0;
+    std::optional<Entry> next_entry;
     const auto advance = [&] {
-        next.reset();
-        if (next_set < set.size()) next = read(set[next_set++]);
+        next_entry.reset();
+        if (next_changed < changed.size()) next_entry = decode(changed[next_changed++]);
     };
     advance();
-    for (auto piece = held.pieces().begin(); piece != held.pieces().end(); ++piece) {
-        const bool last = piece + 1 == held.pieces().end();
-        const auto inside = [&](const std::string& name) {
-            return last || name < (*std::next(piece))->rows.front().name;
+    for (auto chunk = current.chunks().begin(); chunk != current.chunks().end(); ++chunk) {
+        const bool is_last = chunk + 1 == current.chunks().end();
+        const auto belongs_to_chunk = [&](const std::string& name) {
+            return is_last || name < (*std::next(chunk))->entries.front().name;
         };
-        const bool less = next_gone < gone.size() && inside(text(gone[next_gone]));
-        if (!less && !(next && inside(next->name))) {
-            rows.add(*piece);
+        const bool has_removal =
+            next_removed < removed.size() && belongs_to_chunk(convert_text(removed[next_removed]));
+        if (!has_removal && !(next_entry && belongs_to_chunk(next_entry->name))) {
+            builder.add(*chunk);
             continue;
         }
-        for (const Row& row : (*piece)->rows) {
-            while (next && next->name < row.name) {
-                rows.add(std::move(*next));
+        for (const Entry& entry : (*chunk)->entries) {
+            while (next_entry && next_entry->name < entry.name) {
+                builder.add(std::move(*next_entry));
                 advance();
             }
-            if (next && next->name == row.name) {
-                rows.add(std::move(*next));
+            if (next_entry && next_entry->name == entry.name) {
+                builder.add(std::move(*next_entry));
                 advance();
-            } else if (next_gone < gone.size() && text(gone[next_gone]) == row.name) {
-                ++next_gone;
+            } else if (next_removed < removed.size() && convert_text(removed[next_removed]) == entry.name) {
+                ++next_removed;
             } else {
-                rows.add(row);
+                builder.add(entry);
             }
         }
-        while (next && inside(next->name)) {
-            rows.add(std::move(*next));
+        while (next_entry && belongs_to_chunk(next_entry->name)) {
+            builder.add(std::move(*next_entry));
             advance();
         }
     }
-    while (next) {
-        rows.add(std::move(*next));
+    while (next_entry) {
+        builder.add(std::move(*next_entry));
         advance();
     }
-    if (next_gone != gone.size()) throw Damaged{"takes away what is not there"};
-    return rows.done();
+    if (next_removed != removed.size()) throw MalformedUpdate{"takes away what is not there"};
+    return builder.build();
 }
 
-Chart ordered(Chart chart) {
-    chart.routes = ordered(chart.routes);
-    chart.services = ordered(chart.services);
-    if (chart.tenants) chart.tenants = ordered(*chart.tenants);
-    return chart;
+Configuration sorted_by_name(Configuration config) {
+    config.routes = sorted_by_name(config.routes);
+    config.services = sorted_by_name(config.services);
+    if (config.tenants) config.tenants = sorted_by_name(*config.tenants);
+    return config;
 }
 
-leaf::result<Chart> applied(const Chart& held, form::Update::Reader update, std::size_t size) {
-    const bool patch = update.getPatch();
-    if (patch && update.getBase() != digest_of(held))
-        return leaf::new_error(Refusal{"base", "is another chart than the one held"});
-    const Chart base = patch ? ordered(held) : Chart{};
-    Chart chart;
-    chart.version = update.getVersion();
-    chart.limits = read(update.getLimits());
-    chart.routes = merged(base.routes, update.getRoutes(), update.getRoutesGone(), size);
-    chart.services = merged(base.services, update.getServices(), update.getServicesGone(), size);
+leaf::result<Configuration> apply_message(const Configuration& current, form::Update::Reader update,
+                                          std::size_t max_entries) {
+    const bool is_delta = update.getPatch();
+    if (is_delta && update.getBase() != digest_of(current))
+        return leaf::new_error(ConfigurationError{"base", "is another chart than the one held"});
+    const Configuration base = is_delta ? sorted_by_name(current) : Configuration{};
+    Configuration config;
+    config.version = update.getVersion();
+    config.limits = decode(update.getLimits());
+    config.routes = merge_entries(base.routes, update.getRoutes(), update.getRoutesGone(), max_entries);
+    config.services =
+        merge_entries(base.services, update.getServices(), update.getServicesGone(), max_entries);
     if (update.getAsksForKeys())
-        chart.tenants = merged(base.tenants ? *base.tenants : Rows<Tenant>(), update.getTenants(),
-                               update.getTenantsGone(), size);
-    if (update.getDigest() != digest_of(chart))
-        return leaf::new_error(Refusal{"digest", "is not that of what the update leads to"});
-    return chart;
+        config.tenants = merge_entries(base.tenants ? *base.tenants : EntryList<Tenant>(),
+                                       update.getTenants(), update.getTenantsGone(), max_entries);
+    if (update.getDigest() != digest_of(config))
+        return leaf::new_error(ConfigurationError{"digest", "is not that of what the update leads to"});
+    return config;
 }
 
-std::string packed(::capnp::MessageBuilder& message) {
+std::string pack_message(::capnp::MessageBuilder& message) {
     std::string bytes;
     bytes.reserve(::capnp::computeSerializedSizeInWords(message) * sizeof(::capnp::word));
-    IntoText out(bytes);
-    ::capnp::writePackedMessage(out, message);
+    StringOutputStream stream(bytes);
+    ::capnp::writePackedMessage(stream, message);
     return bytes;
 }
 
 }    // namespace
 
-std::string write_whole(const Chart& chart) {
+std::string write_full(const Configuration& config) {
     ::capnp::MallocMessageBuilder message;
     form::Update::Builder update = message.initRoot<form::Update>();
-    update.setDigest(digest_of(chart));
-    update.setVersion(chart.version);
-    write(chart.limits, update.initLimits());
-    const auto rows = [](const auto& table, auto list) {
+    update.setDigest(digest_of(config));
+    update.setVersion(config.version);
+    encode(config.limits, update.initLimits());
+    const auto encode_list = [](const auto& entries, auto list) {
         unsigned i = 0;
-        for (const auto& row : table) write(row, list[i++]);
+        for (const auto& entry : entries) encode(entry, list[i++]);
     };
-    rows(chart.routes, update.initRoutes(count(chart.routes)));
-    rows(chart.services, update.initServices(count(chart.services)));
-    update.setAsksForKeys(chart.tenants.has_value());
-    if (chart.tenants) rows(*chart.tenants, update.initTenants(count(*chart.tenants)));
-    return packed(message);
+    encode_list(config.routes, update.initRoutes(list_size(config.routes)));
+    encode_list(config.services, update.initServices(list_size(config.services)));
+    update.setAsksForKeys(config.tenants.has_value());
+    if (config.tenants) encode_list(*config.tenants, update.initTenants(list_size(*config.tenants)));
+    return pack_message(message);
 }
 
-std::string write_patch(const Chart& from, const Chart& to) {
+std::string write_delta(const Configuration& from, const Configuration& to) {
     ::capnp::MallocMessageBuilder message;
     form::Update::Builder update = message.initRoot<form::Update>();
     update.setPatch(true);
     update.setBase(digest_of(from));
     update.setDigest(digest_of(to));
     update.setVersion(to.version);
-    write(to.limits, update.initLimits());
+    encode(to.limits, update.initLimits());
     // Copies share their rows; what is told of them is pointed to.
-    const Chart before = ordered(from), after = ordered(to);
-    const auto routes = difference(before.routes, after.routes);
-    write_rows(routes.set, update.initRoutes(count(routes.set)));
-    write_names(routes.gone, update.initRoutesGone(count(routes.gone)));
-    const auto services = difference(before.services, after.services);
-    write_rows(services.set, update.initServices(count(services.set)));
-    write_names(services.gone, update.initServicesGone(count(services.gone)));
+    const Configuration before = sorted_by_name(from), after = sorted_by_name(to);
+    const auto routes = compute_difference(before.routes, after.routes);
+    encode_entries(routes.changed, update.initRoutes(list_size(routes.changed)));
+    encode_names(routes.removed, update.initRoutesGone(list_size(routes.removed)));
+    const auto services = compute_difference(before.services, after.services);
+    encode_entries(services.changed, update.initServices(list_size(services.changed)));
+    encode_names(services.removed, update.initServicesGone(list_size(services.removed)));
     update.setAsksForKeys(after.tenants.has_value());
     if (after.tenants) {
-        static const Rows<Tenant> none;
-        const auto tenants = difference(before.tenants ? *before.tenants : none, *after.tenants);
-        write_rows(tenants.set, update.initTenants(count(tenants.set)));
-        write_names(tenants.gone, update.initTenantsGone(count(tenants.gone)));
+        static const EntryList<Tenant> no_tenants;
+        const auto tenants =
+            compute_difference(before.tenants ? *before.tenants : no_tenants, *after.tenants);
+        encode_entries(tenants.changed, update.initTenants(list_size(tenants.changed)));
+        encode_names(tenants.removed, update.initTenantsGone(list_size(tenants.removed)));
     }
-    return packed(message);
+    return pack_message(message);
 }
 
-leaf::result<Chart> read_update(const Chart& held, std::string_view bytes) {
+leaf::result<Configuration> apply_update(const Configuration& current, std::string_view bytes) {
     try {
-        const auto packed = kj::arrayPtr(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size());
-        const std::size_t words = ::capnp::computeUnpackedSizeInWords(packed);
-        if (words > kMostWords) throw Damaged{"is larger than any chart"};
-        kj::ArrayInputStream in(packed);
+        const auto packed_bytes =
+            kj::arrayPtr(reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size());
+        const std::size_t word_count = ::capnp::computeUnpackedSizeInWords(packed_bytes);
+        if (word_count > kMaxMessageWords) throw MalformedUpdate{"is larger than any chart"};
+        kj::ArrayInputStream stream(packed_bytes);
         // What the message claims to hold is made room for only where so much has come. All is read once;
         // twice as much leaves room for how it is counted.
         ::capnp::ReaderOptions options;
-        options.traversalLimitInWords = 2 * words;
-        ::capnp::PackedMessageReader message(in, options);
-        return applied(held, message.getRoot<form::Update>(), bytes.size());
-    } catch (const kj::Exception& damage) {
+        options.traversalLimitInWords = 2 * word_count;
+        ::capnp::PackedMessageReader message(stream, options);
+        return apply_message(current, message.getRoot<form::Update>(), bytes.size());
+    } catch (const kj::Exception& error) {
         return leaf::new_error(
-            Refusal{"update", std::string("is damaged: ") + damage.getDescription().cStr()});
-    } catch (const Damaged& damage) {
-        return leaf::new_error(Refusal{"update", damage.why});
+            ConfigurationError{"update", std::string("is damaged: ") + error.getDescription().cStr()});
+    } catch (const MalformedUpdate& error) {
+        return leaf::new_error(ConfigurationError{"update", error.reason});
     }
 }
 
--- a/src/cluster/configuration/entry_list.h
+++ b/src/cluster/configuration/entry_list.h
@@ -12,82 +12,82 @@
 
 namespace shaletray::configuration {
 
-template <class Row>
-class Rows {
+template <class Entry>
+class EntryList {
 public:
-    static constexpr std::size_t kUsual = 64, kMost = 96;    // rows of a piece
-    struct Piece {
-        std::vector<Row> rows;
+    static constexpr std::size_t kTypicalChunkSize = 64, kMaxChunkSize = 96;    // rows of a piece
+    struct Chunk {
+        std::vector<Entry> entries;
         // Told by who made it, and true until a row is touched:
-        bool summed = false, in_order = false;    // in_order: by rising names
-        std::uint64_t sum = 0;                    // of the rows' hashes
+        bool has_hash_sum = false, is_sorted = false;    // in_order: by rising names
+        std::uint64_t hash_sum = 0;                      // of the rows' hashes
     };
-    using Pieces = std::vector<std::shared_ptr<Piece>>;
+    using Chunks = std::vector<std::shared_ptr<Chunk>>;
 
     class iterator {
     public:
         using iterator_category = std::forward_iterator_tag;
-        using value_type = Row;
+        using value_type = Entry;
         using difference_type = std::ptrdiff_t;
-        using pointer = const Row*;
-        using reference = const Row&;
+        using pointer = const Entry*;
+        using reference = const Entry&;
         iterator() = default;
-        explicit iterator(const std::shared_ptr<Piece>* piece) : piece_(piece) {}
-        const Row& operator*() const { return (*piece_)->rows[at_]; }
-        const Row* operator->() const { return &**this; }
+        explicit iterator(const std::shared_ptr<Chunk>* chunk) : chunk_(chunk) {}
+        const Entry& operator*() const { return (*chunk_)->entries[index_]; }
+        const Entry* operator->() const { return &**this; }
         iterator& operator++() {
-            if (++at_ == (*piece_)->rows.size()) {
-                ++piece_;
-                at_ = 0;
+            if (++index_ == (*chunk_)->entries.size()) {
+                ++chunk_;
+                index_ = 0;
             }
             return *this;
         }
         iterator operator++(int) {
-            iterator before = *this;
+            iterator previous = *this;
             ++*this;
-            return before;
+            return previous;
         }
         bool operator==(const iterator&) const = default;
 
     private:
-        const std::shared_ptr<Piece>* piece_ = nullptr;
-        std::size_t at_ = 0;
+        const std::shared_ptr<Chunk>* chunk_ = nullptr;
+        std::size_t index_ = 0;
     };
     using const_iterator = iterator;
-    using value_type = Row;
+    using value_type = Entry;
 
-    Rows() = default;
-    Rows(std::initializer_list<Row> rows) {
-        for (const Row& row : rows) push_back(row);
+    EntryList() = default;
+    EntryList(std::initializer_list<Entry> entries) {
+        for (const Entry& entry : entries) push_back(entry);
     }
-    Rows(std::vector<Row> rows) {
-        for (Row& row : rows) push_back(std::move(row));
+    EntryList(std::vector<Entry> entries) {
+        for (Entry& entry : entries) push_back(std::move(entry));
     }
 
-    iterator begin() const { return iterator(pieces_.data()); }
-    iterator end() const { return iterator(pieces_.data() + pieces_.size()); }
+    iterator begin() const { return iterator(chunks_.data()); }
+    iterator end() const { return iterator(chunks_.data() + chunks_.size()); }
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
-    const Row& front() const { return pieces_.front()->rows.front(); }
-    const Row& back() const { return pieces_.back()->rows.back(); }
+    const Entry& front() const { return chunks_.front()->rows.front(); }
+    const Entry& back() const { return chunks_.back()->entries.back(); }
     // These look the row's piece up: to see many rows, go from begin() to end(). What is not const takes it
     // that the row is changed.
-    const Row& operator[](std::size_t at) const {
-        const std::size_t piece = locate(at);
-        return pieces_[piece]->rows[at];
+    const Entry& operator[](std::size_t index) const {
+        const std::size_t chunk_index = locate_chunk(index);
+        return chunks_[chunk_index]->entries[index];
     }
-    Row& operator[](std::size_t at) {
-        const std::size_t piece = locate(at);
-        return own(piece).rows[at];
+    Entry& operator[](std::size_t index) {
+        const std::size_t chunk_index = locate_chunk(index);
+        return writable_chunk(chunk_index).entries[index];
     }
-    void push_back(Row row) {
-        if (pieces_.empty() || pieces_.back()->rows.size() >= kUsual)
-            pieces_.push_back(std::make_shared<Piece>());
-        own(pieces_.size() - 1).rows.push_back(std::move(row));
+    void push_back(Entry entry) {
+        if (chunks_.empty() || chunks_.back()->entries.size() >= kTypicalChunkSize)
+            chunks_.push_back(std::make_shared<Chunk>());
+        writable_chunk(chunks_.size() - 1).entries.push_back(std::move(entry));
         ++size_;
     }
     void clear() { *this = {}; }
-    bool operator==(const Rows& other) const {
+    bool operator==(const EntryList& other) const {
         if (size_ != other.size_) return false;
         for (iterator a = begin(), b = other.begin(); a != end(); ++a, ++b)
             if (&*a != &*b && *a != *b) return false;
@@ -95,27 +95,28 @@
     }
 
     // None of them empty, nor above kMost.
-    const Pieces& pieces() const { return pieces_; }
-    void push_back(std::shared_ptr<Piece> piece) {
-        size_ += piece->rows.size();
-        pieces_.push_back(std::move(piece));
+    const Chunks& chunks() const { return chunks_; }
+    void push_back(std::shared_ptr<Chunk> chunk) {
+        size_ += chunk->entries.size();
+        chunks_.push_back(std::move(chunk));
     }
 
 private:
     // The piece of a row, whose place becomes that in its piece.
-    std::size_t locate(std::size_t& at) const {
-        std::size_t piece = 0;
-        for (; at >= pieces_[piece]->rows.size(); ++piece) at -= pieces_[piece]->rows.size();
-        return piece;
+    std::size_t locate_chunk(std::size_t& index) const {
+        std::size_t chunk_index = 0;
+        for (; index >= chunks_[chunk_index]->entries.size(); ++chunk_index)
+            index -= chunks_[chunk_index]->entries.size();
+        return chunk_index;
     }
-    Piece& own(std::size_t piece) {
-        std::shared_ptr<Piece>& held = pieces_[piece];
-        if (held.use_count() > 1) held = std::make_shared<Piece>(*held);
-        held->summed = held->in_order = false;
-        return *held;
+    Chunk& writable_chunk(std::size_t chunk_index) {
+        std::shared_ptr<Chunk>& chunk = chunks_[chunk_index];
+        if (chunk.use_count() > 1) chunk = std::make_shared<Chunk>(*chunk);
+        chunk->has_hash_sum = chunk->is_sorted = false;
+        return *chunk;
     }
 
-    Pieces pieces_;
+    Chunks chunks_;
     std::size_t size_ = 0;
 };
 
--- a/src/cluster/configuration/entry_list_builder.h
+++ b/src/cluster/configuration/entry_list_builder.h
@@ -11,83 +11,84 @@
 
 namespace shaletray::configuration {
 
-std::uint64_t row_hash(const Route& route);
-std::uint64_t row_hash(const Service& service);
-std::uint64_t row_hash(const Tenant& tenant);
+std::uint64_t entry_hash(const Route& route);
+std::uint64_t entry_hash(const Service& service);
+std::uint64_t entry_hash(const Tenant& tenant);
 
-template <class Row>
-class Builder {
+template <class Entry>
+class EntryListBuilder {
 public:
-    using Piece = typename Rows<Row>::Piece;
+    using Chunk = typename EntryList<Entry>::Chunk;
 
-    void add(Row row) {
-        loose_.push_back(std::move(row));
-        if (loose_.size() == kLoose) close(kLoose / 2);
+    void add(Entry entry) {
+        pending_.push_back(std::move(entry));
+        if (pending_.size() == kMaxPending) flush_pending(kMaxPending / 2);
     }
     // As it stands, shared with the chart that it comes from.
-    void add(const std::shared_ptr<Piece>& piece) {
-        close(0);
-        rows_.push_back(piece);
+    void add(const std::shared_ptr<Chunk>& chunk) {
+        flush_pending(0);
+        entries_.push_back(chunk);
     }
-    Rows<Row> done() {
-        close(0);
-        return std::move(rows_);
+    EntryList<Entry> build() {
+        flush_pending(0);
+        return std::move(entries_);
     }
 
 private:
     // Enough to end with pieces of no more than kMost rows, none of them much smaller than the others.
-    static constexpr std::size_t kLoose = 2 * Rows<Row>::kUsual;
+    static constexpr std::size_t kMaxPending = 2 * EntryList<Entry>::kTypicalChunkSize;
 
     // Makes pieces of what is loose, but for so many.
-    void close(std::size_t but) {
-        std::size_t left = loose_.size() - but;
-        auto from = loose_.begin();
-        while (left > 0) {
-            const std::size_t take = left <= Rows<Row>::kMost ? left : left / 2;
-            const auto piece = std::make_shared<Piece>();
-            piece->rows.assign(std::make_move_iterator(from),
-                               std::make_move_iterator(from + static_cast<std::ptrdiff_t>(take)));
-            piece->summed = piece->in_order = true;
-            for (std::size_t i = 0; i < take; ++i) {
-                piece->sum += row_hash(piece->rows[i]);
-                if (i > 0 && !(piece->rows[i - 1].name < piece->rows[i].name)) piece->in_order = false;
+    void flush_pending(std::size_t keep_count) {
+        std::size_t remaining = pending_.size() - keep_count;
+        auto first = pending_.begin();
+        while (remaining > 0) {
+            const std::size_t chunk_size =
+                remaining <= EntryList<Entry>::kMaxChunkSize ? remaining : remaining / 2;
+            const auto chunk = std::make_shared<Chunk>();
+            chunk->entries.assign(std::make_move_iterator(first),
+                                  std::make_move_iterator(first + static_cast<std::ptrdiff_t>(chunk_size)));
+            chunk->has_hash_sum = chunk->is_sorted = true;
+            for (std::size_t i = 0; i < chunk_size; ++i) {
+                chunk->hash_sum += entry_hash(chunk->entries[i]);
+                if (i > 0 && !(chunk->entries[i - 1].name < chunk->entries[i].name)) chunk->is_sorted = false;
             }
-            rows_.push_back(piece);
-            from += static_cast<std::ptrdiff_t>(take);
-            left -= take;
+            entries_.push_back(chunk);
+            first += static_cast<std::ptrdiff_t>(chunk_size);
+            remaining -= chunk_size;
         }
-        loose_.erase(loose_.begin(), from);
+        pending_.erase(pending_.begin(), first);
     }
 
-    Rows<Row> rows_;
-    std::vector<Row> loose_;
+    EntryList<Entry> entries_;
+    std::vector<Entry> pending_;
 };
 
 // Whether all rows come by rising names.
-template <class Row>
-bool in_order(const Rows<Row>& rows) {
-    const std::string* last = nullptr;
-    for (const auto& piece : rows.pieces()) {
-        if (last != nullptr && !(*last < piece->rows.front().name)) return false;
-        if (!piece->in_order)
-            for (std::size_t i = 1; i < piece->rows.size(); ++i)
-                if (!(piece->rows[i - 1].name < piece->rows[i].name)) return false;
-        last = &piece->rows.back().name;
+template <class Entry>
+bool is_sorted_by_name(const EntryList<Entry>& entries) {
+    const std::string* last_name = nullptr;
+    for (const auto& chunk : entries.chunks()) {
+        if (last_name != nullptr && !(*last_name < chunk->entries.front().name)) return false;
+        if (!chunk->is_sorted)
+            for (std::size_t i = 1; i < chunk->entries.size(); ++i)
+                if (!(chunk->entries[i - 1].name < chunk->entries[i].name)) return false;
+        last_name = &chunk->entries.back().name;
     }
     return true;
 }
 
 // The same rows by rising names; pieces that are in order are shared.
-template <class Row>
-Rows<Row> ordered(const Rows<Row>& rows) {
-    if (in_order(rows)) return rows;
-    std::vector<const Row*> order;
-    order.reserve(rows.size());
-    for (const Row& row : rows) order.push_back(&row);
-    std::sort(order.begin(), order.end(), [](const Row* a, const Row* b) { return a->name < b->name; });
-    Builder<Row> builder;
-    for (const Row* const row : order) builder.add(*row);
-    return builder.done();
+template <class Entry>
+EntryList<Entry> sorted_by_name(const EntryList<Entry>& entries) {
+    if (is_sorted_by_name(entries)) return entries;
+    std::vector<const Entry*> order;
+    order.reserve(entries.size());
+    for (const Entry& entry : entries) order.push_back(&entry);
+    std::sort(order.begin(), order.end(), [](const Entry* a, const Entry* b) { return a->name < b->name; });
+    EntryListBuilder<Entry> builder;
+    for (const Entry* const entry : order) builder.add(*entry);
+    return builder.build();
 }
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/json_values.cpp
+++ b/src/cluster/configuration/json_values.cpp
@@ -11,109 +11,112 @@
 
 namespace {
 
-constexpr double kMostTime = 1e15;    // microseconds; thirty years
+constexpr double kMaxMicroseconds = 1e15;    // microseconds; thirty years
 
-class Faults : public boost::system::error_category {
+class ValueErrorCategory : public boost::system::error_category {
 public:
     const char* name() const noexcept override { return "chart"; }
-    std::string message(int fault) const override {
-        switch (Fault{fault}) {
-            case Fault::Text: return "is not a text";
-            case Fault::Line: return "has a character that no header can carry";
-            case Fault::Time: return "is not a time as \"1500ms\" or \"2.5s\"";
-            case Fault::Number: return "is not a number";
-            case Fault::Whole: return "is not a whole number";
-            case Fault::Negative: return "is below 0";
-            case Fault::Truth: return "is neither true nor false";
-            case Fault::Kind: return "is neither idempotent nor non_idempotent";
-            case Fault::Revision: return "is not \"r\" and a number above 0";
-            case Fault::List: return "is not a list";
-            case Fault::Object: return "is not an object";
+    std::string message(int error) const override {
+        switch (ValueError{error}) {
+            case ValueError::NotText: return "is not a text";
+            case ValueError::InvalidCharacter: return "has a character that no header can carry";
+            case ValueError::NotDuration: return "is not a time as \"1500ms\" or \"2.5s\"";
+            case ValueError::NotNumber: return "is not a number";
+            case ValueError::NotInteger: return "is not a whole number";
+            case ValueError::Negative: return "is below 0";
+            case ValueError::NotBoolean: return "is neither true nor false";
+            case ValueError::InvalidRouteKind: return "is neither idempotent nor non_idempotent";
+            case ValueError::InvalidRevision: return "is not \"r\" and a number above 0";
+            case ValueError::NotArray: return "is not a list";
+            case ValueError::NotObject: return "is not an object";
         }
         return "is wrong";
     }
 };
 }    // namespace
 
-boost::system::error_code wrong(Fault fault) {
-    static const Faults faults;
-    return {static_cast<int>(fault), faults};
+boost::system::error_code to_error_code(ValueError error) {
+    static const ValueErrorCategory category;
+    return {static_cast<int>(error), category};
 }
 
-json::result<Text> tag_invoke(Tag<Text>, const json::value& value) {
+json::result<TextValue> tag_invoke(ConversionTag<TextValue>, const json::value& value) {
     const json::string* const text = value.if_string();
-    if (text == nullptr) return wrong(Fault::Text);
-    return Text{{text->data(), text->size()}};
+    if (text == nullptr) return to_error_code(ValueError::NotText);
+    return TextValue{{text->data(), text->size()}};
 }
-json::result<Line> tag_invoke(Tag<Line>, const json::value& value) {
-    const json::result<Text> text = json::try_value_to<Text>(value);
+json::result<HeaderText> tag_invoke(ConversionTag<HeaderText>, const json::value& value) {
+    const json::result<TextValue> text = json::try_value_to<TextValue>(value);
     if (!text) return text.error();
     for (const char c : text->value)
-        if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) return wrong(Fault::Line);
-    return Line{text->value};
+        if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f)
+            return to_error_code(ValueError::InvalidCharacter);
+    return HeaderText{text->value};
 }
-json::result<Time> tag_invoke(Tag<Time>, const json::value& value) {
-    const json::result<Text> text = json::try_value_to<Text>(value);
-    if (!text) return wrong(Fault::Time);
+json::result<DurationValue> tag_invoke(ConversionTag<DurationValue>, const json::value& value) {
+    const json::result<TextValue> text = json::try_value_to<TextValue>(value);
+    if (!text) return to_error_code(ValueError::NotDuration);
     double number = 0.0;
     const char* const end = text->value.data() + text->value.size();
-    const auto [at, error] = std::from_chars(text->value.data(), end, number);
-    const std::string_view unit(at, static_cast<std::size_t>(end - at));
-    if (error != std::errc{} || (unit != "ms" && unit != "s")) return wrong(Fault::Time);
-    const double micros = number * (unit == "s" ? 1e6 : 1e3);
+    const auto [parsed_end, error] = std::from_chars(text->value.data(), end, number);
+    const std::string_view unit(parsed_end, static_cast<std::size_t>(end - parsed_end));
+    if (error != std::errc{} || (unit != "ms" && unit != "s")) return to_error_code(ValueError::NotDuration);
+    const double microseconds = number * (unit == "s" ? 1e6 : 1e3);
     // Written so that a value that is not a number fails too.
-    if (!(std::abs(micros) <= kMostTime)) return wrong(Fault::Time);
+    if (!(std::abs(microseconds) <= kMaxMicroseconds)) return to_error_code(ValueError::NotDuration);
     // What is above 0 does not become it.
-    return Time{Duration(micros > 0.0 ? std::max(1LL, std::llround(micros)) : std::llround(micros))};
+    return DurationValue{Duration(microseconds > 0.0 ? std::max(1LL, std::llround(microseconds))
+                                                     : std::llround(microseconds))};
 }
-json::result<Revision> tag_invoke(Tag<Revision>, const json::value& value) {
-    const json::result<Text> text = json::try_value_to<Text>(value);
-    if (!text || !text->value.starts_with('r')) return wrong(Fault::Revision);
-    Revision revision;
+json::result<RevisionValue> tag_invoke(ConversionTag<RevisionValue>, const json::value& value) {
+    const json::result<TextValue> text = json::try_value_to<TextValue>(value);
+    if (!text || !text->value.starts_with('r')) return to_error_code(ValueError::InvalidRevision);
+    RevisionValue revision;
     const char* const end = text->value.data() + text->value.size();
-    const auto [at, error] = std::from_chars(text->value.data() + 1, end, revision.value);
-    if (error != std::errc{} || at != end || revision.value == 0) return wrong(Fault::Revision);
+    const auto [parsed_end, error] = std::from_chars(text->value.data() + 1, end, revision.value);
+    if (error != std::errc{} || parsed_end != end || revision.value == 0)
+        return to_error_code(ValueError::InvalidRevision);
     return revision;
 }
-static json::result<double> whole_number(const json::value& value) {
+static json::result<double> integral_number(const json::value& value) {
     double number = 0.0;
     if (const std::int64_t* i = value.if_int64()) number = static_cast<double>(*i);
     else if (const std::uint64_t* u = value.if_uint64()) number = static_cast<double>(*u);
     else if (const double* d = value.if_double(); d != nullptr && std::trunc(*d) == *d) number = *d;
-    else return wrong(Fault::Whole);
+    else return to_error_code(ValueError::NotInteger);
     return number;
 }
-json::result<Whole> tag_invoke(Tag<Whole>, const json::value& value) {
-    const json::result<double> number = whole_number(value);
+json::result<IntegerValue> tag_invoke(ConversionTag<IntegerValue>, const json::value& value) {
+    const json::result<double> number = integral_number(value);
     if (!number) return number.error();
     constexpr double kLeast = std::numeric_limits<int>::min(), kMost = std::numeric_limits<int>::max();
-    return Whole{static_cast<int>(std::clamp(*number, kLeast, kMost))};
+    return IntegerValue{static_cast<int>(std::clamp(*number, kLeast, kMost))};
 }
-json::result<Count> tag_invoke(Tag<Count>, const json::value& value) {
-    const json::result<Whole> number = json::try_value_to<Whole>(value);
+json::result<NonNegativeInteger> tag_invoke(ConversionTag<NonNegativeInteger>, const json::value& value) {
+    const json::result<IntegerValue> number = json::try_value_to<IntegerValue>(value);
     if (!number) return number.error();
-    if (number->value < 0) return wrong(Fault::Negative);
-    return Count{number->value};
+    if (number->value < 0) return to_error_code(ValueError::Negative);
+    return NonNegativeInteger{number->value};
 }
-json::result<Bytes> tag_invoke(Tag<Bytes>, const json::value& value) {
-    const json::result<double> number = whole_number(value);
+json::result<ByteCount> tag_invoke(ConversionTag<ByteCount>, const json::value& value) {
+    const json::result<double> number = integral_number(value);
     if (!number) return number.error();
-    if (*number < 0.0) return wrong(Fault::Negative);
-    return Bytes{static_cast<std::size_t>(std::min(*number, 1e15))};
+    if (*number < 0.0) return to_error_code(ValueError::Negative);
+    return ByteCount{static_cast<std::size_t>(std::min(*number, 1e15))};
 }
-json::result<Amount> tag_invoke(Tag<Amount>, const json::value& value) {
-    if (!value.is_number()) return wrong(Fault::Number);
+json::result<NonNegativeNumber> tag_invoke(ConversionTag<NonNegativeNumber>, const json::value& value) {
+    if (!value.is_number()) return to_error_code(ValueError::NotNumber);
     const double number = value.to_number<double>();
-    if (!std::isfinite(number)) return wrong(Fault::Number);
-    if (number < 0.0) return wrong(Fault::Negative);
-    return Amount{number};
+    if (!std::isfinite(number)) return to_error_code(ValueError::NotNumber);
+    if (number < 0.0) return to_error_code(ValueError::Negative);
+    return NonNegativeNumber{number};
 }
 
-json::result<RouteKind> tag_invoke(Tag<RouteKind>, const json::value& value) {
-    const json::result<Text> text = json::try_value_to<Text>(value);
+json::result<RouteKind> tag_invoke(ConversionTag<RouteKind>, const json::value& value) {
+    const json::result<TextValue> text = json::try_value_to<TextValue>(value);
     if (text && text->value == "idempotent") return RouteKind::Idempotent;
     if (text && text->value == "non_idempotent") return RouteKind::NonIdempotent;
-    return wrong(Fault::Kind);
+    return to_error_code(ValueError::InvalidRouteKind);
 }
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/json_values.h
+++ b/src/cluster/configuration/json_values.h
@@ -10,45 +10,59 @@
 
 namespace shaletray::configuration {
 
-enum class Fault { Text = 1, Line, Time, Number, Whole, Negative, Truth, Kind, Revision, List, Object };
-boost::system::error_code wrong(Fault fault);
+enum class ValueError {
+    NotText = 1,
+    InvalidCharacter,
+    NotDuration,
+    NotNumber,
+    NotInteger,
+    Negative,
+    NotBoolean,
+    InvalidRouteKind,
+    InvalidRevision,
+    NotArray,
+    NotObject
+};
+boost::system::error_code to_error_code(ValueError error);
 
-struct Time {
+struct DurationValue {
     Duration value{0};
 };
-struct Revision {
+struct RevisionValue {
     std::uint64_t value = 0;
 };
-struct Whole {    // cut to what an int can hold
+struct IntegerValue {    // cut to what an int can hold
     int value = 0;
 };
-struct Count {    // likewise, and not below 0
+struct NonNegativeInteger {    // likewise, and not below 0
     int value = 0;
 };
-struct Bytes {
+struct ByteCount {
     std::size_t value = 0;
 };
-struct Amount {    // not below 0
+struct NonNegativeNumber {    // not below 0
     double value = 0.0;
 };
-struct Text {
+struct TextValue {
     std::string_view value;
 };
-struct Line {    // fit to stand in a header or a request line
+struct HeaderText {    // fit to stand in a header or a request line
     std::string_view value;
 };
 
 template <class T>
-using Tag = boost::json::try_value_to_tag<T>;
-
-boost::json::result<Text> tag_invoke(Tag<Text>, const boost::json::value& value);
-boost::json::result<Line> tag_invoke(Tag<Line>, const boost::json::value& value);
-boost::json::result<Time> tag_invoke(Tag<Time>, const boost::json::value& value);
-boost::json::result<Revision> tag_invoke(Tag<Revision>, const boost::json::value& value);
-boost::json::result<Whole> tag_invoke(Tag<Whole>, const boost::json::value& value);
-boost::json::result<Count> tag_invoke(Tag<Count>, const boost::json::value& value);
-boost::json::result<Bytes> tag_invoke(Tag<Bytes>, const boost::json::value& value);
-boost::json::result<Amount> tag_invoke(Tag<Amount>, const boost::json::value& value);
-boost::json::result<RouteKind> tag_invoke(Tag<RouteKind>, const boost::json::value& value);
+using ConversionTag = boost::json::try_value_to_tag<T>;
+
+boost::json::result<TextValue> tag_invoke(ConversionTag<TextValue>, const boost::json::value& value);
+boost::json::result<HeaderText> tag_invoke(ConversionTag<HeaderText>, const boost::json::value& value);
+boost::json::result<DurationValue> tag_invoke(ConversionTag<DurationValue>, const boost::json::value& value);
+boost::json::result<RevisionValue> tag_invoke(ConversionTag<RevisionValue>, const boost::json::value& value);
+boost::json::result<IntegerValue> tag_invoke(ConversionTag<IntegerValue>, const boost::json::value& value);
+boost::json::result<NonNegativeInteger> tag_invoke(ConversionTag<NonNegativeInteger>,
+                                                   const boost::json::value& value);
+boost::json::result<ByteCount> tag_invoke(ConversionTag<ByteCount>, const boost::json::value& value);
+boost::json::result<NonNegativeNumber> tag_invoke(ConversionTag<NonNegativeNumber>,
+                                                  const boost::json::value& value);
+boost::json::result<RouteKind> tag_invoke(ConversionTag<RouteKind>, const boost::json::value& value);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/lookup_keys.h
+++ b/src/cluster/configuration/lookup_keys.h
@@ -10,12 +10,12 @@
 // A hash that can be asked for after every character, for the prefixes of a path. FNV-1a, stirred at the end.
 class RunningHash {
 public:
-    void take(char c) { state_ = (state_ ^ static_cast<unsigned char>(c)) * 0x100000001b3; }
+    void append(char c) { state_ = (state_ ^ static_cast<unsigned char>(c)) * 0x100000001b3; }
     std::uint64_t value() const {
-        std::uint64_t h = state_;
-        h = (h ^ (h >> 32)) * 0x9e3779b97f4a7c15;
-        h = (h ^ (h >> 29)) * 0xbf58476d1ce4e5b9;
-        return h ^ (h >> 32);
+        std::uint64_t mixed = state_;
+        mixed = (mixed ^ (mixed >> 32)) * 0x9e3779b97f4a7c15;
+        mixed = (mixed ^ (mixed >> 29)) * 0xbf58476d1ce4e5b9;
+        return mixed ^ (mixed >> 32);
     }
 
 private:
@@ -23,31 +23,31 @@
 };
 
 // A host without its port.
-inline std::string_view bare_host(std::string_view host) {
+inline std::string_view host_without_port(std::string_view host) {
     const std::size_t colon = host.rfind(':');
     // Colons inside the brackets of an IPv6 address start no port.
     if (colon == std::string_view::npos || host.find(']', colon) != std::string_view::npos) return host;
     return host.substr(0, colon);
 }
-inline char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
-inline bool same_host(std::string_view a, std::string_view b) {
+inline char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+inline bool hosts_equal(std::string_view a, std::string_view b) {
     if (a.size() != b.size()) return false;
     for (std::size_t i = 0; i < a.size(); ++i)
-        if (lower(a[i]) != lower(b[i])) return false;
+        if (to_lower(a[i]) != to_lower(b[i])) return false;
     return true;
 }
 // Of a bare host; a path's characters are taken after it.
 inline RunningHash begin_route_hash(std::string_view host) {
     RunningHash hash;
-    for (const char c : host) hash.take(lower(c));
-    hash.take('\0');
+    for (const char c : host) hash.append(to_lower(c));
+    hash.append('\0');
     return hash;
 }
 inline std::uint64_t route_hash(std::string_view host, std::string_view prefix) {
     RunningHash hash = begin_route_hash(host);
-    for (const char c : prefix) hash.take(c);
+    for (const char c : prefix) hash.append(c);
     return hash.value();
 }
-std::uint64_t key_hash(std::string_view key);
+std::uint64_t api_key_hash(std::string_view key);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/consensus/message.cpp
+++ b/src/cluster/consensus/message.cpp
@@ -12,110 +12,110 @@
 namespace shaletray::consensus {
 namespace {
 
-constexpr std::size_t kMostVoters = 128, kLongestName = 512, kMark = 8;
+constexpr std::size_t kMaxVoters = 128, kMaxNameLength = 512, kChecksumSize = 8;
 
-std::string text_of(capnp::Text::Reader text) { return {text.cStr(), text.size()}; }
+std::string copy_text(capnp::Text::Reader text) { return {text.cStr(), text.size()}; }
 
-void write(wire::Ballot::Builder to, const Ballot& ballot) {
-    to.setRound(ballot.round);
-    to.setProposer(ballot.proposer.c_str());
+void write_fields(wire::Ballot::Builder builder, const Ballot& ballot) {
+    builder.setRound(ballot.round);
+    builder.setProposer(ballot.proposer.c_str());
 }
 
-Ballot read(wire::Ballot::Reader from) {
-    KJ_REQUIRE(from.getProposer().size() <= kLongestName);
-    return {from.getRound(), text_of(from.getProposer())};
+Ballot read_fields(wire::Ballot::Reader reader) {
+    KJ_REQUIRE(reader.getProposer().size() <= kMaxNameLength);
+    return {reader.getRound(), copy_text(reader.getProposer())};
 }
 
-void write(wire::Decree::Builder to, const Decree& decree, bool with_text) {
-    to.setNumber(decree.number);
-    to.setVersion(decree.version);
-    auto voters = to.initVoters(static_cast<unsigned>(decree.voters.size()));
+void write_fields(wire::Decree::Builder builder, const LogEntry& entry, bool with_text) {
+    builder.setNumber(entry.number);
+    builder.setVersion(entry.version);
+    auto voters = builder.initVoters(static_cast<unsigned>(entry.voters.size()));
     for (unsigned i = 0; i < voters.size(); ++i) {
-        voters[i].setAddress(decree.voters[i].address.c_str());
-        voters[i].setDisk(decree.voters[i].disk);
+        voters[i].setAddress(entry.voters[i].address.c_str());
+        voters[i].setDisk(entry.voters[i].disk_id);
     }
-    auto earlier = to.initEarlier(static_cast<unsigned>(decree.earlier.size()));
-    for (unsigned i = 0; i < earlier.size(); ++i) {
-        earlier[i].setVersion(decree.earlier[i].version);
-        earlier[i].setLow(decree.earlier[i].low);
-        earlier[i].setHigh(decree.earlier[i].high);
+    auto digests = builder.initEarlier(static_cast<unsigned>(entry.earlier_digests.size()));
+    for (unsigned i = 0; i < digests.size(); ++i) {
+        digests[i].setVersion(entry.earlier_digests[i].version);
+        digests[i].setLow(entry.earlier_digests[i].low);
+        digests[i].setHigh(entry.earlier_digests[i].high);
     }
     if (with_text)
-        to.setText(
-            capnp::Data::Reader(reinterpret_cast<const kj::byte*>(decree.text.data()), decree.text.size()));
-    else to.setTextAsBefore(true);
+        builder.setText(
+            capnp::Data::Reader(reinterpret_cast<const kj::byte*>(entry.text.data()), entry.text.size()));
+    else builder.setTextAsBefore(true);
 }
 
-Decree read(wire::Decree::Reader from) {
-    Decree decree;
-    decree.number = from.getNumber();
-    decree.version = from.getVersion();
-    const auto voters = from.getVoters();
-    KJ_REQUIRE(voters.size() <= kMostVoters);
-    for (const auto member : voters) {
-        KJ_REQUIRE(member.getAddress().size() <= kLongestName);
-        decree.voters.push_back({text_of(member.getAddress()), member.getDisk()});
+LogEntry read_fields(wire::Decree::Reader reader) {
+    LogEntry entry;
+    entry.number = reader.getNumber();
+    entry.version = reader.getVersion();
+    const auto voters = reader.getVoters();
+    KJ_REQUIRE(voters.size() <= kMaxVoters);
+    for (const auto voter : voters) {
+        KJ_REQUIRE(voter.getAddress().size() <= kMaxNameLength);
+        entry.voters.push_back({copy_text(voter.getAddress()), voter.getDisk()});
     }
-    const auto earlier = from.getEarlier();
-    for (unsigned i = earlier.size() - std::min<unsigned>(earlier.size(), kMostEarlier); i < earlier.size();
-         ++i)
-        decree.earlier.push_back({earlier[i].getVersion(), earlier[i].getLow(), earlier[i].getHigh()});
-    const auto text = from.getText();
-    decree.text.assign(reinterpret_cast<const char*>(text.begin()), text.size());
-    return decree;
+    const auto digests = reader.getEarlier();
+    for (unsigned i = digests.size() - std::min<unsigned>(digests.size(), kMaxEarlierDigests);
+         i < digests.size(); ++i)
+        entry.earlier_digests.push_back({digests[i].getVersion(), digests[i].getLow(), digests[i].getHigh()});
+    const auto text = reader.getText();
+    entry.text.assign(reinterpret_cast<const char*>(text.begin()), text.size());
+    return entry;
 }
 
-void write(wire::TextAt::Builder to, const Head::TextAt& at) {
-    to.setSlot(at.slot);
-    to.setSize(at.size);
-    to.setLow(at.low);
-    to.setHigh(at.high);
+void write_fields(wire::TextAt::Builder builder, const StateHeader::TextReference& reference) {
+    builder.setSlot(reference.slot);
+    builder.setSize(reference.size);
+    builder.setLow(reference.low);
+    builder.setHigh(reference.high);
 }
 
-Head::TextAt read(wire::TextAt::Reader from) {
-    return {from.getSlot(), from.getSize(), from.getLow(), from.getHigh()};
+StateHeader::TextReference read_fields(wire::TextAt::Reader reader) {
+    return {reader.getSlot(), reader.getSize(), reader.getLow(), reader.getHigh()};
 }
 
 // Bytes that were cut or turned would read as other numbers: they are led by a checksum.
-std::string sealed(capnp::MessageBuilder& builder, std::size_t words) {
-    std::string out;
-    out.reserve(kMark + words * sizeof(capnp::word));
-    out.resize(kMark);
+std::string add_checksum(capnp::MessageBuilder& builder, std::size_t expected_words) {
+    std::string bytes;
+    bytes.reserve(kChecksumSize + expected_words * sizeof(capnp::word));
+    bytes.resize(kChecksumSize);
     const auto segments = builder.getSegmentsForOutput();
-    const std::uint32_t count = static_cast<std::uint32_t>(segments.size() - 1);
-    out.append(reinterpret_cast<const char*>(&count), sizeof count);
+    const std::uint32_t segment_count_minus_one = static_cast<std::uint32_t>(segments.size() - 1);
+    bytes.append(reinterpret_cast<const char*>(&segment_count_minus_one), sizeof segment_count_minus_one);
     for (const auto& segment : segments) {
-        const auto size = static_cast<std::uint32_t>(segment.size());
-        out.append(reinterpret_cast<const char*>(&size), sizeof size);
+        const auto segment_words = static_cast<std::uint32_t>(segment.size());
+        bytes.append(reinterpret_cast<const char*>(&segment_words), sizeof segment_words);
     }
-    if (segments.size() % 2 == 0) out.append(4, '\0');
+    if (segments.size() % 2 == 0) bytes.append(4, '\0');
     for (const auto& segment : segments)
-        out.append(reinterpret_cast<const char*>(segment.begin()), segment.size() * sizeof(capnp::word));
-    const std::uint64_t sum = checksum(std::string_view(out).substr(kMark));
-    std::memcpy(out.data(), &sum, kMark);
-    return out;
+        bytes.append(reinterpret_cast<const char*>(segment.begin()), segment.size() * sizeof(capnp::word));
+    const std::uint64_t checksum_value = checksum(std::string_view(bytes).substr(kChecksumSize));
+    std::memcpy(bytes.data(), &checksum_value, kChecksumSize);
+    return bytes;
 }
 
-template <class Into>
-boost::leaf::result<Into> unsealed(std::string_view bytes, auto&& fill) {
-    if (bytes.size() < kMark + sizeof(capnp::word) || bytes.size() % sizeof(capnp::word) != 0)
-        return boost::leaf::new_error(Unreadable{"cut"});
-    std::uint64_t sum = 0;
-    std::memcpy(&sum, bytes.data(), kMark);
-    bytes.remove_prefix(kMark);
-    if (sum != checksum(bytes)) return boost::leaf::new_error(Unreadable{"checksum"});
+template <class Decoded>
+boost::leaf::result<Decoded> decode_checked(std::string_view bytes, auto&& read_message) {
+    if (bytes.size() < kChecksumSize + sizeof(capnp::word) || bytes.size() % sizeof(capnp::word) != 0)
+        return boost::leaf::new_error(DecodeError{"cut"});
+    std::uint64_t expected_checksum = 0;
+    std::memcpy(&expected_checksum, bytes.data(), kChecksumSize);
+    bytes.remove_prefix(kChecksumSize);
+    if (expected_checksum != checksum(bytes)) return boost::leaf::new_error(DecodeError{"checksum"});
     try {
         auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
         std::memcpy(words.asBytes().begin(), bytes.data(), bytes.size());
-        capnp::ReaderOptions limits;
-        limits.traversalLimitInWords = words.size() * 2 + 1024;
-        limits.nestingLimit = 8;
-        capnp::FlatArrayMessageReader reader(words, limits);
-        Into into;
-        fill(reader, into);
-        return into;
-    } catch (const kj::Exception& e) {
-        return boost::leaf::new_error(Unreadable{e.getDescription().cStr()});
+        capnp::ReaderOptions reader_options;
+        reader_options.traversalLimitInWords = words.size() * 2 + 1024;
+        reader_options.nestingLimit = 8;
+        capnp::FlatArrayMessageReader reader(words, reader_options);
+        Decoded decoded;
+        read_message(reader, decoded);
+        return decoded;
+    } catch (const kj::Exception& exception) {
+        return boost::leaf::new_error(DecodeError{exception.getDescription().cStr()});
     }
 }
 
@@ -123,84 +123,84 @@
 
 std::uint64_t checksum(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
-Digest digest(std::uint64_t version, std::string_view text) {
-    const XXH128_hash_t sum = XXH3_128bits(text.data(), text.size());
-    return {version, sum.low64, sum.high64};
+Digest make_digest(std::uint64_t version, std::string_view text) {
+    const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
+    return {version, hash.low64, hash.high64};
 }
 
-Head::TextAt text_at(std::uint64_t slot, std::string_view text) {
-    const XXH128_hash_t sum = XXH3_128bits(text.data(), text.size());
-    return {text.empty() ? 0 : slot, text.size(), sum.low64, sum.high64};
+StateHeader::TextReference make_text_reference(std::uint64_t slot, std::string_view text) {
+    const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
+    return {text.empty() ? 0 : slot, text.size(), hash.low64, hash.high64};
 }
 
 std::string encode(const Message& message) {
-    const std::size_t text = message.value && !message.text_as_before ? message.value->text.size() : 0;
-    const std::size_t voters = message.value ? message.value->voters.size() * 8 : 0,
-                      earlier = message.value ? message.value->earlier.size() * 3 : 0,
-                      words = 64 + voters + earlier + text / 8;
-    capnp::MallocMessageBuilder builder(static_cast<unsigned>(words));
+    const std::size_t text_size = message.entry && !message.text_omitted ? message.entry->text.size() : 0;
+    const std::size_t voter_words = message.entry ? message.entry->voters.size() * 8 : 0,
+                      digest_words = message.entry ? message.entry->earlier_digests.size() * 3 : 0,
+                      expected_words = 64 + voter_words + digest_words + text_size / 8;
+    capnp::MallocMessageBuilder builder(static_cast<unsigned>(expected_words));
     auto root = builder.initRoot<wire::Message>();
     root.setKind(static_cast<wire::Kind>(message.kind));
-    root.setDisk(message.disk);
-    root.setAt(message.at);
+    root.setDisk(message.disk_id);
+    root.setAt(message.next_instance);
     root.setInstance(message.instance);
     root.setNonce(message.nonce);
-    if (message.ballot.round != 0) write(root.initBallot(), message.ballot);
-    if (message.other.round != 0) write(root.initOther(), message.other);
-    root.setPending(message.pending);
-    if (message.value) write(root.initValue(), *message.value, !message.text_as_before);
-    return sealed(builder, words);
+    if (message.ballot.round != 0) write_fields(root.initBallot(), message.ballot);
+    if (message.other_ballot.round != 0) write_fields(root.initOther(), message.other_ballot);
+    root.setPending(message.has_accepted_entry);
+    if (message.entry) write_fields(root.initValue(), *message.entry, !message.text_omitted);
+    return add_checksum(builder, expected_words);
 }
 
 boost::leaf::result<Message> decode(std::string_view bytes) {
-    return unsealed<Message>(bytes, [](capnp::MessageReader& reader, Message& into) {
+    return decode_checked<Message>(bytes, [](capnp::MessageReader& reader, Message& decoded) {
         const auto root = reader.getRoot<wire::Message>();
         const auto kind = static_cast<std::uint16_t>(root.getKind());
-        KJ_REQUIRE(kind > 0 && kind <= static_cast<std::uint16_t>(Message::Kind::Kept), "unknown kind");
-        into.kind = static_cast<Message::Kind>(kind);
-        into.disk = root.getDisk();
-        into.at = root.getAt();
-        into.instance = root.getInstance();
-        into.nonce = root.getNonce();
-        if (root.hasBallot()) into.ballot = read(root.getBallot());
-        if (root.hasOther()) into.other = read(root.getOther());
-        into.pending = root.getPending();
+        KJ_REQUIRE(kind > 0 && kind <= static_cast<std::uint16_t>(Message::Kind::CommitAck), "unknown kind");
+        decoded.kind = static_cast<Message::Kind>(kind);
+        decoded.disk_id = root.getDisk();
+        decoded.next_instance = root.getAt();
+        decoded.instance = root.getInstance();
+        decoded.nonce = root.getNonce();
+        if (root.hasBallot()) decoded.ballot = read_fields(root.getBallot());
+        if (root.hasOther()) decoded.other_ballot = read_fields(root.getOther());
+        decoded.has_accepted_entry = root.getPending();
         if (root.hasValue()) {
-            into.text_as_before = root.getValue().getTextAsBefore();
-            into.value = read(root.getValue());
-            KJ_REQUIRE(!into.value->voters.empty(), "a decree without voters");
+            decoded.text_omitted = root.getValue().getTextAsBefore();
+            decoded.entry = read_fields(root.getValue());
+            KJ_REQUIRE(!decoded.entry->voters.empty(), "a decree without voters");
         }
     });
 }
 
-std::string encode(const Head& head) {
+std::string encode(const StateHeader& head) {
     capnp::MallocMessageBuilder builder(256);
     auto root = builder.initRoot<wire::Head>();
-    root.setDisk(head.saved.disk);
+    root.setDisk(head.state.disk_id);
     root.setSequence(head.sequence);
-    write(root.initDecree(), head.saved.decree, false);
-    write(root.initDecreeText(), head.decree);
-    write(root.initPromised(), head.saved.promised);
-    write(root.initAccepted(), head.saved.accepted);
-    if (head.saved.pending) {
-        write(root.initPending(), *head.saved.pending, false);
-        write(root.initPendingText(), head.pending);
+    write_fields(root.initDecree(), head.state.committed, false);
+    write_fields(root.initDecreeText(), head.committed_text);
+    write_fields(root.initPromised(), head.state.promised_ballot);
+    write_fields(root.initAccepted(), head.state.accepted_ballot);
+    if (head.state.accepted_entry) {
+        write_fields(root.initPending(), *head.state.accepted_entry, false);
+        write_fields(root.initPendingText(), head.accepted_text);
     }
-    return sealed(builder, 256);
+    return add_checksum(builder, 256);
 }
 
-boost::leaf::result<Head> decode_head(std::string_view bytes) {
-    return unsealed<Head>(bytes, [](capnp::MessageReader& reader, Head& into) {
+boost::leaf::result<StateHeader> decode_head(std::string_view bytes) {
+    return decode_checked<StateHeader>(bytes, [](capnp::MessageReader& reader, StateHeader& decoded) {
         const auto root = reader.getRoot<wire::Head>();
-        into.saved.disk = root.getDisk();
-        into.sequence = root.getSequence();
-        into.saved.decree = read(root.getDecree());
-        into.decree = read(root.getDecreeText());
-        into.saved.promised = read(root.getPromised());
-        into.saved.accepted = read(root.getAccepted());
+        decoded.state.disk_id = root.getDisk();
+        decoded.sequence = root.getSequence();
+        decoded.state.committed = read_fields(root.getDecree());
+        decoded.committed_text = read_fields(root.getDecreeText());
+        decoded.state.promised_ballot = read_fields(root.getPromised());
+        decoded.state.accepted_ballot = read_fields(root.getAccepted());
         if (root.hasPending()) {
-            into.saved.pending = read(root.getPending());
-            into.pending = read(root.getPendingText());
+            decoded.state.accepted_entry = read_fields(root.getPending());
+            decoded.accepted_text = read_fields(root.getPendingText());
         }
     });
 }
