--- a/src/cluster/consensus/replicated_register.cpp
+++ b/src/cluster/consensus/replicated_register.cpp
@@ -13,836 +13,906 @@
 using namespace std::chrono_literals;
 using Kind = Message::Kind;
 
-constexpr std::size_t kMostProposals = 64, kMostConfirms = 4096, kMostHeld = 512;
-constexpr std::size_t kMostFollowers = 256;
-constexpr std::uint64_t kBehind = 2;    // decrees: one may be under way to it
-constexpr int kWishRounds = 20, kTellings = 6;
-
-std::uint64_t mix(std::uint64_t x) {    // splitmix64's
-    x += 0x9e3779b97f4a7c15ull;
-    x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
-    x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
-    return x ^ (x >> 31);
+constexpr std::size_t kMaxProposals = 64, kMaxReads = 4096, kMaxDelayedReplies = 512;
+constexpr std::size_t kMaxPeers = 256;
+constexpr std::uint64_t kMaxEntriesBehind = 2;    // decrees: one may be under way to it
+constexpr int kVoterChangeRounds = 20, kMaxCommitAttempts = 6;
+
+std::uint64_t mix_bits(std::uint64_t value) {    // splitmix64's
+    value += 0x9e3779b97f4a7c15ull;
+    value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ull;
+    value = (value ^ (value >> 27)) * 0x94d049bb133111ebull;
+    return value ^ (value >> 31);
 }
 
-std::string hex(std::uint64_t x) {
-    std::string out(16, '0');
-    for (auto at = out.rbegin(); at != out.rend(); ++at, x >>= 4) *at = "0123456789abcdef"[x & 15];
-    return out;
+std::string to_hex(std::uint64_t value) {
+    std::string text(16, '0');
+    for (auto digit = text.rbegin(); digit != text.rend(); ++digit, value >>= 4)
+        *digit = "0123456789abcdef"[value & 15];
+    return text;
 }
 
-bool holds(const std::vector<Member>& voters, const Member& member) {
-    return std::find(voters.begin(), voters.end(), member) != voters.end();
+bool contains_replica(const std::vector<Replica>& voters, const Replica& replica) {
+    return std::find(voters.begin(), voters.end(), replica) != voters.end();
 }
 
-std::size_t majority(const std::vector<Member>& voters) { return voters.size() / 2 + 1; }
+std::size_t majority_size(const std::vector<Replica>& voters) { return voters.size() / 2 + 1; }
 
 }    // namespace
 
-class Lamp::Impl {
+class ReplicatedRegister::Impl {
 public:
-    Impl(Settings settings, Saved saved, TimePoint now)
-        : settings_(std::move(settings)), saved_(std::move(saved)) {
+    Impl(Settings settings, PersistentState state, TimePoint now)
+        : settings_(std::move(settings)), state_(std::move(state)) {
         // An emptied disk's number counts wherever it was given.
-        if (saved_.disk == 0) saved_.disk = settings_.me.disk;
-        settings_.me.disk = saved_.disk;
-        random_ = mix(mix(settings_.seed) ^ mix(static_cast<std::uint64_t>(now.time_since_epoch().count())) ^
-                      saved_.disk);
-        for (const char c : settings_.me.address) random_ = mix(random_ ^ static_cast<unsigned char>(c));
-        life_ = settings_.me.address + "#" + hex(draw());
-        nonce_ = draw();
-        patience_ = settings_.round_time;
-        if (saved_.decree.voters.empty() && !settings_.founders.empty()) {
+        if (state_.disk_id == 0) state_.disk_id = settings_.self.disk_id;
+        settings_.self.disk_id = state_.disk_id;
+        random_state_ =
+            mix_bits(mix_bits(settings_.seed) ^
+                     mix_bits(static_cast<std::uint64_t>(now.time_since_epoch().count())) ^ state_.disk_id);
+        for (const char character : settings_.self.address)
+            random_state_ = mix_bits(random_state_ ^ static_cast<unsigned char>(character));
+        proposer_id_ = settings_.self.address + "#" + to_hex(next_random());
+        nonce_ = next_random();
+        catch_up_timeout_ = settings_.round_timeout;
+        if (state_.committed.voters.empty() && !settings_.founders.empty()) {
             std::set<std::string> founders(settings_.founders.begin(), settings_.founders.end());
-            for (const std::string& address : founders) saved_.decree.voters.push_back({address, 0});
-            dirty_ = true;
+            for (const std::string& address : founders) state_.committed.voters.push_back({address, 0});
+            has_unsaved_state_ = true;
         }
-        if (saved_.accepted.round == 0 || !saved_.pending ||
-            saved_.pending->number != saved_.decree.number + 1) {
-            saved_.pending.reset();
-            saved_.accepted = {};
+        if (state_.accepted_ballot.round == 0 || !state_.accepted_entry ||
+            state_.accepted_entry->number != state_.committed.number + 1) {
+            state_.accepted_entry.reset();
+            state_.accepted_ballot = {};
         }
     }
 
-    void propose(Ticket ticket, std::uint64_t version, std::string text, TimePoint until) {
-        if (proposals_.size() >= kMostProposals) return done(ticket, Answer::Unsettled);
-        proposals_.push_back({ticket, version, std::move(text), turn_, until});
+    void propose(RequestId request_id, std::uint64_t version, std::string text, TimePoint deadline) {
+        if (proposals_.size() >= kMaxProposals) return complete_request(request_id, Outcome::Indeterminate);
+        proposals_.push_back({request_id, version, std::move(text), turn_, deadline});
     }
-    void quorum_read(Ticket ticket, TimePoint until) {
-        if (confirms_.size() >= kMostConfirms) return done(ticket, Answer::Unsettled);
-        confirms_.push_back({ticket, turn_, until});
+    void quorum_read(RequestId request_id, TimePoint deadline) {
+        if (pending_reads_.size() >= kMaxReads) return complete_request(request_id, Outcome::Indeterminate);
+        pending_reads_.push_back({request_id, turn_, deadline});
     }
-    void change_voters(std::vector<Member> from, std::vector<Member> to) {
-        if (to.empty() || from == to || from != saved_.decree.voters) return;
-        wish_ = Wish{std::move(from), std::move(to), now_ + settings_.round_time * kWishRounds};
+    void change_voters(std::vector<Replica> current_voters, std::vector<Replica> new_voters) {
+        if (new_voters.empty() || current_voters == new_voters || current_voters != state_.committed.voters)
+            return;
+        voter_change_ = VoterChange{std::move(current_voters), std::move(new_voters),
+                                    now_ + settings_.round_timeout * kVoterChangeRounds};
     }
-    bool follows(const Member& member, Duration within) const {
-        const auto it = followers_.find(member.address);
-        return it != followers_.end() && it->second.disk == member.disk && now_ - it->second.at <= within &&
-               it->second.decree + kBehind >= at();
+    bool is_caught_up(const Replica& replica, Duration within) const {
+        const auto progress = peer_progress_.find(replica.address);
+        return progress != peer_progress_.end() && progress->second.disk_id == replica.disk_id &&
+               now_ - progress->second.reported_at <= within &&
+               progress->second.next_instance + kMaxEntriesBehind >= next_instance();
     }
-    void heard(const std::string& from, const std::string& bytes) {
+    void on_message(const std::string& from, const std::string& bytes) {
         boost::leaf::try_handle_all(
             [&]() -> boost::leaf::result<void> {
                 BOOST_LEAF_AUTO(message, decode(bytes));
-                if (from.empty() || from == settings_.me.address) return boost::leaf::new_error();
-                hear(from, message);
+                if (from.empty() || from == settings_.self.address) return boost::leaf::new_error();
+                handle_message(from, message);
                 return {};
             },
-            [&] { ++dropped_; });
+            [&] { ++dropped_messages_; });
+    }
+    void on_stored(std::uint64_t token) {
+        stored_token_ = std::max(stored_token_, std::min(token, issued_token_));
     }
-    void stored(std::uint64_t token) { stored_ = std::max(stored_, std::min(token, issued_)); }
-    void others(std::vector<std::string> addresses) {
-        others_ = std::move(addresses);
-        std::erase_if(followers_, [this](const auto& f) {
-            return std::find(others_.begin(), others_.end(), f.first) == others_.end();
+    void set_peers(std::vector<std::string> addresses) {
+        peers_ = std::move(addresses);
+        std::erase_if(peer_progress_, [this](const auto& progress) {
+            return std::find(peers_.begin(), peers_.end(), progress.first) == peers_.end();
         });
     }
 
     // Every call from outside is a turn: what was asked in a later one is asked later, whatever the clock
     // says.
-    void begin(TimePoint now, Actions& out) {
+    void begin_call(TimePoint now, Actions& actions) {
         now_ = std::max(now_, now);
-        out_ = &out;
+        actions_ = &actions;
         ++turn_;
     }
-    void end() {
+    void finish_call() {
         for (;;) {
-            advance();
-            if (dirty_) {
-                dirty_ = false;
-                out_->stores.push_back({++issued_, saved_});
+            advance_all();
+            if (has_unsaved_state_) {
+                has_unsaved_state_ = false;
+                actions_->writes.push_back({++issued_token_, state_});
             }
-            for (Reply& reply : replies_) {
-                reply.token = issued_;
-                held_.push_back(std::move(reply));
+            for (DelayedReply& reply : new_replies_) {
+                reply.token = issued_token_;
+                delayed_replies_.push_back(std::move(reply));
             }
-            replies_.clear();
-            while (held_.size() > kMostHeld) held_.pop_front();    // as if lost on the way
-            while (!held_.empty() && held_.front().token <= stored_) {
-                const Reply reply = std::move(held_.front());
-                held_.pop_front();
-                send(reply.to, reply.message);
+            new_replies_.clear();
+            while (delayed_replies_.size() > kMaxDelayedReplies)
+                delayed_replies_.pop_front();    // as if lost on the way
+            while (!delayed_replies_.empty() && delayed_replies_.front().token <= stored_token_) {
+                const DelayedReply reply = std::move(delayed_replies_.front());
+                delayed_replies_.pop_front();
+                send_message(reply.recipient, reply.message);
             }
-            if (own_.empty()) break;
-            std::vector<Message> own;
-            own.swap(own_);
-            for (const Message& message : own) hear(settings_.me.address, message);
+            if (local_messages_.empty()) break;
+            std::vector<Message> local_messages;
+            local_messages.swap(local_messages_);
+            for (const Message& message : local_messages) handle_message(settings_.self.address, message);
         }
-        out_ = nullptr;
+        actions_ = nullptr;
     }
 
-    std::optional<TimePoint> next() const {
-        std::optional<TimePoint> at;
-        const auto by = [&at](TimePoint when) {
-            if (!at || when < *at) at = when;
+    std::optional<TimePoint> next_deadline() const {
+        std::optional<TimePoint> deadline;
+        const auto consider = [&deadline](TimePoint candidate) {
+            if (!deadline || candidate < *deadline) deadline = candidate;
         };
-        if (dirty_) by(now_);
-        for (const Proposal& p : proposals_) by(p.until);
-        for (const Confirm& c : confirms_) by(c.until);
-        if (wish_) by(wish_->until);
-        if (round_) by(round_->due);
-        if (!round_ && this->at() > 0 && wants_decision()) by(retry_at_);
-        if (read_) by(read_->patience ? std::min(read_->due, *read_->patience) : read_->due);
-        if (this->at() == 0 && waits()) by(seek_at_);
-        if (wanted_) by(wanted_->due);
-        if (telling_) by(telling_->due);
-        return at;
-    }
-    const Decree& decree() const { return saved_.decree; }
-    std::optional<TimePoint> confirmed() const { return confirmed_; }
-    bool is_voter() const { return holds(saved_.decree.voters, settings_.me); }
-    std::uint64_t dropped() const { return dropped_; }
-    std::string picture() const;
+        if (has_unsaved_state_) consider(now_);
+        for (const Proposal& proposal : proposals_) consider(proposal.deadline);
+        for (const PendingRead& read : pending_reads_) consider(read.deadline);
+        if (voter_change_) consider(voter_change_->deadline);
+        if (round_) consider(round_->retry_at);
+        if (!round_ && this->next_instance() > 0 && needs_round()) consider(next_round_at_);
+        if (read_)
+            consider(read_->contention_deadline ? std::min(read_->retry_at, *read_->contention_deadline)
+                                                : read_->retry_at);
+        if (this->next_instance() == 0 && has_pending_requests()) consider(next_probe_at_);
+        if (catch_up_) consider(catch_up_->retry_at);
+        if (commit_broadcast_) consider(commit_broadcast_->retry_at);
+        return deadline;
+    }
+    const LogEntry& committed_entry() const { return state_.committed; }
+    std::optional<TimePoint> quorum_confirmed_at() const { return quorum_confirmed_at_; }
+    bool is_voter() const { return contains_replica(state_.committed.voters, settings_.self); }
+    std::uint64_t dropped_messages() const { return dropped_messages_; }
+    std::string describe_state() const;
 
 private:
     struct Proposal {
-        Ticket ticket = 0;
+        RequestId request_id = 0;
         std::uint64_t version = 0;
         std::string text;
-        std::uint64_t asked = 0;    // turn
-        TimePoint until;
+        std::uint64_t turn = 0;    // turn
+        TimePoint deadline;
     };
-    struct Confirm {
-        Ticket ticket = 0;
-        std::uint64_t asked = 0;
-        TimePoint until;
+    struct PendingRead {
+        RequestId request_id = 0;
+        std::uint64_t turn = 0;
+        TimePoint deadline;
     };
-    struct Wish {
-        std::vector<Member> from, to;    // voters
-        TimePoint until;
+    struct VoterChange {
+        std::vector<Replica> current_voters, new_voters;    // voters
+        TimePoint deadline;
     };
-    struct Follower {    // what a lighthouse last said of itself
-        std::uint64_t disk = 0, decree = 0;
-        TimePoint at;
+    struct PeerProgress {    // what a lighthouse last said of itself
+        std::uint64_t disk_id = 0, next_instance = 0;
+        TimePoint reported_at;
     };
-    struct Round {    // about the next decree
-        bool accepting = false;
+    struct BallotRound {    // about the next decree
+        bool in_accept_phase = false;
         Ballot ballot;
-        TimePoint begun, due;    // of the phase
+        TimePoint started_at, retry_at;    // of the phase
         std::uint64_t turn = 0;
-        Duration wait{};
-        std::set<std::string> yes, no;
-        Ballot own;    // what was accepted here when it began
-        std::optional<Decree> own_value;
-        Ballot best;    // the highest that was accepted by any who promised
-        std::optional<Decree> value;
+        Duration retry_interval{};
+        std::set<std::string> approvals, rejections;
+        Ballot own_ballot;    // what was accepted here when it began
+        std::optional<LogEntry> own_entry;
+        Ballot highest_ballot;    // the highest that was accepted by any who promised
+        std::optional<LogEntry> entry;
     };
-    struct Read {
+    struct QuorumRead {
         std::uint64_t nonce = 0;
-        TimePoint begun, due;
+        TimePoint started_at, retry_at;
         std::uint64_t turn = 0;
-        Duration wait{};
-        std::map<std::string, bool> answers;    // of those that hold this decree: is something accepted?
-        std::optional<TimePoint> patience;      // until which another's work is left to end by itself
+        Duration retry_interval{};
+        std::map<std::string, bool> replies;    // of those that hold this decree: is something accepted?
+        std::optional<TimePoint>
+            contention_deadline;    // until which another's work is left to end by itself
     };
-    struct Reply {
+    struct DelayedReply {
         std::uint64_t token = 0;
-        std::string to;
+        std::string recipient;
         Message message;
     };
-    struct Wanted {    // one answer at a time, as a link may be slow and texts long
-        std::uint64_t at = 0;
-        std::string from;          // who told of it last
-        std::uint64_t held = 0;    // the version, when asked
-        TimePoint asked, due;
-        int tries = 0;
+    struct CatchUp {    // one answer at a time, as a link may be slow and texts long
+        std::uint64_t target_instance = 0;
+        std::string source;                 // who told of it last
+        std::uint64_t known_version = 0;    // the version, when asked
+        TimePoint requested_at, retry_at;
+        int attempts = 0;
     };
-    struct Telling {    // of a decree that was decided here, to the sets of voters
-        std::uint64_t at = 0;
-        std::set<std::string> lacking;
-        TimePoint due;
-        Duration wait{};
-        int tries = 0;
+    struct CommitBroadcast {    // of a decree that was decided here, to the sets of voters
+        std::uint64_t next_instance = 0;
+        std::set<std::string> unacknowledged;
+        TimePoint retry_at;
+        Duration retry_interval{};
+        int attempts = 0;
     };
 
-    std::uint64_t at() const { return saved_.decree.voters.empty() ? 0 : saved_.decree.number + 1; }
-    bool votes() const { return settings_.votes && is_voter(); }
-    std::uint64_t draw() { return mix(random_ += 0x9e3779b97f4a7c15ull); }
-    Duration draw(Duration from, Duration to) {
-        return from +
-               Duration(static_cast<Duration::rep>(
-                   draw() % static_cast<std::uint64_t>(std::max<Duration::rep>((to - from).count(), 1))));
-    }
-    void done(Ticket ticket, Answer answer) { out_->done.push_back({ticket, answer}); }
-
-    Message message(Kind kind) const {
-        Message m;
-        m.kind = kind;
-        m.disk = saved_.disk;
-        m.at = at();
-        return m;
-    }
-    void put_value(Message& m, const Decree& value) const {
-        m.text_as_before = value.version == saved_.decree.version && value.text == saved_.decree.text;
-        m.value = value;
-        m.value->earlier.clear();
-        if (m.text_as_before) m.value->text.clear();
+    std::uint64_t next_instance() const {
+        return state_.committed.voters.empty() ? 0 : state_.committed.number + 1;
+    }
+    bool may_vote() const { return settings_.can_vote && is_voter(); }
+    std::uint64_t next_random() { return mix_bits(random_state_ += 0x9e3779b97f4a7c15ull); }
+    Duration next_random(Duration lower, Duration upper) {
+        return lower + Duration(static_cast<Duration::rep>(
+                           next_random() %
+                           static_cast<std::uint64_t>(std::max<Duration::rep>((upper - lower).count(), 1))));
+    }
+    void complete_request(RequestId request_id, Outcome outcome) {
+        actions_->completions.push_back({request_id, outcome});
+    }
+
+    Message make_message(Kind kind) const {
+        Message message;
+        message.kind = kind;
+        message.disk_id = state_.disk_id;
+        message.next_instance = next_instance();
+        return message;
+    }
+    void set_message_entry(Message& message, const LogEntry& entry) const {
+        message.text_omitted =
+            entry.version == state_.committed.version && entry.text == state_.committed.text;
+        message.entry = entry;
+        message.entry->earlier_digests.clear();
+        if (message.text_omitted) message.entry->text.clear();
     }
     // The value with its text in place, or none where it is not one that can follow the decree held.
-    std::optional<Decree> take_value(const Message& m) const {
-        if (!m.value || m.value->number != at()) return std::nullopt;
-        Decree value = *m.value;
-        const Decree& held = saved_.decree;
-        if (m.text_as_before) value.text = held.text;
-        if (value.version < held.version || (value.version == held.version && value.text != held.text))
+    std::optional<LogEntry> entry_from_message(const Message& message) const {
+        if (!message.entry || message.entry->number != next_instance()) return std::nullopt;
+        LogEntry entry = *message.entry;
+        const LogEntry& current = state_.committed;
+        if (message.text_omitted) entry.text = current.text;
+        if (entry.version < current.version ||
+            (entry.version == current.version && entry.text != current.text))
             return std::nullopt;
-        value.earlier = earlier(value.version);
-        return value;
+        entry.earlier_digests = digests_before(entry.version);
+        return entry;
     }
     // What a decree of this version remembers that follows the one held: the same at every voter.
-    std::vector<Digest> earlier(std::uint64_t version) const {
-        const Decree& held = saved_.decree;
-        std::vector<Digest> out = held.earlier;
-        if (version == held.version || held.version == 0) return out;
-        out.push_back(digest(held.version, held.text));
-        if (out.size() > kMostEarlier) out.erase(out.begin());
-        return out;
-    }
-    void send(const std::string& to, const Message& m) {
-        if (to == settings_.me.address) own_.push_back(m);
-        else out_->sends.push_back({to, encode(m)});
+    std::vector<Digest> digests_before(std::uint64_t version) const {
+        const LogEntry& current = state_.committed;
+        std::vector<Digest> digests = current.earlier_digests;
+        if (version == current.version || current.version == 0) return digests;
+        digests.push_back(make_digest(current.version, current.text));
+        if (digests.size() > kMaxEarlierDigests) digests.erase(digests.begin());
+        return digests;
+    }
+    void send_message(const std::string& recipient, const Message& message) {
+        if (recipient == settings_.self.address) local_messages_.push_back(message);
+        else actions_->messages.push_back({recipient, encode(message)});
     }
     template <class Addresses>
-    void send_all(const Addresses& to, const Message& m) {
+    void send_to_all(const Addresses& recipients, const Message& message) {
         std::string bytes;
-        for (const std::string& address : to) {
-            if (address == settings_.me.address) {
-                own_.push_back(m);
+        for (const std::string& address : recipients) {
+            if (address == settings_.self.address) {
+                local_messages_.push_back(message);
                 continue;
             }
-            if (bytes.empty()) bytes = encode(m);
-            out_->sends.push_back({address, bytes});
+            if (bytes.empty()) bytes = encode(message);
+            actions_->messages.push_back({address, bytes});
         }
     }
     // Waits for all that the answer may rest on to be on the disk.
-    void reply(const std::string& to, Message m) { replies_.push_back({0, to, std::move(m)}); }
+    void reply_when_stored(const std::string& recipient, Message message) {
+        new_replies_.push_back({0, recipient, std::move(message)});
+    }
 
     std::set<std::string> voter_addresses() const {
-        std::set<std::string> out;
-        for (const Member& m : saved_.decree.voters) out.insert(m.address);
-        return out;
-    }
-    bool counts(const std::string& from, const Message& m) const {
-        return holds(saved_.decree.voters, {from, m.disk});
-    }
-
-    void hear(const std::string& from, const Message& m) {
-        if (followers_.contains(from) || followers_.size() < kMostFollowers)
-            followers_[from] = {m.disk, m.at, now_};
-        switch (m.kind) {
-            case Kind::Prepare: hear_prepare(from, m); break;
-            case Kind::Accept: hear_accept(from, m); break;
-            case Kind::Promise: hear_promise(from, m); break;
-            case Kind::Accepted: hear_accepted(from, m); break;
-            case Kind::Refused: hear_refused(from, m); break;
-            case Kind::Ask: {
-                Message answer = message(Kind::State);
-                answer.nonce = m.nonce;
-                answer.pending = saved_.accepted.round != 0;
-                reply(from, std::move(answer));
+        std::set<std::string> addresses;
+        for (const Replica& voter : state_.committed.voters) addresses.insert(voter.address);
+        return addresses;
+    }
+    bool is_from_voter(const std::string& from, const Message& message) const {
+        return contains_replica(state_.committed.voters, {from, message.disk_id});
+    }
+
+    void handle_message(const std::string& from, const Message& message) {
+        if (peer_progress_.contains(from) || peer_progress_.size() < kMaxPeers)
+            peer_progress_[from] = {message.disk_id, message.next_instance, now_};
+        switch (message.kind) {
+            case Kind::Prepare: handle_prepare(from, message); break;
+            case Kind::Accept: handle_accept(from, message); break;
+            case Kind::Promise: handle_promise(from, message); break;
+            case Kind::Accepted: handle_accepted(from, message); break;
+            case Kind::Rejected: handle_rejected(from, message); break;
+            case Kind::ReadRequest: {
+                Message reply = make_message(Kind::ReadReply);
+                reply.nonce = message.nonce;
+                reply.has_accepted_entry = state_.accepted_ballot.round != 0;
+                reply_when_stored(from, std::move(reply));
                 break;
             }
-            case Kind::State: hear_state(from, m); break;
-            case Kind::Notice:
+            case Kind::ReadReply: handle_read_reply(from, message); break;
+            case Kind::Commit:
                 // What was accepted under the ballot under which the next decree was chosen is that decree.
-                if (at() > 0 && m.at == at() + 1 && saved_.pending && saved_.accepted == m.ballot)
-                    adopt(Decree(*saved_.pending), m.ballot);
-                if (m.at == at()) reply(from, message(Kind::Kept));
-                else if (m.at < at()) notify(from);
+                if (next_instance() > 0 && message.next_instance == next_instance() + 1 &&
+                    state_.accepted_entry && state_.accepted_ballot == message.ballot)
+                    install_entry(LogEntry(*state_.accepted_entry), message.ballot);
+                if (message.next_instance == next_instance())
+                    reply_when_stored(from, make_message(Kind::CommitAck));
+                else if (message.next_instance < next_instance()) send_commit(from);
                 break;
-            case Kind::Wanted:
-                if (m.at < at()) {
-                    Message learn = message(Kind::Learn);
-                    learn.nonce = m.nonce;
-                    learn.ballot = chosen_;
-                    learn.value = saved_.decree;
-                    learn.text_as_before = m.at > 0 && m.nonce == saved_.decree.version;
-                    if (learn.text_as_before) learn.value->text.clear();
-                    send(from, learn);
+            case Kind::FetchRequest:
+                if (message.next_instance < next_instance()) {
+                    Message fetch_reply = make_message(Kind::FetchReply);
+                    fetch_reply.nonce = message.nonce;
+                    fetch_reply.ballot = committed_ballot_;
+                    fetch_reply.entry = state_.committed;
+                    fetch_reply.text_omitted =
+                        message.next_instance > 0 && message.nonce == state_.committed.version;
+                    if (fetch_reply.text_omitted) fetch_reply.entry->text.clear();
+                    send_message(from, fetch_reply);
                 }
                 break;
-            case Kind::Learn: hear_learn(from, m); break;
-            case Kind::Kept:
-                if (telling_ && m.at >= telling_->at) telling_->lacking.erase(from);
-                if (telling_ && telling_->lacking.empty()) telling_.reset();
-                if (read_ && m.at == at() && counts(from, m) && !read_->answers.contains(from)) {
-                    Message ask = message(Kind::Ask);
-                    ask.nonce = read_->nonce;
-                    send(from, ask);
+            case Kind::FetchReply: handle_fetch_reply(from, message); break;
+            case Kind::CommitAck:
+                if (commit_broadcast_ && message.next_instance >= commit_broadcast_->next_instance)
+                    commit_broadcast_->unacknowledged.erase(from);
+                if (commit_broadcast_ && commit_broadcast_->unacknowledged.empty()) commit_broadcast_.reset();
+                if (read_ && message.next_instance == next_instance() && is_from_voter(from, message) &&
+                    !read_->replies.contains(from)) {
+                    Message request = make_message(Kind::ReadRequest);
+                    request.nonce = read_->nonce;
+                    send_message(from, request);
                 }
                 break;
             case Kind::None: break;
         }
-        if (m.at > at()) want(from, m.at);
+        if (message.next_instance > next_instance()) request_entry(from, message.next_instance);
     }
 
     // --- the voter
 
     // Who is behind is told so; who is ahead is asked by hear() itself.
-    bool about_next(const std::string& from, const Message& m) {
-        if (at() > 0 && m.instance == at()) return votes();
-        if (m.instance < at()) notify(from);
+    bool concerns_next_instance(const std::string& from, const Message& message) {
+        if (next_instance() > 0 && message.instance == next_instance()) return may_vote();
+        if (message.instance < next_instance()) send_commit(from);
         return false;
     }
-    void hear_prepare(const std::string& from, const Message& m) {
-        if (!about_next(from, m) || m.ballot.round == 0) return;
-        seen_ = std::max(seen_, m.ballot.round);
-        if (m.ballot < saved_.promised) return refuse(from, m);
-        if (saved_.promised < m.ballot) {
-            saved_.promised = m.ballot;
-            dirty_ = true;
+    void handle_prepare(const std::string& from, const Message& message) {
+        if (!concerns_next_instance(from, message) || message.ballot.round == 0) return;
+        highest_round_seen_ = std::max(highest_round_seen_, message.ballot.round);
+        if (message.ballot < state_.promised_ballot) return reject_ballot(from, message);
+        if (state_.promised_ballot < message.ballot) {
+            state_.promised_ballot = message.ballot;
+            has_unsaved_state_ = true;
         }
-        Message promise = message(Kind::Promise);
-        promise.instance = m.instance;
-        promise.ballot = m.ballot;
-        promise.other = saved_.accepted;
-        if (saved_.pending && saved_.accepted != m.other) put_value(promise, *saved_.pending);
-        reply(from, std::move(promise));
-    }
-    void hear_accept(const std::string& from, const Message& m) {
-        if (!about_next(from, m) || m.ballot.round == 0) return;
-        seen_ = std::max(seen_, m.ballot.round);
-        if (m.ballot < saved_.promised) return refuse(from, m);
-        if (saved_.accepted != m.ballot) {    // else a copy
-            std::optional<Decree> value = take_value(m);
-            if (!value) return;
-            saved_.promised = saved_.accepted = m.ballot;
-            saved_.pending = std::move(value);
-            dirty_ = true;
+        Message promise = make_message(Kind::Promise);
+        promise.instance = message.instance;
+        promise.ballot = message.ballot;
+        promise.other_ballot = state_.accepted_ballot;
+        if (state_.accepted_entry && state_.accepted_ballot != message.other_ballot)
+            set_message_entry(promise, *state_.accepted_entry);
+        reply_when_stored(from, std::move(promise));
+    }
+    void handle_accept(const std::string& from, const Message& message) {
+        if (!concerns_next_instance(from, message) || message.ballot.round == 0) return;
+        highest_round_seen_ = std::max(highest_round_seen_, message.ballot.round);
+        if (message.ballot < state_.promised_ballot) return reject_ballot(from, message);
+        if (state_.accepted_ballot != message.ballot) {    // else a copy
+            std::optional<LogEntry> entry = entry_from_message(message);
+            if (!entry) return;
+            state_.promised_ballot = state_.accepted_ballot = message.ballot;
+            state_.accepted_entry = std::move(entry);
+            has_unsaved_state_ = true;
         }
-        Message accepted = message(Kind::Accepted);
-        accepted.instance = m.instance;
-        accepted.ballot = m.ballot;
-        reply(from, std::move(accepted));
+        Message reply = make_message(Kind::Accepted);
+        reply.instance = message.instance;
+        reply.ballot = message.ballot;
+        reply_when_stored(from, std::move(reply));
     }
-    void refuse(const std::string& from, const Message& m) {
-        Message refused = message(Kind::Refused);
-        refused.instance = m.instance;
-        refused.ballot = m.ballot;
-        refused.other = saved_.promised;
-        reply(from, std::move(refused));
+    void reject_ballot(const std::string& from, const Message& message) {
+        Message rejection = make_message(Kind::Rejected);
+        rejection.instance = message.instance;
+        rejection.ballot = message.ballot;
+        rejection.other_ballot = state_.promised_ballot;
+        reply_when_stored(from, std::move(rejection));
     }
 
     // --- decrees that others decided
 
-    void notify(const std::string& to) {
-        Message notice = message(Kind::Notice);
-        notice.ballot = chosen_;
-        send(to, notice);
-    }
-    void hear_learn(const std::string& from, const Message& m) {
-        if (!m.value || m.value->number + 1 != m.at) return;
-        const bool awaited = wanted_ && m.nonce == wanted_->held;    // else the answer to an earlier one
-        if (awaited)
-            patience_ =
-                std::min(std::max((now_ - wanted_->asked) * 2, settings_.round_time), settings_.longest_wait);
-        if (m.at > at()) {
-            Decree decree = *m.value;
-            if (m.text_as_before) {
-                if (at() == 0 || decree.version != saved_.decree.version) return;
-                decree.text = saved_.decree.text;
+    void send_commit(const std::string& recipient) {
+        Message commit = make_message(Kind::Commit);
+        commit.ballot = committed_ballot_;
+        send_message(recipient, commit);
+    }
+    void handle_fetch_reply(const std::string& from, const Message& message) {
+        if (!message.entry || message.entry->number + 1 != message.next_instance) return;
+        const bool expected =
+            catch_up_ && message.nonce == catch_up_->known_version;    // else the answer to an earlier one
+        if (expected)
+            catch_up_timeout_ =
+                std::min(std::max((now_ - catch_up_->requested_at) * 2, settings_.round_timeout),
+                         settings_.max_retry_interval);
+        if (message.next_instance > next_instance()) {
+            LogEntry entry = *message.entry;
+            if (message.text_omitted) {
+                if (next_instance() == 0 || entry.version != state_.committed.version) return;
+                entry.text = state_.committed.text;
             }
-            adopt(std::move(decree), m.ballot);
+            install_entry(std::move(entry), message.ballot);
         }
-        if (awaited && wanted_->at > at()) begin_wanted(wanted_->from, wanted_->at);    // it was overtaken
-        else if (awaited) wanted_.reset();
-        if (m.at == at()) reply(from, message(Kind::Kept));
-    }
-    void want(const std::string& from, std::uint64_t target) {
-        if (!wanted_) return begin_wanted(from, target);
-        if (target < wanted_->at && wanted_->tries == 0) return;    // else who told of that may be gone
-        wanted_->at = target;
-        wanted_->from = from;
-    }
-    void begin_wanted(std::string from, std::uint64_t target) {
-        wanted_ = {target, std::move(from), saved_.decree.version, now_, now_ + patience_, 0};
-        ask_wanted();
-    }
-    void ask_wanted() {
-        Message m = message(Kind::Wanted);
-        m.nonce = wanted_->held = saved_.decree.version;
-        send(wanted_->from, m);
+        if (expected && catch_up_->target_instance > next_instance())
+            start_catch_up(catch_up_->source, catch_up_->target_instance);    // it was overtaken
+        else if (expected) catch_up_.reset();
+        if (message.next_instance == next_instance()) reply_when_stored(from, make_message(Kind::CommitAck));
+    }
+    void request_entry(const std::string& source, std::uint64_t target_instance) {
+        if (!catch_up_) return start_catch_up(source, target_instance);
+        if (target_instance < catch_up_->target_instance && catch_up_->attempts == 0)
+            return;    // else who told of that may be gone
+        catch_up_->target_instance = target_instance;
+        catch_up_->source = source;
+    }
+    void start_catch_up(std::string source, std::uint64_t target_instance) {
+        catch_up_ = {
+            target_instance, std::move(source), state_.committed.version, now_, now_ + catch_up_timeout_, 0};
+        send_fetch_request();
+    }
+    void send_fetch_request() {
+        Message message = make_message(Kind::FetchRequest);
+        message.nonce = catch_up_->known_version = state_.committed.version;
+        send_message(catch_up_->source, message);
     }
     // All that is about the decree that follows begins anew with each decree.
-    void adopt(Decree decree, const Ballot& chosen) {
-        saved_.decree = std::move(decree);
-        saved_.promised = saved_.accepted = {};
-        saved_.pending.reset();
-        chosen_ = chosen;
-        dirty_ = true;
-        out_->changed = true;
+    void install_entry(LogEntry entry, const Ballot& ballot) {
+        state_.committed = std::move(entry);
+        state_.promised_ballot = state_.accepted_ballot = {};
+        state_.accepted_entry.reset();
+        committed_ballot_ = ballot;
+        has_unsaved_state_ = true;
+        actions_->entry_changed = true;
         round_.reset();
         read_.reset();
-        complete_ = owes_read_ = false;
-        losses_ = 0;
-        seen_ = 0;
-        retry_at_ = now_;
-        if (wish_ && wish_->from != saved_.decree.voters) wish_.reset();    // another's change came first
-        if (telling_ && telling_->at < at()) telling_.reset();
-    }
-    void seek() {
-        std::set<std::string> to(others_.begin(), others_.end());
-        to.insert(settings_.founders.begin(), settings_.founders.end());
-        to.erase(settings_.me.address);
-        for (const Member& m : saved_.decree.voters) to.erase(m.address);
-        Message ask = message(Kind::Ask);    // any answer says how far its sender is
-        send_all(to, ask);
+        must_complete_accepted_ = must_confirm_ = false;
+        failed_rounds_ = 0;
+        highest_round_seen_ = 0;
+        next_round_at_ = now_;
+        if (voter_change_ && voter_change_->current_voters != state_.committed.voters)
+            voter_change_.reset();    // another's change came first
+        if (commit_broadcast_ && commit_broadcast_->next_instance < next_instance())
+            commit_broadcast_.reset();
+    }
+    void probe_peers() {
+        std::set<std::string> recipients(peers_.begin(), peers_.end());
+        recipients.insert(settings_.founders.begin(), settings_.founders.end());
+        recipients.erase(settings_.self.address);
+        for (const Replica& voter : state_.committed.voters) recipients.erase(voter.address);
+        Message request = make_message(Kind::ReadRequest);    // any answer says how far its sender is
+        send_to_all(recipients, request);
     }
 
     // --- the proposer
 
-    bool newer(const Proposal& p) const { return p.version > saved_.decree.version; }
-    bool wants_decision() const {
-        return complete_ || wish_ ||
-               std::any_of(proposals_.begin(), proposals_.end(), [this](const auto& p) { return newer(p); });
-    }
-    bool wants_read() const {
-        return owes_read_ || !confirms_.empty() ||
-               std::any_of(proposals_.begin(), proposals_.end(), [this](const auto& p) { return !newer(p); });
-    }
-    bool waits() const { return !proposals_.empty() || !confirms_.empty(); }
-
-    void begin_round() {
-        Round round;
-        round.ballot = {std::max({seen_, saved_.promised.round, saved_.accepted.round}) + 1, life_};
-        seen_ = round.ballot.round;
-        round.begun = now_;
+    bool is_newer(const Proposal& proposal) const { return proposal.version > state_.committed.version; }
+    bool needs_round() const {
+        return must_complete_accepted_ || voter_change_ ||
+               std::any_of(proposals_.begin(), proposals_.end(),
+                           [this](const auto& proposal) { return is_newer(proposal); });
+    }
+    bool needs_read() const {
+        return must_confirm_ || !pending_reads_.empty() ||
+               std::any_of(proposals_.begin(), proposals_.end(),
+                           [this](const auto& proposal) { return !is_newer(proposal); });
+    }
+    bool has_pending_requests() const { return !proposals_.empty() || !pending_reads_.empty(); }
+
+    void start_round() {
+        BallotRound round;
+        round.ballot = {
+            std::max({highest_round_seen_, state_.promised_ballot.round, state_.accepted_ballot.round}) + 1,
+            proposer_id_};
+        highest_round_seen_ = round.ballot.round;
+        round.started_at = now_;
         round.turn = turn_;
-        round.wait = settings_.round_time;
-        round.due = now_ + round.wait;
-        if (saved_.pending) {
-            round.own = saved_.accepted;
-            round.own_value = saved_.pending;
+        round.retry_interval = settings_.round_timeout;
+        round.retry_at = now_ + round.retry_interval;
+        if (state_.accepted_entry) {
+            round.own_ballot = state_.accepted_ballot;
+            round.own_entry = state_.accepted_entry;
         }
         round_ = std::move(round);
-        send_round(voter_addresses());
-    }
-    void send_round(const std::set<std::string>& to) {
-        Message m = message(round_->accepting ? Kind::Accept : Kind::Prepare);
-        m.instance = at();
-        m.ballot = round_->ballot;
-        if (round_->accepting) put_value(m, *round_->value);
-        else m.other = round_->own;
-        send_all(to, m);
-    }
-    bool about_round(const std::string& from, const Message& m) const {
-        return round_ && m.instance == at() && m.ballot == round_->ballot && counts(from, m);
-    }
-    void hear_promise(const std::string& from, const Message& m) {
-        if (!about_round(from, m) || round_->accepting) return;
-        if (m.other.round != 0 && round_->best < m.other) {
-            std::optional<Decree> value;
-            if (m.value) value = take_value(m);
-            else if (m.other == round_->own) value = round_->own_value;
-            if (!value) return;    // no vote that could be followed
-            round_->best = m.other;
-            round_->value = std::move(value);
+        send_round_messages(voter_addresses());
+    }
+    void send_round_messages(const std::set<std::string>& recipients) {
+        Message message = make_message(round_->in_accept_phase ? Kind::Accept : Kind::Prepare);
+        message.instance = next_instance();
+        message.ballot = round_->ballot;
+        if (round_->in_accept_phase) set_message_entry(message, *round_->entry);
+        else message.other_ballot = round_->own_ballot;
+        send_to_all(recipients, message);
+    }
+    bool matches_round(const std::string& from, const Message& message) const {
+        return round_ && message.instance == next_instance() && message.ballot == round_->ballot &&
+               is_from_voter(from, message);
+    }
+    void handle_promise(const std::string& from, const Message& message) {
+        if (!matches_round(from, message) || round_->in_accept_phase) return;
+        if (message.other_ballot.round != 0 && round_->highest_ballot < message.other_ballot) {
+            std::optional<LogEntry> entry;
+            if (message.entry) entry = entry_from_message(message);
+            else if (message.other_ballot == round_->own_ballot) entry = round_->own_entry;
+            if (!entry) return;    // no vote that could be followed
+            round_->highest_ballot = message.other_ballot;
+            round_->entry = std::move(entry);
         }
-        round_->yes.insert(from);
-        if (round_->yes.size() < majority(saved_.decree.voters)) return;
-        if (round_->best.round == 0) {    // nothing was chosen when this round began
-            bear_out(round_->begun, round_->turn);
-            complete_ = false;
-            round_->value = own_value();
-            if (!round_->value) return round_.reset();
+        round_->approvals.insert(from);
+        if (round_->approvals.size() < majority_size(state_.committed.voters)) return;
+        if (round_->highest_ballot.round == 0) {    // nothing was chosen when this round began
+            record_confirmation(round_->started_at, round_->turn);
+            must_complete_accepted_ = false;
+            round_->entry = choose_entry();
+            if (!round_->entry) return round_.reset();
         }
-        round_->accepting = true;
-        round_->begun = now_;
+        round_->in_accept_phase = true;
+        round_->started_at = now_;
         round_->turn = turn_;
-        round_->wait = settings_.round_time;
-        round_->due = now_ + round_->wait;
-        round_->yes.clear();
-        round_->no.clear();
-        round_->own_value.reset();
-        send_round(voter_addresses());
+        round_->retry_interval = settings_.round_timeout;
+        round_->retry_at = now_ + round_->retry_interval;
+        round_->approvals.clear();
+        round_->rejections.clear();
+        round_->own_entry.reset();
+        send_round_messages(voter_addresses());
     }
     // The highest version asked for here; with none, the voters's change.
-    std::optional<Decree> own_value() {
-        const Proposal* best = nullptr;
-        for (const Proposal& p : proposals_)
-            if (newer(p) && (!best || p.version > best->version)) best = &p;
-        Decree value;
-        value.number = at();
-        value.voters = saved_.decree.voters;
-        value.earlier = earlier(best ? best->version : saved_.decree.version);
-        if (best) {
-            value.version = best->version;
-            value.text = best->text;
-            return value;
+    std::optional<LogEntry> choose_entry() {
+        const Proposal* newest_proposal = nullptr;
+        for (const Proposal& proposal : proposals_)
+            if (is_newer(proposal) && (!newest_proposal || proposal.version > newest_proposal->version))
+                newest_proposal = &proposal;
+        LogEntry entry;
+        entry.number = next_instance();
+        entry.voters = state_.committed.voters;
+        entry.earlier_digests =
+            digests_before(newest_proposal ? newest_proposal->version : state_.committed.version);
+        if (newest_proposal) {
+            entry.version = newest_proposal->version;
+            entry.text = newest_proposal->text;
+            return entry;
         }
-        if (!wish_) return std::nullopt;
-        value.voters = wish_->to;
-        value.version = saved_.decree.version;
-        value.text = saved_.decree.text;
-        return value;
-    }
-    void hear_accepted(const std::string& from, const Message& m) {
-        if (!about_round(from, m) || !round_->accepting) return;
-        round_->yes.insert(from);
-        if (round_->yes.size() >= majority(saved_.decree.voters)) decide();
-    }
-    void hear_refused(const std::string& from, const Message& m) {
-        if (m.instance == at() && counts(from, m)) seen_ = std::max(seen_, m.other.round);
-        if (!about_round(from, m) || round_->yes.contains(from)) return;
-        round_->no.insert(from);
-        if (round_->no.size() + majority(saved_.decree.voters) > saved_.decree.voters.size()) back_off();
-    }
-    void back_off() {
+        if (!voter_change_) return std::nullopt;
+        entry.voters = voter_change_->new_voters;
+        entry.version = state_.committed.version;
+        entry.text = state_.committed.text;
+        return entry;
+    }
+    void handle_accepted(const std::string& from, const Message& message) {
+        if (!matches_round(from, message) || !round_->in_accept_phase) return;
+        round_->approvals.insert(from);
+        if (round_->approvals.size() >= majority_size(state_.committed.voters)) commit_round();
+    }
+    void handle_rejected(const std::string& from, const Message& message) {
+        if (message.instance == next_instance() && is_from_voter(from, message))
+            highest_round_seen_ = std::max(highest_round_seen_, message.other_ballot.round);
+        if (!matches_round(from, message) || round_->approvals.contains(from)) return;
+        round_->rejections.insert(from);
+        if (round_->rejections.size() + majority_size(state_.committed.voters) >
+            state_.committed.voters.size())
+            back_off_round();
+    }
+    void back_off_round() {
         round_.reset();
-        losses_ = std::min(losses_ + 1, 5);
-        const Duration most =
-            std::min<Duration>(settings_.round_time / 16 * (1 << losses_), settings_.longest_wait);
-        retry_at_ = now_ + draw(most / 8, most);
-    }
-    void decide() {
-        std::set<std::string> to = voter_addresses();
-        const std::vector<Member> before = saved_.decree.voters;
-        const TimePoint begun = round_->begun;
+        failed_rounds_ = std::min(failed_rounds_ + 1, 5);
+        const Duration max_delay = std::min<Duration>(settings_.round_timeout / 16 * (1 << failed_rounds_),
+                                                      settings_.max_retry_interval);
+        next_round_at_ = now_ + next_random(max_delay / 8, max_delay);
+    }
+    void commit_round() {
+        std::set<std::string> recipients = voter_addresses();
+        const std::vector<Replica> previous_voters = state_.committed.voters;
+        const TimePoint started_at = round_->started_at;
         const std::uint64_t turn = round_->turn;
         const Ballot ballot = round_->ballot;
-        adopt(std::move(*round_->value), ballot);
-        if (saved_.decree.voters == before) {
+        install_entry(std::move(*round_->entry), ballot);
+        if (state_.committed.voters == previous_voters) {
             // Whoever keeps it now is asked for each later one, so none was chosen when it was sent out.
-            bear_out(begun, turn);
-        } else owes_read_ = true;    // nothing is answered before a majority of the new voters keeps it
-        to.merge(voter_addresses());
-        to.erase(settings_.me.address);
-        telling_ = {at(), to, now_ + settings_.round_time, settings_.round_time, 0};
-        to.insert(others_.begin(), others_.end());
-        to.erase(settings_.me.address);
-        Message notice = message(Kind::Notice);
-        notice.ballot = chosen_;
-        send_all(to, notice);
-        if (telling_->lacking.empty()) telling_.reset();
+            record_confirmation(started_at, turn);
+        } else must_confirm_ = true;    // nothing is answered before a majority of the new voters keeps it
+        recipients.merge(voter_addresses());
+        recipients.erase(settings_.self.address);
+        commit_broadcast_ = {next_instance(), recipients, now_ + settings_.round_timeout,
+                             settings_.round_timeout, 0};
+        recipients.insert(peers_.begin(), peers_.end());
+        recipients.erase(settings_.self.address);
+        Message commit = make_message(Kind::Commit);
+        commit.ballot = committed_ballot_;
+        send_to_all(recipients, commit);
+        if (commit_broadcast_->unacknowledged.empty()) commit_broadcast_.reset();
     }
 
     // --- reading
 
-    void begin_read() {
-        read_ = Read{};
+    void start_read() {
+        read_ = QuorumRead{};
         read_->nonce = ++nonce_;
-        read_->begun = now_;
+        read_->started_at = now_;
         read_->turn = turn_;
-        read_->wait = settings_.round_time;
-        read_->due = now_ + read_->wait;
-        send_read(voter_addresses());
-    }
-    void send_read(const std::set<std::string>& to) {
-        Message ask = message(Kind::Ask);
-        ask.nonce = read_->nonce;
-        send_all(to, ask);
-    }
-    void hear_state(const std::string& from, const Message& m) {
-        if (!read_ || m.nonce != read_->nonce || !counts(from, m)) return;
-        if (m.at < at()) return notify(from);    // Kept has it asked again
-        if (m.at > at()) return;
-        read_->answers[from] = m.pending;
-        const std::size_t needed = majority(saved_.decree.voters);
-        const auto clear = static_cast<std::size_t>(std::count_if(
-            read_->answers.begin(), read_->answers.end(), [](const auto& a) { return !a.second; }));
-        if (clear >= needed) {
-            bear_out(read_->begun, read_->turn);
+        read_->retry_interval = settings_.round_timeout;
+        read_->retry_at = now_ + read_->retry_interval;
+        send_read_requests(voter_addresses());
+    }
+    void send_read_requests(const std::set<std::string>& recipients) {
+        Message request = make_message(Kind::ReadRequest);
+        request.nonce = read_->nonce;
+        send_to_all(recipients, request);
+    }
+    void handle_read_reply(const std::string& from, const Message& message) {
+        if (!read_ || message.nonce != read_->nonce || !is_from_voter(from, message)) return;
+        if (message.next_instance < next_instance()) return send_commit(from);    // Kept has it asked again
+        if (message.next_instance > next_instance()) return;
+        read_->replies[from] = message.has_accepted_entry;
+        const std::size_t needed = majority_size(state_.committed.voters);
+        const auto without_accepted = static_cast<std::size_t>(std::count_if(
+            read_->replies.begin(), read_->replies.end(), [](const auto& reply) { return !reply.second; }));
+        if (without_accepted >= needed) {
+            record_confirmation(read_->started_at, read_->turn);
             read_.reset();
-        } else if (read_->answers.size() >= needed && !read_->patience)
-            read_->patience = now_ + draw(settings_.round_time / 16, settings_.round_time / 4);
+        } else if (read_->replies.size() >= needed && !read_->contention_deadline)
+            read_->contention_deadline =
+                now_ + next_random(settings_.round_timeout / 16, settings_.round_timeout / 4);
     }
     // A majority, each of which keeps the decree, said since then that it has accepted none to follow it.
-    void bear_out(TimePoint since, std::uint64_t turn) {
-        confirmed_ = confirmed_ ? std::max(*confirmed_, since) : since;
-        borne_out_ = std::max(borne_out_, turn);
-        borne_out_at_ = at();
-        owes_read_ = false;
+    void record_confirmation(TimePoint since, std::uint64_t turn) {
+        quorum_confirmed_at_ = quorum_confirmed_at_ ? std::max(*quorum_confirmed_at_, since) : since;
+        confirmed_turn_ = std::max(confirmed_turn_, turn);
+        confirmed_instance_ = next_instance();
+        must_confirm_ = false;
     }
 
-    bool borne_out(std::uint64_t asked) const {
-        return at() > 0 && borne_out_at_ == at() && borne_out_ >= asked;
+    bool is_confirmed_since(std::uint64_t turn) const {
+        return next_instance() > 0 && confirmed_instance_ == next_instance() && confirmed_turn_ >= turn;
     }
 
     // --- answers and times
 
-    void answer_proposals() {
-        std::erase_if(proposals_, [&](const Proposal& p) {
-            if (newer(p) || !borne_out(p.asked)) return false;
-            done(p.ticket, judged(p));
+    void complete_proposals() {
+        std::erase_if(proposals_, [&](const Proposal& proposal) {
+            if (is_newer(proposal) || !is_confirmed_since(proposal.turn)) return false;
+            complete_request(proposal.request_id, proposal_outcome(proposal));
             return true;
         });
     }
-    Answer judged(const Proposal& p) const {    // of a version that is not over the one held
-        const Decree& held = saved_.decree;
-        if (p.version == held.version) return p.text == held.text ? Answer::Settled : Answer::Conflict;
-        const auto known = std::find_if(held.earlier.begin(), held.earlier.end(),
-                                        [&p](const Digest& d) { return d.version == p.version; });
-        return known == held.earlier.end() || *known == digest(p.version, p.text) ? Answer::Superseded
-                                                                                  : Answer::Conflict;
-    }
-    void advance() {
-        answer_proposals();
+    Outcome proposal_outcome(
+        const Proposal& proposal) const {    // of a version that is not over the one held
+        const LogEntry& current = state_.committed;
+        if (proposal.version == current.version)
+            return proposal.text == current.text ? Outcome::Committed : Outcome::Conflict;
+        const auto known_digest =
+            std::find_if(current.earlier_digests.begin(), current.earlier_digests.end(),
+                         [&proposal](const Digest& known) { return known.version == proposal.version; });
+        return known_digest == current.earlier_digests.end() ||
+                       *known_digest == make_digest(proposal.version, proposal.text)
+                   ? Outcome::Stale
+                   : Outcome::Conflict;
+    }
+    void advance_all() {
+        complete_proposals();
         // What was borne out before a freeze is of no use after it.
-        std::erase_if(confirms_, [&](const Confirm& c) {
-            if (!borne_out(c.asked) || now_ >= c.until) return false;
-            done(c.ticket, Answer::Settled);
+        std::erase_if(pending_reads_, [&](const PendingRead& read) {
+            if (!is_confirmed_since(read.turn) || now_ >= read.deadline) return false;
+            complete_request(read.request_id, Outcome::Committed);
             return true;
         });
-        const auto late = [&](const auto& waiting) {
-            if (now_ < waiting.until) return false;
-            done(waiting.ticket, Answer::Unsettled);
+        const auto expire_if_late = [&](const auto& request) {
+            if (now_ < request.deadline) return false;
+            complete_request(request.request_id, Outcome::Indeterminate);
             return true;
         };
-        std::erase_if(proposals_, late);
-        std::erase_if(confirms_, late);
-        if (wish_ && now_ >= wish_->until) wish_.reset();
-        advance_learning();
-        if (at() == 0) {
-            if (waits() && now_ >= seek_at_) {
-                seek();
-                seek_at_ = now_ + settings_.round_time;
+        std::erase_if(proposals_, expire_if_late);
+        std::erase_if(pending_reads_, expire_if_late);
+        if (voter_change_ && now_ >= voter_change_->deadline) voter_change_.reset();
+        advance_catch_up();
+        if (next_instance() == 0) {
+            if (has_pending_requests() && now_ >= next_probe_at_) {
+                probe_peers();
+                next_probe_at_ = now_ + settings_.round_timeout;
             }
             return;
         }
         advance_round();
         advance_read();
     }
-    void advance_learning() {
-        if (wanted_ && now_ >= wanted_->due) {
-            if (wanted_->at <= at()) wanted_.reset();    // came another way
-            else if (++wanted_->tries > 3) {
-                wanted_.reset();
-                patience_ = settings_.round_time;
+    void advance_catch_up() {
+        if (catch_up_ && now_ >= catch_up_->retry_at) {
+            if (catch_up_->target_instance <= next_instance()) catch_up_.reset();    // came another way
+            else if (++catch_up_->attempts > 3) {
+                catch_up_.reset();
+                catch_up_timeout_ = settings_.round_timeout;
             } else {
-                patience_ = std::min(patience_ * 2, settings_.longest_wait);
-                wanted_->due = now_ + patience_;
-                ask_wanted();
+                catch_up_timeout_ = std::min(catch_up_timeout_ * 2, settings_.max_retry_interval);
+                catch_up_->retry_at = now_ + catch_up_timeout_;
+                send_fetch_request();
             }
         }
-        if (telling_ && now_ >= telling_->due) {
-            if (++telling_->tries >= kTellings) return telling_.reset();
-            telling_->wait = std::min(telling_->wait * 2, settings_.longest_wait);
-            telling_->due = now_ + telling_->wait;
-            Message notice = message(Kind::Notice);
-            notice.ballot = chosen_;
-            send_all(telling_->lacking, notice);
+        if (commit_broadcast_ && now_ >= commit_broadcast_->retry_at) {
+            if (++commit_broadcast_->attempts >= kMaxCommitAttempts) return commit_broadcast_.reset();
+            commit_broadcast_->retry_interval =
+                std::min(commit_broadcast_->retry_interval * 2, settings_.max_retry_interval);
+            commit_broadcast_->retry_at = now_ + commit_broadcast_->retry_interval;
+            Message commit = make_message(Kind::Commit);
+            commit.ballot = committed_ballot_;
+            send_to_all(commit_broadcast_->unacknowledged, commit);
         }
     }
     void advance_round() {
-        if (read_ && read_->patience && now_ >= *read_->patience) {
-            read_->patience.reset();
-            complete_ = true;
+        if (read_ && read_->contention_deadline && now_ >= *read_->contention_deadline) {
+            read_->contention_deadline.reset();
+            must_complete_accepted_ = true;
         }
-        if (round_ && (now_ >= round_->due || !round_->accepting) && !wants_decision()) round_.reset();
-        if (round_ && now_ >= round_->due) {
-            if (!round_->no.empty()) back_off();
+        if (round_ && (now_ >= round_->retry_at || !round_->in_accept_phase) && !needs_round())
+            round_.reset();
+        if (round_ && now_ >= round_->retry_at) {
+            if (!round_->rejections.empty()) back_off_round();
             else {
-                std::set<std::string> to = voter_addresses();
-                for (const std::string& address : round_->yes) to.erase(address);
-                round_->wait = std::min(round_->wait * 2, settings_.longest_wait);
-                round_->due = now_ + round_->wait;
-                send_round(to);
-                seek();
+                std::set<std::string> recipients = voter_addresses();
+                for (const std::string& address : round_->approvals) recipients.erase(address);
+                round_->retry_interval = std::min(round_->retry_interval * 2, settings_.max_retry_interval);
+                round_->retry_at = now_ + round_->retry_interval;
+                send_round_messages(recipients);
+                probe_peers();
             }
         }
-        if (!round_ && wants_decision() && now_ >= retry_at_) begin_round();
+        if (!round_ && needs_round() && now_ >= next_round_at_) start_round();
     }
     void advance_read() {
-        if (read_ && !wants_read()) read_.reset();
-        if (read_ && now_ >= read_->due) {
-            std::set<std::string> to = voter_addresses();
-            for (const auto& [address, pending] : read_->answers) to.erase(address);
-            read_->wait = std::min(read_->wait * 2, settings_.longest_wait);
-            read_->due = now_ + read_->wait;
-            send_read(to);
-            seek();
+        if (read_ && !needs_read()) read_.reset();
+        if (read_ && now_ >= read_->retry_at) {
+            std::set<std::string> recipients = voter_addresses();
+            for (const auto& [address, pending] : read_->replies) recipients.erase(address);
+            read_->retry_interval = std::min(read_->retry_interval * 2, settings_.max_retry_interval);
+            read_->retry_at = now_ + read_->retry_interval;
+            send_read_requests(recipients);
+            probe_peers();
         }
         // What is being accepted here would only be found to be under way.
-        const bool busy = round_ && round_->accepting && now_ < round_->begun + settings_.round_time;
-        if (!read_ && wants_read() && !busy) begin_read();
+        const bool busy =
+            round_ && round_->in_accept_phase && now_ < round_->started_at + settings_.round_timeout;
+        if (!read_ && needs_read() && !busy) start_read();
     }
 
     Settings settings_;
-    Saved saved_;
-    std::string life_;
-    std::uint64_t random_ = 0, nonce_ = 0;
-    std::vector<std::string> others_;
+    PersistentState state_;
+    std::string proposer_id_;
+    std::uint64_t random_state_ = 0, nonce_ = 0;
+    std::vector<std::string> peers_;
 
     TimePoint now_{};
-    Actions* out_ = nullptr;
-    std::uint64_t turn_ = 0, dropped_ = 0;
+    Actions* actions_ = nullptr;
+    std::uint64_t turn_ = 0, dropped_messages_ = 0;
 
-    bool dirty_ = false;    // saved_ has changed since it was last given out to be stored
-    std::uint64_t issued_ = 0, stored_ = 0;
-    std::vector<Reply> replies_;
-    std::deque<Reply> held_;
-    std::vector<Message> own_;    // to this lighthouse's own voter or proposer
+    bool has_unsaved_state_ = false;    // saved_ has changed since it was last given out to be stored
+    std::uint64_t issued_token_ = 0, stored_token_ = 0;
+    std::vector<DelayedReply> new_replies_;
+    std::deque<DelayedReply> delayed_replies_;
+    std::vector<Message> local_messages_;    // to this lighthouse's own voter or proposer
 
     std::vector<Proposal> proposals_;
-    std::vector<Confirm> confirms_;
-    std::optional<Wish> wish_;
-    std::map<std::string, Follower> followers_;
-    bool complete_ = false;     // what others accepted is to be decided
-    bool owes_read_ = false;    // new voters are not known to keep their decree yet
-    std::optional<Round> round_;
-    std::uint64_t seen_ = 0;    // the highest round heard of
-    int losses_ = 0;
-    TimePoint retry_at_{}, seek_at_{};
-    std::optional<Read> read_;
-    std::optional<Wanted> wanted_;
-    Duration patience_{};    // with an answer to that, by how long the last one took
-    std::optional<Telling> telling_;
-    Ballot chosen_;    // under which the decree was, where known
-    std::optional<TimePoint> confirmed_;
-    std::uint64_t borne_out_ = 0;       // the turn of that
-    std::uint64_t borne_out_at_ = 0;    // which decree it was about
+    std::vector<PendingRead> pending_reads_;
+    std::optional<VoterChange> voter_change_;
+    std::map<std::string, PeerProgress> peer_progress_;
+    bool must_complete_accepted_ = false;    // what others accepted is to be decided
+    bool must_confirm_ = false;              // new voters are not known to keep their decree yet
+    std::optional<BallotRound> round_;
+    std::uint64_t highest_round_seen_ = 0;    // the highest round heard of
+    int failed_rounds_ = 0;
+    TimePoint next_round_at_{}, next_probe_at_{};
+    std::optional<QuorumRead> read_;
+    std::optional<CatchUp> catch_up_;
+    Duration catch_up_timeout_{};    // with an answer to that, by how long the last one took
+    std::optional<CommitBroadcast> commit_broadcast_;
+    Ballot committed_ballot_;    // under which the decree was, where known
+    std::optional<TimePoint> quorum_confirmed_at_;
+    std::uint64_t confirmed_turn_ = 0;        // the turn of that
+    std::uint64_t confirmed_instance_ = 0;    // which decree it was about
 };
 
-std::string Lamp::Impl::picture() const {
-    std::string out;
-    const auto add = [&out](const auto&... parts) {
-        const auto one = [&out](const auto& part) {
-            if constexpr (std::is_arithmetic_v<std::decay_t<decltype(part)>>) out += std::to_string(part);
-            else out += part;
-            out += ' ';
+std::string ReplicatedRegister::Impl::describe_state() const {
+    std::string description;
+    const auto append_parts = [&description](const auto&... parts) {
+        const auto append_part = [&description](const auto& part) {
+            if constexpr (std::is_arithmetic_v<std::decay_t<decltype(part)>>)
+                description += std::to_string(part);
+            else description += part;
+            description += ' ';
         };
-        (one(parts), ...);
+        (append_part(parts), ...);
     };
-    const auto decree = [&](const Decree& d) {
-        add("decree", d.number, d.version, d.text, d.earlier.size());
-        for (const Member& m : d.voters) add(m.address, m.disk);
+    const auto append_entry = [&](const LogEntry& entry) {
+        append_parts("decree", entry.number, entry.version, entry.text, entry.earlier_digests.size());
+        for (const Replica& voter : entry.voters) append_parts(voter.address, voter.disk_id);
     };
-    add(life_, saved_.disk, issued_ - stored_, dirty_, complete_, owes_read_, seen_);
-    decree(saved_.decree);
-    add("promised", saved_.promised.round, saved_.promised.proposer, "accepted", saved_.accepted.round,
-        saved_.accepted.proposer);
-    if (saved_.pending) decree(*saved_.pending);
-    for (const Reply& r : held_)
-        add("held", issued_ - r.token, r.to, static_cast<int>(r.message.kind), r.message.at,
-            r.message.instance, r.message.ballot.round, r.message.ballot.proposer, r.message.other.round,
-            r.message.pending);
-    for (const Proposal& p : proposals_) add("proposal", p.version, p.text, p.asked <= borne_out_);
-    for (const Confirm& c : confirms_) add("confirm", c.ticket, read_ && read_->turn >= c.asked);
-    if (wish_)
-        for (const Member& m : wish_->to) add("wish", m.address, m.disk);
+    append_parts(proposer_id_, state_.disk_id, issued_token_ - stored_token_, has_unsaved_state_,
+                 must_complete_accepted_, must_confirm_, highest_round_seen_);
+    append_entry(state_.committed);
+    append_parts("promised", state_.promised_ballot.round, state_.promised_ballot.proposer, "accepted",
+                 state_.accepted_ballot.round, state_.accepted_ballot.proposer);
+    if (state_.accepted_entry) append_entry(*state_.accepted_entry);
+    for (const DelayedReply& reply : delayed_replies_)
+        append_parts("held", issued_token_ - reply.token, reply.recipient,
+                     static_cast<int>(reply.message.kind), reply.message.next_instance,
+                     reply.message.instance, reply.message.ballot.round, reply.message.ballot.proposer,
+                     reply.message.other_ballot.round, reply.message.has_accepted_entry);
+    for (const Proposal& proposal : proposals_)
+        append_parts("proposal", proposal.version, proposal.text, proposal.turn <= confirmed_turn_);
+    for (const PendingRead& read : pending_reads_)
+        append_parts("confirm", read.request_id, read_ && read_->turn >= read.turn);
+    if (voter_change_)
+        for (const Replica& replica : voter_change_->new_voters)
+            append_parts("wish", replica.address, replica.disk_id);
     if (round_) {
-        add("round", round_->accepting, round_->ballot.round, round_->best.round, round_->best.proposer);
-        for (const auto& y : round_->yes) add("yes", y);
-        for (const auto& n : round_->no) add("no", n);
-        if (round_->value) decree(*round_->value);
+        append_parts("round", round_->in_accept_phase, round_->ballot.round, round_->highest_ballot.round,
+                     round_->highest_ballot.proposer);
+        for (const auto& approver : round_->approvals) append_parts("yes", approver);
+        for (const auto& rejecter : round_->rejections) append_parts("no", rejecter);
+        if (round_->entry) append_entry(*round_->entry);
     }
     if (read_) {
-        add("read", nonce_ - read_->nonce, read_->patience.has_value());
-        for (const auto& [address, pending] : read_->answers) add(address, pending);
+        append_parts("read", nonce_ - read_->nonce, read_->contention_deadline.has_value());
+        for (const auto& [address, pending] : read_->replies) append_parts(address, pending);
     }
-    if (wanted_) add("wanted", wanted_->at, wanted_->from, wanted_->tries);
-    if (telling_) {
-        add("telling", telling_->at);
-        for (const auto& l : telling_->lacking) add(l);
+    if (catch_up_) append_parts("wanted", catch_up_->target_instance, catch_up_->source, catch_up_->attempts);
+    if (commit_broadcast_) {
+        append_parts("telling", commit_broadcast_->next_instance);
+        for (const auto& recipient : commit_broadcast_->unacknowledged) append_parts(recipient);
     }
-    return out;
+    return description;
 }
 
-Lamp::Lamp(Settings settings, Saved saved, TimePoint now)
-    : impl_(std::make_unique<Impl>(std::move(settings), std::move(saved), now)) {}
-Lamp::~Lamp() = default;
-Lamp::Lamp(Lamp&&) noexcept = default;
-Lamp& Lamp::operator=(Lamp&&) noexcept = default;
-Lamp::Lamp(const Lamp& other) : impl_(std::make_unique<Impl>(*other.impl_)) {}
-
-void Lamp::propose(Ticket ticket, std::uint64_t version, std::string text, TimePoint until, TimePoint now,
-                   Actions& out) {
-    impl_->begin(now, out);
-    impl_->propose(ticket, version, std::move(text), until);
-    impl_->end();
+ReplicatedRegister::ReplicatedRegister(Settings settings, PersistentState state, TimePoint now)
+    : impl_(std::make_unique<Impl>(std::move(settings), std::move(state), now)) {}
+ReplicatedRegister::~ReplicatedRegister() = default;
+ReplicatedRegister::ReplicatedRegister(ReplicatedRegister&&) noexcept = default;
+ReplicatedRegister& ReplicatedRegister::operator=(ReplicatedRegister&&) noexcept = default;
+ReplicatedRegister::ReplicatedRegister(const ReplicatedRegister& other)
+    : impl_(std::make_unique<Impl>(*other.impl_)) {}
+
+void ReplicatedRegister::propose(RequestId request_id, std::uint64_t version, std::string text,
+                                 TimePoint deadline, TimePoint now, Actions& actions) {
+    impl_->begin_call(now, actions);
+    impl_->propose(request_id, version, std::move(text), deadline);
+    impl_->finish_call();
+}
+void ReplicatedRegister::quorum_read(RequestId request_id, TimePoint deadline, TimePoint now,
+                                     Actions& actions) {
+    impl_->begin_call(now, actions);
+    impl_->quorum_read(request_id, deadline);
+    impl_->finish_call();
+}
+void ReplicatedRegister::change_voters(std::vector<Replica> current_voters, std::vector<Replica> new_voters,
+                                       TimePoint now, Actions& actions) {
+    impl_->begin_call(now, actions);
+    impl_->change_voters(std::move(current_voters), std::move(new_voters));
+    impl_->finish_call();
+}
+void ReplicatedRegister::on_message(const std::string& from, const std::string& bytes, TimePoint now,
+                                    Actions& actions) {
+    impl_->begin_call(now, actions);
+    impl_->on_message(from, bytes);
+    impl_->finish_call();
 }
-void Lamp::quorum_read(Ticket ticket, TimePoint until, TimePoint now, Actions& out) {
-    impl_->begin(now, out);
-    impl_->quorum_read(ticket, until);
-    impl_->end();
+void ReplicatedRegister::on_stored(std::uint64_t token, TimePoint now, Actions& actions) {
+    impl_->begin_call(now, actions);
+    impl_->on_stored(token);
+    impl_->finish_call();
 }
-void Lamp::change_voters(std::vector<Member> from, std::vector<Member> to, TimePoint now, Actions& out) {
-    impl_->begin(now, out);
-    impl_->change_voters(std::move(from), std::move(to));
-    impl_->end();
+void ReplicatedRegister::tick(TimePoint now, Actions& actions) {
+    impl_->begin_call(now, actions);
+    impl_->finish_call();
 }
-void Lamp::heard(const std::string& from, const std::string& bytes, TimePoint now, Actions& out) {
-    impl_->begin(now, out);
-    impl_->heard(from, bytes);
-    impl_->end();
+std::optional<TimePoint> ReplicatedRegister::next_deadline() const { return impl_->next_deadline(); }
+void ReplicatedRegister::set_peers(std::vector<std::string> addresses) {
+    impl_->set_peers(std::move(addresses));
 }
-void Lamp::stored(std::uint64_t token, TimePoint now, Actions& out) {
-    impl_->begin(now, out);
-    impl_->stored(token);
-    impl_->end();
+const LogEntry& ReplicatedRegister::committed_entry() const { return impl_->committed_entry(); }
+std::optional<TimePoint> ReplicatedRegister::quorum_confirmed_at() const {
+    return impl_->quorum_confirmed_at();
 }
-void Lamp::tick(TimePoint now, Actions& out) {
-    impl_->begin(now, out);
-    impl_->end();
+bool ReplicatedRegister::is_caught_up(const Replica& replica, Duration within) const {
+    return impl_->is_caught_up(replica, within);
 }
-std::optional<TimePoint> Lamp::next() const { return impl_->next(); }
-void Lamp::others(std::vector<std::string> addresses) { impl_->others(std::move(addresses)); }
-const Decree& Lamp::decree() const { return impl_->decree(); }
-std::optional<TimePoint> Lamp::confirmed() const { return impl_->confirmed(); }
-bool Lamp::follows(const Member& member, Duration within) const { return impl_->follows(member, within); }
-bool Lamp::is_voter() const { return impl_->is_voter(); }
-std::uint64_t Lamp::dropped() const { return impl_->dropped(); }
-std::string Lamp::picture() const { return impl_->picture(); }
+bool ReplicatedRegister::is_voter() const { return impl_->is_voter(); }
+std::uint64_t ReplicatedRegister::dropped_messages() const { return impl_->dropped_messages(); }
+std::string ReplicatedRegister::describe_state() const { return impl_->describe_state(); }
 
 }    // namespace shaletray::consensus
--- a/src/cluster/consensus/replicated_register.h
+++ b/src/cluster/consensus/replicated_register.h
@@ -18,23 +18,23 @@
 
 namespace shaletray::consensus {
 
-struct Member {
-    std::string address;       // "10.1.0.24:7100", the lighthouse's internal one
-    std::uint64_t disk = 0;    // 0: a founder's; else drawn when an empty folder was first opened
-    auto operator<=>(const Member&) const = default;
+struct Replica {
+    std::string address;          // "10.1.0.24:7100", the lighthouse's internal one
+    std::uint64_t disk_id = 0;    // 0: a founder's; else drawn when an empty folder was first opened
+    auto operator<=>(const Replica&) const = default;
 };
 struct Digest {    // of a configuration's text; two that differ by nothing but blanks differ
     std::uint64_t version = 0, low = 0, high = 0;
     auto operator<=>(const Digest&) const = default;
 };
-struct Decree {
-    std::uint64_t number = 0;      // 0: the founding, nothing decided yet
-    std::vector<Member> voters;    // who decides on the next one
+struct LogEntry {
+    std::uint64_t number = 0;       // 0: the founding, nothing decided yet
+    std::vector<Replica> voters;    // who decides on the next one
     std::uint64_t version = 0;
     std::string text;    // the configuration as the operator sent it
     // Of the versions that were held before, up to kMostEarlier, ascending: follows from the decree before.
-    std::vector<Digest> earlier{};
-    bool operator==(const Decree&) const = default;
+    std::vector<Digest> earlier_digests{};
+    bool operator==(const LogEntry&) const = default;
 };
 struct Ballot {
     std::uint64_t round = 0;
@@ -42,92 +42,94 @@
     auto operator<=>(const Ballot&) const = default;
 };
 // What must be on the disk before anything that follows from it is said.
-struct Saved {
-    std::uint64_t disk = 0;
-    Decree decree;                    // the newest known
-    Ballot promised;                  // for decree.number + 1
-    Ballot accepted;                  // likewise; round 0: none
-    std::optional<Decree> pending;    // what was accepted
+struct PersistentState {
+    std::uint64_t disk_id = 0;
+    LogEntry committed;                        // the newest known
+    Ballot promised_ballot;                    // for decree.number + 1
+    Ballot accepted_ballot;                    // likewise; round 0: none
+    std::optional<LogEntry> accepted_entry;    // what was accepted
 };
 
 struct Message;    // see lamp_message.h
 
 struct Settings {
-    Member me;
-    bool votes = true;                    // false without a disk: never a voter
+    Replica self;
+    bool can_vote = true;                 // false without a disk: never a voter
     std::vector<std::string> founders;    // internal addresses; empty where this is no first start
     std::uint64_t seed =
         0;    // another one in each life: ballots are told apart by it (and by the start time)
-    Duration round_time = std::chrono::milliseconds(250);    // after which a round is begun anew
+    Duration round_timeout = std::chrono::milliseconds(250);    // after which a round is begun anew
     // The most between two tries: how long after a cut's end the first word of it may take.
-    Duration longest_wait = std::chrono::seconds(2);
+    Duration max_retry_interval = std::chrono::seconds(2);
 };
 
-constexpr std::size_t kMostEarlier = 64;
+constexpr std::size_t kMaxEarlierDigests = 64;
 
-using Ticket = std::uint64_t;
-enum class Answer {
-    Settled,
-    Superseded,
-    Conflict,     // its version is or was another text's
-    Unsettled,    // no majority in time, may or may not be
+using RequestId = std::uint64_t;
+enum class Outcome {
+    Committed,
+    Stale,
+    Conflict,         // its version is or was another text's
+    Indeterminate,    // no majority in time, may or may not be
 };
 
 struct Actions {
-    struct Send {
+    struct OutgoingMessage {
         std::string to;       // a lighthouse's internal address
         std::string bytes;    // an encoded Message
     };
     // To be written and synced in this order; Lamp::stored(token) then releases what waits for it.
-    struct Store {
+    struct StateWrite {
         std::uint64_t token = 0;
-        Saved saved;
+        PersistentState state;
     };
-    struct Done {
-        Ticket ticket = 0;
-        Answer answer = Answer::Unsettled;
+    struct Completion {
+        RequestId request_id = 0;
+        Outcome outcome = Outcome::Indeterminate;
     };
-    std::vector<Send> sends;
-    std::vector<Store> stores;
-    std::vector<Done> done;
-    bool changed = false;    // decree() has
+    std::vector<OutgoingMessage> messages;
+    std::vector<StateWrite> writes;
+    std::vector<Completion> completions;
+    bool entry_changed = false;    // decree() has
 };
 
-class Lamp {
+class ReplicatedRegister {
 public:
-    Lamp(Settings settings, Saved saved, TimePoint now);
-    ~Lamp();
-    Lamp(Lamp&&) noexcept;
-    Lamp& operator=(Lamp&&) noexcept;
-    Lamp(const Lamp&);    // for exploring what may follow; two that run are two lives
+    ReplicatedRegister(Settings settings, PersistentState state, TimePoint now);
+    ~ReplicatedRegister();
+    ReplicatedRegister(ReplicatedRegister&&) noexcept;
+    ReplicatedRegister& operator=(ReplicatedRegister&&) noexcept;
+    ReplicatedRegister(
+        const ReplicatedRegister&);    // for exploring what may follow; two that run are two lives
 
     // Versions begin with 1. Settled once a decree of this version and text is chosen and kept by a majority;
     // Superseded once one of a later version is (acknowledged likewise), unless this version is remembered to
     // have had another text; Conflict where it has. Answered by `until` at the latest.
-    void propose(Ticket ticket, std::uint64_t version, std::string text, TimePoint until, TimePoint now,
-                 Actions& out);
+    void propose(RequestId request_id, std::uint64_t version, std::string text, TimePoint deadline,
+                 TimePoint now, Actions& actions);
     // Settled once decree() is known to be the newest that was chosen when this was asked; never after
     // `until`, however late the process gets to run.
-    void quorum_read(Ticket ticket, TimePoint until, TimePoint now, Actions& out);
+    void quorum_read(RequestId request_id, TimePoint deadline, TimePoint now, Actions& actions);
     // Proposes that in the place of `from`, if these vote still, `to` (sorted) vote: all at once, since it is
     // one decree of the old voters, and nothing is answered from it before a majority of the new ones keeps
     // it. It replaces an earlier wish and ends after twenty rounds.
-    void change_voters(std::vector<Member> from, std::vector<Member> to, TimePoint now, Actions& out);
-    void heard(const std::string& from, const std::string& bytes, TimePoint now, Actions& out);
-    void stored(std::uint64_t token, TimePoint now, Actions& out);
-    void tick(TimePoint now, Actions& out);
-    std::optional<TimePoint> next() const;    // when tick is due
+    void change_voters(std::vector<Replica> current_voters, std::vector<Replica> new_voters, TimePoint now,
+                       Actions& actions);
+    void on_message(const std::string& from, const std::string& bytes, TimePoint now, Actions& actions);
+    void on_stored(std::uint64_t token, TimePoint now, Actions& actions);
+    void tick(TimePoint now, Actions& actions);
+    std::optional<TimePoint> next_deadline() const;    // when tick is due
     // To whom new decrees are told, beside the voters: all lighthouses known.
-    void others(std::vector<std::string> addresses);
+    void set_peers(std::vector<std::string> addresses);
 
-    const Decree& decree() const;    // the newest chosen that is known here
+    const LogEntry& committed_entry() const;    // the newest chosen that is known here
     // When a majority last bore out that decree() was the newest; none: not yet in this life.
-    std::optional<TimePoint> confirmed() const;
+    std::optional<TimePoint> quorum_confirmed_at() const;
     bool is_voter() const;
     // Whether it said within this time, on this disk, that it holds the newest decree or nearly so.
-    bool follows(const Member& member, Duration within) const;
-    std::uint64_t dropped() const;    // messages that could not be read
-    std::string picture() const;      // all that matters but times, for exploring and for logs
+    bool is_caught_up(const Replica& replica, Duration within) const;
+    std::uint64_t dropped_messages() const;    // messages that could not be read
+    std::string describe_state() const;        // all that matters but times, for exploring and for logs
 
 private:
     class Impl;
--- a/src/cluster/consensus/state_store.h
+++ b/src/cluster/consensus/state_store.h
@@ -10,34 +10,34 @@
 
 namespace shaletray::consensus {
 
-class Disk;    // see disk.h
+class SyncingFileSystem;    // see disk.h
 
-struct DiskTrouble {
-    std::string why;
+struct StorageError {
+    std::string reason;
 };
 
-class Store {
+class StateStore {
 public:
     // Opens or makes the folder. `founder` says that an empty folder takes disk number 0, else one is drawn.
     // Errors: DiskTrouble, where the disk cannot be read or written now; to be tried again later. What can be
     // read only in part, or falls short of what was once stored, is given up: the folder begins anew under
     // another disk number, with the decree where that could be read, and given_up() says why.
-    static boost::leaf::result<std::unique_ptr<Store>> open(const std::string& folder, bool founder);
+    static boost::leaf::result<std::unique_ptr<StateStore>> open(const std::string& folder, bool founder);
     // Likewise on another disk, which must outlive it.
-    static boost::leaf::result<std::unique_ptr<Store>> open(const std::string& folder, bool founder,
-                                                            Disk& disk);
+    static boost::leaf::result<std::unique_ptr<StateStore>> open(const std::string& folder, bool founder,
+                                                                 SyncingFileSystem& disk);
     // Nothing is kept beyond this process: for machines without a disk.
-    static std::unique_ptr<Store> in_memory(bool founder);
-    virtual ~Store() = default;
-    virtual const Saved& loaded() const = 0;
+    static std::unique_ptr<StateStore> in_memory(bool founder);
+    virtual ~StateStore() = default;
+    virtual const PersistentState& loaded_state() const = 0;
     // Written and synced in order by the store's own thread. What was overtaken before its turn may be left
     // out; its token counts as stored with the later one. A write that fails is tried again until it holds.
-    virtual void put(Actions::Store what) = 0;
+    virtual void save(Actions::StateWrite write) = 0;
     // Tokens that are on the disk by now, in order. Called by the loop; `wake` is called from the store's
     // thread whenever there are new ones.
-    virtual std::vector<std::uint64_t> done() = 0;
-    virtual void on_done(std::function<void()> wake) = 0;
-    virtual std::string given_up() const { return {}; }          // empty: nothing was
+    virtual std::vector<std::uint64_t> take_stored_tokens() = 0;
+    virtual void set_stored_callback(std::function<void()> callback) = 0;
+    virtual std::string discard_reason() const { return {}; }    // empty: nothing was
     virtual std::uint64_t failed_writes() const { return 0; }    // so far; each was tried again
 };
 
--- a/src/cluster/consensus/syncing_file_system.cpp
+++ b/src/cluster/consensus/syncing_file_system.cpp
@@ -8,12 +8,12 @@
 
 namespace shaletray::consensus {
 
-leveldb::Status Disk::SyncFolder(const std::string& folder) {
-    const int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    const bool synced = fd >= 0 && ::fsync(fd) == 0;
-    const int why = errno;
-    if (fd >= 0) ::close(fd);
-    return synced ? leveldb::Status::OK() : leveldb::Status::IOError(folder, std::strerror(why));
+leveldb::Status SyncingFileSystem::SyncFolder(const std::string& folder) {
+    const int descriptor = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    const bool synced = descriptor >= 0 && ::fsync(descriptor) == 0;
+    const int error_number = errno;
+    if (descriptor >= 0) ::close(descriptor);
+    return synced ? leveldb::Status::OK() : leveldb::Status::IOError(folder, std::strerror(error_number));
 }
 
 }    // namespace shaletray::consensus
--- a/src/cluster/consensus/syncing_file_system.h
+++ b/src/cluster/consensus/syncing_file_system.h
@@ -7,9 +7,9 @@
 
 namespace shaletray::consensus {
 
-class Disk : public leveldb::EnvWrapper {
+class SyncingFileSystem : public leveldb::EnvWrapper {
 public:
-    Disk() : EnvWrapper(leveldb::Env::Default()) {}
+    SyncingFileSystem() : EnvWrapper(leveldb::Env::Default()) {}
     // Names made, renamed or removed in the folder before this last once it has returned; it waits for the
     // disk. Errors: IOError, after which each of them may be kept or lost.
     virtual leveldb::Status SyncFolder(const std::string& folder);
--- a/src/cluster/membership/member_table.cpp
+++ b/src/cluster/membership/member_table.cpp
@@ -6,150 +6,157 @@
 
 namespace shaletray::membership {
 
-Entry Record::whole_entry() const {
-    Entry e;
-    e.facts = member->facts;
-    e.version = version;
-    e.state = told_state();
-    e.unheard = member->state == State::Gone && !member->ended;
-    return e;
+Entry Record::to_full_entry() const {
+    Entry entry;
+    entry.info = member->info;
+    entry.version = version;
+    entry.state = advertised_state();
+    entry.unheard = member->state == State::Dead && !member->departed;
+    return entry;
 }
 
 // What another one may make of it: nobody is Gone for having been unheard here, nor Suspected for our own
 // trouble.
-State Record::told_state() const {
-    if (member->state == State::Gone) return member->ended ? State::Gone : State::Suspected;
-    return alone ? State::Alive : member->state;
+State Record::advertised_state() const {
+    if (member->state == State::Dead) return member->departed ? State::Dead : State::Suspect;
+    return suspected_in_isolation ? State::Alive : member->state;
 }
 
-Entry Record::entry() const {
-    if (whole) return whole_entry();
-    Entry e;
-    e.brief = true;
-    e.facts.address = address;
-    e.facts.life = member->facts.life;
-    e.facts.counts = member->facts.counts;
-    e.facts.disk = member->facts.disk;
-    e.version = version;
-    e.state = told_state();
-    return e;
+Entry Record::to_entry() const {
+    if (gossip_full_info) return to_full_entry();
+    Entry entry;
+    entry.brief = true;
+    entry.info.address = address;
+    entry.info.incarnation = member->info.incarnation;
+    entry.info.quota_divisor = member->info.quota_divisor;
+    entry.info.disk_id = member->info.disk_id;
+    entry.version = version;
+    entry.state = advertised_state();
+    return entry;
 }
 
-std::uint64_t Roll::place(const std::string& address) { return XXH64(address.data(), address.size(), 0); }
+std::uint64_t MemberTable::hash_address(const std::string& address) {
+    return XXH64(address.data(), address.size(), 0);
+}
 
-std::uint64_t Roll::sum(std::uint64_t place, std::uint64_t life, std::uint32_t version) {
-    const std::uint64_t parts[] = {place, life, version};
+std::uint64_t MemberTable::compute_digest(std::uint64_t address_hash, std::uint64_t incarnation,
+                                          std::uint32_t version) {
+    const std::uint64_t parts[] = {address_hash, incarnation, version};
     return XXH64(parts, sizeof(parts), 1);
 }
 
-std::uint32_t Roll::short_hash(std::uint64_t place, std::uint64_t life) {
-    return static_cast<std::uint32_t>(sum(place, life, 0));
+std::uint32_t MemberTable::identity_hash(std::uint64_t address_hash, std::uint64_t incarnation) {
+    return static_cast<std::uint32_t>(compute_digest(address_hash, incarnation, 0));
 }
 
-Record* Roll::find(const std::string& address) const {
+Record* MemberTable::find(const std::string& address) const {
     const auto& index = records_.get<ByAddress>();
     const auto it = index.find(address);
     return it == index.end() ? nullptr : it->get();
 }
 
-Record* Roll::by_hash(std::uint32_t hash) const {
+Record* MemberTable::find_by_hash(std::uint32_t hash) const {
     const auto& index = records_.get<ByHash>();
     const auto it = index.find(hash);
     return it == index.end() ? nullptr : it->get();
 }
 
-void Roll::count(const Record& record, int by) {
-    if (record.member->state == State::Gone) return;
-    here_ += static_cast<std::size_t>(by);
-    if (record.member->facts.role == Role::Pilot) pilots_ += static_cast<std::size_t>(by);
+void MemberTable::adjust_counts(const Record& record, int delta) {
+    if (record.member->state == State::Dead) return;
+    live_count_ += static_cast<std::size_t>(delta);
+    if (record.member->info.role == Role::Gateway) gateway_count_ += static_cast<std::size_t>(delta);
 }
 
-void Roll::sum(Record& record) {
-    digest_ ^= record.sum;
-    record.sum = record.member->state == State::Gone
-                     ? 0
-                     : sum(record.place, record.member->facts.life, record.version);
-    digest_ ^= record.sum;
+void MemberTable::compute_digest(Record& record) {
+    digest_ ^= record.digest;
+    record.digest =
+        record.member->state == State::Dead
+            ? 0
+            : compute_digest(record.address_hash, record.member->info.incarnation, record.version);
+    digest_ ^= record.digest;
 }
 
-Record& Roll::add(const Facts& facts, std::uint32_t version, State state, TimePoint now) {
+Record& MemberTable::add(const MemberInfo& info, std::uint32_t version, State state, TimePoint now) {
     const auto record = std::make_shared<Record>();
-    record->address = facts.address;
-    record->place = place(facts.address);
-    record->hash = short_hash(record->place, facts.life);
-    record->member = &members_[facts.address];
-    record->member->state = State::Gone;    // so far it counts as nothing
+    record->address = info.address;
+    record->address_hash = hash_address(info.address);
+    record->hash = identity_hash(record->address_hash, info.incarnation);
+    record->member = &members_[info.address];
+    record->member->state = State::Dead;    // so far it counts as nothing
     records_.push_back(record);
-    renew(*record, facts, version, state, now);
+    replace_incarnation(*record, info, version, state, now);
     return *record;
 }
 
-void Roll::renew(Record& record, const Facts& facts, std::uint32_t version, State state, TimePoint now) {
-    count(record, -1);
-    Member& m = *record.member;
-    m.facts = facts;
-    m.state = state;
-    m.changed = now;
-    m.heard = m.answered = m.agreed = TimePoint{};
+void MemberTable::replace_incarnation(Record& record, const MemberInfo& info, std::uint32_t version,
+                                      State state, TimePoint now) {
+    adjust_counts(record, -1);
+    Member& member = *record.member;
+    member.info = info;
+    member.state = state;
+    member.state_changed_at = now;
+    member.last_heard = member.last_acknowledged = member.last_in_sync = TimePoint{};
     record.version = version;
-    record.beat = 0;
-    record.beat_at = TimePoint{};
-    record.probed = false;
-    m.ended = state == State::Gone;
-    record.known = now;
-    record.suspected = state == State::Suspected ? now : TimePoint{};
-    record.alone = false;
-    if (state != State::Alive && !record.lost) {
-        record.lost = true;
-        lost_.push_back(&record);
+    record.heartbeat = 0;
+    record.heartbeat_at = TimePoint{};
+    record.probing = false;
+    member.departed = state == State::Dead;
+    record.known_since = now;
+    record.suspected_since = state == State::Suspect ? now : TimePoint{};
+    record.suspected_in_isolation = false;
+    if (state != State::Alive && !record.unreachable) {
+        record.unreachable = true;
+        unreachable_.push_back(&record);
     }
     auto& index = records_.get<ByAddress>();
-    index.modify(index.find(record.address),
-                 [&](const std::shared_ptr<Record>& r) { r->hash = short_hash(r->place, facts.life); });
-    sum(record);
-    count(record, 1);
+    index.modify(index.find(record.address), [&](const std::shared_ptr<Record>& element) {
+        element->hash = identity_hash(element->address_hash, info.incarnation);
+    });
+    compute_digest(record);
+    adjust_counts(record, 1);
 }
 
-void Roll::update(Record& record, const Entry& entry) {
-    Member& m = *record.member;
-    count(record, -1);
+void MemberTable::apply_entry(Record& record, const Entry& entry) {
+    Member& member = *record.member;
+    adjust_counts(record, -1);
     if (entry.brief) {
-        m.facts.counts = entry.facts.counts;
-        m.facts.disk = entry.facts.disk;
+        member.info.quota_divisor = entry.info.quota_divisor;
+        member.info.disk_id = entry.info.disk_id;
     } else {
-        m.facts = entry.facts;
+        member.info = entry.info;
     }
     record.version = entry.version;
-    sum(record);
-    count(record, 1);
+    compute_digest(record);
+    adjust_counts(record, 1);
 }
 
-void Roll::become(Record& record, State state, TimePoint now) {
-    count(record, -1);
+void MemberTable::set_state(Record& record, State state, TimePoint now) {
+    adjust_counts(record, -1);
     record.member->state = state;
-    record.member->changed = now;
-    record.suspected = state == State::Suspected ? now : TimePoint{};
-    record.alone = false;
-    if (state != State::Alive && !record.lost) {
-        record.lost = true;
-        lost_.push_back(&record);
+    record.member->state_changed_at = now;
+    record.suspected_since = state == State::Suspect ? now : TimePoint{};
+    record.suspected_in_isolation = false;
+    if (state != State::Alive && !record.unreachable) {
+        record.unreachable = true;
+        unreachable_.push_back(&record);
     }
-    sum(record);
-    count(record, 1);
+    compute_digest(record);
+    adjust_counts(record, 1);
 }
 
-void Roll::erase(Record& record) {
-    count(record, -1);
-    digest_ ^= record.sum;
-    std::erase(lost_, &record);
+void MemberTable::erase(Record& record) {
+    adjust_counts(record, -1);
+    digest_ ^= record.digest;
+    std::erase(unreachable_, &record);
     members_.erase(record.address);
     auto& index = records_.get<ByAddress>();
     index.erase(index.find(record.address));
 }
 
-std::vector<std::uint64_t> Roll::buckets(std::size_t count) const {
-    std::vector<std::uint64_t> sums(count, 0);
-    for (const auto& record : records_) sums[bucket(record->place, count)] ^= record->sum;
+std::vector<std::uint64_t> MemberTable::digest_buckets(std::size_t bucket_count) const {
+    std::vector<std::uint64_t> sums(bucket_count, 0);
+    for (const auto& record : records_)
+        sums[bucket_index(record->address_hash, bucket_count)] ^= record->digest;
     return sums;
 }
 
