--- a/src/cluster/membership/membership.cpp
+++ b/src/cluster/membership/membership.cpp
@@ -13,802 +13,872 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostMembers = 8000;
-constexpr std::size_t kSmall = 32;      // up to here everybody meets everybody within a few rounds
-constexpr std::size_t kMet = 20;        // and up to here each one's proof that it hears this process is new
-constexpr std::size_t kMiddle = 128;    // and up to here beats prove life; above, a sample stands for all
-constexpr std::size_t kSmallPings = 3, kPings = 2;    // a round
-constexpr std::size_t kDrawn = 8;                     // of these the one unheard for longest is pinged
-constexpr std::size_t kBeats = 24;                    // in a packet
-constexpr std::size_t kMostProbes = 32, kMostRelays = 128, kMostSamples = 64, kMostNews = 512;
-constexpr std::size_t kMostSeeds = 16, kMostCorrections = 8;
-constexpr int kPages = 4;                     // for one Ask
-constexpr Duration kPatience = 250ms;         // for an answer, before others are asked to try
-constexpr Duration kGap = 1s;                 // without a call of this process: it did not run
-constexpr Duration kDrain = 200ms;            // after such a gap what comes may be as old as the gap
-constexpr Duration kKeepGone = 120s;          // what is Gone is known, so that nobody brings it back,
-constexpr Duration kKeepUnheard = 180s;       // and so that newcomers hear that it may run
-constexpr int kRounds = 3;                    // times the logarithm of the members: packets that carry a news
-constexpr int kEager = 8, kEagerLarge = 6;    // of them, those sent at once
+constexpr std::size_t kMaxMembers = 8000;
+constexpr std::size_t kSmallCluster = 32;    // up to here everybody meets everybody within a few rounds
+constexpr std::size_t kDirectContactLimit =
+    20;    // and up to here each one's proof that it hears this process is new
+constexpr std::size_t kLargeCluster =
+    128;    // and up to here beats prove life; above, a sample stands for all
+constexpr std::size_t kPingsPerRoundSmall = 3, kPingsPerRound = 2;    // a round
+constexpr std::size_t kPingCandidates = 8;          // of these the one unheard for longest is pinged
+constexpr std::size_t kHeartbeatsPerPacket = 24;    // in a packet
+constexpr std::size_t kMaxProbes = 32, kMaxRelays = 128, kMaxSamples = 64, kMaxGossip = 512;
+constexpr std::size_t kMaxSeeds = 16, kMaxCorrections = 8;
+constexpr int kPagesPerRequest = 4;              // for one Ask
+constexpr Duration kAckTimeout = 250ms;          // for an answer, before others are asked to try
+constexpr Duration kPauseThreshold = 1s;         // without a call of this process: it did not run
+constexpr Duration kPauseDrainTime = 200ms;      // after such a gap what comes may be as old as the gap
+constexpr Duration kDepartedRetention = 120s;    // what is Gone is known, so that nobody brings it back,
+constexpr Duration kDeadRetention = 180s;        // and so that newcomers hear that it may run
+constexpr int kTransmissionFactor = 3;    // times the logarithm of the members: packets that carry a news
+constexpr int kEagerTransmissions = 8, kEagerTransmissionsLarge = 6;    // of them, those sent at once
 constexpr std::size_t kEagerPeers = 4, kEagerPeersLarge = 3;
-constexpr Duration kSuspicionNews = 2s;    // a suspicion is news for so long: then most have heard of it
-constexpr Duration kEagerDelay = 10ms, kPace = 100ms, kPaceLarge = 250ms;
-constexpr Duration kStill = 1s;    // without a change here, after which another's sum should be the same
-constexpr int kAgreed = 6;
-constexpr Duration kShortestSync = 500ms, kShortestSyncLarge = 1500ms, kLongestSync = 16s;
-constexpr int kSeedRounds = 8;         // between looks at a seed that is not known to run
-constexpr int kLighthouseTries = 3;    // of each seed, before a lighthouse goes on without it
-constexpr Duration kLongestJoin = 2s, kUnjoined = 150ms;
-constexpr std::size_t kFewSamples = 4;
-constexpr int kEchoed = 4;    // of this process's rounds: its older beats, told by others, prove nothing
-
-enum class Source { News, Join, Sync };
+constexpr Duration kSuspicionGossipTime =
+    2s;    // a suspicion is news for so long: then most have heard of it
+constexpr Duration kEagerDelay = 10ms, kPushInterval = 100ms, kPushIntervalLarge = 250ms;
+constexpr Duration kQuietTime = 1s;    // without a change here, after which another's sum should be the same
+constexpr int kAgreementsInSync = 6;
+constexpr Duration kMinSyncInterval = 500ms, kMinSyncIntervalLarge = 1500ms, kMaxSyncInterval = 16s;
+constexpr int kRoundsPerSeedCheck = 8;        // between looks at a seed that is not known to run
+constexpr int kControllerSeedAttempts = 3;    // of each seed, before a lighthouse goes on without it
+constexpr Duration kMaxJoinTimeout = 2s, kJoinRetryDelay = 150ms;
+constexpr std::size_t kMinSamples = 4;
+constexpr int kMaxEchoAge = 4;    // of this process's rounds: its older beats, told by others, prove nothing
+
+enum class EntrySource { Gossip, Join, Sync };
 
 }    // namespace
 
-class Convoy::Impl {
+class Membership::Impl {
 public:
     Impl(Settings settings, TimePoint now)
-        : s_(std::move(settings)),
-          roll_(kMostMembers),
-          random_(s_.seed ^ Roll::place(s_.me.address) ^ s_.me.life),
-          last_(now) {
-        me_.facts = s_.me;
-        me_.heard = now;
-        self_.address = s_.me.address;
-        self_.member = &me_;
-        self_.place = Roll::place(s_.me.address);
-        self_.beat = 1;
-        sum_self();
-        number_ = static_cast<std::uint32_t>(random_());
-        round_at_ = now + Duration(static_cast<Duration::rep>(
-                              draw(static_cast<std::size_t>(std::max<Duration::rep>(1, s_.every.count())))));
-        join_at_ = now;
-        patience_ = kPatience;
-        seeds(s_.seeds);
-        next_seed_ = draw(std::max<std::size_t>(1, seeds_.size()));
-        tell(self_, true);
-    }
-
-    void heard(const std::string& from, const std::string& bytes, TimePoint now, Actions& out) {
-        if (left_ || from == self_.address) return;
-        wake(now);
-        flush(out);
-        ++tallies_.heard;
-        tallies_.heard_bytes += bytes.size();
+        : settings_(std::move(settings)),
+          table_(kMaxMembers),
+          random_(settings_.random_seed ^ MemberTable::hash_address(settings_.self.address) ^
+                  settings_.self.incarnation),
+          last_call_at_(now) {
+        self_member_.info = settings_.self;
+        self_member_.last_heard = now;
+        self_record_.address = settings_.self.address;
+        self_record_.member = &self_member_;
+        self_record_.address_hash = MemberTable::hash_address(settings_.self.address);
+        self_record_.heartbeat = 1;
+        update_self_digest();
+        sequence_number_ = static_cast<std::uint32_t>(random_());
+        next_round_at_ = now + Duration(static_cast<Duration::rep>(random_index(static_cast<std::size_t>(
+                                   std::max<Duration::rep>(1, settings_.probe_interval.count())))));
+        next_join_at_ = now;
+        join_timeout_ = kAckTimeout;
+        set_seeds(settings_.seeds);
+        next_seed_ = random_index(std::max<std::size_t>(1, seeds_.size()));
+        queue_gossip(self_record_, true);
+    }
+
+    void on_message(const std::string& from, const std::string& bytes, TimePoint now, Actions& actions) {
+        if (departed_ || from == self_record_.address) return;
+        detect_pause(now);
+        flush_changes(actions);
+        ++statistics_.received;
+        statistics_.received_bytes += bytes.size();
         boost::leaf::result<Packet> decoded = decode(bytes);
         if (!decoded) {
-            ++tallies_.spoilt;
+            ++statistics_.malformed;
             return;
         }
-        take(from, *decoded, now, out);
+        handle_packet(from, *decoded, now, actions);
     }
 
-    void seen(const std::string& address, std::uint64_t life, TimePoint now) {
-        Record* const r = roll_.find(address);
-        if (left_ || r == nullptr || r->member->ended || r->member->facts.life != life) return;
-        evidence(*r, now, changed_);
+    void record_contact(const std::string& address, std::uint64_t incarnation, TimePoint now) {
+        Record* const record = table_.find(address);
+        if (departed_ || record == nullptr || record->member->departed ||
+            record->member->info.incarnation != incarnation)
+            return;
+        confirm_alive(*record, now, changed_members_);
     }
 
-    void tick(TimePoint now, Actions& out) {
-        if (left_) return;
-        wake(now);
-        flush(out);
-        if (pull_ && now >= pull_->at) pull_late(now, out);
-        if (!joined_ && !pull_ && now >= join_at_) join(now, out);
-        probe(now, out);
-        if (now >= round_at_) round(now, out);
-        if (now >= push_at_) push(now, out);
+    void tick(TimePoint now, Actions& actions) {
+        if (departed_) return;
+        detect_pause(now);
+        flush_changes(actions);
+        if (pull_ && now >= pull_->deadline) handle_pull_timeout(now, actions);
+        if (!joined_ && !pull_ && now >= next_join_at_) start_join(now, actions);
+        retry_probes(now, actions);
+        if (now >= next_round_at_) run_probe_round(now, actions);
+        if (now >= next_push_at_) push_gossip(now, actions);
     }
 
-    TimePoint next() const {
-        if (left_) return TimePoint::max();
-        TimePoint at = std::min(round_at_, push_at_);
-        if (pull_) at = std::min(at, pull_->at);
-        if (!joined_ && !pull_) at = std::min(at, join_at_);
-        for (const Probe& p : probes_)
-            if (p.record->probed) at = std::min(at, p.next);
-        return at;
+    TimePoint next_deadline() const {
+        if (departed_) return TimePoint::max();
+        TimePoint deadline = std::min(next_round_at_, next_push_at_);
+        if (pull_) deadline = std::min(deadline, pull_->deadline);
+        if (!joined_ && !pull_) deadline = std::min(deadline, next_join_at_);
+        for (const Probe& probe : probes_)
+            if (probe.record->probing) deadline = std::min(deadline, probe.next_attempt_at);
+        return deadline;
     }
 
-    void counts(std::uint32_t pilots) {
-        if (me_.facts.counts == pilots) return;
-        me_.facts.counts = pilots;
-        bump(false);
+    void set_quota_divisor(std::uint32_t divisor) {
+        if (self_member_.info.quota_divisor == divisor) return;
+        self_member_.info.quota_divisor = divisor;
+        bump_version(false);
     }
 
-    void disk(std::uint64_t number) {
-        if (me_.facts.disk == number) return;
-        me_.facts.disk = number;
-        bump(false);
+    void set_disk_id(std::uint64_t disk_id) {
+        if (self_member_.info.disk_id == disk_id) return;
+        self_member_.info.disk_id = disk_id;
+        bump_version(false);
     }
 
-    void quorum(bool votes) {
-        if (me_.facts.quorum == votes) return;
-        me_.facts.quorum = votes;
-        bump(true);
+    void set_voter_eligible(bool eligible) {
+        if (self_member_.info.voter_eligible == eligible) return;
+        self_member_.info.voter_eligible = eligible;
+        bump_version(true);
     }
 
-    void seeds(std::vector<std::string> seeds) {
-        std::vector<Seed> kept;
+    void set_seeds(std::vector<std::string> seeds) {
+        std::vector<Seed> updated_seeds;
         for (const std::string& address : seeds) {
-            if (address == self_.address || address.empty() || kept.size() >= kMostSeeds) continue;
-            if (std::any_of(kept.begin(), kept.end(), [&](const Seed& s) { return s.address == address; }))
+            if (address == self_record_.address || address.empty() || updated_seeds.size() >= kMaxSeeds)
                 continue;
-            const auto old = std::find_if(seeds_.begin(), seeds_.end(),
-                                          [&](const Seed& s) { return s.address == address; });
-            kept.push_back(old != seeds_.end() ? *old : Seed{address, 0, false});
+            if (std::any_of(updated_seeds.begin(), updated_seeds.end(),
+                            [&](const Seed& seed) { return seed.address == address; }))
+                continue;
+            const auto existing = std::find_if(seeds_.begin(), seeds_.end(),
+                                               [&](const Seed& seed) { return seed.address == address; });
+            updated_seeds.push_back(existing != seeds_.end() ? *existing : Seed{address, 0, false});
         }
-        const bool same = std::equal(kept.begin(), kept.end(), seeds_.begin(), seeds_.end(),
-                                     [](const Seed& a, const Seed& b) { return a.address == b.address; });
-        seeds_ = std::move(kept);
+        const bool unchanged =
+            std::equal(updated_seeds.begin(), updated_seeds.end(), seeds_.begin(), seeds_.end(),
+                       [](const Seed& a, const Seed& b) { return a.address == b.address; });
+        seeds_ = std::move(updated_seeds);
         if (seeds_.empty()) joined_ = true;
-        if (same) return;
-        patience_ = kPatience;
-        asked_ = 0;
-        join_at_ = last_;
-    }
-
-    void leave(TimePoint now, Actions& out) {
-        if (left_) return;
-        ++self_.version;
-        me_.state = State::Gone;
-        Packet p = head(Kind::Told);
-        me_.ended = true;
-        self_.whole = false;
-        p.entries.push_back(self_.entry());
-        const std::string bytes = encode(p);
-        std::vector<Record*> to;
-        if (roll_.here() <= kMiddle) {
-            for (std::size_t i = 0; i < roll_.size(); ++i)
-                if (roll_.at(i)->member->state != State::Gone) to.push_back(roll_.at(i));
+        if (unchanged) return;
+        join_timeout_ = kAckTimeout;
+        seeds_asked_ = 0;
+        next_join_at_ = last_call_at_;
+    }
+
+    void announce_departure(TimePoint now, Actions& actions) {
+        if (departed_) return;
+        ++self_record_.version;
+        self_member_.state = State::Dead;
+        Packet packet = make_packet(PacketKind::Gossip);
+        self_member_.departed = true;
+        self_record_.gossip_full_info = false;
+        packet.entries.push_back(self_record_.to_entry());
+        const std::string bytes = encode(packet);
+        std::vector<Record*> recipients;
+        if (table_.live_count() <= kLargeCluster) {
+            for (std::size_t i = 0; i < table_.size(); ++i)
+                if (table_.record_at(i)->member->state != State::Dead)
+                    recipients.push_back(table_.record_at(i));
         } else {
-            to = draw_alive(kMiddle / 2, nullptr);
-            for (std::size_t i = 0; i < roll_.size() && to.size() < kMiddle; ++i) {
-                Record* const r = roll_.at(i);
-                if (r->member->facts.role == Role::Lighthouse && r->member->state == State::Alive)
-                    to.push_back(r);
+            recipients = choose_alive(kLargeCluster / 2, nullptr);
+            for (std::size_t i = 0; i < table_.size() && recipients.size() < kLargeCluster; ++i) {
+                Record* const record = table_.record_at(i);
+                if (record->member->info.role == Role::Controller && record->member->state == State::Alive)
+                    recipients.push_back(record);
             }
         }
-        for (const Record* r : to) post(r->address, bytes, out);
-        left_ = true;
-        last_ = std::max(last_, now);
+        for (const Record* record : recipients) send_bytes(record->address, bytes, actions);
+        departed_ = true;
+        last_call_at_ = std::max(last_call_at_, now);
     }
 
-    const std::map<std::string, Member>& members() const { return roll_.members(); }
-    const Facts& me() const { return me_.facts; }
+    const std::map<std::string, Member>& members() const { return table_.members(); }
+    const MemberInfo& self() const { return self_member_.info; }
     bool joined() const { return joined_; }
-    const Tallies& tallies() const { return tallies_; }
-
-    double heard_part(TimePoint now, Duration within) const {
-        if (roll_.pilots() == 0) return 1.0;
-        if (roll_.here() < kMiddle) {
-            std::size_t heard = 0;
-            for (const auto& [address, m] : roll_.members())
-                if (m.facts.role == Role::Pilot && m.state != State::Gone && m.heard != TimePoint{} &&
-                    now - m.heard <= within)
-                    ++heard;
-            return static_cast<double>(heard) / static_cast<double>(roll_.pilots());
+    const Statistics& statistics() const { return statistics_; }
+
+    double heard_fraction(TimePoint now, Duration window) const {
+        if (table_.gateway_count() == 0) return 1.0;
+        if (table_.live_count() < kLargeCluster) {
+            std::size_t heard_count = 0;
+            for (const auto& [address, member] : table_.members())
+                if (member.info.role == Role::Gateway && member.state != State::Dead &&
+                    member.last_heard != TimePoint{} && now - member.last_heard <= window)
+                    ++heard_count;
+            return static_cast<double>(heard_count) / static_cast<double>(table_.gateway_count());
         }
         // Those that were drawn and pinged stand for all that are Alive; the Suspected are unheard.
-        std::size_t suspected = 0;
-        for (const Record* r : roll_.lost())
-            if (r->member->state == State::Suspected && r->member->facts.role == Role::Pilot) ++suspected;
-        const double alive = static_cast<double>(roll_.pilots() - std::min(suspected, roll_.pilots()));
-        return alive / static_cast<double>(roll_.pilots()) * part(now, within, [](const Sample& s) {
-                   return std::pair(s.record->member->facts.role == Role::Pilot,
-                                    s.record->member->heard >= s.sent);
+        std::size_t suspect_count = 0;
+        for (const Record* record : table_.unreachable())
+            if (record->member->state == State::Suspect && record->member->info.role == Role::Gateway)
+                ++suspect_count;
+        const double alive_count =
+            static_cast<double>(table_.gateway_count() - std::min(suspect_count, table_.gateway_count()));
+        return alive_count / static_cast<double>(table_.gateway_count()) *
+               sample_fraction(now, window, [](const PingSample& sample) {
+                   return std::pair(sample.record->member->info.role == Role::Gateway,
+                                    sample.record->member->last_heard >= sample.sent_at);
                });
     }
 
-    bool meets_each() const { return roll_.here() <= kMet; }
+    bool contacts_every_member() const { return table_.live_count() <= kDirectContactLimit; }
 
-    double answered_part(TimePoint now, Duration within) const {
-        if (roll_.here() == 0) return 1.0;
-        return part(now, within, [](const Sample& s) { return std::pair(true, s.answered); });
+    double acknowledged_fraction(TimePoint now, Duration window) const {
+        if (table_.live_count() == 0) return 1.0;
+        return sample_fraction(now, window,
+                               [](const PingSample& sample) { return std::pair(true, sample.acknowledged); });
     }
 
 private:
     struct Seed {
         std::string address;
-        int tries = 0;
-        bool done = false;    // it answered with all that it knows
+        int attempts = 0;
+        bool synced = false;    // it answered with all that it knows
     };
     struct Probe {
         Record* record = nullptr;
-        TimePoint first{}, next{};
-        int tries = 1;
-        std::uint32_t number = 0;
+        TimePoint started_at{}, next_attempt_at{};
+        int attempts = 1;
+        std::uint32_t sequence_number = 0;
     };
-    struct Relay {
-        std::uint32_t number = 0, theirs = 0;
-        std::string about, to;
+    struct RelayedPing {
+        std::uint32_t sequence_number = 0, origin_sequence_number = 0;
+        std::string target, requester;
     };
-    struct Sample {    // a ping of a round
+    struct PingSample {    // a ping of a round
         Record* record = nullptr;
-        TimePoint sent{};
-        std::uint32_t number = 0;
-        bool answered = false;    // by the one that was pinged, perhaps through a third one
+        TimePoint sent_at{};
+        std::uint32_t sequence_number = 0;
+        bool acknowledged = false;    // by the one that was pinged, perhaps through a third one
     };
-    struct Pull {    // of what another one knows
-        std::string from;
-        bool join = false, moved = false, news = false;
-        int tries = 1;
-        TimePoint at{};
-        std::string after;
-        std::vector<std::uint64_t> buckets;
-        std::map<std::string, Packet> ahead;    // pages that overtook others, without their entries
+    struct SyncPull {    // of what another one knows
+        std::string source;
+        bool for_join = false, progressed = false, learned = false;
+        int attempts = 1;
+        TimePoint deadline{};
+        std::string after_address;
+        std::vector<std::uint64_t> digest_buckets;
+        std::map<std::string, Packet> early_pages;    // pages that overtook others, without their entries
     };
 
     // Of the pings sent in this time, the last few at least. `look`: whether it counts, and for yes or no.
-    template <typename Look>
-    double part(TimePoint now, Duration within, Look&& look) const {
-        std::size_t asked = 0, yes = 0;
-        for (auto s = samples_.rbegin(); s != samples_.rend(); ++s) {
-            if (now - s->sent < kPatience) continue;
-            if (now - s->sent > within + kPatience && asked >= kFewSamples) break;
-            const auto [counts, good] = look(*s);
-            asked += counts;
-            yes += counts && good;
+    template <typename Evaluate>
+    double sample_fraction(TimePoint now, Duration window, Evaluate&& evaluate) const {
+        std::size_t counted = 0, positive = 0;
+        for (auto sample = samples_.rbegin(); sample != samples_.rend(); ++sample) {
+            if (now - sample->sent_at < kAckTimeout) continue;
+            if (now - sample->sent_at > window + kAckTimeout && counted >= kMinSamples) break;
+            const auto [relevant, succeeded] = evaluate(*sample);
+            counted += relevant;
+            positive += relevant && succeeded;
         }
-        return asked == 0 ? 0.0 : static_cast<double>(yes) / static_cast<double>(asked);
+        return counted == 0 ? 0.0 : static_cast<double>(positive) / static_cast<double>(counted);
     }
 
     // ---- small things ----
 
-    std::size_t draw(std::size_t below) { return static_cast<std::size_t>(random_() % below); }
-    bool large() const { return roll_.here() >= kMiddle; }
-    Duration shortest_sync() const { return large() ? kShortestSyncLarge : kShortestSync; }
-    int limit() const { return kRounds * static_cast<int>(std::bit_width(roll_.here() + 1)) + 2; }
-    int eager() const { return large() ? kEagerLarge : kEager; }
-    std::uint64_t digest() const { return roll_.digest() ^ self_.sum; }
-    void sum_self() {
-        self_.sum = Roll::sum(self_.place, me_.facts.life, self_.version);
-        self_.hash = Roll::short_hash(self_.place, me_.facts.life);
+    std::size_t random_index(std::size_t limit) { return static_cast<std::size_t>(random_() % limit); }
+    bool is_large() const { return table_.live_count() >= kLargeCluster; }
+    Duration min_sync_interval() const { return is_large() ? kMinSyncIntervalLarge : kMinSyncInterval; }
+    int max_transmissions() const {
+        return kTransmissionFactor * static_cast<int>(std::bit_width(table_.live_count() + 1)) + 2;
+    }
+    int max_eager_transmissions() const {
+        return is_large() ? kEagerTransmissionsLarge : kEagerTransmissions;
+    }
+    std::uint64_t digest() const { return table_.digest() ^ self_record_.digest; }
+    void update_self_digest() {
+        self_record_.digest = MemberTable::compute_digest(
+            self_record_.address_hash, self_member_.info.incarnation, self_record_.version);
+        self_record_.hash =
+            MemberTable::identity_hash(self_record_.address_hash, self_member_.info.incarnation);
     }
-    static void mark(const std::string& address, std::vector<std::string>& changed) {
-        if (changed.empty() || changed.back() != address) changed.push_back(address);
+    static void add_changed_member(const std::string& address, std::vector<std::string>& changed_members) {
+        if (changed_members.empty() || changed_members.back() != address) changed_members.push_back(address);
     }
-    void flush(Actions& out) {
-        for (const std::string& address : changed_) mark(address, out.changed);
-        changed_.clear();
+    void flush_changes(Actions& actions) {
+        for (const std::string& address : changed_members_)
+            add_changed_member(address, actions.changed_members);
+        changed_members_.clear();
     }
 
     // After a time in which this process did not run it knows nothing of the others: nobody is suspected for
     // it, and what it thought of them before is not passed on.
-    void wake(TimePoint now) {
-        if (now - last_ > std::max<Duration>(kGap, 2 * s_.every)) {
-            woke_ = now;
-            woke_number_ = number_;
-            for (Probe& p : probes_) p.record->probed = false;
+    void detect_pause(TimePoint now) {
+        if (now - last_call_at_ > std::max<Duration>(kPauseThreshold, 2 * settings_.probe_interval)) {
+            resumed_at_ = now;
+            sequence_at_resume_ = sequence_number_;
+            for (Probe& probe : probes_) probe.record->probing = false;
             probes_.clear();
             samples_.clear();
-            for (Record* r : roll_.lost())
-                if (r->member->state == State::Suspected) r->suspected = now;
-            bump(false);
-            sync_now_ = true;
-            round_at_ = now;
+            for (Record* record : table_.unreachable())
+                if (record->member->state == State::Suspect) record->suspected_since = now;
+            bump_version(false);
+            sync_requested_ = true;
+            next_round_at_ = now;
             pull_.reset();
         }
-        last_ = std::max(last_, now);
+        last_call_at_ = std::max(last_call_at_, now);
     }
 
     // Since when a member could have been heard.
-    TimePoint since(const Record& r) const { return std::max({r.member->heard, r.known, woke_}); }
+    TimePoint reachable_since(const Record& record) const {
+        return std::max({record.member->last_heard, record.known_since, resumed_at_});
+    }
 
-    void bump(bool whole) {
-        ++self_.version;
-        sum_self();
-        tell(self_, whole);
+    void bump_version(bool full_info) {
+        ++self_record_.version;
+        update_self_digest();
+        queue_gossip(self_record_, full_info);
     }
 
     // Puts the news of a member before all other news.
-    void tell(Record& r, bool whole, int told = 0) {
-        if (told >= limit()) return;
-        if (r.news) {
-            std::erase(news_, &r);
-            whole = whole || r.whole;
+    void queue_gossip(Record& record, bool full_info, int transmissions = 0) {
+        if (transmissions >= max_transmissions()) return;
+        if (record.gossip_queued) {
+            std::erase(gossip_queue_, &record);
+            full_info = full_info || record.gossip_full_info;
         }
-        r.whole = whole;
-        r.told = told;
-        r.news = true;
-        insert(&r);
-        while (news_.size() > kMostNews) {
-            news_.back()->news = false;
-            news_.pop_back();
+        record.gossip_full_info = full_info;
+        record.transmissions = transmissions;
+        record.gossip_queued = true;
+        insert_gossip(&record);
+        while (gossip_queue_.size() > kMaxGossip) {
+            gossip_queue_.back()->gossip_queued = false;
+            gossip_queue_.pop_back();
         }
-        if (told < eager()) push_soon();
+        if (transmissions < max_eager_transmissions()) schedule_push();
     }
 
     // The queue stays in the order of how often its news were told.
-    void insert(Record* r) {
-        const auto told = [](const Record* a, const Record* b) { return a->told < b->told; };
-        news_.insert(r->told == 0 ? news_.begin() : std::upper_bound(news_.begin(), news_.end(), r, told), r);
+    void insert_gossip(Record* record) {
+        const auto fewer_transmissions = [](const Record* a, const Record* b) {
+            return a->transmissions < b->transmissions;
+        };
+        gossip_queue_.insert(
+            record->transmissions == 0
+                ? gossip_queue_.begin()
+                : std::upper_bound(gossip_queue_.begin(), gossip_queue_.end(), record, fewer_transmissions),
+            record);
     }
 
-    void push_soon() {
-        push_at_ =
-            std::min(push_at_, std::max(last_ + kEagerDelay, last_push_ + (large() ? kPaceLarge : kPace)));
+    void schedule_push() {
+        next_push_at_ = std::min(next_push_at_,
+                                 std::max(last_call_at_ + kEagerDelay,
+                                          last_push_at_ + (is_large() ? kPushIntervalLarge : kPushInterval)));
     }
 
     // ---- packets ----
 
-    Packet head(Kind kind, std::uint32_t number = 0) const {
-        Packet p;
-        p.kind = kind;
-        p.number = number;
-        p.joined = joined_;
-        p.lighthouse = me_.facts.role == Role::Lighthouse;
-        p.members = static_cast<std::uint16_t>(roll_.here());
-        p.life = me_.facts.life;
-        p.version = self_.version;
-        p.beat = self_.beat;
-        p.digest = digest();
-        return p;
+    Packet make_packet(PacketKind kind, std::uint32_t sequence_number = 0) const {
+        Packet packet;
+        packet.kind = kind;
+        packet.sequence_number = sequence_number;
+        packet.joined = joined_;
+        packet.from_controller = self_member_.info.role == Role::Controller;
+        packet.member_count = static_cast<std::uint16_t>(table_.live_count());
+        packet.incarnation = self_member_.info.incarnation;
+        packet.version = self_record_.version;
+        packet.heartbeat = self_record_.heartbeat;
+        packet.digest = digest();
+        return packet;
     }
 
-    void post(const std::string& to, std::string bytes, Actions& out) {
-        ++tallies_.sent;
-        tallies_.sent_bytes += bytes.size();
-        out.sends.push_back({to, std::move(bytes)});
+    void send_bytes(const std::string& to, std::string bytes, Actions& actions) {
+        ++statistics_.sent;
+        statistics_.sent_bytes += bytes.size();
+        actions.sends.push_back({to, std::move(bytes)});
     }
-    void send(const std::string& to, Packet& p, Actions& out) {
-        post(to, encode_fitting(p, s_.longest), out);
+    void send_packet(const std::string& to, Packet& packet, Actions& actions) {
+        send_bytes(to, encode_fitting(packet, settings_.max_datagram_bytes), actions);
     }
 
-    std::size_t size(const Packet& p) const {
-        std::size_t size = 100 + p.beats.size() * 6 + p.row.size() * 9 / 8 + p.buckets.size() * 9;
-        for (const Entry& e : p.entries) size += entry_size(e);
-        return size;
+    std::size_t packet_size(const Packet& packet) const {
+        std::size_t bytes = 100 + packet.hashed_heartbeats.size() * 6 +
+                            packet.ordered_heartbeats.size() * 9 / 8 + packet.digest_buckets.size() * 9;
+        for (const Entry& entry : packet.entries) bytes += entry_size(entry);
+        return bytes;
     }
 
     // News that others may not know, the least told first. `below`: only news told so seldom.
-    void add_news(Packet& p, int copies, int below) {
-        std::size_t size = this->size(p);
-        const std::size_t all = news_.size();
-        std::vector<Record*> again;
-        for (std::size_t i = 0; i < all; ++i) {
-            Record* const r = news_.front();
-            if (r->told >= below) break;    // the rest was told as often or oftener
-            Entry e = r->entry();
-            const std::size_t more = entry_size(e);
-            if (size + more > s_.longest) break;
-            news_.pop_front();
-            const bool old = r->member->state == State::Suspected &&
-                             (last_ - r->suspected > kSuspicionNews || r->suspected <= woke_);
-            if (old || (r->member->state == State::Gone && !r->member->ended)) {    // forgotten: not said
-                r->news = false;
+    void add_gossip(Packet& packet, int copies, int transmission_limit) {
+        std::size_t packet_bytes = this->packet_size(packet);
+        const std::size_t queued_count = gossip_queue_.size();
+        std::vector<Record*> requeued;
+        for (std::size_t i = 0; i < queued_count; ++i) {
+            Record* const record = gossip_queue_.front();
+            if (record->transmissions >= transmission_limit)
+                break;    // the rest was told as often or oftener
+            Entry entry = record->to_entry();
+            const std::size_t entry_bytes = entry_size(entry);
+            if (packet_bytes + entry_bytes > settings_.max_datagram_bytes) break;
+            gossip_queue_.pop_front();
+            const bool expired = record->member->state == State::Suspect &&
+                                 (last_call_at_ - record->suspected_since > kSuspicionGossipTime ||
+                                  record->suspected_since <= resumed_at_);
+            if (expired || (record->member->state == State::Dead &&
+                            !record->member->departed)) {    // forgotten: not said
+                record->gossip_queued = false;
                 continue;
             }
-            r->told += copies;
-            if (r->told < limit()) {
-                again.push_back(r);
+            record->transmissions += copies;
+            if (record->transmissions < max_transmissions()) {
+                requeued.push_back(record);
             } else {
-                r->news = false;
+                record->gossip_queued = false;
             }
-            size += more;
-            p.entries.push_back(std::move(e));
+            packet_bytes += entry_bytes;
+            packet.entries.push_back(std::move(entry));
         }
-        for (Record* r : again) insert(r);
+        for (Record* record : requeued) insert_gossip(record);
     }
 
     // All that is not Gone, this process included, in the order of the addresses; `unheard`: and what said no
     // goodbye.
-    template <typename F>
-    void in_order(const std::string& from, F&& f, bool unheard = false) {
-        bool self = from < self_.address, on = true;
-        roll_.walk(from, [&](Record& r) {
-            if (self && self_.address < r.address) {
-                self = false;
-                on = f(self_);
+    template <typename Visitor>
+    void for_each_in_order(const std::string& after_address, Visitor&& visit, bool include_unheard = false) {
+        bool self_pending = after_address < self_record_.address, keep_going = true;
+        table_.for_each_after(after_address, [&](Record& record) {
+            if (self_pending && self_record_.address < record.address) {
+                self_pending = false;
+                keep_going = visit(self_record_);
             }
-            const bool left_out = r.member->state == State::Gone && (!unheard || r.member->ended);
-            return on = on && (left_out || f(r));
+            const bool skipped =
+                record.member->state == State::Dead && (!include_unheard || record.member->departed);
+            return keep_going = keep_going && (skipped || visit(record));
         });
-        if (self && on) f(self_);
+        if (self_pending && keep_going) visit(self_record_);
     }
 
-    std::uint8_t beat_of(const Record& r, TimePoint now) const {
-        if (&r == &self_) return self_.beat;
-        return now - r.beat_at <= s_.suspect_after ? r.beat : 0;
+    std::uint8_t current_heartbeat(const Record& record, TimePoint now) const {
+        if (&record == &self_record_) return self_record_.heartbeat;
+        return now - record.heartbeat_at <= settings_.suspect_after ? record.heartbeat : 0;
     }
 
     // Beats as last known: a row of all of them, which a receiver with another sum cannot read.
-    void add_row(Packet& p, TimePoint now) {
-        if (large()) return;
-        p.row.reserve(roll_.here() + 1);
-        in_order("", [&](const Record& r) {
-            p.row.push_back(beat_of(r, now));
+    void add_ordered_heartbeats(Packet& packet, TimePoint now) {
+        if (is_large()) return;
+        packet.ordered_heartbeats.reserve(table_.live_count() + 1);
+        for_each_in_order("", [&](const Record& record) {
+            packet.ordered_heartbeats.push_back(current_heartbeat(record, now));
             return true;
         });
     }
 
     // For a receiver with another sum: those of some, in turn, by their names.
-    void add_beats(Packet& p, TimePoint now) {
-        if (large()) return;
-        for (std::size_t i = 0; i < roll_.size() && p.beats.size() < kBeats; ++i) {
-            beat_at_ = (beat_at_ + 1) % roll_.size();
-            const Record& r = *roll_.at(beat_at_);
-            if (r.member->state == State::Gone || beat_of(r, now) == 0) continue;
-            p.beats.emplace_back(r.hash, r.beat);
+    void add_hashed_heartbeats(Packet& packet, TimePoint now) {
+        if (is_large()) return;
+        for (std::size_t i = 0; i < table_.size() && packet.hashed_heartbeats.size() < kHeartbeatsPerPacket;
+             ++i) {
+            heartbeat_cursor_ = (heartbeat_cursor_ + 1) % table_.size();
+            const Record& record = *table_.record_at(heartbeat_cursor_);
+            if (record.member->state == State::Dead || current_heartbeat(record, now) == 0) continue;
+            packet.hashed_heartbeats.emplace_back(record.hash, record.heartbeat);
         }
     }
 
     // A beat as told by another one, where that proves anything: it is later than the one known.
-    void take_beat(Record& r, std::uint8_t beat, TimePoint now, Actions& out) {
-        if (beat == 0 || r.member->ended || &r == &self_) return;
-        const int later = r.beat == 0 ? 0 : (beat - r.beat + 255) % 255;
-        if (r.beat != 0 && (later == 0 || later > 127)) return;
-        if (r.beat != 0) evidence(r, now, out.changed);
-        r.beat = beat;
-        r.beat_at = now;
+    void learn_heartbeat(Record& record, std::uint8_t heartbeat, TimePoint now, Actions& actions) {
+        if (heartbeat == 0 || record.member->departed || &record == &self_record_) return;
+        const int advance = record.heartbeat == 0 ? 0 : (heartbeat - record.heartbeat + 255) % 255;
+        if (record.heartbeat != 0 && (advance == 0 || advance > 127)) return;
+        if (record.heartbeat != 0) confirm_alive(record, now, actions.changed_members);
+        record.heartbeat = heartbeat;
+        record.heartbeat_at = now;
     }
 
     // This process's own beat, as another one knows it: so that one hears of this one.
-    void take_echo(Record* from, std::uint8_t beat, TimePoint now) {
-        if (from == nullptr || beat == 0 || from->member->ended) return;
-        const int age = (self_.beat - beat + 255) % 255;
-        if (age > kEchoed) return;
-        TimePoint& answered = from->member->answered;
-        answered = std::max(answered, now - age * s_.every);
-    }
-
-    void take_beats(Record* from, const Packet& p, TimePoint now, Actions& out) {
-        for (const auto& [hash, beat] : p.beats) {
-            if (hash == self_.hash) take_echo(from, beat, now);
-            if (Record* const r = roll_.by_hash(hash); r != nullptr) take_beat(*r, beat, now, out);
+    void learn_echo(Record* sender, std::uint8_t heartbeat, TimePoint now) {
+        if (sender == nullptr || heartbeat == 0 || sender->member->departed) return;
+        const int age = (self_record_.heartbeat - heartbeat + 255) % 255;
+        if (age > kMaxEchoAge) return;
+        TimePoint& last_acknowledged = sender->member->last_acknowledged;
+        last_acknowledged = std::max(last_acknowledged, now - age * settings_.probe_interval);
+    }
+
+    void learn_heartbeats(Record* sender, const Packet& packet, TimePoint now, Actions& actions) {
+        for (const auto& [hash, heartbeat] : packet.hashed_heartbeats) {
+            if (hash == self_record_.hash) learn_echo(sender, heartbeat, now);
+            if (Record* const record = table_.find_by_hash(hash); record != nullptr)
+                learn_heartbeat(*record, heartbeat, now, actions);
         }
-        if (p.row.empty() || p.digest != digest() || p.row.size() != roll_.here() + 1) return;
-        std::size_t at = 0;
-        in_order("", [&](Record& r) {
-            if (&r == &self_) take_echo(from, p.row[at], now);
-            take_beat(r, p.row[at], now, out);
-            return ++at < p.row.size();
+        if (packet.ordered_heartbeats.empty() || packet.digest != digest() ||
+            packet.ordered_heartbeats.size() != table_.live_count() + 1)
+            return;
+        std::size_t index = 0;
+        for_each_in_order("", [&](Record& record) {
+            if (&record == &self_record_) learn_echo(sender, packet.ordered_heartbeats[index], now);
+            learn_heartbeat(record, packet.ordered_heartbeats[index], now, actions);
+            return ++index < packet.ordered_heartbeats.size();
         });
     }
 
-    std::vector<Record*> draw_alive(std::size_t count, const Record* but) {
-        std::vector<Record*> drawn;
-        if (roll_.size() == 0) return drawn;
-        if (roll_.size() <= 2 * count + 8) {
-            for (std::size_t i = 0; i < roll_.size(); ++i)
-                if (roll_.at(i)->member->state == State::Alive && roll_.at(i) != but)
-                    drawn.push_back(roll_.at(i));
-            std::shuffle(drawn.begin(), drawn.end(), random_);
-            if (drawn.size() > count) drawn.resize(count);
-            return drawn;
+    std::vector<Record*> choose_alive(std::size_t count, const Record* excluded) {
+        std::vector<Record*> chosen;
+        if (table_.size() == 0) return chosen;
+        if (table_.size() <= 2 * count + 8) {
+            for (std::size_t i = 0; i < table_.size(); ++i)
+                if (table_.record_at(i)->member->state == State::Alive && table_.record_at(i) != excluded)
+                    chosen.push_back(table_.record_at(i));
+            std::shuffle(chosen.begin(), chosen.end(), random_);
+            if (chosen.size() > count) chosen.resize(count);
+            return chosen;
         }
-        for (std::size_t tries = 0; tries < 4 * count && drawn.size() < count; ++tries) {
-            Record* const r = roll_.at(draw(roll_.size()));
-            if (r->member->state == State::Alive && r != but &&
-                std::find(drawn.begin(), drawn.end(), r) == drawn.end())
-                drawn.push_back(r);
+        for (std::size_t attempts = 0; attempts < 4 * count && chosen.size() < count; ++attempts) {
+            Record* const record = table_.record_at(random_index(table_.size()));
+            if (record->member->state == State::Alive && record != excluded &&
+                std::find(chosen.begin(), chosen.end(), record) == chosen.end())
+                chosen.push_back(record);
         }
-        return drawn;
+        return chosen;
     }
 
     // ---- what others say ----
 
-    void take(const std::string& from, const Packet& p, TimePoint now, Actions& out) {
-        Record* r = roll_.find(from);
+    void handle_packet(const std::string& from, const Packet& packet, TimePoint now, Actions& actions) {
+        Record* sender = table_.find(from);
         std::vector<Entry> corrections;
-        bool lost = false;
-        std::uint32_t lost_version = 0;
-        if (r != nullptr) {
-            if (r->member->ended && p.life == r->member->facts.life) return;    // said before it left
-            if (p.life < r->member->facts.life) corrections.push_back(r->whole_entry());
-            lost = r->member->state != State::Alive && p.life == r->member->facts.life;
-            lost_version = r->version;
+        bool was_unreachable = false;
+        std::uint32_t previous_version = 0;
+        if (sender != nullptr) {
+            if (sender->member->departed && packet.incarnation == sender->member->info.incarnation)
+                return;    // said before it left
+            if (packet.incarnation < sender->member->info.incarnation)
+                corrections.push_back(sender->to_full_entry());
+            was_unreachable = sender->member->state != State::Alive &&
+                              packet.incarnation == sender->member->info.incarnation;
+            previous_version = sender->version;
         }
-        const Source source = p.kind != Kind::Page ? Source::News : joined_ ? Source::Sync : Source::Join;
-        bool news = false;
-        for (const Entry& e : p.entries)
-            news = learn(e, from, source, p.check, now, out, corrections) || news;
-        r = roll_.find(from);
-        const bool fresh = woke_ == TimePoint{} || now - woke_ > kDrain ||
-                           (p.kind == Kind::Answer && static_cast<std::int32_t>(p.number - woke_number_) > 0);
-        bool who = r == nullptr && !roll_.full();
-        if (r != nullptr && p.life >= r->member->facts.life && !r->member->ended) {
-            if (p.life > r->member->facts.life || p.version > r->version) who = true;
-            if (p.life == r->member->facts.life && p.about.empty()) {
-                if (fresh) {
-                    r->beat = p.beat;
-                    r->beat_at = now;
-                    evidence(*r, now, out.changed);
-                    if (lost && r->version == lost_version) {
-                        Entry e = r->entry();    // so that it says anew that it runs
-                        e.state = State::Suspected;
-                        corrections.push_back(std::move(e));
+        const EntrySource source = packet.kind != PacketKind::SyncPage ? EntrySource::Gossip
+                                   : joined_                           ? EntrySource::Sync
+                                                                       : EntrySource::Join;
+        bool learned = false;
+        for (const Entry& entry : packet.entries)
+            learned = learn_entry(entry, from, source, packet.verify_suspicions, now, actions, corrections) ||
+                      learned;
+        sender = table_.find(from);
+        const bool is_fresh = resumed_at_ == TimePoint{} || now - resumed_at_ > kPauseDrainTime ||
+                              (packet.kind == PacketKind::Ack &&
+                               static_cast<std::int32_t>(packet.sequence_number - sequence_at_resume_) > 0);
+        bool wants_info = sender == nullptr && !table_.full();
+        if (sender != nullptr && packet.incarnation >= sender->member->info.incarnation &&
+            !sender->member->departed) {
+            if (packet.incarnation > sender->member->info.incarnation || packet.version > sender->version)
+                wants_info = true;
+            if (packet.incarnation == sender->member->info.incarnation && packet.target.empty()) {
+                if (is_fresh) {
+                    sender->heartbeat = packet.heartbeat;
+                    sender->heartbeat_at = now;
+                    confirm_alive(*sender, now, actions.changed_members);
+                    if (was_unreachable && sender->version == previous_version) {
+                        Entry entry = sender->to_entry();    // so that it says anew that it runs
+                        entry.state = State::Suspect;
+                        corrections.push_back(std::move(entry));
                     }
                 }
             }
         }
-        const bool same_life = r != nullptr && p.life == r->member->facts.life;
-        if (fresh && same_life && (p.digest == digest() || p.members <= roll_.here()))
-            r->member->agreed = now;
-        if (fresh && same_life && p.kind == Kind::Page) r->member->answered = now;    // it was asked
-        if (fresh) take_beats(same_life ? r : nullptr, p, now, out);
-        switch (p.kind) {
-            case Kind::Ping: {
-                Packet answer = head(Kind::Answer, p.number);
-                reply(answer, who, p.who, corrections);
-                add_news(answer, 1, limit());
-                if (p.digest == digest()) {
-                    add_row(answer, now);
+        const bool same_life = sender != nullptr && packet.incarnation == sender->member->info.incarnation;
+        if (is_fresh && same_life &&
+            (packet.digest == digest() || packet.member_count <= table_.live_count()))
+            sender->member->last_in_sync = now;
+        if (is_fresh && same_life && packet.kind == PacketKind::SyncPage)
+            sender->member->last_acknowledged = now;    // it was asked
+        if (is_fresh) learn_heartbeats(same_life ? sender : nullptr, packet, now, actions);
+        switch (packet.kind) {
+            case PacketKind::Ping: {
+                Packet ack = make_packet(PacketKind::Ack, packet.sequence_number);
+                add_reply_entries(ack, wants_info, packet.wants_info, corrections);
+                add_gossip(ack, 1, max_transmissions());
+                if (packet.digest == digest()) {
+                    add_ordered_heartbeats(ack, now);
                 } else {
-                    add_beats(answer, now);
+                    add_hashed_heartbeats(ack, now);
                 }
-                send(from, answer, out);
-                compare(from, p, now, out);
+                send_packet(from, ack, actions);
+                compare_digest(from, packet, now, actions);
                 return;
             }
-            case Kind::Answer: answered(from, p, now, out); break;
-            case Kind::PingFor: relay(from, p, out); break;
-            case Kind::Told:
-            case Kind::Ask: break;
-            case Kind::Page: page(from, p, news, now, out); break;
+            case PacketKind::Ack: handle_ack(from, packet, now, actions); break;
+            case PacketKind::PingRequest: relay_ping(from, packet, actions); break;
+            case PacketKind::Gossip:
+            case PacketKind::SyncRequest: break;
+            case PacketKind::SyncPage: handle_sync_page(from, packet, learned, now, actions); break;
         }
-        if (who || p.who || !corrections.empty()) {
-            Packet told = head(Kind::Told);
-            reply(told, who, p.who, corrections);
-            add_news(told, 1, limit());
-            send(from, told, out);
+        if (wants_info || packet.wants_info || !corrections.empty()) {
+            Packet gossip = make_packet(PacketKind::Gossip);
+            add_reply_entries(gossip, wants_info, packet.wants_info, corrections);
+            add_gossip(gossip, 1, max_transmissions());
+            send_packet(from, gossip, actions);
         }
-        if (p.kind == Kind::Ask) pages(from, p, out);
-        if (p.kind == Kind::Answer && p.about.empty()) compare(from, p, now, out);
+        if (packet.kind == PacketKind::SyncRequest) send_sync_pages(from, packet, actions);
+        if (packet.kind == PacketKind::Ack && packet.target.empty())
+            compare_digest(from, packet, now, actions);
     }
 
-    void reply(Packet& p, bool who, bool asked, std::vector<Entry>& corrections) {
-        p.who = who;
-        p.check = !corrections.empty();
-        if (corrections.size() > kMostCorrections) corrections.resize(kMostCorrections);
-        for (Entry& e : corrections) p.entries.push_back(std::move(e));
-        if (asked) p.entries.push_back(self_.whole_entry());
+    void add_reply_entries(Packet& packet, bool wants_info, bool info_requested,
+                           std::vector<Entry>& corrections) {
+        packet.wants_info = wants_info;
+        packet.verify_suspicions = !corrections.empty();
+        if (corrections.size() > kMaxCorrections) corrections.resize(kMaxCorrections);
+        for (Entry& entry : corrections) packet.entries.push_back(std::move(entry));
+        if (info_requested) packet.entries.push_back(self_record_.to_full_entry());
     }
 
     // True where it was news.
-    bool learn(const Entry& e, const std::string& from, Source source, bool check, TimePoint now,
-               Actions& out, std::vector<Entry>& corrections) {
-        if (e.facts.address == self_.address) {
-            about_me(e);
+    bool learn_entry(const Entry& entry, const std::string& from, EntrySource source, bool verify_suspicions,
+                     TimePoint now, Actions& actions, std::vector<Entry>& corrections) {
+        if (entry.info.address == self_record_.address) {
+            handle_self_entry(entry);
             return false;
         }
-        const int told = source == Source::News ? 0 : source == Source::Sync ? limit() / 2 : limit();
-        Record* r = roll_.find(e.facts.address);
-        if (r == nullptr) {
-            if (e.brief || e.state == State::Gone) return false;
-            if (roll_.full()) {
-                ++tallies_.refused;
+        const int transmissions = source == EntrySource::Gossip ? 0
+                                  : source == EntrySource::Sync ? max_transmissions() / 2
+                                                                : max_transmissions();
+        Record* record = table_.find(entry.info.address);
+        if (record == nullptr) {
+            if (entry.brief || entry.state == State::Dead) return false;
+            if (table_.full()) {
+                ++statistics_.rejected_members;
                 return false;
             }
-            if (e.unheard && source == Source::Join) {    // no news: the others took it for Gone before
-                roll_.add(e.facts, e.version, State::Gone, now).member->ended = false;
-                mark(e.facts.address, out.changed);
+            if (entry.unheard &&
+                source == EntrySource::Join) {    // no news: the others took it for Gone before
+                table_.add(entry.info, entry.version, State::Dead, now).member->departed = false;
+                add_changed_member(entry.info.address, actions.changed_members);
                 return false;
             }
-            r = &roll_.add(e.facts, e.version, e.state, now);
-            return changed(*r, true, told, now, out);
+            record = &table_.add(entry.info, entry.version, entry.state, now);
+            return publish_change(*record, true, transmissions, now, actions);
         }
-        Member& m = *r->member;
-        if (e.facts.life < m.facts.life) {
-            corrections.push_back(r->whole_entry());
+        Member& member = *record->member;
+        if (entry.info.incarnation < member.info.incarnation) {
+            corrections.push_back(record->to_full_entry());
             return false;
         }
-        if (e.facts.life > m.facts.life) {
-            if (e.brief && e.state != State::Gone) return false;
-            Facts facts = e.facts;
-            if (e.brief) {    // it ended before it was known here
-                facts = m.facts;
-                facts.life = e.facts.life;
+        if (entry.info.incarnation > member.info.incarnation) {
+            if (entry.brief && entry.state != State::Dead) return false;
+            MemberInfo info = entry.info;
+            if (entry.brief) {    // it ended before it was known here
+                info = member.info;
+                info.incarnation = entry.info.incarnation;
             }
-            roll_.renew(*r, facts, e.version, e.state, now);
-            return changed(*r, true, told, now, out);
+            table_.replace_incarnation(*record, info, entry.version, entry.state, now);
+            return publish_change(*record, true, transmissions, now, actions);
         }
-        if (r->member->ended) {
-            if (e.state != State::Gone) corrections.push_back(r->entry());
+        if (record->member->departed) {
+            if (entry.state != State::Dead) corrections.push_back(record->to_entry());
             return false;
         }
-        if (e.state == State::Gone) {
-            r->member->ended = true;
-            r->version = std::max(r->version, e.version);
-            roll_.become(*r, State::Gone, now);
-            return changed(*r, false, told, now, out);
+        if (entry.state == State::Dead) {
+            record->member->departed = true;
+            record->version = std::max(record->version, entry.version);
+            table_.set_state(*record, State::Dead, now);
+            return publish_change(*record, false, transmissions, now, actions);
         }
-        if (e.version < r->version) {
-            if (e.facts.address != from) corrections.push_back(r->whole_entry());
+        if (entry.version < record->version) {
+            if (entry.info.address != from) corrections.push_back(record->to_full_entry());
             return false;
         }
         // Only fresh suspicions are believed, of those that were not heard here.
         const bool suspicion =
-            e.state == State::Suspected && m.state == State::Alive && source == Source::News;
-        const bool believe = suspicion && !check && now - since(*r) >= s_.suspect_after;
-        if (e.version > r->version) {
-            roll_.update(*r, e);
-            if (e.state == State::Alive) {    // a version that it made after it was suspected
-                if (m.state != State::Alive) evidence(*r, now, out.changed);
-            } else if (believe) {
-                roll_.become(*r, State::Suspected, now);
+            entry.state == State::Suspect && member.state == State::Alive && source == EntrySource::Gossip;
+        const bool accept_suspicion =
+            suspicion && !verify_suspicions && now - reachable_since(*record) >= settings_.suspect_after;
+        if (entry.version > record->version) {
+            table_.apply_entry(*record, entry);
+            if (entry.state == State::Alive) {    // a version that it made after it was suspected
+                if (member.state != State::Alive) confirm_alive(*record, now, actions.changed_members);
+            } else if (accept_suspicion) {
+                table_.set_state(*record, State::Suspect, now);
             }
-            return changed(*r, !e.brief, told, now, out);
+            return publish_change(*record, !entry.brief, transmissions, now, actions);
         }
-        if (suspicion && !believe) {
-            try_it(*r, now, out);
+        if (suspicion && !accept_suspicion) {
+            start_probe(*record, now, actions);
             return false;
         }
-        if (believe) {
-            roll_.become(*r, State::Suspected, now);
-            return changed(*r, false, told, now, out);
+        if (accept_suspicion) {
+            table_.set_state(*record, State::Suspect, now);
+            return publish_change(*record, false, transmissions, now, actions);
         }
-        if (e.state == State::Alive && m.state == State::Gone && e.facts.address != from)
-            corrections.push_back(r->entry());
+        if (entry.state == State::Alive && member.state == State::Dead && entry.info.address != from)
+            corrections.push_back(record->to_entry());
         return false;
     }
 
-    bool changed(Record& r, bool whole, int told, TimePoint now, Actions& out) {
-        mark(r.address, out.changed);
-        still_ = now;
-        tell(r, whole, told);
+    bool publish_change(Record& record, bool full_info, int transmissions, TimePoint now, Actions& actions) {
+        add_changed_member(record.address, actions.changed_members);
+        last_change_at_ = now;
+        queue_gossip(record, full_info, transmissions);
         return true;
     }
 
     // What others hold of this process: an earlier life is ended by a higher number, a suspicion by a later
     // word.
-    void about_me(const Entry& e) {
-        if (e.facts.life > me_.facts.life || (e.facts.life == me_.facts.life && e.state == State::Gone)) {
-            me_.facts.life = e.facts.life + 1;
-            self_.version = 0;
-            sum_self();
-            tell(self_, true);
-        } else if (e.facts.life == me_.facts.life &&
-                   (e.version > self_.version ||
-                    (e.version == self_.version && e.state == State::Suspected))) {
-            self_.version = e.version;
-            bump(false);
+    void handle_self_entry(const Entry& entry) {
+        if (entry.info.incarnation > self_member_.info.incarnation ||
+            (entry.info.incarnation == self_member_.info.incarnation && entry.state == State::Dead)) {
+            self_member_.info.incarnation = entry.info.incarnation + 1;
+            self_record_.version = 0;
+            update_self_digest();
+            queue_gossip(self_record_, true);
+        } else if (entry.info.incarnation == self_member_.info.incarnation &&
+                   (entry.version > self_record_.version ||
+                    (entry.version == self_record_.version && entry.state == State::Suspect))) {
+            self_record_.version = entry.version;
+            bump_version(false);
         }
     }
 
-    void evidence(Record& r, TimePoint now, std::vector<std::string>& changed) {
-        r.member->heard = std::max(r.member->heard, now);
-        r.probed = false;
-        if (r.member->state == State::Alive || r.member->ended) return;
-        const bool alone = r.alone && large();
-        roll_.become(r, State::Alive, now);
-        mark(r.address, changed);
-        still_ = now;
-        if (!alone) return;
+    void confirm_alive(Record& record, TimePoint now, std::vector<std::string>& changed_members) {
+        record.member->last_heard = std::max(record.member->last_heard, now);
+        record.probing = false;
+        if (record.member->state == State::Alive || record.member->departed) return;
+        const bool was_isolated = record.suspected_in_isolation && is_large();
+        table_.set_state(record, State::Alive, now);
+        add_changed_member(record.address, changed_members);
+        last_change_at_ = now;
+        if (!was_isolated) return;
         // This process was cut off, not they: so are the others taken that it suspected then.
-        for (Record* other : roll_.lost()) {
-            if (other->member->state != State::Suspected || !other->alone) continue;
-            other->known = now;
-            roll_.become(*other, State::Alive, now);
-            mark(other->address, changed);
+        for (Record* other : table_.unreachable()) {
+            if (other->member->state != State::Suspect || !other->suspected_in_isolation) continue;
+            other->known_since = now;
+            table_.set_state(*other, State::Alive, now);
+            add_changed_member(other->address, changed_members);
         }
-        for (Probe& p : probes_) {
-            p.record->known = p.first = now;
-            p.tries = 1;
+        for (Probe& probe : probes_) {
+            probe.record->known_since = probe.started_at = now;
+            probe.attempts = 1;
         }
     }
 
     // ---- probes ----
 
-    void answered(const std::string& from, const Packet& p, TimePoint now, Actions& out) {
-        if (!p.about.empty()) {
-            Record* const r = roll_.find(p.about);
-            if (r == nullptr || r->member->ended) return;
-            const bool ours = std::any_of(probes_.begin(), probes_.end(), [&](const Probe& probe) {
-                return probe.record == r && probe.number == p.number;
+    void handle_ack(const std::string& from, const Packet& packet, TimePoint now, Actions& actions) {
+        if (!packet.target.empty()) {
+            Record* const record = table_.find(packet.target);
+            if (record == nullptr || record->member->departed) return;
+            const bool own_probe = std::any_of(probes_.begin(), probes_.end(), [&](const Probe& probe) {
+                return probe.record == record && probe.sequence_number == packet.sequence_number;
             });
-            const bool same = std::any_of(p.beats.begin(), p.beats.end(),
-                                          [&](const auto& beat) { return beat.first == r->hash; });
-            if (!ours || !same) return;
-            evidence(*r, now, out.changed);
-            note(*r, p.number);
+            const bool same_incarnation =
+                std::any_of(packet.hashed_heartbeats.begin(), packet.hashed_heartbeats.end(),
+                            [&](const auto& heartbeat) { return heartbeat.first == record->hash; });
+            if (!own_probe || !same_incarnation) return;
+            confirm_alive(*record, now, actions.changed_members);
+            record_ack(*record, packet.sequence_number);
             return;
         }
-        if (const Record* const r = roll_.find(from); r != nullptr) note(*r, p.number);
-        const auto it = std::find_if(relays_.begin(), relays_.end(), [&](const Relay& relay) {
-            return relay.number == p.number && relay.about == from;
+        if (const Record* const record = table_.find(from); record != nullptr)
+            record_ack(*record, packet.sequence_number);
+        const auto it = std::find_if(relays_.begin(), relays_.end(), [&](const RelayedPing& relay) {
+            return relay.sequence_number == packet.sequence_number && relay.target == from;
         });
         if (it == relays_.end()) return;
-        if (const Record* const r = roll_.find(from); r != nullptr) {
-            Packet answer = head(Kind::Answer, it->theirs);
-            answer.about = from;
-            answer.beats.emplace_back(r->hash, r->beat);
-            send(it->to, answer, out);
+        if (const Record* const record = table_.find(from); record != nullptr) {
+            Packet ack = make_packet(PacketKind::Ack, it->origin_sequence_number);
+            ack.target = from;
+            ack.hashed_heartbeats.emplace_back(record->hash, record->heartbeat);
+            send_packet(it->requester, ack, actions);
         }
         relays_.erase(it);
     }
 
-    void note(const Record& r, std::uint32_t number) {
-        for (Sample& s : samples_)
-            if (s.number == number && s.record == &r) {
-                s.answered = true;
-                r.member->answered = std::max(r.member->answered, s.sent);
+    void record_ack(const Record& record, std::uint32_t sequence_number) {
+        for (PingSample& sample : samples_)
+            if (sample.sequence_number == sequence_number && sample.record == &record) {
+                sample.acknowledged = true;
+                record.member->last_acknowledged = std::max(record.member->last_acknowledged, sample.sent_at);
             }
     }
 
-    void relay(const std::string& from, const Packet& p, Actions& out) {
-        const Record* const r = roll_.find(p.about);
-        if (r == nullptr || r->member->ended) return;
-        if (relays_.size() >= kMostRelays) relays_.pop_front();
-        relays_.push_back({++number_, p.number, p.about, from});
-        Packet ping = head(Kind::Ping, number_);
-        send(p.about, ping, out);
+    void relay_ping(const std::string& requester, const Packet& packet, Actions& actions) {
+        const Record* const record = table_.find(packet.target);
+        if (record == nullptr || record->member->departed) return;
+        if (relays_.size() >= kMaxRelays) relays_.pop_front();
+        relays_.push_back({++sequence_number_, packet.sequence_number, packet.target, requester});
+        Packet ping = make_packet(PacketKind::Ping, sequence_number_);
+        send_packet(packet.target, ping, actions);
     }
 
-    void ping(Record& r, std::uint32_t number, bool as_lost, TimePoint now, Actions& out) {
-        Packet p = head(Kind::Ping, number);
-        if (as_lost) p.entries.push_back(r.entry());    // it says anew that it runs where it does
-        add_news(p, 1, limit());
-        add_row(p, now);
-        send(r.address, p, out);
+    void send_ping(Record& record, std::uint32_t sequence_number, bool include_entry, TimePoint now,
+                   Actions& actions) {
+        Packet packet = make_packet(PacketKind::Ping, sequence_number);
+        if (include_entry)
+            packet.entries.push_back(record.to_entry());    // it says anew that it runs where it does
+        add_gossip(packet, 1, max_transmissions());
+        add_ordered_heartbeats(packet, now);
+        send_packet(record.address, packet, actions);
     }
 
-    void ping_for(const Record& r, std::uint32_t number, std::size_t helpers, Actions& out) {
-        for (const Record* helper : draw_alive(helpers, &r)) {
-            Packet p = head(Kind::PingFor, number);
-            p.about = r.address;
-            send(helper->address, p, out);
+    void send_ping_request(const Record& record, std::uint32_t sequence_number, std::size_t helpers,
+                           Actions& actions) {
+        for (const Record* helper : choose_alive(helpers, &record)) {
+            Packet packet = make_packet(PacketKind::PingRequest, sequence_number);
+            packet.target = record.address;
+            send_packet(helper->address, packet, actions);
         }
     }
 
-    void probe(TimePoint now, Actions& out) {
-        std::erase_if(probes_, [](const Probe& p) {
-            return !p.record->probed || p.record->member->state != State::Alive;
+    void retry_probes(TimePoint now, Actions& actions) {
+        std::erase_if(probes_, [](const Probe& probe) {
+            return !probe.record->probing || probe.record->member->state != State::Alive;
         });
-        for (Probe& p : probes_) {
-            if (now < p.next) continue;
-            Record& r = *p.record;
-            const Duration tried = large() ? s_.suspect_after : s_.suspect_after / 2;
-            if (p.tries >= 3 && now - since(r) >= s_.suspect_after && now - p.first >= tried) {
-                r.probed = false;
-                roll_.become(r, State::Suspected, now);
+        for (Probe& probe : probes_) {
+            if (now < probe.next_attempt_at) continue;
+            Record& record = *probe.record;
+            const Duration min_probe_time =
+                is_large() ? settings_.suspect_after : settings_.suspect_after / 2;
+            if (probe.attempts >= 3 && now - reachable_since(record) >= settings_.suspect_after &&
+                now - probe.started_at >= min_probe_time) {
+                record.probing = false;
+                table_.set_state(record, State::Suspect, now);
                 // Who hears of few has himself to suspect.
-                r.alone = out_of_touch(now);
-                changed(r, false, r.alone ? limit() : 0, now, out);
+                record.suspected_in_isolation = is_isolated(now);
+                publish_change(record, false, record.suspected_in_isolation ? max_transmissions() : 0, now,
+                               actions);
                 continue;
             }
-            ++p.tries;
-            p.next = now + kPatience;
-            ping(r, p.number, false, now, out);
-            ping_for(r, p.number, 2, out);
+            ++probe.attempts;
+            probe.next_attempt_at = now + kAckTimeout;
+            send_ping(record, probe.sequence_number, false, now, actions);
+            send_ping_request(record, probe.sequence_number, 2, actions);
         }
-        std::erase_if(probes_, [](const Probe& p) { return !p.record->probed; });
+        std::erase_if(probes_, [](const Probe& probe) { return !probe.record->probing; });
     }
 
-    bool out_of_touch(TimePoint now) const {
-        std::size_t asked = 0, answered = 0;
-        for (auto s = samples_.rbegin(); s != samples_.rend() && asked < 2 * kFewSamples; ++s) {
-            if (now - s->sent < kPatience) continue;
-            ++asked;
-            if (s->record->member->heard >= s->sent) ++answered;
-            if (asked == kFewSamples && answered == 0) return true;
+    bool is_isolated(TimePoint now) const {
+        std::size_t sample_count = 0, heard_count = 0;
+        for (auto sample = samples_.rbegin(); sample != samples_.rend() && sample_count < 2 * kMinSamples;
+             ++sample) {
+            if (now - sample->sent_at < kAckTimeout) continue;
+            ++sample_count;
+            if (sample->record->member->last_heard >= sample->sent_at) ++heard_count;
+            if (sample_count == kMinSamples && heard_count == 0) return true;
         }
-        return answered * 2 < asked;
+        return heard_count * 2 < sample_count;
     }
 
     // Of those drawn, the ones unheard for longest; where members are few all are drawn, and after those that
     // are unheard come those that showed for longest not that they hear this process.
-    std::vector<Record*> targets(TimePoint now) {
+    std::vector<Record*> choose_probe_targets(TimePoint now) {
         std::vector<Record*> chosen;
-        const std::size_t wanted = roll_.here() < kSmall ? kSmallPings : kPings;
-        if (roll_.here() < kSmall) {
-            chosen = draw_alive(roll_.size(), nullptr);
-            std::erase_if(chosen, [](const Record* r) { return r->probed; });
-            const auto order = [&](const Record* r) {
-                const bool heard = now - r->member->heard <= 2 * s_.every;
-                return std::pair(heard, heard ? r->member->answered : r->member->heard);
+        const std::size_t target_count =
+            table_.live_count() < kSmallCluster ? kPingsPerRoundSmall : kPingsPerRound;
+        if (table_.live_count() < kSmallCluster) {
+            chosen = choose_alive(table_.size(), nullptr);
+            std::erase_if(chosen, [](const Record* record) { return record->probing; });
+            const auto priority = [&](const Record* record) {
+                const bool recently_heard = now - record->member->last_heard <= 2 * settings_.probe_interval;
+                return std::pair(recently_heard, recently_heard ? record->member->last_acknowledged
+                                                                : record->member->last_heard);
             };
             std::stable_sort(chosen.begin(), chosen.end(),
-                             [&](const Record* a, const Record* b) { return order(a) < order(b); });
-            if (chosen.size() > wanted) chosen.resize(wanted);
+                             [&](const Record* a, const Record* b) { return priority(a) < priority(b); });
+            if (chosen.size() > target_count) chosen.resize(target_count);
             return chosen;
         }
-        for (std::size_t i = 0; i < wanted; ++i) {
+        for (std::size_t i = 0; i < target_count; ++i) {
             Record* oldest = nullptr;
-            for (Record* r : draw_alive(kDrawn, nullptr)) {
-                if (r->probed || std::find(chosen.begin(), chosen.end(), r) != chosen.end()) continue;
-                if (oldest == nullptr || r->member->heard < oldest->member->heard) oldest = r;
+            for (Record* record : choose_alive(kPingCandidates, nullptr)) {
+                if (record->probing || std::find(chosen.begin(), chosen.end(), record) != chosen.end())
+                    continue;
+                if (oldest == nullptr || record->member->last_heard < oldest->member->last_heard)
+                    oldest = record;
             }
             if (oldest != nullptr) chosen.push_back(oldest);
         }
@@ -816,334 +886,363 @@
     }
 
     // Pings it, and more and more until it is heard or Suspected.
-    bool try_it(Record& r, TimePoint now, Actions& out) {
-        if (r.probed || probes_.size() >= kMostProbes) return false;
-        r.probed = true;
-        probes_.push_back({&r, now, now + kPatience, 1, ++number_});
-        ping(r, number_, false, now, out);
+    bool start_probe(Record& record, TimePoint now, Actions& actions) {
+        if (record.probing || probes_.size() >= kMaxProbes) return false;
+        record.probing = true;
+        probes_.push_back({&record, now, now + kAckTimeout, 1, ++sequence_number_});
+        send_ping(record, sequence_number_, false, now, actions);
         return true;
     }
 
-    void round(TimePoint now, Actions& out) {
-        const auto jitter = static_cast<Duration::rep>(
-            draw(static_cast<std::size_t>(std::max<Duration::rep>(1, s_.every.count() / 8))));
-        round_at_ = now + s_.every - Duration(s_.every.count() / 16) + Duration(jitter);
-        self_.beat = static_cast<std::uint8_t>(self_.beat % 255 + 1);
-        ++rounds_;
-        forget(now, out);
-        for (Record* r : targets(now)) {
-            if (!try_it(*r, now, out)) break;
-            samples_.push_back({r, now, number_, false});
-            if (samples_.size() > kMostSamples) samples_.pop_front();
+    void run_probe_round(TimePoint now, Actions& actions) {
+        const auto jitter = static_cast<Duration::rep>(random_index(
+            static_cast<std::size_t>(std::max<Duration::rep>(1, settings_.probe_interval.count() / 8))));
+        next_round_at_ = now + settings_.probe_interval - Duration(settings_.probe_interval.count() / 16) +
+                         Duration(jitter);
+        self_record_.heartbeat = static_cast<std::uint8_t>(self_record_.heartbeat % 255 + 1);
+        ++round_count_;
+        expire_members(now, actions);
+        for (Record* record : choose_probe_targets(now)) {
+            if (!start_probe(*record, now, actions)) break;
+            samples_.push_back({record, now, sequence_number_, false});
+            if (samples_.size() > kMaxSamples) samples_.pop_front();
         }
-        std::vector<Record*> lost;
-        for (Record* r : roll_.lost())
-            if (!r->member->ended) lost.push_back(r);
-        if (!lost.empty()) {
-            Record& r = *lost[draw(lost.size())];
-            ping(r, ++number_, true, now, out);
-            if (r.member->state == State::Suspected) ping_for(r, number_, 1, out);
+        std::vector<Record*> unreachable;
+        for (Record* record : table_.unreachable())
+            if (!record->member->departed) unreachable.push_back(record);
+        if (!unreachable.empty()) {
+            Record& record = *unreachable[random_index(unreachable.size())];
+            send_ping(record, ++sequence_number_, true, now, actions);
+            if (record.member->state == State::Suspect)
+                send_ping_request(record, sequence_number_, 1, actions);
         }
-        if (rounds_ % kSeedRounds == 0 && joined_ && !seeds_.empty()) {
-            const Seed& seed = seeds_[draw(seeds_.size())];
-            const Record* const r = roll_.find(seed.address);
-            if (r == nullptr || r->member->state != State::Alive) {
-                Packet p = head(Kind::Ping, ++number_);
-                p.entries.push_back(self_.whole_entry());
-                send(seed.address, p, out);
+        if (round_count_ % kRoundsPerSeedCheck == 0 && joined_ && !seeds_.empty()) {
+            const Seed& seed = seeds_[random_index(seeds_.size())];
+            const Record* const record = table_.find(seed.address);
+            if (record == nullptr || record->member->state != State::Alive) {
+                Packet packet = make_packet(PacketKind::Ping, ++sequence_number_);
+                packet.entries.push_back(self_record_.to_full_entry());
+                send_packet(seed.address, packet, actions);
             }
         }
     }
 
-    void forget(TimePoint now, Actions& out) {
-        std::vector<Record*> old;
-        std::erase_if(roll_.lost(), [](Record* r) {
-            r->lost = r->member->state != State::Alive;
-            return !r->lost;
+    void expire_members(TimePoint now, Actions& actions) {
+        std::vector<Record*> expired;
+        std::erase_if(table_.unreachable(), [](Record* record) {
+            record->unreachable = record->member->state != State::Alive;
+            return !record->unreachable;
         });
-        for (Record* r : roll_.lost()) {
-            if (r->member->state == State::Suspected) {
-                if (now - r->suspected < s_.forget_after - s_.suspect_after) continue;
-                roll_.become(*r, State::Gone, now);
-                mark(r->address, out.changed);
-                still_ = now;
-            } else if (now - r->member->changed > (r->member->ended ? kKeepGone : kKeepUnheard)) {
-                old.push_back(r);
+        for (Record* record : table_.unreachable()) {
+            if (record->member->state == State::Suspect) {
+                if (now - record->suspected_since < settings_.dead_after - settings_.suspect_after) continue;
+                table_.set_state(*record, State::Dead, now);
+                add_changed_member(record->address, actions.changed_members);
+                last_change_at_ = now;
+            } else if (now - record->member->state_changed_at >
+                       (record->member->departed ? kDepartedRetention : kDeadRetention)) {
+                expired.push_back(record);
             }
         }
-        for (Record* r : old) {
-            std::erase(news_, r);
-            std::erase_if(samples_, [r](const Sample& s) { return s.record == r; });
-            std::erase_if(probes_, [r](const Probe& p) { return p.record == r; });
-            roll_.erase(*r);
+        for (Record* record : expired) {
+            std::erase(gossip_queue_, record);
+            std::erase_if(samples_, [record](const PingSample& sample) { return sample.record == record; });
+            std::erase_if(probes_, [record](const Probe& probe) { return probe.record == record; });
+            table_.erase(*record);
         }
     }
 
     // Sends what is new to some at once, and again a moment later.
-    void push(TimePoint now, Actions& out) {
-        push_at_ = TimePoint::max();
-        const std::vector<Record*> peers = draw_alive(large() ? kEagerPeersLarge : kEagerPeers, nullptr);
-        if (peers.empty() || news_.empty()) return;
-        Packet p = head(Kind::Told);
-        add_news(p, static_cast<int>(peers.size()), eager());
-        last_push_ = now;
-        if (!p.entries.empty()) {
-            const std::string bytes = encode_fitting(p, s_.longest);
-            for (const Record* peer : peers) post(peer->address, bytes, out);
+    void push_gossip(TimePoint now, Actions& actions) {
+        next_push_at_ = TimePoint::max();
+        const std::vector<Record*> peers = choose_alive(is_large() ? kEagerPeersLarge : kEagerPeers, nullptr);
+        if (peers.empty() || gossip_queue_.empty()) return;
+        Packet packet = make_packet(PacketKind::Gossip);
+        add_gossip(packet, static_cast<int>(peers.size()), max_eager_transmissions());
+        last_push_at_ = now;
+        if (!packet.entries.empty()) {
+            const std::string bytes = encode_fitting(packet, settings_.max_datagram_bytes);
+            for (const Record* peer : peers) send_bytes(peer->address, bytes, actions);
         }
-        if (!news_.empty() && news_.front()->told < eager()) push_soon();
+        if (!gossip_queue_.empty() && gossip_queue_.front()->transmissions < max_eager_transmissions())
+            schedule_push();
     }
 
     // ---- what others know, whole ----
 
     // Another's sum is not ours though nothing changed here lately: asks for what differs.
-    void compare(const std::string& from, const Packet& p, TimePoint now, Actions& out) {
-        if (p.digest == digest()) {
-            sync_now_ = false;
-            if (++agreed_ >= kAgreed) settled();
+    void compare_digest(const std::string& from, const Packet& packet, TimePoint now, Actions& actions) {
+        if (packet.digest == digest()) {
+            sync_requested_ = false;
+            if (++consecutive_agreements_ >= kAgreementsInSync) drop_spread_gossip();
             return;
         }
-        agreed_ = 0;
-        const bool fewer = p.members > roll_.here() + roll_.here() / 16 + 2;
-        if (pull_ || !joined_ || (now < sync_at_ && !sync_now_)) return;
-        if (!sync_now_ && !fewer && now - still_ < kStill && now - synced_ < 2 * kStill) return;
-        sync_now_ = false;
-        Pull pull;
-        pull.from = from;
-        pull.buckets =
-            buckets(std::clamp<std::size_t>(std::bit_ceil((roll_.here() + 1) / 8 + 1), 1, kMostBuckets));
+        consecutive_agreements_ = 0;
+        const bool has_fewer_members =
+            packet.member_count > table_.live_count() + table_.live_count() / 16 + 2;
+        if (pull_ || !joined_ || (now < next_sync_at_ && !sync_requested_)) return;
+        if (!sync_requested_ && !has_fewer_members && now - last_change_at_ < kQuietTime &&
+            now - last_sync_at_ < 2 * kQuietTime)
+            return;
+        sync_requested_ = false;
+        SyncPull pull;
+        pull.source = from;
+        pull.digest_buckets = digest_buckets(
+            std::clamp<std::size_t>(std::bit_ceil((table_.live_count() + 1) / 8 + 1), 1, kMaxBuckets));
         pull_ = std::move(pull);
-        synced_ = now;
-        ask(now, out);
+        last_sync_at_ = now;
+        send_sync_request(now, actions);
     }
 
     // All that were met lately know the same lives and versions: those are no news any more.
-    void settled() {
-        agreed_ = 0;
-        sync_wait_ = shortest_sync();
-        std::erase_if(news_, [&](Record* r) {
-            if (r->told < eager() || r->member->state == State::Suspected) return false;
-            r->news = false;
+    void drop_spread_gossip() {
+        consecutive_agreements_ = 0;
+        sync_interval_ = min_sync_interval();
+        std::erase_if(gossip_queue_, [&](Record* record) {
+            if (record->transmissions < max_eager_transmissions() || record->member->state == State::Suspect)
+                return false;
+            record->gossip_queued = false;
             return true;
         });
     }
 
-    std::vector<std::uint64_t> buckets(std::size_t count) const {
-        std::vector<std::uint64_t> sums = roll_.buckets(count);
-        sums[Roll::bucket(self_.place, count)] ^= self_.sum;
+    std::vector<std::uint64_t> digest_buckets(std::size_t bucket_count) const {
+        std::vector<std::uint64_t> sums = table_.digest_buckets(bucket_count);
+        sums[MemberTable::bucket_index(self_record_.address_hash, bucket_count)] ^= self_record_.digest;
         return sums;
     }
 
-    void ask(TimePoint now, Actions& out) {
-        pull_->at = now + (pull_->join ? patience_ : kPatience) * (1 << (pull_->tries - 1));
-        Packet p = head(Kind::Ask, ++number_);
-        p.after = pull_->after;
-        p.buckets = pull_->buckets;
-        if (pull_->join && pull_->after.empty()) p.entries.push_back(self_.whole_entry());
-        send(pull_->from, p, out);
+    void send_sync_request(TimePoint now, Actions& actions) {
+        pull_->deadline =
+            now + (pull_->for_join ? join_timeout_ : kAckTimeout) * (1 << (pull_->attempts - 1));
+        Packet packet = make_packet(PacketKind::SyncRequest, ++sequence_number_);
+        packet.after_address = pull_->after_address;
+        packet.digest_buckets = pull_->digest_buckets;
+        if (pull_->for_join && pull_->after_address.empty())
+            packet.entries.push_back(self_record_.to_full_entry());
+        send_packet(pull_->source, packet, actions);
     }
 
-    void pages(const std::string& to, const Packet& asked, Actions& out) {
-        std::vector<bool> differs;
-        if (!asked.buckets.empty()) {
-            const std::vector<std::uint64_t> mine = buckets(asked.buckets.size());
-            for (std::size_t i = 0; i < mine.size(); ++i) differs.push_back(mine[i] != asked.buckets[i]);
+    void send_sync_pages(const std::string& to, const Packet& request, Actions& actions) {
+        std::vector<bool> bucket_differs;
+        if (!request.digest_buckets.empty()) {
+            const std::vector<std::uint64_t> own_buckets = digest_buckets(request.digest_buckets.size());
+            for (std::size_t i = 0; i < own_buckets.size(); ++i)
+                bucket_differs.push_back(own_buckets[i] != request.digest_buckets[i]);
         }
-        const auto wanted = [&](const Record& r) {
-            if (r.member->state == State::Suspected && r.suspected <= woke_ && woke_ != TimePoint{})
+        const auto is_wanted = [&](const Record& record) {
+            if (record.member->state == State::Suspect && record.suspected_since <= resumed_at_ &&
+                resumed_at_ != TimePoint{})
                 return false;
-            return differs.empty() || differs[Roll::bucket(r.place, differs.size())];
+            return bucket_differs.empty() ||
+                   bucket_differs[MemberTable::bucket_index(record.address_hash, bucket_differs.size())];
         };
-        std::string after = asked.after;
-        for (int i = 0; i < kPages; ++i) {
-            Packet p = head(Kind::Page, asked.number);
-            p.after = after;
-            std::size_t size = this->size(p) + 60;
-            p.last = true;
-            in_order(
-                after,
-                [&](const Record& r) {
-                    if (!wanted(r)) return true;
-                    Entry e = r.whole_entry();
-                    size += entry_size(e);
-                    if (size > s_.longest && !p.entries.empty()) return p.last = false;
-                    p.entries.push_back(std::move(e));
+        std::string after_address = request.after_address;
+        for (int i = 0; i < kPagesPerRequest; ++i) {
+            Packet packet = make_packet(PacketKind::SyncPage, request.sequence_number);
+            packet.after_address = after_address;
+            std::size_t packet_bytes = this->packet_size(packet) + 60;
+            packet.last_page = true;
+            for_each_in_order(
+                after_address,
+                [&](const Record& record) {
+                    if (!is_wanted(record)) return true;
+                    Entry entry = record.to_full_entry();
+                    packet_bytes += entry_size(entry);
+                    if (packet_bytes > settings_.max_datagram_bytes && !packet.entries.empty())
+                        return packet.last_page = false;
+                    packet.entries.push_back(std::move(entry));
                     return true;
                 },
-                asked.buckets.empty());
-            p.more = i == kPages - 1;
-            if (!p.last) p.next = p.entries.back().facts.address;
-            std::string bytes = encode(p);
-            while (bytes.size() > s_.longest && p.entries.size() > 1) {
-                p.entries.resize(p.entries.size() - std::max<std::size_t>(1, p.entries.size() / 8));
-                p.last = false;
-                p.next = p.entries.back().facts.address;
-                bytes = encode(p);
+                request.digest_buckets.empty());
+            packet.request_more = i == kPagesPerRequest - 1;
+            if (!packet.last_page) packet.up_to_address = packet.entries.back().info.address;
+            std::string bytes = encode(packet);
+            while (bytes.size() > settings_.max_datagram_bytes && packet.entries.size() > 1) {
+                packet.entries.resize(packet.entries.size() -
+                                      std::max<std::size_t>(1, packet.entries.size() / 8));
+                packet.last_page = false;
+                packet.up_to_address = packet.entries.back().info.address;
+                bytes = encode(packet);
             }
-            post(to, std::move(bytes), out);
-            if (p.last) return;
-            after = p.next;
+            send_bytes(to, std::move(bytes), actions);
+            if (packet.last_page) return;
+            after_address = packet.up_to_address;
         }
     }
 
-    void page(const std::string& from, const Packet& p, bool news, TimePoint now, Actions& out) {
-        if (p.last && p.after.empty() && !joined_) whole(from, p, now);    // perhaps late
-        if (!pull_ || pull_->from != from) return;
-        pull_->news = pull_->news || news;
-        Packet page = p;
+    void handle_sync_page(const std::string& from, const Packet& packet, bool learned, TimePoint now,
+                          Actions& actions) {
+        if (packet.last_page && packet.after_address.empty() && !joined_)
+            on_full_sync(from, packet, now);    // perhaps late
+        if (!pull_ || pull_->source != from) return;
+        pull_->learned = pull_->learned || learned;
+        Packet page = packet;
         page.entries.clear();
-        if (pull_->ahead.size() < 4 * kPages) pull_->ahead.emplace(p.after, std::move(page));
-        bool more = false;
-        for (auto it = pull_->ahead.find(pull_->after); it != pull_->ahead.end();
-             it = pull_->ahead.find(pull_->after)) {
-            const Packet at = std::move(it->second);
-            pull_->ahead.erase(it);
-            if (!at.last && at.next <= pull_->after) break;    // it would never end
-            pull_->after = at.next;
-            pull_->moved = true;
-            pull_->tries = 1;
-            pull_->at = now + kPatience;
-            more = at.more;
-            if (!at.last) continue;
-            if (pull_->join) {
-                whole(from, at, now);
+        if (pull_->early_pages.size() < 4 * kPagesPerRequest)
+            pull_->early_pages.emplace(packet.after_address, std::move(page));
+        bool request_more = false;
+        for (auto it = pull_->early_pages.find(pull_->after_address); it != pull_->early_pages.end();
+             it = pull_->early_pages.find(pull_->after_address)) {
+            const Packet next_page = std::move(it->second);
+            pull_->early_pages.erase(it);
+            if (!next_page.last_page && next_page.up_to_address <= pull_->after_address)
+                break;    // it would never end
+            pull_->after_address = next_page.up_to_address;
+            pull_->progressed = true;
+            pull_->attempts = 1;
+            pull_->deadline = now + kAckTimeout;
+            request_more = next_page.request_more;
+            if (!next_page.last_page) continue;
+            if (pull_->for_join) {
+                on_full_sync(from, next_page, now);
             } else {
-                sync_wait_ = pull_->news ? shortest_sync() : std::min(2 * sync_wait_, kLongestSync);
-                sync_at_ = now + sync_wait_;
+                sync_interval_ =
+                    pull_->learned ? min_sync_interval() : std::min(2 * sync_interval_, kMaxSyncInterval);
+                next_sync_at_ = now + sync_interval_;
             }
             pull_.reset();
             return;
         }
-        if (more) {
-            pull_->ahead.clear();
-            ask(now, out);
+        if (request_more) {
+            pull_->early_pages.clear();
+            send_sync_request(now, actions);
         }
     }
 
-    void pull_late(TimePoint now, Actions& out) {
-        const bool give_up = pull_->moved ? pull_->tries >= 4 : pull_->join || pull_->tries >= 2;
-        if (!give_up) {
-            ++pull_->tries;
-            pull_->ahead.clear();
-            ask(now, out);
+    void handle_pull_timeout(TimePoint now, Actions& actions) {
+        const bool abandon =
+            pull_->progressed ? pull_->attempts >= 4 : pull_->for_join || pull_->attempts >= 2;
+        if (!abandon) {
+            ++pull_->attempts;
+            pull_->early_pages.clear();
+            send_sync_request(now, actions);
             return;
         }
-        if (!pull_->join) sync_at_ = now + kShortestSync;
+        if (!pull_->for_join) next_sync_at_ = now + kMinSyncInterval;
         pull_.reset();
     }
 
     // ---- joining ----
 
-    void join(TimePoint now, Actions& out) {
-        std::string from;
-        if (me_.facts.role == Role::Lighthouse) {
+    void start_join(TimePoint now, Actions& actions) {
+        std::string source;
+        if (self_member_.info.role == Role::Controller) {
             const auto it = std::min_element(seeds_.begin(), seeds_.end(), [](const Seed& a, const Seed& b) {
-                return std::pair(a.done, a.tries) < std::pair(b.done, b.tries);
+                return std::pair(a.synced, a.attempts) < std::pair(b.synced, b.attempts);
             });
-            if (it == seeds_.end() || it->done || it->tries >= kLighthouseTries) {
+            if (it == seeds_.end() || it->synced || it->attempts >= kControllerSeedAttempts) {
                 joined_ = true;
                 return;
             }
-            ++it->tries;
-            from = it->address;
+            ++it->attempts;
+            source = it->address;
         } else {
-            std::vector<std::string> at;
-            for (const Seed& seed : seeds_) at.push_back(seed.address);
-            for (const auto& [address, m] : roll_.members())
-                if (m.facts.role == Role::Lighthouse && m.state != State::Gone &&
-                    std::find(at.begin(), at.end(), address) == at.end() && at.size() < 2 * kMostSeeds)
-                    at.push_back(address);
-            if (at.empty()) {
+            std::vector<std::string> candidates;
+            for (const Seed& seed : seeds_) candidates.push_back(seed.address);
+            for (const auto& [address, member] : table_.members())
+                if (member.info.role == Role::Controller && member.state != State::Dead &&
+                    std::find(candidates.begin(), candidates.end(), address) == candidates.end() &&
+                    candidates.size() < 2 * kMaxSeeds)
+                    candidates.push_back(address);
+            if (candidates.empty()) {
                 joined_ = true;
                 return;
             }
-            from = at[next_seed_++ % at.size()];
-            if (++asked_ > at.size()) {    // nobody answered: once more, slower
-                asked_ = 1;
-                patience_ = std::min(2 * patience_, kLongestJoin);
+            source = candidates[next_seed_++ % candidates.size()];
+            if (++seeds_asked_ > candidates.size()) {    // nobody answered: once more, slower
+                seeds_asked_ = 1;
+                join_timeout_ = std::min(2 * join_timeout_, kMaxJoinTimeout);
             }
         }
-        Pull pull;
-        pull.from = from;
-        pull.join = true;
+        SyncPull pull;
+        pull.source = source;
+        pull.for_join = true;
         pull_ = std::move(pull);
-        ask(now, out);
+        send_sync_request(now, actions);
     }
 
     // `from` told all that it knows.
-    void whole(const std::string& from, const Packet& p, TimePoint now) {
+    void on_full_sync(const std::string& source, const Packet& packet, TimePoint now) {
         if (joined_) return;
-        const auto seed =
-            std::find_if(seeds_.begin(), seeds_.end(), [&](const Seed& s) { return s.address == from; });
-        if (seed != seeds_.end()) seed->done = true;
-        join_at_ = now;
-        sync_at_ = now + shortest_sync();
-        push_soon();
-        if (p.lighthouse && p.joined) {
+        const auto seed = std::find_if(seeds_.begin(), seeds_.end(),
+                                       [&](const Seed& candidate) { return candidate.address == source; });
+        if (seed != seeds_.end()) seed->synced = true;
+        next_join_at_ = now;
+        next_sync_at_ = now + min_sync_interval();
+        schedule_push();
+        if (packet.from_controller && packet.joined) {
             joined_ = true;
-        } else if (me_.facts.role == Role::Pilot) {
-            join_at_ = now + kUnjoined;
-            asked_ = 0;
+        } else if (self_member_.info.role == Role::Gateway) {
+            next_join_at_ = now + kJoinRetryDelay;
+            seeds_asked_ = 0;
         }
     }
 
-    Settings s_;
-    Member me_;
-    Record self_;
-    Roll roll_;
+    Settings settings_;
+    Member self_member_;
+    Record self_record_;
+    MemberTable table_;
     std::mt19937_64 random_;
-    Tallies tallies_;
-    bool joined_ = false, left_ = false;
-    TimePoint last_{}, woke_{};           // the last call; the end of the last gap between calls
-    std::uint32_t woke_number_ = 0;       // the last number before it
-    std::vector<std::string> changed_;    // by calls that give nothing back
-
-    TimePoint round_at_{};
-    std::uint64_t rounds_ = 0;
-    std::uint32_t number_ = 0;
+    Statistics statistics_;
+    bool joined_ = false, departed_ = false;
+    TimePoint last_call_at_{}, resumed_at_{};     // the last call; the end of the last gap between calls
+    std::uint32_t sequence_at_resume_ = 0;        // the last number before it
+    std::vector<std::string> changed_members_;    // by calls that give nothing back
+
+    TimePoint next_round_at_{};
+    std::uint64_t round_count_ = 0;
+    std::uint32_t sequence_number_ = 0;
     std::vector<Probe> probes_;
-    std::deque<Relay> relays_;
-    std::deque<Sample> samples_;
-    std::size_t beat_at_ = 0;
+    std::deque<RelayedPing> relays_;
+    std::deque<PingSample> samples_;
+    std::size_t heartbeat_cursor_ = 0;
 
-    std::deque<Record*> news_;    // in the order of how often they were told
-    TimePoint push_at_ = TimePoint::max(), last_push_{};
+    std::deque<Record*> gossip_queue_;    // in the order of how often they were told
+    TimePoint next_push_at_ = TimePoint::max(), last_push_at_{};
 
-    std::optional<Pull> pull_;
-    TimePoint still_{}, synced_{}, sync_at_{};    // the last change here, the last comparison, the next
-    Duration sync_wait_ = kShortestSync;
-    int agreed_ = 0;    // others in a row that know the same
-    bool sync_now_ = false;
+    std::optional<SyncPull> pull_;
+    TimePoint last_change_at_{}, last_sync_at_{},
+        next_sync_at_{};    // the last change here, the last comparison, the next
+    Duration sync_interval_ = kMinSyncInterval;
+    int consecutive_agreements_ = 0;    // others in a row that know the same
+    bool sync_requested_ = false;
 
     std::vector<Seed> seeds_;
-    std::size_t next_seed_ = 0, asked_ = 0;
-    TimePoint join_at_{};
-    Duration patience_{};
+    std::size_t next_seed_ = 0, seeds_asked_ = 0;
+    TimePoint next_join_at_{};
+    Duration join_timeout_{};
 };
 
-Convoy::Convoy(Settings settings, TimePoint now) : impl_(std::make_unique<Impl>(std::move(settings), now)) {}
-Convoy::~Convoy() = default;
-void Convoy::heard(const std::string& from, const std::string& bytes, TimePoint now, Actions& out) {
-    impl_->heard(from, bytes, now, out);
+Membership::Membership(Settings settings, TimePoint now)
+    : impl_(std::make_unique<Impl>(std::move(settings), now)) {}
+Membership::~Membership() = default;
+void Membership::on_message(const std::string& from, const std::string& bytes, TimePoint now,
+                            Actions& actions) {
+    impl_->on_message(from, bytes, now, actions);
+}
+void Membership::record_contact(const std::string& address, std::uint64_t incarnation, TimePoint now) {
+    impl_->record_contact(address, incarnation, now);
+}
+void Membership::tick(TimePoint now, Actions& actions) { impl_->tick(now, actions); }
+TimePoint Membership::next_deadline() const { return impl_->next_deadline(); }
+void Membership::set_quota_divisor(std::uint32_t divisor) { impl_->set_quota_divisor(divisor); }
+void Membership::set_disk_id(std::uint64_t disk_id) { impl_->set_disk_id(disk_id); }
+void Membership::set_voter_eligible(bool eligible) { impl_->set_voter_eligible(eligible); }
+void Membership::set_seeds(std::vector<std::string> seeds) { impl_->set_seeds(std::move(seeds)); }
+void Membership::announce_departure(TimePoint now, Actions& actions) {
+    impl_->announce_departure(now, actions);
 }
-void Convoy::seen(const std::string& address, std::uint64_t life, TimePoint now) {
-    impl_->seen(address, life, now);
+const std::map<std::string, Member>& Membership::members() const { return impl_->members(); }
+const MemberInfo& Membership::self() const { return impl_->self(); }
+double Membership::heard_fraction(TimePoint now, Duration window) const {
+    return impl_->heard_fraction(now, window);
 }
-void Convoy::tick(TimePoint now, Actions& out) { impl_->tick(now, out); }
-TimePoint Convoy::next() const { return impl_->next(); }
-void Convoy::counts(std::uint32_t pilots) { impl_->counts(pilots); }
-void Convoy::disk(std::uint64_t number) { impl_->disk(number); }
-void Convoy::quorum(bool votes) { impl_->quorum(votes); }
-void Convoy::seeds(std::vector<std::string> seeds) { impl_->seeds(std::move(seeds)); }
-void Convoy::leave(TimePoint now, Actions& out) { impl_->leave(now, out); }
-const std::map<std::string, Member>& Convoy::members() const { return impl_->members(); }
-const Facts& Convoy::me() const { return impl_->me(); }
-double Convoy::heard_part(TimePoint now, Duration within) const { return impl_->heard_part(now, within); }
-double Convoy::answered_part(TimePoint now, Duration within) const {
-    return impl_->answered_part(now, within);
+double Membership::acknowledged_fraction(TimePoint now, Duration window) const {
+    return impl_->acknowledged_fraction(now, window);
 }
-bool Convoy::meets_each() const { return impl_->meets_each(); }
-bool Convoy::joined() const { return impl_->joined(); }
-const Tallies& Convoy::tallies() const { return impl_->tallies(); }
+bool Membership::contacts_every_member() const { return impl_->contacts_every_member(); }
+bool Membership::joined() const { return impl_->joined(); }
+const Statistics& Membership::statistics() const { return impl_->statistics(); }
 
 }    // namespace shaletray::membership
--- a/src/cluster/membership/packet.h
+++ b/src/cluster/membership/packet.h
@@ -12,17 +12,17 @@
 
 namespace shaletray::membership {
 
-enum class Kind : std::uint8_t {
+enum class PacketKind : std::uint8_t {
     Ping,
-    Answer,     // to a Ping; with `about`: a third one answered
-    PingFor,    // asks that `about` be pinged
-    Told,       // news; not answered
-    Ask,        // for members after `after`, in those parts that differ
-    Page        // the answer
+    Ack,            // to a Ping; with `about`: a third one answered
+    PingRequest,    // asks that `about` be pinged
+    Gossip,         // news; not answered
+    SyncRequest,    // for members after `after`, in those parts that differ
+    SyncPage        // the answer
 };
 
 struct Entry {
-    Facts facts;
+    MemberInfo info;
     State state = State::Alive;    // Gone: it said goodbye
     std::uint32_t version = 0;
     bool brief = false;      // names, places and the role are left out
@@ -30,34 +30,35 @@
 };
 
 struct Packet {
-    Kind kind = Kind::Ping;
-    bool who = false, joined = false, lighthouse = false, last = false, more = false, check = false;
-    std::uint16_t members = 0;
-    std::uint32_t number = 0;
-    std::uint64_t life = 0;
+    PacketKind kind = PacketKind::Ping;
+    bool wants_info = false, joined = false, from_controller = false, last_page = false, request_more = false,
+         verify_suspicions = false;
+    std::uint16_t member_count = 0;
+    std::uint32_t sequence_number = 0;
+    std::uint64_t incarnation = 0;
     std::uint32_t version = 0;
-    std::uint8_t beat = 0;
+    std::uint8_t heartbeat = 0;
     std::uint64_t digest = 0;
-    std::string about, after, next;
+    std::string target, after_address, up_to_address;
     std::vector<Entry> entries;
-    std::vector<std::uint8_t> row;
-    std::vector<std::pair<std::uint32_t, std::uint8_t>> beats;    // hash, beat
-    std::vector<std::uint64_t> buckets;
+    std::vector<std::uint8_t> ordered_heartbeats;
+    std::vector<std::pair<std::uint32_t, std::uint8_t>> hashed_heartbeats;    // hash, beat
+    std::vector<std::uint64_t> digest_buckets;
 };
 
-constexpr std::size_t kMostBuckets = 128;
-constexpr std::size_t kSumBytes = 4;    // before the packed Packet, a sum of it
+constexpr std::size_t kMaxBuckets = 128;
+constexpr std::size_t kChecksumBytes = 4;    // before the packed Packet, a sum of it
 
-struct BadPacket {
-    std::string what;
+struct MalformedPacket {
+    std::string reason;
 };
 
 // About what an entry adds to a packet, in bytes; rather too much.
 std::size_t entry_size(const Entry& entry);
-void seal(std::string& bytes);    // writes the sum into the first bytes
+void write_checksum(std::string& bytes);    // writes the sum into the first bytes
 std::string encode(const Packet& packet);
 // Leaves out entries from the end until the bytes are no more than `longest`.
-std::string encode_fitting(Packet& packet, std::size_t longest);
+std::string encode_fitting(Packet& packet, std::size_t max_bytes);
 // Errors: BadPacket. Entries of roles and states that are not known here are left out.
 boost::leaf::result<Packet> decode(std::string_view bytes);
 
--- a/src/cluster/quota/quota_balancer.h
+++ b/src/cluster/quota/quota_balancer.h
@@ -33,58 +33,65 @@
     bool operator==(const Quota&) const = default;
 };
 // What this pilot knows of the others: filled from the convoy.
-struct Peers {
+struct PeerSet {
     std::vector<std::string>
         ring;    // internal addresses of all pilots that are not Gone, this one included, sorted
     std::uint32_t divisor = 0;    // pilots to divide by: at least ring.size(); 0: not confirmed, no refill
     TimePoint refill_until{};     // no refill after this: unheard by the others
 };
 struct Settings {
-    std::string me;
-    std::uint64_t life = 0, seed = 0;
+    std::string self;
+    std::uint64_t incarnation = 0, seed = 0;
     Duration window = std::chrono::seconds(5);
     double overshoot = 0.1, slack = 20.0;    // what the rule allows on top; half of it is used at most
-    Duration every = std::chrono::milliseconds(250);    // a neighbour gets one message in this time at most,
-    Duration rush = std::chrono::milliseconds(20);      // or in this, where a request waits for units
+    Duration message_interval =
+        std::chrono::milliseconds(250);    // a neighbour gets one message in this time at most,
+    Duration urgent_interval =
+        std::chrono::milliseconds(20);    // or in this, where a request waits for units
 };
-enum class Ruling { Granted, Wait, Refused };
+enum class AdmissionDecision { Granted, Queued, Rejected };
 struct Actions {
     struct Send {
         std::string to, bytes;
     };
     std::vector<Send> sends;
-    std::vector<std::string> woken;    // tenants for whom units came in: ask again for those that wait
+    std::vector<std::string>
+        replenished_tenants;    // tenants for whom units came in: ask again for those that wait
 };
-struct Counts {
-    std::uint64_t granted = 0, waited = 0, refused = 0;    // answers of ask()
-    std::uint64_t sent = 0, sent_bytes = 0, heard = 0;     // messages
-    std::uint64_t kept_out = 0;    // messages that were spoilt, old, or of no neighbour; entries of no tenant
-    std::uint64_t late_gifts = 0;                     // not taken: too old, or meant for another life
-    double given = 0.0, taken = 0.0, passed = 0.0;    // units moved; passed: of those taken, ran out unused
-    std::size_t stores = 0;
+struct Statistics {
+    std::uint64_t granted = 0, queued = 0, rejected = 0;     // answers of ask()
+    std::uint64_t sent = 0, sent_bytes = 0, received = 0;    // messages
+    std::uint64_t ignored = 0;    // messages that were spoilt, old, or of no neighbour; entries of no tenant
+    std::uint64_t expired_transfers = 0;    // not taken: too old, or meant for another life
+    double units_sent = 0.0, units_received = 0.0,
+           units_expired = 0.0;    // units moved; passed: of those taken, ran out unused
+    std::size_t buckets = 0;
 };
 
-class Tide {
+class QuotaBalancer {
 public:
-    Tide(Settings settings, TimePoint now);
-    Tide(const Tide&);    // for tests that explore
-    Tide(Tide&&) noexcept;
-    Tide& operator=(Tide&&) noexcept;
-    ~Tide();
-    void quotas(const std::map<std::string, Quota>& by_tenant, TimePoint now);    // a new configuration
-    void peers(Peers peers, TimePoint now);
+    QuotaBalancer(Settings settings, TimePoint now);
+    QuotaBalancer(const QuotaBalancer&);    // for tests that explore
+    QuotaBalancer(QuotaBalancer&&) noexcept;
+    QuotaBalancer& operator=(QuotaBalancer&&) noexcept;
+    ~QuotaBalancer();
+    void set_quotas(const std::map<std::string, Quota>& quotas_by_tenant,
+                    TimePoint now);    // a new configuration
+    void set_peers(PeerSet peer_set, TimePoint now);
     // One unit for a request of this tenant. Wait: units may come in within `patience` (see woken); Refused
     // otherwise. `retry_after` is set where it is not Granted. A tenant that is not configured has no limit.
     // A request that waited and asks again is taken out of waits() before. next() may be due at once after
     // it.
-    Ruling ask(const std::string& tenant, Duration patience, TimePoint now, Duration& retry_after);
-    void waits(const std::string& tenant, int requests);         // +1, -1: how many wait here now
-    void give_back(const std::string& tenant, TimePoint now);    // its request never ran
-    void heard(const std::string& from, std::string_view bytes, TimePoint now, Actions& out);
-    void tick(TimePoint now, Actions& out);
-    TimePoint next() const;                                         // TimePoint::max(): nothing to do
-    double free(const std::string& tenant, TimePoint now) const;    // units that could be granted now
-    Counts counts() const;
+    AdmissionDecision request_unit(const std::string& tenant, Duration max_wait, TimePoint now,
+                                   Duration& retry_after);
+    void adjust_queued(const std::string& tenant, int change);     // +1, -1: how many wait here now
+    void return_unit(const std::string& tenant, TimePoint now);    // its request never ran
+    void on_message(const std::string& from, std::string_view bytes, TimePoint now, Actions& actions);
+    void tick(TimePoint now, Actions& actions);
+    TimePoint next_deadline() const;    // TimePoint::max(): nothing to do
+    double available_units(const std::string& tenant,
+                           TimePoint now) const;    // units that could be granted now
+    Statistics statistics() const;
 
 private:
     class Impl;
--- a/src/cluster/quota/tenant_bucket.cpp
+++ b/src/cluster/quota/tenant_bucket.cpp
@@ -7,95 +7,100 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kPressed = 500ms;    // after the last request that found too little
+constexpr Duration kPressureDuration = 500ms;    // after the last request that found too little
 
-double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
-std::int64_t step_of(TimePoint t) { return t.time_since_epoch() / kHoldStep; }
-std::size_t place(std::int64_t step) {
-    return static_cast<std::size_t>((step % kHoldSteps + kHoldSteps) % kHoldSteps);
+double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+std::int64_t step_of(TimePoint time) { return time.time_since_epoch() / kReservationStep; }
+std::size_t step_index(std::int64_t step) {
+    return static_cast<std::size_t>((step % kReservationSteps + kReservationSteps) % kReservationSteps);
 }
 
 }    // namespace
 
-void Flow::advance(TimePoint now) {
-    if (now <= now_) return;
-    const TimePoint end = std::min(now, until_);
-    if (divisor_ > 0 && end > now_) sum_ += seconds(end - now_) * part_;
-    now_ = now;
+void RefillClock::advance(TimePoint now) {
+    if (now <= current_time_) return;
+    const TimePoint end = std::min(now, refill_until_);
+    if (divisor_ > 0 && end > current_time_) integral_ += seconds(end - current_time_) * share_;
+    current_time_ = now;
 }
 
-void Flow::set(std::uint32_t divisor, TimePoint until, TimePoint now) {
+void RefillClock::set_divisor(std::uint32_t divisor, TimePoint deadline, TimePoint now) {
     advance(now);
     divisor_ = divisor;
-    until_ = until;
-    if (divisor > 0) part_ = 1.0 / divisor;
+    refill_until_ = deadline;
+    if (divisor > 0) share_ = 1.0 / divisor;
 }
 
-double Flow::sum_at(TimePoint t) const {
-    if (divisor_ == 0) return sum_;
-    const TimePoint end = std::min(now_, until_);
-    return t < end ? sum_ - seconds(end - t) * part_ : sum_;
+double RefillClock::integral_at(TimePoint time) const {
+    if (divisor_ == 0) return integral_;
+    const TimePoint end = std::min(current_time_, refill_until_);
+    return time < end ? integral_ - seconds(end - time) * share_ : integral_;
 }
 
-double Store::held() const {
-    double sum = 0.0;
-    for (const float amount : given) sum += amount;
-    return sum;
+double TenantBucket::reserved_units() const {
+    double total = 0.0;
+    for (const float amount : transferred) total += amount;
+    return total;
 }
 
-void Store::refill(double sum) {
-    if (sum <= at) return;
-    level += std::clamp(rate * (sum - at), 0.0, std::max(0.0, cap - level - held()));
-    at = sum;
+void TenantBucket::refill_to(double integral) {
+    if (integral <= refilled_until) return;
+    level += std::clamp(rate * (integral - refilled_until), 0.0,
+                        std::max(0.0, capacity_share - level - reserved_units()));
+    refilled_until = integral;
 }
 
-void Store::settle(const Flow& flow) {
-    const TimePoint now = flow.now();
-    cap = size * flow.part();
+void TenantBucket::advance_to(const RefillClock& clock) {
+    const TimePoint now = clock.current_time();
+    capacity_share = full_capacity * clock.share();
     // While room was held, the store could not refill into it: step by step as it came free.
-    const std::int64_t last = step_of(now - kHold) - 1;    // the newest step that has run out
-    for (std::int64_t step = given_step - kHoldSteps + 1; step <= std::min(last, given_step); ++step) {
-        float& amount = given[place(step)];
+    const std::int64_t last_expired_step =
+        step_of(now - kReservationTime) - 1;    // the newest step that has run out
+    for (std::int64_t step = newest_step - kReservationSteps + 1;
+         step <= std::min(last_expired_step, newest_step); ++step) {
+        float& amount = transferred[step_index(step)];
         if (amount <= 0.0F) continue;
-        refill(flow.sum_at(TimePoint((step + 1) * kHoldStep) + kHold));
+        refill_to(clock.integral_at(TimePoint((step + 1) * kReservationStep) + kReservationTime));
         amount = 0.0F;
     }
-    refill(flow.sum());
-    level = std::min(level, std::max(0.0, cap - held()));
-    if (passing > 0.0) {
-        if (now >= passing_until) passing = 0.0;
-        const double fits = std::clamp(cap - held() - level, 0.0, passing);
-        level += fits;
-        passing -= fits;
+    refill_to(clock.integral());
+    level = std::min(level, std::max(0.0, capacity_share - reserved_units()));
+    if (expiring_units > 0.0) {
+        if (now >= expiring_until) expiring_units = 0.0;
+        const double fitting = std::clamp(capacity_share - reserved_units() - level, 0.0, expiring_units);
+        level += fitting;
+        expiring_units -= fitting;
     }
 }
 
-bool Store::take() {
-    constexpr double kWhole = 1.0 - 1e-9;
-    if (units() < kWhole) return false;
-    const double passed = std::min(passing, 1.0);
-    passing -= passed;
-    level = std::max(0.0, level - (1.0 - passed));
+bool TenantBucket::consume_unit() {
+    constexpr double kOneUnit = 1.0 - 1e-9;
+    if (total_units() < kOneUnit) return false;
+    const double from_expiring = std::min(expiring_units, 1.0);
+    expiring_units -= from_expiring;
+    level = std::max(0.0, level - (1.0 - from_expiring));
     return true;
 }
 
 // After settle: places of steps that have run out are empty.
-void Store::give(double amount, TimePoint now) {
-    given_step = std::max(given_step, step_of(now));
+void TenantBucket::transfer_out(double amount, TimePoint now) {
+    newest_step = std::max(newest_step, step_of(now));
     level = std::max(0.0, level - amount);
-    given[place(given_step)] += static_cast<float>(amount);
+    transferred[step_index(newest_step)] += static_cast<float>(amount);
 }
 
-void Store::receive(double amount, TimePoint ends) {
-    const double fits = std::clamp(cap - held() - level, 0.0, amount);
-    level += fits;
-    if (amount - fits <= 0.0) return;
-    passing_until = passing > 0.0 ? std::min(passing_until, ends) : ends;
-    passing += amount - fits;
+void TenantBucket::transfer_in(double amount, TimePoint expires_at) {
+    const double fitting = std::clamp(capacity_share - reserved_units() - level, 0.0, amount);
+    level += fitting;
+    if (amount - fitting <= 0.0) return;
+    expiring_until = expiring_units > 0.0 ? std::min(expiring_until, expires_at) : expires_at;
+    expiring_units += amount - fitting;
 }
 
-void Store::drain() { level = passing = 0.0; }
+void TenantBucket::clear() { level = expiring_units = 0.0; }
 
-bool Store::pressed(TimePoint now) const { return waiting > 0 || now < short_at + kPressed; }
+bool TenantBucket::under_pressure(TimePoint now) const {
+    return queued > 0 || now < last_shortage + kPressureDuration;
+}
 
 }    // namespace shaletray::quota
--- a/src/cluster/quota/tenant_bucket.h
+++ b/src/cluster/quota/tenant_bucket.h
@@ -22,71 +22,72 @@
 
 struct Quota;
 
-constexpr Duration kGiftAge = std::chrono::milliseconds(200);
-constexpr Duration kHold = std::chrono::milliseconds(300);
-constexpr Duration kHoldStep = std::chrono::milliseconds(75);
-constexpr int kHoldSteps = 5;    // the steps in which kHold may end, and the one that is running
+constexpr Duration kMaxTransferAge = std::chrono::milliseconds(200);
+constexpr Duration kReservationTime = std::chrono::milliseconds(300);
+constexpr Duration kReservationStep = std::chrono::milliseconds(75);
+constexpr int kReservationSteps = 5;    // the steps in which kHold may end, and the one that is running
 
 // The integral of 1/divisor over the time in which this life may refill.
-class Flow {
+class RefillClock {
 public:
-    explicit Flow(TimePoint begin) : now_(begin) {}
+    explicit RefillClock(TimePoint start) : current_time_(start) {}
     void advance(TimePoint now);
-    void set(std::uint32_t divisor, TimePoint until, TimePoint now);    // 0: stands still
-    bool flows(TimePoint now) const { return divisor_ > 0 && now < until_; }
-    double sum() const { return sum_; }
-    double sum_at(TimePoint t) const;        // t: up to now, since the divisor was last changed
-    double part() const { return part_; }    // 1/divisor, as last known; 0: never known
-    TimePoint until() const { return until_; }
-    TimePoint now() const { return now_; }
+    void set_divisor(std::uint32_t divisor, TimePoint deadline, TimePoint now);    // 0: stands still
+    bool is_running(TimePoint now) const { return divisor_ > 0 && now < refill_until_; }
+    double integral() const { return integral_; }
+    double integral_at(TimePoint time) const;    // t: up to now, since the divisor was last changed
+    double share() const { return share_; }      // 1/divisor, as last known; 0: never known
+    TimePoint refill_until() const { return refill_until_; }
+    TimePoint current_time() const { return current_time_; }
 
 private:
-    double sum_ = 0.0, part_ = 0.0;
+    double integral_ = 0.0, share_ = 0.0;
     std::uint32_t divisor_ = 0;
-    TimePoint now_{}, until_{};
+    TimePoint current_time_{}, refill_until_{};
 };
 
-constexpr int kNearest = 3, kFurther = 3;    // neighbours on each side
-constexpr int kMostNeighbours = 2 * (kNearest + kFurther);
+constexpr int kNearNeighbours = 3, kFarNeighbours = 3;    // neighbours on each side
+constexpr int kMaxNeighbours = 2 * (kNearNeighbours + kFarNeighbours);
 
 // What is known between this pilot and a neighbour of one tenant.
-struct Towards {
-    TimePoint told_at{}, heard_at{}, asked_at{};
-    float told = 0.0F, heard = 0.0F;    // free amounts: ours as it knows it, its as we know it
-    float told_want = 0.0F;
-    float want = 0.0F;     // the most that we may still give
-    float ask = 0.0F;      // to be asked for with the next message,
-    float asked = 0.0F;    // and with the last one that was not answered yet
-    bool knows = false, known = false, told_pressed = false, pressed = false;
+struct NeighbourState {
+    TimePoint announced_at{}, reported_at{}, requested_at{};
+    float announced_units = 0.0F,
+          reported_units = 0.0F;    // free amounts: ours as it knows it, its as we know it
+    float announced_max_transfer = 0.0F;
+    float max_transfer = 0.0F;           // the most that we may still give
+    float pending_request = 0.0F;        // to be asked for with the next message,
+    float outstanding_request = 0.0F;    // and with the last one that was not answered yet
+    bool announced = false, reported = false, announced_pressure = false, under_pressure = false;
 };
 
-struct Store {
+struct TenantBucket {
     std::uint64_t id = 0;
-    std::string name;                           // empty until a request of it came here
-    double rate = 0.0, size = 0.0;              // size: B above
-    double level = 0.0, cap = 0.0, at = 0.0;    // at: of the flow
-    double passing = 0.0;
-    TimePoint passing_until{};
-    std::array<float, kHoldSteps> given{};
-    std::int64_t given_step = 0;    // of the newest of them
-    int waiting = 0;
-    double demand = 0.0;                  // requests in the last second, about
-    bool used = false, listed = false;    // listed: something may have to be said of it
-    TimePoint touched{}, short_at{}, slot{}, woken_at{}, plan_at{};
-    std::array<Towards, kMostNeighbours> near{};
+    std::string name;                          // empty until a request of it came here
+    double rate = 0.0, full_capacity = 0.0;    // size: B above
+    double level = 0.0, capacity_share = 0.0, refilled_until = 0.0;    // at: of the flow
+    double expiring_units = 0.0;
+    TimePoint expiring_until{};
+    std::array<float, kReservationSteps> transferred{};
+    std::int64_t newest_step = 0;    // of the newest of them
+    int queued = 0;
+    double demand = 0.0;                            // requests in the last second, about
+    bool in_use = false, update_pending = false;    // listed: something may have to be said of it
+    TimePoint last_used{}, last_shortage{}, next_retry_slot{}, last_wakeup{}, next_plan{};
+    std::array<NeighbourState, kMaxNeighbours> neighbours{};
 
-    void settle(const Flow& flow);
-    double held() const;
-    double units() const { return level + passing; }
-    double free() const { return level + passing - waiting; }
-    bool take();    // one unit
-    void give(double amount, TimePoint now);
-    void receive(double amount, TimePoint ends);
-    void drain();    // nothing is here any more, and nothing may come back
-    bool pressed(TimePoint now) const;
+    void advance_to(const RefillClock& clock);
+    double reserved_units() const;
+    double total_units() const { return level + expiring_units; }
+    double available_units() const { return level + expiring_units - queued; }
+    bool consume_unit();    // one unit
+    void transfer_out(double amount, TimePoint now);
+    void transfer_in(double amount, TimePoint expires_at);
+    void clear();    // nothing is here any more, and nothing may come back
+    bool under_pressure(TimePoint now) const;
 
 private:
-    void refill(double sum);
+    void refill_to(double integral);
 };
 
 }    // namespace shaletray::quota
--- a/src/cluster/registry/endpoint_view.cpp
+++ b/src/cluster/registry/endpoint_view.cpp
@@ -20,36 +20,38 @@
 namespace leaf = boost::leaf;
 namespace mi = boost::multi_index;
 
-constexpr std::size_t kMostKeepers = 1024, kMostNames = 1'000'000;
+constexpr std::size_t kMaxOwners = 1024, kMaxNames = 1'000'000;
 // With nothing changed, who else was heard of is told in one answer of so many: a reader has many such.
-constexpr std::uint64_t kTellKeepersEvery = 4;
+constexpr std::uint64_t kOwnerAnnouncementPeriod = 4;
 
 using Servers = std::map<std::string, Server>;
 
 struct Record {
-    Servers::iterator at;
-    std::uint64_t sequence = 0;       // when it last changed
-    std::uint64_t told = 0;           // the call's number then
-    std::uint64_t keeper_life = 0;    // of the life that had its latest call
-    TimePoint first{};                // when a keeper first had a call of it
-    TimePoint looked{};               // by tick
-    TimePoint ended{};                // when it became Gone or Lost here
-    std::uint32_t keeper = 0;
-    State said = State::InService;    // what the words say, where it is doubted or displaced
-    bool left = false;                // it said farewell itself
-    bool doubted = false;             // called Lost only since its keeper is unheard of
-    bool displaced = false;           // called Gone only since another has its address
-    bool was_own = false;             // this one kept it once: who was told so has to hear what came after
-
-    std::string_view id() const { return at->first; }
-    std::string_view address() const { return at->second.address; }
-    State words() const { return doubted || displaced ? said : at->second.state; }
+    Servers::iterator server;
+    std::uint64_t sequence = 0;                // when it last changed
+    std::uint64_t announced_call_count = 0;    // the call's number then
+    std::uint64_t owner_incarnation = 0;       // of the life that had its latest call
+    TimePoint first_called_at{};               // when a keeper first had a call of it
+    TimePoint checked_at{};                    // by tick
+    TimePoint ended_at{};                      // when it became Gone or Lost here
+    std::uint32_t owner = 0;
+    State reported_state = State::InService;    // what the words say, where it is doubted or displaced
+    bool deregistered = false;                  // it said farewell itself
+    bool owner_unreachable = false;             // called Lost only since its keeper is unheard of
+    bool displaced = false;                     // called Gone only since another has its address
+    bool was_owned = false;    // this one kept it once: who was told so has to hear what came after
+
+    std::string_view id() const { return server->first; }
+    std::string_view address() const { return server->second.address; }
+    State advertised_state() const {
+        return owner_unreachable || displaced ? reported_state : server->second.state;
+    }
 };
 
 struct ById;
 struct BySequence;
 struct ByAddress;
-struct ByLook;
+struct ByCheckTime;
 using Records = mi::multi_index_container<
     Record, mi::indexed_by<
                 mi::hashed_unique<mi::tag<ById>, mi::const_mem_fun<Record, std::string_view, &Record::id>,
@@ -58,490 +60,528 @@
                 mi::hashed_non_unique<mi::tag<ByAddress>,
                                       mi::const_mem_fun<Record, std::string_view, &Record::address>,
                                       std::hash<std::string_view>>,
-                mi::sequenced<mi::tag<ByLook>>>>;
-using Place = Records::iterator;
+                mi::sequenced<mi::tag<ByCheckTime>>>>;
+using RecordIterator = Records::iterator;
 
-struct Keeper {
+struct Owner {
     std::string address;
-    std::uint64_t life = 0;     // 0: never heard of
-    std::uint64_t known = 0;    // its changes up to this one
-    TimePoint heard{};
-    bool settled = false;    // each server that lives has called somebody since that life began
+    std::uint64_t incarnation = 0;       // 0: never heard of
+    std::uint64_t known_sequence = 0;    // its changes up to this one
+    TimePoint last_heard{};
+    bool registrations_complete =
+        false;    // each server that lives has called somebody since that life began
 };
 
-bool alive(State state) { return state == State::InService || state == State::Draining; }
-int rank(State state) {
+bool is_alive(State state) { return state == State::InService || state == State::Draining; }
+int state_rank(State state) {
     switch (state) {
         case State::InService: return 0;
         case State::Draining: return 1;
-        case State::Lost: return 2;
-        case State::Gone: break;
+        case State::Expired: return 2;
+        case State::Departed: break;
     }
     return 3;
 }
 
-std::uint32_t ms(Duration d) {
-    const auto count = std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
+std::uint32_t to_milliseconds(Duration duration) {
+    const auto count = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
     return static_cast<std::uint32_t>(
         std::clamp<std::int64_t>(count, 0, std::numeric_limits<std::uint32_t>::max()));
 }
-Duration from_ms(std::uint32_t count) { return std::chrono::milliseconds(count); }
+Duration from_milliseconds(std::uint32_t count) { return std::chrono::milliseconds(count); }
 
 }    // namespace
 
-class View::Impl {
+class EndpointView::Impl {
 public:
     explicit Impl(Settings settings) : settings_(std::move(settings)) {
-        keepers_.push_back({settings_.me, settings_.life, 0, {}, false});
+        owners_.push_back({settings_.self_address, settings_.incarnation, 0, {}, false});
     }
 
-    void life(std::uint64_t life) {
+    void set_incarnation(std::uint64_t new_incarnation) {
         for (auto it = records_.begin(); it != records_.end(); ++it)
-            if (own(*it)) records_.modify(it, [&](Record& r) { r.keeper_life = life; });
-        settings_.life = keepers_[0].life = life;
+            if (is_owned(*it))
+                records_.modify(it, [&](Record& record) { record.owner_incarnation = new_incarnation; });
+        settings_.incarnation = owners_[0].incarnation = new_incarnation;
     }
 
-    bool called(const Server& server, TimePoint now) {
-        started(now);
+    bool record_call(const Server& server, TimePoint now) {
+        record_activity(now);
         const auto it = records_.find(std::string_view(server.id));
         if (it == records_.end()) {
-            Server whole = server;
-            whole.at = now;
-            displace(add(std::move(whole), 0, settings_.life, now, false, now), now);
+            Server updated = server;
+            updated.last_called_at = now;
+            displace_older(add_record(std::move(updated), 0, settings_.incarnation, now, false, now), now);
             return true;
         }
-        const Server& known = it->at->second;
-        if (it->left || server.calls <= known.calls) return false;
-        const Duration ramp_now = std::max(Duration(0), known.ramp_left - (now - known.at));
-        const bool changed = known.state != server.state || !own(*it) || it->doubted ||
-                             known.address != server.address || known.service != server.service ||
-                             known.zone != server.zone || known.revision != server.revision ||
-                             known.capacity != server.capacity || contested(it) ||
-                             std::chrono::abs(ramp_now - server.ramp_left) > kRampSlack;
-        if (!changed) {    // what comes all the time
-            Server& s = it->at->second;
-            s.calls = server.calls;
-            s.ramp_left = server.ramp_left;
-            s.at = now;
-            look(it, now);
+        const Server& known = it->server->second;
+        if (it->deregistered || server.call_count <= known.call_count) return false;
+        const Duration current_slow_start =
+            std::max(Duration(0), known.slow_start_left - (now - known.last_called_at));
+        const bool is_changed =
+            known.state != server.state || !is_owned(*it) || it->owner_unreachable ||
+            known.address != server.address || known.service != server.service || known.zone != server.zone ||
+            known.revision != server.revision || known.capacity != server.capacity || is_contested(it) ||
+            std::chrono::abs(current_slow_start - server.slow_start_left) > kSlowStartTolerance;
+        if (!is_changed) {    // what comes all the time
+            Server& stored = it->server->second;
+            stored.call_count = server.call_count;
+            stored.slow_start_left = server.slow_start_left;
+            stored.last_called_at = now;
+            mark_checked(it, now);
             return true;
         }
-        Server whole = server;
-        whole.at = now;
-        assign(it, std::move(whole), 0, settings_.life, now, now);
+        Server updated = server;
+        updated.last_called_at = now;
+        replace_server(it, std::move(updated), 0, settings_.incarnation, now, now);
         return true;
     }
 
-    bool left(std::string_view id, TimePoint now) {
-        started(now);
+    bool deregister(std::string_view id, TimePoint now) {
+        record_activity(now);
         auto it = records_.find(id);
         if (it == records_.end()) {    // so that a call of it that is late finds out
-            Server s;
-            s.id = std::string(id);
-            s.state = State::Gone;
-            s.at = now;
-            add(std::move(s), 0, settings_.life, now, true, now);
+            Server server;
+            server.id = std::string(id);
+            server.state = State::Departed;
+            server.last_called_at = now;
+            add_record(std::move(server), 0, settings_.incarnation, now, true, now);
             return true;
         }
-        if (it->left) return false;
-        farewell(it, 0, settings_.life, now);
+        if (it->deregistered) return false;
+        mark_deregistered(it, 0, settings_.incarnation, now);
         return true;
     }
 
-    leaf::result<std::vector<std::string>> take(const std::string& from, std::string_view bytes,
-                                                TimePoint now) {
-        started(now);
-        std::vector<std::string> changed;
-        const auto before = sequence_;
-        leaf::result<void> taken =
-            runtime::unpack<wire::Words>(bytes, [&](wire::Words::Reader words) -> leaf::result<void> {
-                BOOST_LEAF_CHECK(check(from, words));
-                apply(words, now);
+    leaf::result<std::vector<std::string>> apply_changes(const std::string& from, std::string_view bytes,
+                                                         TimePoint now) {
+        record_activity(now);
+        std::vector<std::string> changed_ids;
+        const auto previous_sequence = sequence_;
+        leaf::result<void> applied =
+            runtime::unpack<wire::Words>(bytes, [&](wire::Words::Reader update) -> leaf::result<void> {
+                BOOST_LEAF_CHECK(validate(from, update));
+                apply_update(update, now);
                 return {};
             });
-        if (!taken) return taken.error();
-        for (auto it = records_.get<BySequence>().upper_bound(before); it != records_.get<BySequence>().end();
-             ++it)
-            changed.emplace_back(it->id());
-        return changed;
+        if (!applied) return applied.error();
+        for (auto it = records_.get<BySequence>().upper_bound(previous_sequence);
+             it != records_.get<BySequence>().end(); ++it)
+            changed_ids.emplace_back(it->id());
+        return changed_ids;
     }
 
     std::vector<std::string> tick(TimePoint now) {
-        started(now);
-        std::vector<std::string> changed;
-        auto& due = records_.get<ByLook>();
-        while (!due.empty() && due.front().looked + settings_.silence <= now) {
-            const Place it = records_.project<ById>(due.begin());
-            const Record& r = *it;
-            const Server& s = r.at->second;
-            if (!alive(s.state)) {
-                if (now - r.ended >= (r.doubted ? settings_.doubted : settings_.remembered)) {
-                    changed.emplace_back(r.id());
-                    forget(it);
+        record_activity(now);
+        std::vector<std::string> changed_ids;
+        auto& due = records_.get<ByCheckTime>();
+        while (!due.empty() && due.front().checked_at + settings_.heartbeat_timeout <= now) {
+            const RecordIterator it = records_.project<ById>(due.begin());
+            const Record& record = *it;
+            const Server& server = record.server->second;
+            if (!is_alive(server.state)) {
+                if (now - record.ended_at >=
+                    (record.owner_unreachable ? settings_.orphan_retention : settings_.ended_retention)) {
+                    changed_ids.emplace_back(record.id());
+                    erase_record(it);
                     continue;
                 }
-            } else if (own(r) ? s.at + settings_.silence <= now : doubtful(r, now)) {
-                lose(it, !own(r), now);
-                changed.emplace_back(r.id());
+            } else if (is_owned(record) ? server.last_called_at + settings_.heartbeat_timeout <= now
+                                        : is_owner_lost(record, now)) {
+                mark_expired(it, !is_owned(record), now);
+                changed_ids.emplace_back(record.id());
             }
-            look(it, now);
+            mark_checked(it, now);
         }
-        return changed;
+        return changed_ids;
     }
 
-    std::string changes(std::uint64_t since, bool own_only, TimePoint now) const {
-        std::vector<const Record*> told;
+    std::string encode_changes(std::uint64_t since, bool own_only, TimePoint now) const {
+        std::vector<const Record*> announced;
         const auto& by_sequence = records_.get<BySequence>();
         for (auto it = by_sequence.upper_bound(since); it != by_sequence.end(); ++it)
-            if (!own_only || own(*it) || it->was_own || orphaned(*it)) told.push_back(&*it);
-        capnp::MallocMessageBuilder message(static_cast<unsigned>(64 + 16 * told.size()));
-        auto words = message.initRoot<wire::Words>();
-        words.setSince(since);
-        words.setSequence(sequence_);
-        write_keepers(words, !told.empty() || ++answers_ % kTellKeepersEvery == 0, now);
-        if (!told.empty()) write_entries(words, told, now);
+            if (!own_only || is_owned(*it) || it->was_owned || is_orphaned(*it)) announced.push_back(&*it);
+        capnp::MallocMessageBuilder message(static_cast<unsigned>(64 + 16 * announced.size()));
+        auto update = message.initRoot<wire::Words>();
+        update.setSince(since);
+        update.setSequence(sequence_);
+        write_owners(update, !announced.empty() || ++encoded_updates_ % kOwnerAnnouncementPeriod == 0, now);
+        if (!announced.empty()) write_entries(update, announced, now);
         return runtime::pack(message);
     }
 
     std::uint64_t sequence() const { return sequence_; }
-    std::uint64_t known(const std::string& keeper, std::uint64_t life) const {
-        for (const Keeper& k : keepers_)
-            if (k.address == keeper) return k.life == life ? k.known : 0;
+    std::uint64_t known_sequence(const std::string& owner_address, std::uint64_t incarnation) const {
+        for (const Owner& owner : owners_)
+            if (owner.address == owner_address)
+                return owner.incarnation == incarnation ? owner.known_sequence : 0;
         return 0;
     }
     const Servers& servers() const { return servers_; }
 
 private:
-    static constexpr Duration kRampSlack = std::chrono::seconds(1), kTimesApart = std::chrono::seconds(1);
+    static constexpr Duration kSlowStartTolerance = std::chrono::seconds(1),
+                              kMinCallGap = std::chrono::seconds(1);
 
-    void started(TimePoint now) {
-        if (started_ == TimePoint{}) started_ = now;
-        keepers_[0].heard = now;
-        keepers_[0].settled = now - started_ >= 2 * settings_.silence;
+    void record_activity(TimePoint now) {
+        if (started_at_ == TimePoint{}) started_at_ = now;
+        owners_[0].last_heard = now;
+        owners_[0].registrations_complete = now - started_at_ >= 2 * settings_.heartbeat_timeout;
     }
 
-    bool own(const Record& r) const {
-        return r.keeper == 0 && r.keeper_life == settings_.life && !settings_.me.empty();
+    bool is_owned(const Record& record) const {
+        return record.owner == 0 && record.owner_incarnation == settings_.incarnation &&
+               !settings_.self_address.empty();
     }
     // A farewell that its keeper forgot when it began anew.
-    bool orphaned(const Record& r) const { return r.left && r.keeper_life < keepers_[r.keeper].life; }
+    bool is_orphaned(const Record& record) const {
+        return record.deregistered && record.owner_incarnation < owners_[record.owner].incarnation;
+    }
     // Nobody speaks for it any more: its keeper is unheard of, or began anew and knows nothing of it.
-    bool doubtful(const Record& r, TimePoint now) const {
-        const Keeper& k = keepers_[r.keeper];
-        return now - k.heard >= 2 * settings_.silence || (k.life > r.keeper_life && k.settled);
+    bool is_owner_lost(const Record& record, TimePoint now) const {
+        const Owner& owner = owners_[record.owner];
+        return now - owner.last_heard >= 2 * settings_.heartbeat_timeout ||
+               (owner.incarnation > record.owner_incarnation && owner.registrations_complete);
     }
 
-    void changed(Place it) {
-        records_.modify(it, [this](Record& r) {
-            r.sequence = ++sequence_;
-            r.told = r.at->second.calls;
+    void mark_changed(RecordIterator it) {
+        records_.modify(it, [this](Record& record) {
+            record.sequence = ++sequence_;
+            record.announced_call_count = record.server->second.call_count;
         });
     }
-    void look(Place it, TimePoint now) {
-        records_.modify(it, [&](Record& r) { r.looked = now; });
-        auto& by_look = records_.get<ByLook>();
-        by_look.relocate(by_look.end(), records_.project<ByLook>(it));
+    void mark_checked(RecordIterator it, TimePoint now) {
+        records_.modify(it, [&](Record& record) { record.checked_at = now; });
+        auto& by_check_time = records_.get<ByCheckTime>();
+        by_check_time.relocate(by_check_time.end(), records_.project<ByCheckTime>(it));
     }
 
-    Place add(Server server, std::uint32_t keeper, std::uint64_t life, TimePoint first, bool left,
-              TimePoint now) {
-        Record r;
-        r.at = servers_.emplace(server.id, std::move(server)).first;
-        r.sequence = ++sequence_;
-        r.told = r.at->second.calls;
-        r.keeper = keeper;
-        r.keeper_life = life;
-        r.first = first;
-        r.looked = r.ended = now;
-        r.left = left;
-        return records_.insert(r).first;
+    RecordIterator add_record(Server server, std::uint32_t owner, std::uint64_t incarnation,
+                              TimePoint first_called_at, bool deregistered, TimePoint now) {
+        Record record;
+        record.server = servers_.emplace(server.id, std::move(server)).first;
+        record.sequence = ++sequence_;
+        record.announced_call_count = record.server->second.call_count;
+        record.owner = owner;
+        record.owner_incarnation = incarnation;
+        record.first_called_at = first_called_at;
+        record.checked_at = record.ended_at = now;
+        record.deregistered = deregistered;
+        return records_.insert(record).first;
     }
 
-    void assign(Place it, Server server, std::uint32_t keeper, std::uint64_t life, TimePoint first,
-                TimePoint now) {
-        records_.modify(it, [&](Record& r) {
-            r.was_own = r.was_own || own(r);
-            r.keeper = keeper;
-            r.keeper_life = life;
-            r.first = std::min(r.first, first);
-            r.doubted = r.displaced = false;
-            if (!alive(server.state)) r.ended = now;
-            r.at->second = std::move(server);
+    void replace_server(RecordIterator it, Server server, std::uint32_t owner, std::uint64_t incarnation,
+                        TimePoint first_called_at, TimePoint now) {
+        records_.modify(it, [&](Record& record) {
+            record.was_owned = record.was_owned || is_owned(record);
+            record.owner = owner;
+            record.owner_incarnation = incarnation;
+            record.first_called_at = std::min(record.first_called_at, first_called_at);
+            record.owner_unreachable = record.displaced = false;
+            if (!is_alive(server.state)) record.ended_at = now;
+            record.server->second = std::move(server);
         });
-        changed(it);
-        look(it, now);
-        displace(it, now);
+        mark_changed(it);
+        mark_checked(it, now);
+        displace_older(it, now);
     }
 
-    void farewell(Place it, std::uint32_t keeper, std::uint64_t life, TimePoint now) {
-        records_.modify(it, [&](Record& r) {
-            r.was_own = r.was_own || own(r);
-            r.keeper = keeper;
-            r.keeper_life = life;
-            r.left = true;
-            r.doubted = r.displaced = false;
-            r.ended = now;
-            r.at->second.state = State::Gone;
+    void mark_deregistered(RecordIterator it, std::uint32_t owner, std::uint64_t incarnation, TimePoint now) {
+        records_.modify(it, [&](Record& record) {
+            record.was_owned = record.was_owned || is_owned(record);
+            record.owner = owner;
+            record.owner_incarnation = incarnation;
+            record.deregistered = true;
+            record.owner_unreachable = record.displaced = false;
+            record.ended_at = now;
+            record.server->second.state = State::Departed;
         });
-        changed(it);
-        look(it, now);
+        mark_changed(it);
+        mark_checked(it, now);
     }
 
-    void lose(Place it, bool doubted, TimePoint now) {
-        records_.modify(it, [&](Record& r) {
-            r.said = r.at->second.state;
-            r.doubted = doubted;
-            r.ended = now;
-            r.at->second.state = State::Lost;
+    void mark_expired(RecordIterator it, bool owner_unreachable, TimePoint now) {
+        records_.modify(it, [&](Record& record) {
+            record.reported_state = record.server->second.state;
+            record.owner_unreachable = owner_unreachable;
+            record.ended_at = now;
+            record.server->second.state = State::Expired;
         });
-        changed(it);
+        mark_changed(it);
     }
 
-    void forget(Place it) {
-        if (it->doubted) keepers_[it->keeper].known = 0;    // it may be told of again, from the beginning
-        const Servers::iterator at = it->at;
+    void erase_record(RecordIterator it) {
+        if (it->owner_unreachable)
+            owners_[it->owner].known_sequence = 0;    // it may be told of again, from the beginning
+        const Servers::iterator server = it->server;
         records_.erase(it);
-        servers_.erase(at);
+        servers_.erase(server);
     }
 
     // Two servers at one address: one of them came after the other had ended. Times of what was under way for
     // long are too late, so this can be wrong: it is not told to others, and undone by the next call.
-    void displace(Place it, TimePoint now) {
-        if (!alive(it->at->second.state) || it->address().empty()) return;
-        std::vector<Place> ended;
+    void displace_older(RecordIterator it, TimePoint now) {
+        if (!is_alive(it->server->second.state) || it->address().empty()) return;
+        std::vector<RecordIterator> displaced;
         const auto [begin, end] = records_.get<ByAddress>().equal_range(it->address());
         for (auto other = begin; other != end; ++other) {
-            const State state = other->at->second.state;
-            if (other->id() == it->id() || state == State::Gone) continue;
-            if (other->at->second.at + kTimesApart < it->first)
-                ended.push_back(records_.project<ById>(other));
-            else if (it->at->second.at + kTimesApart < other->first && alive(state)) ended.push_back(it);
+            const State state = other->server->second.state;
+            if (other->id() == it->id() || state == State::Departed) continue;
+            if (other->server->second.last_called_at + kMinCallGap < it->first_called_at)
+                displaced.push_back(records_.project<ById>(other));
+            else if (it->server->second.last_called_at + kMinCallGap < other->first_called_at &&
+                     is_alive(state))
+                displaced.push_back(it);
         }
-        for (const Place p : ended) {
-            if (p->displaced) continue;
-            records_.modify(p, [&](Record& r) {
-                r.said = r.words();
-                r.ended = now;
-                r.doubted = false;
-                r.displaced = true;
-                r.at->second.state = State::Gone;
+        for (const RecordIterator position : displaced) {
+            if (position->displaced) continue;
+            records_.modify(position, [&](Record& record) {
+                record.reported_state = record.advertised_state();
+                record.ended_at = now;
+                record.owner_unreachable = false;
+                record.displaced = true;
+                record.server->second.state = State::Departed;
             });
-            changed(p);
+            mark_changed(position);
         }
     }
 
     // Others may believe that the other one at its address came later: its next call tells them.
-    bool contested(Place it) const {
+    bool is_contested(RecordIterator it) const {
         const auto [begin, end] = records_.get<ByAddress>().equal_range(it->address());
         return std::any_of(begin, end, [&](const Record& other) {
-            return other.id() != it->id() && alive(other.at->second.state);
+            return other.id() != it->id() && is_alive(other.server->second.state);
         });
     }
 
     // ---- words of others ----
 
-    leaf::result<void> check(const std::string& from, wire::Words::Reader words) const {
-        const auto bad = [](const char* why) { return leaf::new_error(std::string(why)); };
-        const auto keepers = words.getKeepers();
-        if (keepers.size() == 0 || keepers.size() > kMostKeepers) return bad("keepers: none or too many");
-        for (const auto k : keepers)
-            if (k.getAddress().size() == 0 || k.getLife() == 0) return bad("keepers: no address or no life");
-        if (!from.empty() && runtime::text_of(keepers[0].getAddress()) != from)
-            return bad("keepers: another teller");
-        if (words.getSince() > words.getSequence()) return bad("since: after the sequence");
-        const auto names = words.getNames();
-        if (names.size() > kMostNames) return bad("names: too many");
+    leaf::result<void> validate(const std::string& from, wire::Words::Reader update) const {
+        const auto fail = [](const char* reason) { return leaf::new_error(std::string(reason)); };
+        const auto owners = update.getKeepers();
+        if (owners.size() == 0 || owners.size() > kMaxOwners) return fail("keepers: none or too many");
+        for (const auto owner : owners)
+            if (owner.getAddress().size() == 0 || owner.getLife() == 0)
+                return fail("keepers: no address or no life");
+        if (!from.empty() && runtime::text_of(owners[0].getAddress()) != from)
+            return fail("keepers: another teller");
+        if (update.getSince() > update.getSequence()) return fail("since: after the sequence");
+        const auto names = update.getNames();
+        if (names.size() > kMaxNames) return fail("names: too many");
         for (const auto name : names) static_cast<void>(name.size());
-        for (const auto e : words.getEntries()) {
-            if (e.getId().size() == 0) return bad("entries: no id");
-            if (e.getService() >= names.size() || e.getZone() >= names.size() ||
-                e.getRevision() >= names.size())
-                return bad("entries: no such name");
-            if (e.getKeeper() >= keepers.size()) return bad("entries: no such keeper");
-            if (e.getState() > static_cast<std::uint8_t>(State::Lost)) return bad("entries: no such state");
-            if (e.getCapacity() > static_cast<std::uint32_t>(std::numeric_limits<int>::max()))
-                return bad("entries: capacity");
-            static_cast<void>(e.getAddress().size());
+        for (const auto entry : update.getEntries()) {
+            if (entry.getId().size() == 0) return fail("entries: no id");
+            if (entry.getService() >= names.size() || entry.getZone() >= names.size() ||
+                entry.getRevision() >= names.size())
+                return fail("entries: no such name");
+            if (entry.getKeeper() >= owners.size()) return fail("entries: no such keeper");
+            if (entry.getState() > static_cast<std::uint8_t>(State::Expired))
+                return fail("entries: no such state");
+            if (entry.getCapacity() > static_cast<std::uint32_t>(std::numeric_limits<int>::max()))
+                return fail("entries: capacity");
+            static_cast<void>(entry.getAddress().size());
         }
         return {};
     }
 
-    std::uint32_t keeper_at(std::string_view address) {
-        for (std::uint32_t i = 0; i < keepers_.size(); ++i)
-            if (keepers_[i].address == address) return i;
-        keepers_.push_back({std::string(address), 0, 0, {}, false});
-        return static_cast<std::uint32_t>(keepers_.size() - 1);
+    std::uint32_t find_or_add_owner(std::string_view address) {
+        for (std::uint32_t i = 0; i < owners_.size(); ++i)
+            if (owners_[i].address == address) return i;
+        owners_.push_back({std::string(address), 0, 0, {}, false});
+        return static_cast<std::uint32_t>(owners_.size() - 1);
     }
 
-    void heard_of(std::uint32_t index, std::uint64_t life, bool settled, TimePoint when, TimePoint now) {
+    void update_owner(std::uint32_t index, std::uint64_t incarnation, bool registrations_complete,
+                      TimePoint heard_at, TimePoint now) {
         if (index == 0) return;    // this one
-        Keeper& k = keepers_[index];
+        Owner& owner = owners_[index];
         // An earlier life that speaks on is a late word, or its machine's clock was set back meanwhile.
-        if (life < k.life && (when != now || now - k.heard < 2 * settings_.silence)) return;
-        if (life < k.life) k.life = 0;
-        if (life > k.life) {
-            k = {std::move(k.address), life, 0, when, settled};
+        if (incarnation < owner.incarnation &&
+            (heard_at != now || now - owner.last_heard < 2 * settings_.heartbeat_timeout))
+            return;
+        if (incarnation < owner.incarnation) owner.incarnation = 0;
+        if (incarnation > owner.incarnation) {
+            owner = {std::move(owner.address), incarnation, 0, heard_at, registrations_complete};
             return;
         }
-        k.settled |= settled;
-        const bool was_silent = now - k.heard >= 2 * settings_.silence;
-        k.heard = std::max(k.heard, when);
-        if (was_silent && now - k.heard < 2 * settings_.silence) believe(index, life);
+        owner.registrations_complete |= registrations_complete;
+        const bool was_unreachable = now - owner.last_heard >= 2 * settings_.heartbeat_timeout;
+        owner.last_heard = std::max(owner.last_heard, heard_at);
+        if (was_unreachable && now - owner.last_heard < 2 * settings_.heartbeat_timeout)
+            restore_servers(index, incarnation);
     }
 
     // The keeper was merely out of reach.
-    void believe(std::uint32_t keeper, std::uint64_t life) {
-        std::vector<Place> back;
+    void restore_servers(std::uint32_t owner, std::uint64_t incarnation) {
+        std::vector<RecordIterator> restored;
         for (auto it = records_.begin(); it != records_.end(); ++it)
-            if (it->doubted && it->keeper == keeper && it->keeper_life == life) back.push_back(it);
-        for (const Place it : back) {
-            records_.modify(it, [](Record& r) {
-                r.doubted = false;
-                r.at->second.state = r.said;
+            if (it->owner_unreachable && it->owner == owner && it->owner_incarnation == incarnation)
+                restored.push_back(it);
+        for (const RecordIterator it : restored) {
+            records_.modify(it, [](Record& record) {
+                record.owner_unreachable = false;
+                record.server->second.state = record.reported_state;
             });
-            changed(it);
+            mark_changed(it);
         }
     }
 
-    void apply(wire::Words::Reader words, TimePoint now) {
-        std::vector<std::uint32_t> places;
-        for (const auto k : words.getKeepers()) {
-            places.push_back(keeper_at(runtime::text_of(k.getAddress())));
-            heard_of(places.back(), k.getLife(), k.getSettled(), now - from_ms(k.getQuiet()), now);
+    void apply_update(wire::Words::Reader update, TimePoint now) {
+        std::vector<std::uint32_t> owner_indices;
+        for (const auto owner : update.getKeepers()) {
+            owner_indices.push_back(find_or_add_owner(runtime::text_of(owner.getAddress())));
+            update_owner(owner_indices.back(), owner.getLife(), owner.getSettled(),
+                         now - from_milliseconds(owner.getQuiet()), now);
         }
         std::vector<std::string> names;
-        for (const auto name : words.getNames()) names.emplace_back(runtime::text_of(name));
-        const auto keepers = words.getKeepers();
-        for (const auto e : words.getEntries())
-            word(e, names, places[e.getKeeper()],
-                 e.getKeeperLife() != 0 ? e.getKeeperLife() : keepers[e.getKeeper()].getLife(), now);
-        Keeper& teller = keepers_[places[0]];
-        if (teller.life == keepers[0].getLife() && words.getSince() <= teller.known)
-            teller.known = std::max(teller.known, words.getSequence());
+        for (const auto name : update.getNames()) names.emplace_back(runtime::text_of(name));
+        const auto owners = update.getKeepers();
+        for (const auto entry : update.getEntries())
+            apply_entry(
+                entry, names, owner_indices[entry.getKeeper()],
+                entry.getKeeperLife() != 0 ? entry.getKeeperLife() : owners[entry.getKeeper()].getLife(),
+                now);
+        Owner& sender = owners_[owner_indices[0]];
+        if (sender.incarnation == owners[0].getLife() && update.getSince() <= sender.known_sequence)
+            sender.known_sequence = std::max(sender.known_sequence, update.getSequence());
     }
 
-    void word(wire::Entry::Reader e, const std::vector<std::string>& names, std::uint32_t keeper,
-              std::uint64_t life, TimePoint now) {
-        const auto state = static_cast<State>(e.getState());
-        const TimePoint at = now - from_ms(e.getQuiet()), first = now - from_ms(e.getAge());
-        auto it = records_.find(runtime::text_of(e.getId()));
+    void apply_entry(wire::Entry::Reader entry, const std::vector<std::string>& names, std::uint32_t owner,
+                     std::uint64_t incarnation, TimePoint now) {
+        const auto state = static_cast<State>(entry.getState());
+        const TimePoint called_at = now - from_milliseconds(entry.getQuiet()),
+                        first_called_at = now - from_milliseconds(entry.getAge());
+        auto it = records_.find(runtime::text_of(entry.getId()));
         if (it != records_.end()) {
-            Server& known = it->at->second;
-            if (it->left) return;
-            if (e.getLeft()) return farewell(it, keeper, life, now);
-            if (e.getCalls() < known.calls) {
+            Server& known_server = it->server->second;
+            if (it->deregistered) return;
+            if (entry.getLeft()) return mark_deregistered(it, owner, incarnation, now);
+            if (entry.getCalls() < known_server.call_count) {
                 // Another takes itself for the keeper, since a later call here changed nothing and was not
                 // told.
-                if (own(*it) && e.getCalls() > it->told) changed(it);
+                if (is_owned(*it) && entry.getCalls() > it->announced_call_count) mark_changed(it);
                 return;
             }
-            if (e.getCalls() == known.calls) {
-                known.at = std::min(known.at, at);    // what was longer under way says too late a time
-                if (it->keeper == keeper && life > it->keeper_life) {
-                    records_.modify(it, [&](Record& r) { r.keeper_life = life; });
-                    changed(it);
+            if (entry.getCalls() == known_server.call_count) {
+                known_server.last_called_at =
+                    std::min(known_server.last_called_at,
+                             called_at);    // what was longer under way says too late a time
+                if (it->owner == owner && incarnation > it->owner_incarnation) {
+                    records_.modify(it, [&](Record& record) { record.owner_incarnation = incarnation; });
+                    mark_changed(it);
                 }
-                const State said = it->words();
-                const bool other_keeper =
-                    it->keeper != keeper && keepers_[keeper].address > keepers_[it->keeper].address;
-                if (rank(state) <= rank(said) && !other_keeper) return;
-                Server whole = known;
-                whole.state = rank(state) > rank(said) ? state : said;
-                return assign(it, std::move(whole), other_keeper ? keeper : it->keeper,
-                              other_keeper ? life : it->keeper_life, first, now);
+                const State known_state = it->advertised_state();
+                const bool owner_differs =
+                    it->owner != owner && owners_[owner].address > owners_[it->owner].address;
+                if (state_rank(state) <= state_rank(known_state) && !owner_differs) return;
+                Server updated = known_server;
+                updated.state = state_rank(state) > state_rank(known_state) ? state : known_state;
+                return replace_server(it, std::move(updated), owner_differs ? owner : it->owner,
+                                      owner_differs ? incarnation : it->owner_incarnation, first_called_at,
+                                      now);
             }
         }
-        Server s;
-        s.id = runtime::text_of(e.getId());
-        s.service = names[e.getService()];
-        s.address = runtime::text_of(e.getAddress());
-        s.zone = names[e.getZone()];
-        s.revision = names[e.getRevision()];
-        s.capacity = static_cast<int>(e.getCapacity());
-        s.state = state;
-        s.calls = e.getCalls();
-        s.ramp_left = from_ms(e.getRampLeft());
-        s.at = at;
-        if (it != records_.end()) assign(it, std::move(s), keeper, life, first, now);
-        else displace(add(std::move(s), keeper, life, first, e.getLeft(), now), now);
+        Server server;
+        server.id = runtime::text_of(entry.getId());
+        server.service = names[entry.getService()];
+        server.address = runtime::text_of(entry.getAddress());
+        server.zone = names[entry.getZone()];
+        server.revision = names[entry.getRevision()];
+        server.capacity = static_cast<int>(entry.getCapacity());
+        server.state = state;
+        server.call_count = entry.getCalls();
+        server.slow_start_left = from_milliseconds(entry.getRampLeft());
+        server.last_called_at = called_at;
+        if (it != records_.end())
+            replace_server(it, std::move(server), owner, incarnation, first_called_at, now);
+        else
+            displace_older(
+                add_record(std::move(server), owner, incarnation, first_called_at, entry.getLeft(), now),
+                now);
     }
 
     // ---- our own words ----
 
-    void write_keepers(wire::Words::Builder words, bool all, TimePoint now) const {
+    void write_owners(wire::Words::Builder update, bool include_all, TimePoint now) const {
         std::size_t count = 1;
-        if (all) count = keepers_.size();
-        auto list = words.initKeepers(static_cast<unsigned>(count));
+        if (include_all) count = owners_.size();
+        auto owner_list = update.initKeepers(static_cast<unsigned>(count));
         for (std::size_t i = 0; i < count; ++i) {
-            const Keeper& k = keepers_[i];
-            auto to = list[static_cast<unsigned>(i)];
-            to.setAddress(runtime::words_of(k.address));
-            to.setLife(k.life);
-            to.setSettled(i == 0 ? now - started_ >= 2 * settings_.silence : k.settled);
-            to.setQuiet(i == 0 ? 0 : ms(now - k.heard));
+            const Owner& owner = owners_[i];
+            auto builder = owner_list[static_cast<unsigned>(i)];
+            builder.setAddress(runtime::text_reader_of(owner.address));
+            builder.setLife(owner.incarnation);
+            builder.setSettled(i == 0 ? now - started_at_ >= 2 * settings_.heartbeat_timeout
+                                      : owner.registrations_complete);
+            builder.setQuiet(i == 0 ? 0 : to_milliseconds(now - owner.last_heard));
         }
     }
 
-    void write_entries(wire::Words::Builder words, const std::vector<const Record*>& told,
+    void write_entries(wire::Words::Builder update, const std::vector<const Record*>& announced,
                        TimePoint now) const {
-        std::unordered_map<std::string_view, std::uint32_t> places;
+        std::unordered_map<std::string_view, std::uint32_t> name_indices;
         std::vector<const std::string*> names;
-        const auto place_of = [&](const std::string& name) {
-            const auto [it, fresh] = places.try_emplace(name, static_cast<std::uint32_t>(names.size()));
-            if (fresh) names.push_back(&name);
+        const auto index_of = [&](const std::string& name) {
+            const auto [it, inserted] =
+                name_indices.try_emplace(name, static_cast<std::uint32_t>(names.size()));
+            if (inserted) names.push_back(&name);
             return it->second;
         };
-        auto entries = words.initEntries(static_cast<unsigned>(told.size()));
-        for (std::size_t i = 0; i < told.size(); ++i) {
-            const Record& r = *told[i];
-            const Server& s = r.at->second;
-            auto to = entries[static_cast<unsigned>(i)];
-            to.setId(runtime::words_of(s.id));
-            to.setAddress(runtime::words_of(s.address));
-            to.setCalls(s.calls);
-            to.setService(place_of(s.service));
-            to.setZone(place_of(s.zone));
-            to.setRevision(place_of(s.revision));
-            to.setKeeper(static_cast<std::uint16_t>(r.keeper));
-            to.setCapacity(static_cast<std::uint32_t>(s.capacity));
-            to.setRampLeft(ms(s.ramp_left));
-            to.setQuiet(ms(now - s.at));
-            to.setAge(ms(now - r.first));
-            to.setState(static_cast<std::uint8_t>(r.words()));
-            to.setLeft(r.left);
-            if (r.keeper_life != keepers_[r.keeper].life) to.setKeeperLife(r.keeper_life);
+        auto entries = update.initEntries(static_cast<unsigned>(announced.size()));
+        for (std::size_t i = 0; i < announced.size(); ++i) {
+            const Record& record = *announced[i];
+            const Server& server = record.server->second;
+            auto builder = entries[static_cast<unsigned>(i)];
+            builder.setId(runtime::text_reader_of(server.id));
+            builder.setAddress(runtime::text_reader_of(server.address));
+            builder.setCalls(server.call_count);
+            builder.setService(index_of(server.service));
+            builder.setZone(index_of(server.zone));
+            builder.setRevision(index_of(server.revision));
+            builder.setKeeper(static_cast<std::uint16_t>(record.owner));
+            builder.setCapacity(static_cast<std::uint32_t>(server.capacity));
+            builder.setRampLeft(to_milliseconds(server.slow_start_left));
+            builder.setQuiet(to_milliseconds(now - server.last_called_at));
+            builder.setAge(to_milliseconds(now - record.first_called_at));
+            builder.setState(static_cast<std::uint8_t>(record.advertised_state()));
+            builder.setLeft(record.deregistered);
+            if (record.owner_incarnation != owners_[record.owner].incarnation)
+                builder.setKeeperLife(record.owner_incarnation);
         }
-        auto list = words.initNames(static_cast<unsigned>(names.size()));
+        auto name_list = update.initNames(static_cast<unsigned>(names.size()));
         for (std::size_t i = 0; i < names.size(); ++i)
-            list.set(static_cast<unsigned>(i), runtime::words_of(*names[i]));
+            name_list.set(static_cast<unsigned>(i), runtime::text_reader_of(*names[i]));
     }
 
     Settings settings_;
     Servers servers_;
     Records records_;
-    std::vector<Keeper> keepers_;    // the first is this one; with a pilot nobody
+    std::vector<Owner> owners_;    // the first is this one; with a pilot nobody
     std::uint64_t sequence_ = 0;
-    mutable std::uint64_t answers_ = 0;
-    TimePoint started_{};
+    mutable std::uint64_t encoded_updates_ = 0;
+    TimePoint started_at_{};
 };
 
-View::View(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
-View::~View() = default;
-void View::life(std::uint64_t life) { impl_->life(life); }
-bool View::called(const Server& server, TimePoint now) { return impl_->called(server, now); }
-bool View::left(std::string_view id, TimePoint now) { return impl_->left(id, now); }
-leaf::result<std::vector<std::string>> View::take(const std::string& from, std::string_view bytes,
-                                                  TimePoint now) {
-    return impl_->take(from, bytes, now);
+EndpointView::EndpointView(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
+EndpointView::~EndpointView() = default;
+void EndpointView::set_incarnation(std::uint64_t new_incarnation) { impl_->set_incarnation(new_incarnation); }
+bool EndpointView::record_call(const Server& server, TimePoint now) {
+    return impl_->record_call(server, now);
+}
+bool EndpointView::deregister(std::string_view id, TimePoint now) { return impl_->deregister(id, now); }
+leaf::result<std::vector<std::string>> EndpointView::apply_changes(const std::string& from,
+                                                                   std::string_view bytes, TimePoint now) {
+    return impl_->apply_changes(from, bytes, now);
 }
-std::vector<std::string> View::tick(TimePoint now) { return impl_->tick(now); }
-std::string View::changes(std::uint64_t since, bool own_only, TimePoint now) const {
-    return impl_->changes(since, own_only, now);
+std::vector<std::string> EndpointView::tick(TimePoint now) { return impl_->tick(now); }
+std::string EndpointView::encode_changes(std::uint64_t since, bool own_only, TimePoint now) const {
+    return impl_->encode_changes(since, own_only, now);
 }
-std::uint64_t View::sequence() const { return impl_->sequence(); }
-std::uint64_t View::known(const std::string& keeper, std::uint64_t life) const {
-    return impl_->known(keeper, life);
+std::uint64_t EndpointView::sequence() const { return impl_->sequence(); }
+std::uint64_t EndpointView::known_sequence(const std::string& owner_address,
+                                           std::uint64_t incarnation) const {
+    return impl_->known_sequence(owner_address, incarnation);
 }
-const std::map<std::string, Server>& View::servers() const { return impl_->servers(); }
+const std::map<std::string, Server>& EndpointView::servers() const { return impl_->servers(); }
 
 }    // namespace shaletray::registry
--- a/src/cluster/registry/endpoint_view.h
+++ b/src/cluster/registry/endpoint_view.h
@@ -21,33 +21,34 @@
 
 namespace shaletray::registry {
 
-class View {
+class EndpointView {
 public:
     struct Settings {
-        std::string me;    // empty: a pilot, which keeps none itself
-        std::uint64_t life = 0;
-        Duration silence = std::chrono::seconds(6);    // without calls, until a keeper calls a server Lost
-        Duration remembered = std::chrono::seconds(60);    // entries that are Gone or Lost
-        Duration doubted = std::chrono::minutes(10);       // those whose keeper is unheard of
+        std::string self_address;    // empty: a pilot, which keeps none itself
+        std::uint64_t incarnation = 0;
+        Duration heartbeat_timeout =
+            std::chrono::seconds(6);    // without calls, until a keeper calls a server Lost
+        Duration ended_retention = std::chrono::seconds(60);     // entries that are Gone or Lost
+        Duration orphan_retention = std::chrono::minutes(10);    // those whose keeper is unheard of
     };
-    explicit View(Settings settings);
-    ~View();
+    explicit EndpointView(Settings settings);
+    ~EndpointView();
     // This process's life turned out to be a later one: what it keeps, the new life keeps.
-    void life(std::uint64_t life);
+    void set_incarnation(std::uint64_t new_incarnation);
 
     // A server's own call.
-    bool called(const Server& server, TimePoint now);
-    bool left(std::string_view id, TimePoint now);
+    bool record_call(const Server& server, TimePoint now);
+    bool deregister(std::string_view id, TimePoint now);
     // Ids of servers whose entry changed. `from`: who is known to tell this; empty where that is not known.
     // Errors: std::string; nothing was taken then.
-    boost::leaf::result<std::vector<std::string>> take(const std::string& from, std::string_view bytes,
-                                                       TimePoint now);
+    boost::leaf::result<std::vector<std::string>> apply_changes(const std::string& from,
+                                                                std::string_view bytes, TimePoint now);
     // Ids of servers whose entry changed or was forgotten.
     std::vector<std::string> tick(TimePoint now);
-    std::string changes(std::uint64_t since, bool own_only, TimePoint now) const;
+    std::string encode_changes(std::uint64_t since, bool own_only, TimePoint now) const;
 
     std::uint64_t sequence() const;
-    std::uint64_t known(const std::string& keeper, std::uint64_t life) const;
+    std::uint64_t known_sequence(const std::string& owner_address, std::uint64_t incarnation) const;
     const std::map<std::string, Server>& servers() const;
 
 private:
--- a/src/cluster/registry/heartbeat.cpp
+++ b/src/cluster/registry/heartbeat.cpp
@@ -14,46 +14,59 @@
 
 namespace {
 
-constexpr std::size_t kLongestName = 256;
-constexpr int kMostCapacity = 1'000'000;
-
-enum class Fault { Body = 1, Address, Service, Revision, Zone, Capacity, State, Calls, Ramp };
+constexpr std::size_t kMaxNameLength = 256;
+constexpr int kMaxCapacity = 1'000'000;
+
+enum class HeartbeatError {
+    Body = 1,
+    Address,
+    Service,
+    Revision,
+    Zone,
+    Capacity,
+    State,
+    CallCount,
+    SlowStart
+};
 
-class Faults : public boost::system::error_category {
+class HeartbeatErrorCategory : public boost::system::error_category {
 public:
     const char* name() const noexcept override { return "heartbeat"; }
-    std::string message(int fault) const override {
-        switch (Fault{fault}) {
-            case Fault::Body: return "body: not an object";
-            case Fault::Address: return "address: not a text of an address";
-            case Fault::Service: return "system_info.service: not a name";
-            case Fault::Revision: return "system_info.revision: not a text";
-            case Fault::Zone: return "system_info.zone: not a text";
-            case Fault::Capacity: return "system_info.capacity: not a whole number from 1 to 1000000";
-            case Fault::State: return "status.state: neither in_service nor draining";
-            case Fault::Calls: return "status.call_count: not a whole number from 0 on";
-            case Fault::Ramp: return "status.ramp_left: not a time as \"1500ms\" or \"2.5s\"";
+    std::string message(int code) const override {
+        switch (HeartbeatError{code}) {
+            case HeartbeatError::Body: return "body: not an object";
+            case HeartbeatError::Address: return "address: not a text of an address";
+            case HeartbeatError::Service: return "system_info.service: not a name";
+            case HeartbeatError::Revision: return "system_info.revision: not a text";
+            case HeartbeatError::Zone: return "system_info.zone: not a text";
+            case HeartbeatError::Capacity:
+                return "system_info.capacity: not a whole number from 1 to 1000000";
+            case HeartbeatError::State: return "status.state: neither in_service nor draining";
+            case HeartbeatError::CallCount: return "status.call_count: not a whole number from 0 on";
+            case HeartbeatError::SlowStart: return "status.ramp_left: not a time as \"1500ms\" or \"2.5s\"";
         }
         return "body: wrong";
     }
 };
-boost::system::error_code wrong(Fault fault) {
-    static const Faults faults;
-    return {static_cast<int>(fault), faults};
+boost::system::error_code field_error(HeartbeatError error) {
+    static const HeartbeatErrorCategory category;
+    return {static_cast<int>(error), category};
 }
 
 // The first of these names that is there; null counts as left out.
-const json::value* find(const json::object& in, std::string_view name, std::string_view or_else = {}) {
-    const json::value* value = in.if_contains(name);
-    if ((value == nullptr || value->is_null()) && !or_else.empty()) value = in.if_contains(or_else);
+const json::value* find_field(const json::object& object, std::string_view name,
+                              std::string_view alternative_name = {}) {
+    const json::value* value = object.if_contains(name);
+    if ((value == nullptr || value->is_null()) && !alternative_name.empty())
+        value = object.if_contains(alternative_name);
     return value == nullptr || value->is_null() ? nullptr : value;
 }
 
-bool read_text(const json::value* value, std::string& to, bool needed) {
-    if (value == nullptr) return !needed;
+bool read_text(const json::value* value, std::string& target, bool required) {
+    if (value == nullptr) return !required;
     const json::string* text = value->if_string();
-    if (text == nullptr || text->size() > kLongestName || (needed && text->empty())) return false;
-    to.assign(text->data(), text->size());
+    if (text == nullptr || text->size() > kMaxNameLength || (required && text->empty())) return false;
+    target.assign(text->data(), text->size());
     return true;
 }
 
@@ -64,43 +77,46 @@
 };
 struct Status {
     State state = State::InService;
-    std::uint64_t calls = 0;
-    Duration ramp_left{0};
+    std::uint64_t call_count = 0;
+    Duration slow_start_left{0};
 };
 
 json::result<SystemInfo> tag_invoke(const json::try_value_to_tag<SystemInfo>&, const json::value& value) {
-    const json::object* const from = value.if_object();
-    if (from == nullptr) return wrong(Fault::Service);
+    const json::object* const object = value.if_object();
+    if (object == nullptr) return field_error(HeartbeatError::Service);
     SystemInfo info;
-    if (!read_text(find(*from, "service"), info.service, true)) return wrong(Fault::Service);
-    if (!read_text(find(*from, "revision", "version"), info.revision, false)) return wrong(Fault::Revision);
-    if (!read_text(find(*from, "zone"), info.zone, false)) return wrong(Fault::Zone);
-    if (const json::value* capacity = find(*from, "capacity", "slots")) {
+    if (!read_text(find_field(*object, "service"), info.service, true))
+        return field_error(HeartbeatError::Service);
+    if (!read_text(find_field(*object, "revision", "version"), info.revision, false))
+        return field_error(HeartbeatError::Revision);
+    if (!read_text(find_field(*object, "zone"), info.zone, false)) return field_error(HeartbeatError::Zone);
+    if (const json::value* capacity = find_field(*object, "capacity", "slots")) {
         boost::system::error_code error;
         info.capacity = capacity->is_number() ? capacity->to_number<int>(error) : 0;
-        if (error || info.capacity < 1 || info.capacity > kMostCapacity) return wrong(Fault::Capacity);
+        if (error || info.capacity < 1 || info.capacity > kMaxCapacity)
+            return field_error(HeartbeatError::Capacity);
     }
     return info;
 }
 
 json::result<Status> tag_invoke(const json::try_value_to_tag<Status>&, const json::value& value) {
-    const json::object* const from = value.if_object();
-    if (from == nullptr) return wrong(Fault::State);
+    const json::object* const object = value.if_object();
+    if (object == nullptr) return field_error(HeartbeatError::State);
     Status status;
     std::string text;
-    if (!read_text(find(*from, "state"), text, true)) return wrong(Fault::State);
+    if (!read_text(find_field(*object, "state"), text, true)) return field_error(HeartbeatError::State);
     if (text == "draining") status.state = State::Draining;
-    else if (text != "in_service") return wrong(Fault::State);
-    const json::value* const calls = find(*from, "call_count");
+    else if (text != "in_service") return field_error(HeartbeatError::State);
+    const json::value* const call_count = find_field(*object, "call_count");
     boost::system::error_code error;
-    if (calls == nullptr || !calls->is_number()) return wrong(Fault::Calls);
-    status.calls = calls->to_number<std::uint64_t>(error);
-    if (error) return wrong(Fault::Calls);
-    if (const json::value* left = find(*from, "ramp_left")) {
-        if (!read_text(left, text, true)) return wrong(Fault::Ramp);
-        const auto ramp = runtime::read_time(text);
-        if (!ramp) return wrong(Fault::Ramp);
-        status.ramp_left = *ramp;
+    if (call_count == nullptr || !call_count->is_number()) return field_error(HeartbeatError::CallCount);
+    status.call_count = call_count->to_number<std::uint64_t>(error);
+    if (error) return field_error(HeartbeatError::CallCount);
+    if (const json::value* slow_start_value = find_field(*object, "ramp_left")) {
+        if (!read_text(slow_start_value, text, true)) return field_error(HeartbeatError::SlowStart);
+        const auto slow_start = runtime::parse_duration(text);
+        if (!slow_start) return field_error(HeartbeatError::SlowStart);
+        status.slow_start_left = *slow_start;
     }
     return status;
 }
@@ -108,40 +124,41 @@
 }    // namespace
 
 static json::result<Server> tag_invoke(const json::try_value_to_tag<Server>&, const json::value& value) {
-    const json::object* const from = value.if_object();
-    if (from == nullptr) return wrong(Fault::Body);
+    const json::object* const object = value.if_object();
+    if (object == nullptr) return field_error(HeartbeatError::Body);
     Server server;
-    if (!read_text(find(*from, "address"), server.address, true) ||
+    if (!read_text(find_field(*object, "address"), server.address, true) ||
         server.address.find(':') == std::string::npos)
-        return wrong(Fault::Address);
-    const json::value *info = find(*from, "system_info"), *status = find(*from, "status");
-    if (info == nullptr) return wrong(Fault::Service);
-    if (status == nullptr) return wrong(Fault::State);
-    auto i = json::try_value_to<SystemInfo>(*info);
-    if (!i) return i.error();
-    const auto s = json::try_value_to<Status>(*status);
-    if (!s) return s.error();
-    server.service = std::move(i->service);
-    server.revision = std::move(i->revision);
-    server.zone = std::move(i->zone);
-    server.capacity = i->capacity;
-    server.state = s->state;
-    server.calls = s->calls;
-    server.ramp_left = s->ramp_left;
+        return field_error(HeartbeatError::Address);
+    const json::value *info = find_field(*object, "system_info"), *status = find_field(*object, "status");
+    if (info == nullptr) return field_error(HeartbeatError::Service);
+    if (status == nullptr) return field_error(HeartbeatError::State);
+    auto parsed_info = json::try_value_to<SystemInfo>(*info);
+    if (!parsed_info) return parsed_info.error();
+    const auto parsed_status = json::try_value_to<Status>(*status);
+    if (!parsed_status) return parsed_status.error();
+    server.service = std::move(parsed_info->service);
+    server.revision = std::move(parsed_info->revision);
+    server.zone = std::move(parsed_info->zone);
+    server.capacity = parsed_info->capacity;
+    server.state = parsed_status->state;
+    server.call_count = parsed_status->call_count;
+    server.slow_start_left = parsed_status->slow_start_left;
     return server;
 }
 
-leaf::result<Beat> read_beat(std::string_view id, std::string_view text) {
-    if (id.empty() || id.size() > kLongestName) return leaf::new_error(std::string("id: none, or too long"));
-    unsigned char room[4096];
-    json::monotonic_resource memory(room, sizeof room);
+leaf::result<Heartbeat> parse_heartbeat(std::string_view id, std::string_view text) {
+    if (id.empty() || id.size() > kMaxNameLength)
+        return leaf::new_error(std::string("id: none, or too long"));
+    unsigned char buffer[4096];
+    json::monotonic_resource memory(buffer, sizeof buffer);
     boost::system::error_code error;
     const json::value body = json::parse({text.data(), text.size()}, error, &memory);
     if (error) return leaf::new_error("body: " + error.message());
     auto server = json::try_value_to<Server>(body);
     if (!server) return leaf::new_error(server.error().message());
     server->id = std::string(id);
-    return Beat{std::move(*server)};
+    return Heartbeat{std::move(*server)};
 }
 
 }    // namespace shaletray::registry
--- a/src/cluster/subscription/subscription.cpp
+++ b/src/cluster/subscription/subscription.cpp
@@ -7,80 +7,80 @@
 
 namespace leaf = boost::leaf;
 
-Have read(wire::Have::Reader from) {
-    Have h;
-    h.life = from.getLife();
-    h.version = from.getVersion();
-    h.digest = from.getDigest();
-    h.known_life = from.getKnownLife();
-    h.known_sequence = from.getKnownSequence();
-    h.counts = from.getCounts();
-    return h;
+ClientState read_message(wire::Have::Reader reader) {
+    ClientState client_state;
+    client_state.incarnation = reader.getLife();
+    client_state.version = reader.getVersion();
+    client_state.digest = reader.getDigest();
+    client_state.known_incarnation = reader.getKnownLife();
+    client_state.known_sequence = reader.getKnownSequence();
+    client_state.quota_divisor = reader.getCounts();
+    return client_state;
 }
 
-News read(wire::News::Reader from) {
-    News n;
-    n.life = from.getLife();
-    n.confirmed = from.getConfirmed();
-    n.version = from.getVersion();
-    n.digest = from.getDigest();
-    n.update = runtime::text_of(from.getUpdate());
-    n.since = from.getSince();
-    n.sequence = from.getSequence();
-    n.servers = runtime::text_of(from.getServers());
-    return n;
+ControlUpdate read_message(wire::News::Reader reader) {
+    ControlUpdate update;
+    update.incarnation = reader.getLife();
+    update.quorum_confirmed = reader.getConfirmed();
+    update.version = reader.getVersion();
+    update.digest = reader.getDigest();
+    update.configuration_delta = runtime::text_of(reader.getUpdate());
+    update.since_sequence = reader.getSince();
+    update.sequence = reader.getSequence();
+    update.endpoint_changes = runtime::text_of(reader.getServers());
+    return update;
 }
 
 }    // namespace
 
-std::string encode(const Have& have) {
+std::string encode(const ClientState& client_state) {
     capnp::MallocMessageBuilder message(64);
-    auto to = message.initRoot<wire::Message>().initHave();
-    to.setLife(have.life);
-    to.setVersion(have.version);
-    to.setDigest(have.digest);
-    to.setKnownLife(have.known_life);
-    to.setKnownSequence(have.known_sequence);
-    to.setCounts(have.counts);
+    auto builder = message.initRoot<wire::Message>().initHave();
+    builder.setLife(client_state.incarnation);
+    builder.setVersion(client_state.version);
+    builder.setDigest(client_state.digest);
+    builder.setKnownLife(client_state.known_incarnation);
+    builder.setKnownSequence(client_state.known_sequence);
+    builder.setCounts(client_state.quota_divisor);
     return runtime::pack(message);
 }
 
-std::string encode(const News& news) {
-    capnp::MallocMessageBuilder message(
-        static_cast<unsigned>(64 + (news.update.size() + news.servers.size()) / sizeof(capnp::word)));
-    auto to = message.initRoot<wire::Message>().initNews();
-    to.setLife(news.life);
-    to.setConfirmed(news.confirmed);
-    to.setVersion(news.version);
-    to.setDigest(news.digest);
-    if (!news.update.empty()) to.setUpdate(runtime::data_of(news.update));
-    to.setSince(news.since);
-    to.setSequence(news.sequence);
-    if (!news.servers.empty()) to.setServers(runtime::data_of(news.servers));
+std::string encode(const ControlUpdate& update) {
+    capnp::MallocMessageBuilder message(static_cast<unsigned>(
+        64 + (update.configuration_delta.size() + update.endpoint_changes.size()) / sizeof(capnp::word)));
+    auto builder = message.initRoot<wire::Message>().initNews();
+    builder.setLife(update.incarnation);
+    builder.setConfirmed(update.quorum_confirmed);
+    builder.setVersion(update.version);
+    builder.setDigest(update.digest);
+    if (!update.configuration_delta.empty()) builder.setUpdate(runtime::data_of(update.configuration_delta));
+    builder.setSince(update.since_sequence);
+    builder.setSequence(update.sequence);
+    if (!update.endpoint_changes.empty()) builder.setServers(runtime::data_of(update.endpoint_changes));
     return runtime::pack(message);
 }
 
-leaf::result<std::variant<Have, News>> decode(std::string_view bytes) {
+leaf::result<std::variant<ClientState, ControlUpdate>> decode(std::string_view bytes) {
     return runtime::unpack<wire::Message>(
-        bytes, [](wire::Message::Reader message) -> leaf::result<std::variant<Have, News>> {
+        bytes, [](wire::Message::Reader message) -> leaf::result<std::variant<ClientState, ControlUpdate>> {
             switch (message.which()) {
-                case wire::Message::HAVE: return read(message.getHave());
-                case wire::Message::NEWS: return read(message.getNews());
+                case wire::Message::HAVE: return read_message(message.getHave());
+                case wire::Message::NEWS: return read_message(message.getNews());
             }
-            return leaf::new_error(runtime::Spoilt{"neither Have nor News"});
+            return leaf::new_error(runtime::MalformedMessage{"neither Have nor News"});
         });
 }
 
-leaf::result<Have> decode_have(std::string_view bytes) {
+leaf::result<ClientState> decode_client_state(std::string_view bytes) {
     BOOST_LEAF_AUTO(message, decode(bytes));
-    if (auto* const have = std::get_if<Have>(&message)) return *have;
-    return leaf::new_error(runtime::Spoilt{"not a Have"});
+    if (auto* const client_state = std::get_if<ClientState>(&message)) return *client_state;
+    return leaf::new_error(runtime::MalformedMessage{"not a Have"});
 }
 
-leaf::result<News> decode_news(std::string_view bytes) {
+leaf::result<ControlUpdate> decode_control_update(std::string_view bytes) {
     BOOST_LEAF_AUTO(message, decode(bytes));
-    if (auto* const news = std::get_if<News>(&message)) return std::move(*news);
-    return leaf::new_error(runtime::Spoilt{"not News"});
+    if (auto* const update = std::get_if<ControlUpdate>(&message)) return std::move(*update);
+    return leaf::new_error(runtime::MalformedMessage{"not News"});
 }
 
 }    // namespace shaletray::subscription
