--- a/src/cluster/transport/connection_manager.cpp
+++ b/src/cluster/transport/connection_manager.cpp
@@ -28,160 +28,163 @@
 using namespace std::chrono_literals;
 
 constexpr int kBacklog = 64;
-constexpr int kMostAccepted = 16;          // in one go
-constexpr int kMostDatagrams = 64;         // in one go, so that a flood does not keep others waiting
-constexpr int kMostReadOut = 64;           // reads of a connection that another one follows
-constexpr Duration kAcceptPause = 20ms;    // out of descriptors: the backlog waits
-constexpr Duration kOldest = 3s;           // of what waits for a peer that is not reached
-constexpr Duration kUnused = 30s;          // then a session is closed
-constexpr Duration kUnheard = 60s;         // then a received connection is: its sender did not end it
-constexpr Duration kSweepEvery = 5s;
-constexpr Duration kStoodUp = 1s;                    // a connection that did so is dialled anew at once
-constexpr std::size_t kWrittenAtOnce = 64 * 1024;    // bytes of several frames
-constexpr std::size_t kReadAhead = 64 * 1024;        // bytes; a frame's length is not believed beyond
+constexpr int kMaxAcceptsPerEvent = 16;          // in one go
+constexpr int kMaxDatagramsPerEvent = 64;        // in one go, so that a flood does not keep others waiting
+constexpr int kMaxDrainReads = 64;               // reads of a connection that another one follows
+constexpr Duration kAcceptPause = 20ms;          // out of descriptors: the backlog waits
+constexpr Duration kMaxQueueAge = 3s;            // of what waits for a peer that is not reached
+constexpr Duration kIdleSessionTimeout = 30s;    // then a session is closed
+constexpr Duration kInboundTimeout = 60s;        // then a received connection is: its sender did not end it
+constexpr Duration kSweepInterval = 5s;
+constexpr Duration kStableConnectionTime = 1s;           // a connection that did so is dialled anew at once
+constexpr std::size_t kMaxBatchBytes = 64 * 1024;        // bytes of several frames
+constexpr std::size_t kMaxReadAheadBytes = 64 * 1024;    // bytes; a frame's length is not believed beyond
 
 // Numeric addresses only: there is nobody to look names up with.
-std::optional<Poco::Net::SocketAddress> parse(const std::string& address) {
+std::optional<Poco::Net::SocketAddress> parse_address(const std::string& address) {
     const std::size_t colon = address.rfind(':');
     if (colon == std::string::npos) return std::nullopt;
     std::uint16_t port = 0;
     const char* const end = address.data() + address.size();
-    const auto [read, error] = std::from_chars(address.data() + colon + 1, end, port);
+    const auto [parsed_end, error] = std::from_chars(address.data() + colon + 1, end, port);
     Poco::Net::IPAddress ip;
-    if (error != std::errc{} || read != end || !Poco::Net::IPAddress::tryParse(address.substr(0, colon), ip))
+    if (error != std::errc{} || parsed_end != end ||
+        !Poco::Net::IPAddress::tryParse(address.substr(0, colon), ip))
         return std::nullopt;
     return Poco::Net::SocketAddress(ip, port);
 }
 
 }    // namespace
 
-class Mailer::Impl {
+class ConnectionManager::Impl {
 public:
-    Impl(Reactor& reactor, const std::string& address, std::uint64_t life, Limits limits,
-         std::function<void(Letter&&)> heard);
+    Impl(Reactor& reactor, const std::string& address, std::uint64_t incarnation, Limits limits,
+         std::function<void(Message&&)> on_message);
     ~Impl();
     Impl(const Impl&) = delete;
     Impl& operator=(const Impl&) = delete;
 
-    void datagram(const std::string& to, Kind kind, std::string_view bytes);
-    void session(const std::string& to, Kind kind, std::string_view bytes);
+    void send_datagram(const std::string& destination, Kind kind, std::string_view payload);
+    void send_session_message(const std::string& destination, Kind kind, std::string_view payload);
 
-    // NOLINTBEGIN(readability-identifier-naming): public to the helpers of this file only; to be renamed
-    std::uint64_t life_;
+    std::uint64_t incarnation_;
     std::string address_;
-    Counts counts_;
-    // NOLINTEND(readability-identifier-naming)
+    Counters counters_;
 
 private:
     // A peer that we send to. The connection is dialled while something waits, and only written to.
-    class Outgoing : public StreamOwner {
+    class OutboundSession : public StreamOwner {
     public:
-        Outgoing(Impl& of, std::string to, std::uint32_t seed)
-            : of_(of), to_(std::move(to)), outbox_(of.limits_.most_queued), backoff_(seed) {}
-        ~Outgoing() override;
-        void give(std::string frame);
+        OutboundSession(Impl& manager, std::string destination, std::uint32_t seed)
+            : manager_(manager),
+              destination_(std::move(destination)),
+              send_queue_(manager.limits_.max_queued_bytes),
+              backoff_(seed) {}
+        ~OutboundSession() override;
+        void enqueue(std::string frame);
         // Closes a connection that nobody used since; true where nothing is left to keep.
-        bool sweep(TimePoint unused_since);
+        bool close_if_idle(TimePoint unused_since);
 
         void on_connected() override;
         void on_input() override;
-        void on_sent() override;
-        void on_broken() override { failed(); }
+        void on_all_sent() override;
+        void on_disconnected() override { handle_failure(); }
 
     private:
         void dial();
-        void feed();
-        void failed();
+        void send_pending();
+        void handle_failure();
         void close();
         void watch_progress();
 
-        Impl& of_;
-        std::string to_;
-        Outbox outbox_;
+        Impl& manager_;
+        std::string destination_;
+        SendQueue send_queue_;
         Backoff backoff_;
         std::unique_ptr<Stream> stream_;
-        bool up_ = false;
-        TimePoint used_{}, up_since_{}, not_before_{};
-        std::size_t unsent_ = 0;    // when progress was looked at last
-        Timers::Id dial_timer_ = 0, retry_ = 0, progress_ = 0;
+        bool connected_ = false;
+        TimePoint last_used_{}, connected_at_{}, next_dial_at_{};
+        std::size_t last_unsent_bytes_ = 0;    // when progress was looked at last
+        Timers::Id dial_timer_ = 0, retry_timer_ = 0, progress_timer_ = 0;
     };
     // A connection that a peer dialled, only read from.
-    struct Taken : StreamOwner {
-        Taken(Impl& impl) : of(impl), stream(impl.reactor_, *this) {}
-        void on_input() override { of.take_in(*this); }
-        void on_broken() override { of.drop(*this); }
+    struct InboundConnection : StreamOwner {
+        InboundConnection(Impl& owner) : manager(owner), stream(owner.reactor_, *this) {}
+        void on_input() override { manager.receive_messages(*this); }
+        void on_disconnected() override { manager.close_connection(*this); }
 
-        Impl& of;
+        Impl& manager;
         Stream stream;
-        std::string from;    // once it said so
-        TimePoint heard{};
-        std::list<std::unique_ptr<Taken>>::iterator place;
+        std::string sender;    // once it said so
+        TimePoint last_received{};
+        std::list<std::unique_ptr<InboundConnection>>::iterator position;
     };
 
     void on_datagram(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-    void on_dialled(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-    bool accept();
-    void accept_on(bool wanted);
-    void take_in(Taken& c);
-    void follow(Taken& c);
-    void spoilt(Taken& c);
-    void drop(Taken& c);
-    void to_myself(Kind kind, std::string_view bytes);
-    void hear_myself();
-    void hear(Letter&& letter);
+    void on_connection_pending(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
+    bool accept_connection();
+    void set_accepting(bool enabled);
+    void receive_messages(InboundConnection& connection);
+    void supersede_previous(InboundConnection& connection);
+    void close_malformed(InboundConnection& connection);
+    void close_connection(InboundConnection& connection);
+    void send_to_self(Kind kind, std::string_view payload);
+    void deliver_to_self();
+    void deliver(Message&& message);
     void set_options(Poco::Net::StreamSocket& socket) const;
-    void sweep();
+    void close_idle_connections();
 
     Reactor& reactor_;
     Limits limits_;
-    std::function<void(Letter&&)> heard_;
-    Poco::Net::DatagramSocket mail_;
+    std::function<void(Message&&)> on_message_;
+    Poco::Net::DatagramSocket datagram_socket_;
     Poco::Net::ServerSocket listener_;
     bool accepting_ = false;
-    std::vector<char> datagram_;
-    std::unordered_map<std::string, std::unique_ptr<Outgoing>> outgoing_;
-    std::list<std::unique_ptr<Taken>> taken_;              // the longest unheard first
-    std::unordered_map<std::string, Taken*> by_sender_;    // the connection it dialled last
-    std::deque<Letter> own_;
-    std::size_t own_bytes_ = 0;
-    Timers::Id own_timer_ = 0, sweep_timer_ = 0, pause_timer_ = 0;
+    std::vector<char> datagram_buffer_;
+    std::unordered_map<std::string, std::unique_ptr<OutboundSession>> sessions_;
+    std::list<std::unique_ptr<InboundConnection>> inbound_;            // the longest unheard first
+    std::unordered_map<std::string, InboundConnection*> by_sender_;    // the connection it dialled last
+    std::deque<Message> self_messages_;
+    std::size_t self_bytes_ = 0;
+    Timers::Id self_timer_ = 0, sweep_timer_ = 0, pause_timer_ = 0;
 };
 
-Mailer::Impl::Impl(Reactor& reactor, const std::string& address, std::uint64_t life, Limits limits,
-                   std::function<void(Letter&&)> heard)
-    : life_(life),
+ConnectionManager::Impl::Impl(Reactor& reactor, const std::string& address, std::uint64_t incarnation,
+                              Limits limits, std::function<void(Message&&)> on_message)
+    : incarnation_(incarnation),
       reactor_(reactor),
       limits_(limits),
-      heard_(std::move(heard)),
-      datagram_(kLongestDatagram + 1) {
-    const auto place = parse(address);
-    if (!place) throw Poco::Net::InvalidAddressException(address);
-    listener_.bind(*place, true, false);
+      on_message_(std::move(on_message)),
+      datagram_buffer_(kMaxDatagramBytes + 1) {
+    const auto bind_address = parse_address(address);
+    if (!bind_address) throw Poco::Net::InvalidAddressException(address);
+    listener_.bind(*bind_address, true, false);
     listener_.listen(kBacklog);
     listener_.setBlocking(false);
     address_ = listener_.address().toString();
-    mail_.bind(listener_.address(), false, false);
-    mail_.setBlocking(false);
+    datagram_socket_.bind(listener_.address(), false, false);
+    datagram_socket_.setBlocking(false);
     reactor_.addEventHandler(
-        mail_, Poco::NObserver<Impl, Poco::Net::ReadableNotification>(*this, &Impl::on_datagram));
-    accept_on(true);
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+        datagram_socket_, Poco::NObserver<Impl, Poco::Net::ReadableNotification>(*this, &Impl::on_datagram));
+    set_accepting(true);
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_idle_connections(); });
 }
 
-Mailer::Impl::~Impl() {
-    accept_on(false);
+ConnectionManager::Impl::~Impl() {
+    set_accepting(false);
     reactor_.removeEventHandler(
-        mail_, Poco::NObserver<Impl, Poco::Net::ReadableNotification>(*this, &Impl::on_datagram));
-    for (Timers::Id* timer : {&own_timer_, &sweep_timer_, &pause_timer_}) reactor_.cancel(*timer);
-    outgoing_.clear();
-    taken_.clear();
-    reactor_.reap();    // what was closed refers to us
+        datagram_socket_, Poco::NObserver<Impl, Poco::Net::ReadableNotification>(*this, &Impl::on_datagram));
+    for (Timers::Id* timer : {&self_timer_, &sweep_timer_, &pause_timer_}) reactor_.cancel_timer(*timer);
+    sessions_.clear();
+    inbound_.clear();
+    reactor_.destroy_retired();    // what was closed refers to us
 }
 
-void Mailer::Impl::set_options(Poco::Net::StreamSocket& socket) const {
+void ConnectionManager::Impl::set_options(Poco::Net::StreamSocket& socket) const {
     try {
-        const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(limits_.silence).count();
-        socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(ms));
+        const auto timeout_ms =
+            std::chrono::duration_cast<std::chrono::milliseconds>(limits_.peer_timeout).count();
+        socket.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(timeout_ms));
         socket.setKeepAlive(true);
         socket.setOption(IPPROTO_TCP, TCP_KEEPIDLE, 1);
         socket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, 1);
@@ -193,286 +196,298 @@
 
 // --- what is sent ---
 
-void Mailer::Impl::datagram(const std::string& to, Kind kind, std::string_view bytes) {
-    if (to == address_) return to_myself(kind, bytes);
-    const std::string out = write_datagram(kind, address_, life_, bytes);
-    const auto place = parse(to);
-    int sent = -1;
+void ConnectionManager::Impl::send_datagram(const std::string& destination, Kind kind,
+                                            std::string_view payload) {
+    if (destination == address_) return send_to_self(kind, payload);
+    const std::string datagram = write_datagram(kind, address_, incarnation_, payload);
+    const auto socket_address = parse_address(destination);
+    int sent_bytes = -1;
     try {
-        if (place && out.size() <= kLongestDatagram)
-            sent = mail_.sendTo(out.data(), static_cast<int>(out.size()), *place);
+        if (socket_address && datagram.size() <= kMaxDatagramBytes)
+            sent_bytes =
+                datagram_socket_.sendTo(datagram.data(), static_cast<int>(datagram.size()), *socket_address);
     } catch (const Poco::Exception&) {
         // Mail may be lost in any case: what cannot be sent now is not kept.
     }
-    if (sent < 0) {
-        ++counts_.dropped;
+    if (sent_bytes < 0) {
+        ++counters_.dropped;
         return;
     }
-    ++counts_.sent;
-    counts_.sent_bytes += out.size();
+    ++counters_.sent;
+    counters_.sent_bytes += datagram.size();
 }
 
-void Mailer::Impl::session(const std::string& to, Kind kind, std::string_view bytes) {
-    if (to == address_) return to_myself(kind, bytes);
-    if (bytes.size() > limits_.longest || !parse(to)) {
-        ++counts_.dropped;
+void ConnectionManager::Impl::send_session_message(const std::string& destination, Kind kind,
+                                                   std::string_view payload) {
+    if (destination == address_) return send_to_self(kind, payload);
+    if (payload.size() > limits_.max_message_bytes || !parse_address(destination)) {
+        ++counters_.dropped;
         return;
     }
-    auto& peer = outgoing_[to];
+    auto& peer = sessions_[destination];
     if (!peer) {
-        const std::size_t seed = std::hash<std::string>()(address_ + to) ^ life_;
-        peer = std::make_unique<Outgoing>(*this, to, static_cast<std::uint32_t>(seed));
+        const std::size_t seed = std::hash<std::string>()(address_ + destination) ^ incarnation_;
+        peer = std::make_unique<OutboundSession>(*this, destination, static_cast<std::uint32_t>(seed));
     }
-    peer->give(write_frame(kind, address_, life_, bytes));
+    peer->enqueue(write_frame(kind, address_, incarnation_, payload));
 }
 
-void Mailer::Impl::to_myself(Kind kind, std::string_view bytes) {
-    for (; !own_.empty() && own_bytes_ + bytes.size() > limits_.most_queued; ++counts_.dropped) {
-        own_bytes_ -= own_.front().bytes.size();
-        own_.pop_front();
+void ConnectionManager::Impl::send_to_self(Kind kind, std::string_view payload) {
+    for (; !self_messages_.empty() && self_bytes_ + payload.size() > limits_.max_queued_bytes;
+         ++counters_.dropped) {
+        self_bytes_ -= self_messages_.front().payload.size();
+        self_messages_.pop_front();
     }
-    own_bytes_ += bytes.size();
-    own_.push_back({kind, address_, life_, std::string(bytes)});
-    if (own_timer_ == 0) own_timer_ = reactor_.after(Duration(0), [this] { hear_myself(); });
+    self_bytes_ += payload.size();
+    self_messages_.push_back({kind, address_, incarnation_, std::string(payload)});
+    if (self_timer_ == 0) self_timer_ = reactor_.schedule_after(Duration(0), [this] { deliver_to_self(); });
 }
 
 // What is sent meanwhile waits for the next turn.
-void Mailer::Impl::hear_myself() {
-    own_timer_ = 0;
-    own_bytes_ = 0;
-    for (Letter& letter : std::exchange(own_, {})) heard_(std::move(letter));
+void ConnectionManager::Impl::deliver_to_self() {
+    self_timer_ = 0;
+    self_bytes_ = 0;
+    for (Message& message : std::exchange(self_messages_, {})) on_message_(std::move(message));
 }
 
-Mailer::Impl::Outgoing::~Outgoing() { close(); }
+ConnectionManager::Impl::OutboundSession::~OutboundSession() { close(); }
 
-void Mailer::Impl::Outgoing::give(std::string frame) {
-    const TimePoint now = of_.reactor_.clock().now();
-    used_ = now;
-    of_.counts_.dropped += outbox_.push(std::move(frame), now);
-    if (up_) feed();
-    else if (stream_ || retry_ != 0) return;
-    else if (now >= not_before_) dial();
-    else retry_ = of_.reactor_.at(not_before_, [this] { dial(); });
+void ConnectionManager::Impl::OutboundSession::enqueue(std::string frame) {
+    const TimePoint now = manager_.reactor_.clock().now();
+    last_used_ = now;
+    manager_.counters_.dropped += send_queue_.push(std::move(frame), now);
+    if (connected_) send_pending();
+    else if (stream_ || retry_timer_ != 0) return;
+    else if (now >= next_dial_at_) dial();
+    else retry_timer_ = manager_.reactor_.schedule_at(next_dial_at_, [this] { dial(); });
 }
 
-void Mailer::Impl::Outgoing::dial() {
-    retry_ = 0;
-    of_.counts_.dropped += outbox_.expire(of_.reactor_.clock().now() - kOldest);
-    if (outbox_.empty()) return;
-    stream_ = std::make_unique<Stream>(of_.reactor_, *this);
-    if (!stream_->dial(to_)) return failed();
-    of_.set_options(stream_->socket());
-    dial_timer_ = of_.reactor_.after(of_.limits_.dial, [this] {
+void ConnectionManager::Impl::OutboundSession::dial() {
+    retry_timer_ = 0;
+    manager_.counters_.dropped += send_queue_.expire(manager_.reactor_.clock().now() - kMaxQueueAge);
+    if (send_queue_.empty()) return;
+    stream_ = std::make_unique<Stream>(manager_.reactor_, *this);
+    if (!stream_->connect(destination_)) return handle_failure();
+    manager_.set_options(stream_->socket());
+    dial_timer_ = manager_.reactor_.schedule_after(manager_.limits_.dial_timeout, [this] {
         dial_timer_ = 0;
-        failed();
+        handle_failure();
     });
 }
 
-void Mailer::Impl::Outgoing::on_connected() {
-    of_.reactor_.cancel(dial_timer_);
-    up_ = true;
-    up_since_ = of_.reactor_.clock().now();
-    feed();
+void ConnectionManager::Impl::OutboundSession::on_connected() {
+    manager_.reactor_.cancel_timer(dial_timer_);
+    connected_ = true;
+    connected_at_ = manager_.reactor_.clock().now();
+    send_pending();
 }
 
-void Mailer::Impl::Outgoing::feed() {
-    while (up_ && stream_->sent_all()) {
-        outbox_.written();
-        if (outbox_.empty()) return of_.reactor_.cancel(progress_);
-        std::string bytes = outbox_.take(kWrittenAtOnce);
-        of_.counts_.sent += outbox_.taken();
-        of_.counts_.sent_bytes += bytes.size();
-        if (!stream_->send(std::move(bytes))) return failed();
+void ConnectionManager::Impl::OutboundSession::send_pending() {
+    while (connected_ && stream_->all_sent()) {
+        send_queue_.mark_written();
+        if (send_queue_.empty()) return manager_.reactor_.cancel_timer(progress_timer_);
+        std::string batch = send_queue_.take_batch(kMaxBatchBytes);
+        manager_.counters_.sent += send_queue_.batch_frames();
+        manager_.counters_.sent_bytes += batch.size();
+        if (!stream_->write_bytes(std::move(batch))) return handle_failure();
     }
-    if (progress_ == 0) watch_progress();
+    if (progress_timer_ == 0) watch_progress();
 }
 
 // A peer whose machine takes nothing, yet answers for its kernel, is as good as gone.
-void Mailer::Impl::Outgoing::watch_progress() {
-    unsent_ = stream_->unsent();
-    progress_ = of_.reactor_.after(of_.limits_.silence, [this] {
-        progress_ = 0;
-        if (stream_->sent_all()) return;
-        if (stream_->unsent() == unsent_) failed();
+void ConnectionManager::Impl::OutboundSession::watch_progress() {
+    last_unsent_bytes_ = stream_->unsent_bytes();
+    progress_timer_ = manager_.reactor_.schedule_after(manager_.limits_.peer_timeout, [this] {
+        progress_timer_ = 0;
+        if (stream_->all_sent()) return;
+        if (stream_->unsent_bytes() == last_unsent_bytes_) handle_failure();
         else watch_progress();
     });
 }
 
-void Mailer::Impl::Outgoing::on_sent() {
-    used_ = of_.reactor_.clock().now();
-    feed();
+void ConnectionManager::Impl::OutboundSession::on_all_sent() {
+    last_used_ = manager_.reactor_.clock().now();
+    send_pending();
 }
 
 // Nothing is ever answered on a session.
-void Mailer::Impl::Outgoing::on_input() {
-    ++of_.counts_.spoilt;
-    failed();
+void ConnectionManager::Impl::OutboundSession::on_input() {
+    ++manager_.counters_.malformed;
+    handle_failure();
 }
 
-void Mailer::Impl::Outgoing::close() {
-    for (Timers::Id* timer : {&dial_timer_, &retry_, &progress_}) of_.reactor_.cancel(*timer);
-    if (stream_) retire(of_.reactor_, std::move(stream_));
-    of_.counts_.dropped += outbox_.lost();
-    up_ = false;
+void ConnectionManager::Impl::OutboundSession::close() {
+    for (Timers::Id* timer : {&dial_timer_, &retry_timer_, &progress_timer_})
+        manager_.reactor_.cancel_timer(*timer);
+    if (stream_) destroy_stream_later(manager_.reactor_, std::move(stream_));
+    manager_.counters_.dropped += send_queue_.discard_batch();
+    connected_ = false;
 }
 
 // What was being written is lost: nobody knows how much of it was read. What waits is kept.
-void Mailer::Impl::Outgoing::failed() {
-    const TimePoint now = of_.reactor_.clock().now();
-    const bool stood = up_ && now - up_since_ >= kStoodUp;
+void ConnectionManager::Impl::OutboundSession::handle_failure() {
+    const TimePoint now = manager_.reactor_.clock().now();
+    const bool was_stable = connected_ && now - connected_at_ >= kStableConnectionTime;
     close();
-    if (stood) backoff_.reset();
-    not_before_ = stood ? now : now + backoff_.next();
-    of_.counts_.dropped += outbox_.expire(now - kOldest);
-    if (!outbox_.empty()) retry_ = of_.reactor_.at(not_before_, [this] { dial(); });
+    if (was_stable) backoff_.reset();
+    next_dial_at_ = was_stable ? now : now + backoff_.next_delay();
+    manager_.counters_.dropped += send_queue_.expire(now - kMaxQueueAge);
+    if (!send_queue_.empty()) retry_timer_ = manager_.reactor_.schedule_at(next_dial_at_, [this] { dial(); });
 }
 
-bool Mailer::Impl::Outgoing::sweep(TimePoint unused_since) {
-    if (used_ >= unused_since || !outbox_.empty() || (stream_ && !up_)) return false;
-    if (stream_ && !stream_->sent_all()) return false;
-    outbox_.written();
+bool ConnectionManager::Impl::OutboundSession::close_if_idle(TimePoint unused_since) {
+    if (last_used_ >= unused_since || !send_queue_.empty() || (stream_ && !connected_)) return false;
+    if (stream_ && !stream_->all_sent()) return false;
+    send_queue_.mark_written();
     close();
     return true;
 }
 
 // --- what is heard ---
 
-void Mailer::Impl::hear(Letter&& letter) {
-    ++counts_.heard;
-    counts_.heard_bytes += letter.bytes.size();
-    heard_(std::move(letter));
+void ConnectionManager::Impl::deliver(Message&& message) {
+    ++counters_.received;
+    counters_.received_bytes += message.payload.size();
+    on_message_(std::move(message));
 }
 
-void Mailer::Impl::on_datagram(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    for (int i = 0; i < kMostDatagrams; ++i) {
-        Poco::Net::SocketAddress from;
+void ConnectionManager::Impl::on_datagram(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+    for (int i = 0; i < kMaxDatagramsPerEvent; ++i) {
+        Poco::Net::SocketAddress source;
         int length = -1;
         try {
-            length = mail_.receiveFrom(datagram_.data(), static_cast<int>(datagram_.size()), from);
+            length = datagram_socket_.receiveFrom(datagram_buffer_.data(),
+                                                  static_cast<int>(datagram_buffer_.size()), source);
         } catch (const Poco::Exception&) {
             continue;    // what an earlier datagram met on its way; the next call reads on
         }
         if (length < 0) break;
-        auto letter = read_letter({datagram_.data(), static_cast<std::size_t>(length)});
-        if (letter) hear(std::move(*letter));
-        else ++counts_.spoilt;
+        auto message = read_message({datagram_buffer_.data(), static_cast<std::size_t>(length)});
+        if (message) deliver(std::move(*message));
+        else ++counters_.malformed;
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
-void Mailer::Impl::accept_on(bool wanted) {
-    if (accepting_ == wanted) return;
-    const Poco::NObserver<Impl, Poco::Net::ReadableNotification> observer(*this, &Impl::on_dialled);
-    if (wanted) reactor_.addEventHandler(listener_, observer);
+void ConnectionManager::Impl::set_accepting(bool enabled) {
+    if (accepting_ == enabled) return;
+    const Poco::NObserver<Impl, Poco::Net::ReadableNotification> observer(*this,
+                                                                          &Impl::on_connection_pending);
+    if (enabled) reactor_.addEventHandler(listener_, observer);
     else reactor_.removeEventHandler(listener_, observer);
-    accepting_ = wanted;
+    accepting_ = enabled;
 }
 
-void Mailer::Impl::on_dialled(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    for (int i = 0; i < kMostAccepted; ++i) {
-        if (!accept()) break;
+void ConnectionManager::Impl::on_connection_pending(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+    for (int i = 0; i < kMaxAcceptsPerEvent; ++i) {
+        if (!accept_connection()) break;
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
-bool Mailer::Impl::accept() {
+bool ConnectionManager::Impl::accept_connection() {
     try {
         const Poco::Net::StreamSocket socket = listener_.acceptConnection();
-        if (taken_.size() >= limits_.most_sessions) drop(*taken_.front());
-        taken_.push_back(std::make_unique<Taken>(*this));
-        Taken& c = *taken_.back();
-        c.place = std::prev(taken_.end());
-        c.heard = reactor_.clock().now();
-        c.stream.adopt(socket);
+        if (inbound_.size() >= limits_.max_inbound_connections) close_connection(*inbound_.front());
+        inbound_.push_back(std::make_unique<InboundConnection>(*this));
+        InboundConnection& connection = *inbound_.back();
+        connection.position = std::prev(inbound_.end());
+        connection.last_received = reactor_.clock().now();
+        connection.stream.attach(socket);
         return true;
     } catch (const Poco::Exception& error) {
         if (error.code() == POCO_EWOULDBLOCK) return false;    // none waits, or it left before that
         // Out of descriptors, above all: the listener stays readable, and trying on would spin.
-        if (!taken_.empty()) drop(*taken_.front());
-        accept_on(false);
+        if (!inbound_.empty()) close_connection(*inbound_.front());
+        set_accepting(false);
         if (pause_timer_ == 0) {
-            pause_timer_ = reactor_.after(kAcceptPause, [this] {
+            pause_timer_ = reactor_.schedule_after(kAcceptPause, [this] {
                 pause_timer_ = 0;
-                accept_on(true);
+                set_accepting(true);
             });
         }
         return false;
     }
 }
 
-void Mailer::Impl::take_in(Taken& c) {
-    c.heard = reactor_.clock().now();
-    taken_.splice(taken_.end(), taken_, c.place);
-    http::Buffer& in = c.stream.input();
-    while (c.stream.is_open()) {
-        const std::size_t length = frame_length(in.unread());
-        if (in.size() < kFrameHead) break;
-        if (length == 0 || length > limits_.longest + kMostAround) return spoilt(c);
-        if (in.size() < kFrameHead + length) {
-            const std::size_t missing = kFrameHead + length - in.size();
-            in.prepare(std::min(missing, std::max(kReadAhead, in.size())));
+void ConnectionManager::Impl::receive_messages(InboundConnection& connection) {
+    connection.last_received = reactor_.clock().now();
+    inbound_.splice(inbound_.end(), inbound_, connection.position);
+    http::Buffer& input = connection.stream.input_buffer();
+    while (connection.stream.is_open()) {
+        const std::size_t length = frame_length(input.unread());
+        if (input.size() < kFrameHeaderBytes) break;
+        if (length == 0 || length > limits_.max_message_bytes + kMaxEnvelopeOverhead)
+            return close_malformed(connection);
+        if (input.size() < kFrameHeaderBytes + length) {
+            const std::size_t missing = kFrameHeaderBytes + length - input.size();
+            input.reserve(std::min(missing, std::max(kMaxReadAheadBytes, input.size())));
             break;
         }
-        auto letter = read_letter(in.unread().substr(kFrameHead, length));
-        in.consume(kFrameHead + length);
-        if (!letter || (!c.from.empty() && c.from != letter->from)) return spoilt(c);
-        if (c.from.empty()) {
-            c.from = letter->from;
-            follow(c);
+        auto message = read_message(input.unread().substr(kFrameHeaderBytes, length));
+        input.consume(kFrameHeaderBytes + length);
+        if (!message || (!connection.sender.empty() && connection.sender != message->sender))
+            return close_malformed(connection);
+        if (connection.sender.empty()) {
+            connection.sender = message->sender;
+            supersede_previous(connection);
         }
-        hear(std::move(*letter));
+        deliver(std::move(*message));
     }
 }
 
 // A sender has one connection at a time: where a new one speaks, an earlier one of it is over. What it still
 // holds came before.
-void Mailer::Impl::follow(Taken& c) {
-    Taken* const before = std::exchange(by_sender_[c.from], &c);
-    if (before == nullptr) return;
-    for (int i = 0; i < kMostReadOut && before->stream.is_open() && !before->stream.quiet(); ++i)
-        before->stream.read_now();
-    if (before->stream.is_open()) drop(*before);
+void ConnectionManager::Impl::supersede_previous(InboundConnection& connection) {
+    InboundConnection* const previous = std::exchange(by_sender_[connection.sender], &connection);
+    if (previous == nullptr) return;
+    for (int i = 0; i < kMaxDrainReads && previous->stream.is_open() && !previous->stream.is_quiet(); ++i)
+        previous->stream.read_available();
+    if (previous->stream.is_open()) close_connection(*previous);
 }
 
-void Mailer::Impl::spoilt(Taken& c) {
-    ++counts_.spoilt;
-    drop(c);
+void ConnectionManager::Impl::close_malformed(InboundConnection& connection) {
+    ++counters_.malformed;
+    close_connection(connection);
 }
 
-void Mailer::Impl::drop(Taken& c) {
-    struct Gone : Retired {    // it may be on the call stack
-        explicit Gone(std::unique_ptr<Taken> of) : connection(std::move(of)) {}
-        std::unique_ptr<Taken> connection;
+void ConnectionManager::Impl::close_connection(InboundConnection& connection) {
+    struct RetiredConnection : RetiredObject {    // it may be on the call stack
+        explicit RetiredConnection(std::unique_ptr<InboundConnection> retired) : owned(std::move(retired)) {}
+        std::unique_ptr<InboundConnection> owned;
     };
-    c.stream.close();
-    const auto known = by_sender_.find(c.from);
-    if (known != by_sender_.end() && known->second == &c) by_sender_.erase(known);
-    const auto place = c.place;
-    reactor_.retire(std::make_unique<Gone>(std::move(*place)));
-    taken_.erase(place);
+    connection.stream.close();
+    const auto known = by_sender_.find(connection.sender);
+    if (known != by_sender_.end() && known->second == &connection) by_sender_.erase(known);
+    const auto position = connection.position;
+    reactor_.destroy_later(std::make_unique<RetiredConnection>(std::move(*position)));
+    inbound_.erase(position);
 }
 
-void Mailer::Impl::sweep() {
+void ConnectionManager::Impl::close_idle_connections() {
     const TimePoint now = reactor_.clock().now();
-    std::erase_if(outgoing_, [&](const auto& peer) { return peer.second->sweep(now - kUnused); });
-    while (!taken_.empty() && taken_.front()->heard < now - kUnheard) drop(*taken_.front());
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    std::erase_if(sessions_,
+                  [&](const auto& peer) { return peer.second->close_if_idle(now - kIdleSessionTimeout); });
+    while (!inbound_.empty() && inbound_.front()->last_received < now - kInboundTimeout)
+        close_connection(*inbound_.front());
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_idle_connections(); });
 }
 
 // --- the contract ---
 
-Mailer::Mailer(Reactor& reactor, const std::string& address, std::uint64_t life, Limits limits,
-               std::function<void(Letter&&)> heard)
-    : impl_(std::make_unique<Impl>(reactor, address, life, limits, std::move(heard))) {}
-Mailer::~Mailer() = default;
-void Mailer::datagram(const std::string& to, Kind kind, std::string_view bytes) {
-    impl_->datagram(to, kind, bytes);
+ConnectionManager::ConnectionManager(Reactor& reactor, const std::string& address, std::uint64_t incarnation,
+                                     Limits limits, std::function<void(Message&&)> on_message)
+    : impl_(std::make_unique<Impl>(reactor, address, incarnation, limits, std::move(on_message))) {}
+ConnectionManager::~ConnectionManager() = default;
+void ConnectionManager::send_datagram(const std::string& destination, Kind kind, std::string_view payload) {
+    impl_->send_datagram(destination, kind, payload);
 }
-void Mailer::session(const std::string& to, Kind kind, std::string_view bytes) {
-    impl_->session(to, kind, bytes);
+void ConnectionManager::send_session_message(const std::string& destination, Kind kind,
+                                             std::string_view payload) {
+    impl_->send_session_message(destination, kind, payload);
 }
-void Mailer::life(std::uint64_t life) { impl_->life_ = life; }
-const std::string& Mailer::address() const { return impl_->address_; }
-const Mailer::Counts& Mailer::counts() const { return impl_->counts_; }
+void ConnectionManager::set_incarnation(std::uint64_t incarnation) { impl_->incarnation_ = incarnation; }
+const std::string& ConnectionManager::address() const { return impl_->address_; }
+const ConnectionManager::Counters& ConnectionManager::counters() const { return impl_->counters_; }
 
 }    // namespace shaletray::transport
--- a/src/cluster/transport/connection_manager.h
+++ b/src/cluster/transport/connection_manager.h
@@ -14,40 +14,40 @@
 
 namespace shaletray::transport {
 
-enum class Kind : std::uint8_t { Convoy = 1, Lamp, Muster, Watch, Tide };
+enum class Kind : std::uint8_t { Membership = 1, Consensus, Registry, Subscription, Quota };
 
-struct Letter {
+struct Message {
     Kind kind{};
-    std::string from;          // the sender's internal address, as it says
-    std::uint64_t life = 0;    // the sender's
-    std::string bytes;
+    std::string sender;               // the sender's internal address, as it says
+    std::uint64_t incarnation = 0;    // the sender's
+    std::string payload;
 };
 
-class Mailer {
+class ConnectionManager {
 public:
     struct Limits {
-        std::size_t most_queued = 8 * 1024 * 1024;    // bytes waiting for one peer
-        std::size_t longest = 80 * 1024 * 1024;       // of one session message
-        std::size_t most_sessions = 512;              // taken in at once
-        Duration dial = std::chrono::milliseconds(1000);
-        Duration silence = std::chrono::milliseconds(2000);    // TCP_USER_TIMEOUT and keep-alive
+        std::size_t max_queued_bytes = 8 * 1024 * 1024;      // bytes waiting for one peer
+        std::size_t max_message_bytes = 80 * 1024 * 1024;    // of one session message
+        std::size_t max_inbound_connections = 512;           // taken in at once
+        Duration dial_timeout = std::chrono::milliseconds(1000);
+        Duration peer_timeout = std::chrono::milliseconds(2000);    // TCP_USER_TIMEOUT and keep-alive
     };
     // Throws Poco::Exception where the address cannot be used.
-    Mailer(Reactor& reactor, const std::string& address, std::uint64_t life, Limits limits,
-           std::function<void(Letter&&)> heard);
-    ~Mailer();
+    ConnectionManager(Reactor& reactor, const std::string& address, std::uint64_t incarnation, Limits limits,
+                      std::function<void(Message&&)> on_message);
+    ~ConnectionManager();
     // `to` is numeric. What cannot be sent (longer than 60,000 bytes, or the system refuses) is dropped,
     // counted. Letters to oneself are heard in a later turn.
-    void datagram(const std::string& to, Kind kind, std::string_view bytes);
+    void send_datagram(const std::string& destination, Kind kind, std::string_view payload);
     // While the peer cannot be reached, what waited for 3 s is dropped, counted.
-    void session(const std::string& to, Kind kind, std::string_view bytes);
-    void life(std::uint64_t life);
+    void send_session_message(const std::string& destination, Kind kind, std::string_view payload);
+    void set_incarnation(std::uint64_t incarnation);
     // Our own, with the port that the system chose where 0 was asked for.
     const std::string& address() const;
-    struct Counts {
-        std::uint64_t sent = 0, sent_bytes = 0, heard = 0, heard_bytes = 0, dropped = 0, spoilt = 0;
+    struct Counters {
+        std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0, dropped = 0, malformed = 0;
     };
-    const Counts& counts() const;
+    const Counters& counters() const;
 
 private:
     class Impl;
--- a/src/cluster/transport/send_queue.cpp
+++ b/src/cluster/transport/send_queue.cpp
@@ -5,49 +5,49 @@
 
 namespace shaletray::transport {
 
-void Outbox::drop_first() {
-    bytes_ -= waiting_.front().bytes.size();
-    waiting_.pop_front();
+void SendQueue::drop_first() {
+    pending_bytes_ -= pending_.front().bytes.size();
+    pending_.pop_front();
 }
 
-std::size_t Outbox::push(std::string frame, TimePoint now) {
+std::size_t SendQueue::push(std::string frame, TimePoint now) {
     std::size_t dropped = 0;
-    for (; !waiting_.empty() && bytes() + frame.size() > most_; ++dropped) drop_first();
-    bytes_ += frame.size();
-    waiting_.push_back({std::move(frame), now});
+    for (; !pending_.empty() && total_bytes() + frame.size() > max_bytes_; ++dropped) drop_first();
+    pending_bytes_ += frame.size();
+    pending_.push_back({std::move(frame), now});
     return dropped;
 }
 
-std::size_t Outbox::expire(TimePoint since) {
+std::size_t SendQueue::expire(TimePoint cutoff) {
     std::size_t dropped = 0;
-    for (; !waiting_.empty() && waiting_.front().since < since; ++dropped) drop_first();
+    for (; !pending_.empty() && pending_.front().queued_at < cutoff; ++dropped) drop_first();
     return dropped;
 }
 
-std::string Outbox::take(std::size_t most) {
-    std::string out = std::move(waiting_.front().bytes);
-    bytes_ -= out.size();
-    waiting_.pop_front();
-    taken_ = 1;
-    while (!waiting_.empty() && out.size() + waiting_.front().bytes.size() <= most) {
-        out += waiting_.front().bytes;
+std::string SendQueue::take_batch(std::size_t max_bytes) {
+    std::string batch = std::move(pending_.front().bytes);
+    pending_bytes_ -= batch.size();
+    pending_.pop_front();
+    batch_frames_ = 1;
+    while (!pending_.empty() && batch.size() + pending_.front().bytes.size() <= max_bytes) {
+        batch += pending_.front().bytes;
         drop_first();
-        ++taken_;
+        ++batch_frames_;
     }
-    taken_bytes_ = out.size();
-    return out;
+    batch_bytes_ = batch.size();
+    return batch;
 }
 
-std::size_t Outbox::lost() {
-    taken_bytes_ = 0;
-    return std::exchange(taken_, 0);
+std::size_t SendQueue::discard_batch() {
+    batch_bytes_ = 0;
+    return std::exchange(batch_frames_, 0);
 }
 
-Duration Backoff::next() {
-    const auto less = std::uniform_int_distribution<Duration::rep>(0, wait_.count() / 4)(random_);
-    const Duration wait = wait_ - Duration(less);
-    wait_ = std::min(wait_ * 2, kLast);
-    return std::max(wait, kFirst * 3 / 4);
+Duration Backoff::next_delay() {
+    const auto jitter = std::uniform_int_distribution<Duration::rep>(0, delay_.count() / 4)(random_);
+    const Duration delay = delay_ - Duration(jitter);
+    delay_ = std::min(delay_ * 2, kMaxDelay);
+    return std::max(delay, kInitialDelay * 3 / 4);
 }
 
 }    // namespace shaletray::transport
--- a/src/cluster/transport/send_queue.h
+++ b/src/cluster/transport/send_queue.h
@@ -10,50 +10,50 @@
 
 namespace shaletray::transport {
 
-class Outbox {
+class SendQueue {
 public:
-    explicit Outbox(std::size_t most_bytes) : most_(most_bytes) {}
+    explicit SendQueue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
     // Returns how many older frames were dropped to make room. The newest always stays, so one frame may be
     // longer than the bound.
     std::size_t push(std::string frame, TimePoint now);
     // Drops what came before `since`; returns how many.
-    std::size_t expire(TimePoint since);
+    std::size_t expire(TimePoint cutoff);
     // Whole frames, in order: more than one only up to `most` bytes. They count until they are written or
     // lost, which is before the next are taken. Only while something waits.
-    std::string take(std::size_t most);
-    void written() { taken_bytes_ = taken_ = 0; }
-    std::size_t lost();    // returns how many frames were
+    std::string take_batch(std::size_t max_bytes);
+    void mark_written() { batch_bytes_ = batch_frames_ = 0; }
+    std::size_t discard_batch();    // returns how many frames were
 
-    bool empty() const { return waiting_.empty(); }
-    std::size_t bytes() const { return bytes_ + taken_bytes_; }
-    std::size_t taken() const { return taken_; }    // frames
+    bool empty() const { return pending_.empty(); }
+    std::size_t total_bytes() const { return pending_bytes_ + batch_bytes_; }
+    std::size_t batch_frames() const { return batch_frames_; }    // frames
 
 private:
     struct Frame {
         std::string bytes;
-        TimePoint since;
+        TimePoint queued_at;
     };
     void drop_first();
 
-    std::size_t most_;
-    std::deque<Frame> waiting_;
-    std::size_t bytes_ = 0, taken_bytes_ = 0, taken_ = 0;
+    std::size_t max_bytes_;
+    std::deque<Frame> pending_;
+    std::size_t pending_bytes_ = 0, batch_bytes_ = 0, batch_frames_ = 0;
 };
 
 // How long to wait before the next dial of a peer that was not reached.
 class Backoff {
 public:
-    static constexpr Duration kFirst = std::chrono::milliseconds(200),
-                              kLast = std::chrono::milliseconds(1000);
+    static constexpr Duration kInitialDelay = std::chrono::milliseconds(200),
+                              kMaxDelay = std::chrono::milliseconds(1000);
     explicit Backoff(std::uint32_t seed) : random_(seed) {}
 
-    Duration next();    // 200 ms to 1 s, up to a quarter less by chance, so that not all come at once
-    void reset() { wait_ = kFirst; }
+    Duration next_delay();    // 200 ms to 1 s, up to a quarter less by chance, so that not all come at once
+    void reset() { delay_ = kInitialDelay; }
 
 private:
     std::minstd_rand random_;
-    Duration wait_ = kFirst;
+    Duration delay_ = kInitialDelay;
 };
 
 }    // namespace shaletray::transport
--- a/src/controller/configuration_publisher.cpp
+++ b/src/controller/configuration_publisher.cpp
@@ -4,85 +4,91 @@
 
 namespace shaletray::controller {
 
-void Gallery::chart(configuration::Chart chart) {
-    updates_.clear();
-    Held held;
-    held.digest = configuration::digest_of(chart);
-    if (!charts_.empty()) {
+void ConfigurationPublisher::publish(configuration::Configuration new_configuration) {
+    deltas_.clear();
+    PublishedVersion published;
+    published.digest = configuration::digest_of(new_configuration);
+    if (!versions_.empty()) {
         // What a patch leads to shares the rows that it leaves alone, and most pilots hold the one before.
-        const Held& before = charts_.back();
-        std::string patch = configuration::write_patch(*before.chart, chart);
-        if (auto shared = configuration::read_update(*before.chart, patch)) {
-            chart = std::move(*shared);
-            updates_.emplace(std::pair(before.chart->version, before.digest), std::move(patch));
+        const PublishedVersion& previous = versions_.back();
+        std::string delta = configuration::write_delta(*previous.snapshot, new_configuration);
+        if (auto shared = configuration::apply_update(*previous.snapshot, delta)) {
+            new_configuration = std::move(*shared);
+            deltas_.emplace(std::pair(previous.snapshot->version, previous.digest), std::move(delta));
         }
     }
-    held.chart = std::make_shared<const configuration::Chart>(std::move(chart));
-    charts_.push_back(std::move(held));
-    if (charts_.size() > settings_.charts) charts_.pop_front();
+    published.snapshot = std::make_shared<const configuration::Configuration>(std::move(new_configuration));
+    versions_.push_back(std::move(published));
+    if (versions_.size() > settings_.max_versions) versions_.pop_front();
 }
 
-const std::string& Gallery::update_from(std::uint64_t version, std::uint64_t digest) {
-    const auto [it, is_new] = updates_.try_emplace({version, digest});
-    if (!is_new) return it->second;
-    const auto base = std::find_if(charts_.begin(), charts_.end(), [&](const Held& h) {
-        return h.chart->version == version && h.digest == digest;
-    });
-    it->second = base == charts_.end() ? configuration::write_whole(*charts_.back().chart)
-                                       : configuration::write_patch(*base->chart, *charts_.back().chart);
-    return it->second;
+const std::string& ConfigurationPublisher::delta_from(std::uint64_t version, std::uint64_t digest) {
+    const auto [entry, is_new] = deltas_.try_emplace({version, digest});
+    if (!is_new) return entry->second;
+    const auto base =
+        std::find_if(versions_.begin(), versions_.end(), [&](const PublishedVersion& published) {
+            return published.snapshot->version == version && published.digest == digest;
+        });
+    entry->second = base == versions_.end()
+                        ? configuration::write_full(*versions_.back().snapshot)
+                        : configuration::write_delta(*base->snapshot, *versions_.back().snapshot);
+    return entry->second;
 }
 
-std::string Gallery::news(Watcher& watcher, TimePoint now) {
-    subscription::News news;
-    news.life = settings_.life;
-    news.confirmed = confirmed_;
-    if (!charts_.empty()) {
-        news.version = version();
-        news.digest = charts_.back().digest;
-        if (watcher.version < news.version) {
-            news.update = update_from(watcher.version, watcher.digest);
-            watcher.version = news.version;
-            watcher.digest = news.digest;
+std::string ConfigurationPublisher::make_update(Client& client, TimePoint now) {
+    subscription::ControlUpdate update;
+    update.incarnation = settings_.incarnation;
+    update.quorum_confirmed = quorum_confirmed_;
+    if (!versions_.empty()) {
+        update.version = version();
+        update.digest = versions_.back().digest;
+        if (client.version < update.version) {
+            update.configuration_delta = delta_from(client.version, client.digest);
+            client.version = update.version;
+            client.digest = update.digest;
         }
     }
-    news.since = watcher.sequence;
-    news.sequence = muster_.sequence();
-    news.servers = muster_.changes(news.since, false, now);    // with no change it still tells who runs
-    watcher.sequence = news.sequence;
-    return subscription::encode(news);
+    update.since_sequence = client.sequence;
+    update.sequence = registry_.sequence();
+    update.endpoint_changes = registry_.encode_changes(update.since_sequence, false,
+                                                       now);    // with no change it still tells who runs
+    client.sequence = update.sequence;
+    return subscription::encode(update);
 }
 
-void Gallery::heard(const std::string& from, const subscription::Have& have, TimePoint now,
-                    std::vector<Send>& out) {
-    Watcher& watcher = watchers_[from];
-    watcher.version = have.version;
-    watcher.digest = have.digest;
-    watcher.sequence =
-        have.known_life == settings_.life ? std::min(have.known_sequence, muster_.sequence()) : 0;
-    watcher.heard = now;
-    out.push_back({from, news(watcher, now)});
+void ConfigurationPublisher::on_client_state(const std::string& from,
+                                             const subscription::ClientState& client_state, TimePoint now,
+                                             std::vector<OutgoingMessage>& messages) {
+    Client& client = clients_[from];
+    client.version = client_state.version;
+    client.digest = client_state.digest;
+    client.sequence = client_state.known_incarnation == settings_.incarnation
+                          ? std::min(client_state.known_sequence, registry_.sequence())
+                          : 0;
+    client.last_contact = now;
+    messages.push_back({from, make_update(client, now)});
 }
 
-void Gallery::tell(TimePoint now, std::vector<Send>& out) {
-    std::map<Stand, std::pair<std::string, Watcher>> told;    // most stand at the same point
-    for (auto it = watchers_.begin(); it != watchers_.end();) {
-        Watcher& watcher = it->second;
-        if (now - watcher.heard > settings_.forgotten) {
-            it = watchers_.erase(it);
+void ConfigurationPublisher::notify_clients(TimePoint now, std::vector<OutgoingMessage>& messages) {
+    std::map<ClientPosition, std::pair<std::string, Client>> updates;    // most stand at the same point
+    for (auto entry = clients_.begin(); entry != clients_.end();) {
+        Client& client = entry->second;
+        if (now - client.last_contact > settings_.expiry_timeout) {
+            entry = clients_.erase(entry);
             continue;
         }
-        const bool lacks = watcher.version < version() || watcher.sequence < muster_.sequence();
-        if (lacks && now - watcher.heard <= settings_.reported) {
-            auto& [bytes, after] = told[{watcher.version, watcher.digest, watcher.sequence}];
+        const bool is_behind = client.version < version() || client.sequence < registry_.sequence();
+        if (is_behind && now - client.last_contact <= settings_.active_window) {
+            auto& [bytes, updated_client] = updates[{client.version, client.digest, client.sequence}];
             if (bytes.empty()) {
-                bytes = news(watcher, now);
-                after = watcher;
+                bytes = make_update(client, now);
+                updated_client = client;
             }
-            watcher = {after.version, after.digest, after.sequence, watcher.heard};
-            out.push_back({it->first, bytes});
+            client = {updated_client.version, updated_client.digest, updated_client.sequence,
+                      client.last_contact};
+            messages.push_back({entry->first, bytes});
         }
-        ++it;
+        ++entry;
     }
 }
 
--- a/src/controller/configuration_publisher.h
+++ b/src/controller/configuration_publisher.h
@@ -15,51 +15,53 @@
 
 namespace shaletray::controller {
 
-class Gallery {
+class ConfigurationPublisher {
 public:
     struct Settings {
-        std::uint64_t life = 0;
-        std::size_t charts = 16;                        // held for differences
-        Duration reported = std::chrono::seconds(3);    // pilots heard from within this are told unasked
-        Duration forgotten = std::chrono::seconds(30);
+        std::uint64_t incarnation = 0;
+        std::size_t max_versions = 16;                       // held for differences
+        Duration active_window = std::chrono::seconds(3);    // pilots heard from within this are told unasked
+        Duration expiry_timeout = std::chrono::seconds(30);
     };
-    struct Send {
+    struct OutgoingMessage {
         std::string to, bytes;
     };
-    Gallery(Settings settings, const registry::Muster& muster) : settings_(settings), muster_(muster) {}
+    ConfigurationPublisher(Settings settings, const registry::ServiceRegistry& service_registry)
+        : settings_(settings), registry_(service_registry) {}
 
     // This lighthouse's was raised: pilots are told all anew.
-    void life(std::uint64_t life) { settings_.life = life; }
+    void set_incarnation(std::uint64_t incarnation) { settings_.incarnation = incarnation; }
     // The newest chart that was decided on. Those before it are kept as what differs.
-    void chart(configuration::Chart chart);
-    std::uint64_t version() const { return charts_.empty() ? 0 : charts_.back().chart->version; }
-    void confirmed(bool yes) { confirmed_ = yes; }
-    void heard(const std::string& from, const subscription::Have& have, TimePoint now,
-               std::vector<Send>& out);
+    void publish(configuration::Configuration new_configuration);
+    std::uint64_t version() const { return versions_.empty() ? 0 : versions_.back().snapshot->version; }
+    void set_quorum_confirmed(bool is_confirmed) { quorum_confirmed_ = is_confirmed; }
+    void on_client_state(const std::string& from, const subscription::ClientState& client_state,
+                         TimePoint now, std::vector<OutgoingMessage>& messages);
     // To all that reported lately and lack something.
-    void tell(TimePoint now, std::vector<Send>& out);
-    std::size_t pilots() const { return watchers_.size(); }
+    void notify_clients(TimePoint now, std::vector<OutgoingMessage>& messages);
+    std::size_t gateway_count() const { return clients_.size(); }
 
 private:
-    struct Held {
-        std::shared_ptr<const configuration::Chart> chart;
+    struct PublishedVersion {
+        std::shared_ptr<const configuration::Configuration> snapshot;
         std::uint64_t digest = 0;
     };
-    struct Watcher {
+    struct Client {
         std::uint64_t version = 0, digest = 0;    // as reported, or as sent since
         std::uint64_t sequence = 0;               // of our muster, likewise
-        TimePoint heard{};
+        TimePoint last_contact{};
     };
-    using Stand = std::tuple<std::uint64_t, std::uint64_t, std::uint64_t>;    // version, digest, sequence
-    std::string news(Watcher& watcher, TimePoint now);
-    const std::string& update_from(std::uint64_t version, std::uint64_t digest);
+    using ClientPosition =
+        std::tuple<std::uint64_t, std::uint64_t, std::uint64_t>;    // version, digest, sequence
+    std::string make_update(Client& client, TimePoint now);
+    const std::string& delta_from(std::uint64_t version, std::uint64_t digest);
 
     Settings settings_;
-    const registry::Muster& muster_;
-    std::deque<Held> charts_;                                                   // the newest last
-    std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> updates_;    // to the newest, made once
-    std::map<std::string, Watcher> watchers_;
-    bool confirmed_ = false;
+    const registry::ServiceRegistry& registry_;
+    std::deque<PublishedVersion> versions_;                                    // the newest last
+    std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> deltas_;    // to the newest, made once
+    std::map<std::string, Client> clients_;
+    bool quorum_confirmed_ = false;
 };
 
 }    // namespace shaletray::controller
--- a/src/controller/configuration_validator.cpp
+++ b/src/controller/configuration_validator.cpp
@@ -6,72 +6,76 @@
 namespace shaletray::controller {
 namespace {
 
-Checker::Outcome read(const std::string& text) {
+ConfigurationValidator::Outcome parse_text(const std::string& text) {
     return boost::leaf::try_handle_all(
-        [&]() -> boost::leaf::result<Checker::Outcome> {
-            BOOST_LEAF_AUTO(chart, configuration::read_chart(text));
-            return Checker::Outcome(std::move(chart));
+        [&]() -> boost::leaf::result<ConfigurationValidator::Outcome> {
+            BOOST_LEAF_AUTO(parsed, configuration::parse_configuration(text));
+            return ConfigurationValidator::Outcome(std::move(parsed));
+        },
+        [](const configuration::ConfigurationError& refusal) {
+            return ConfigurationValidator::Outcome(refusal);
         },
-        [](const configuration::Refusal& refusal) { return Checker::Outcome(refusal); },
         [] {
-            return Checker::Outcome(configuration::Refusal{"body", "cannot be read"});
+            return ConfigurationValidator::Outcome(
+                configuration::ConfigurationError{"body", "cannot be read"});
         });
 }
 
 }    // namespace
 
-Checker::Checker(Reactor& reactor) : waker_(reactor, [this] { hand_back(); }) {}
+ConfigurationValidator::ConfigurationValidator(Reactor& reactor)
+    : waker_(reactor, [this] { deliver_results(); }) {}
 
-Checker::~Checker() {
+ConfigurationValidator::~ConfigurationValidator() {
     {
         const std::lock_guard lock(mutex_);
-        stop_ = true;
+        stopping_ = true;
     }
     ready_.notify_all();
     if (thread_.joinable()) thread_.join();
 }
 
-bool Checker::check(std::string&& text, Then then) {
-    if (text.size() <= kShort) {
-        Outcome outcome = read(text);
-        then(std::move(text), std::move(outcome));
+bool ConfigurationValidator::validate(std::string&& text, Callback callback) {
+    if (text.size() <= kInlineLimit) {
+        Outcome outcome = parse_text(text);
+        callback(std::move(text), std::move(outcome));
         return true;
     }
-    if (held_ + text.size() > kMostWaiting) return false;
-    held_ += text.size();
+    if (queued_bytes_ + text.size() > kMaxQueuedBytes) return false;
+    queued_bytes_ += text.size();
     {
         const std::lock_guard lock(mutex_);
-        waiting_.push_back({std::move(text), std::move(then), {}});
+        queued_.push_back({std::move(text), std::move(callback), {}});
     }
-    if (!thread_.joinable()) thread_ = std::thread([this] { run(); });
+    if (!thread_.joinable()) thread_ = std::thread([this] { run_worker(); });
     ready_.notify_one();
     return true;
 }
 
-void Checker::run() {
+void ConfigurationValidator::run_worker() {
     std::unique_lock lock(mutex_);
     while (true) {
-        ready_.wait(lock, [this] { return stop_ || !waiting_.empty(); });
-        if (stop_) return;
-        Job job = std::move(waiting_.front());
-        waiting_.pop_front();
+        ready_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
+        if (stopping_) return;
+        Job job = std::move(queued_.front());
+        queued_.pop_front();
         lock.unlock();
-        job.outcome = read(job.text);
+        job.outcome = parse_text(job.text);
         lock.lock();
-        done_.push_back(std::move(job));
+        completed_.push_back(std::move(job));
         waker_.wake();
     }
 }
 
-void Checker::hand_back() {
-    std::deque<Job> done;
+void ConfigurationValidator::deliver_results() {
+    std::deque<Job> completed;
     {
         const std::lock_guard lock(mutex_);
-        done.swap(done_);
+        completed.swap(completed_);
     }
-    for (Job& job : done) {
-        held_ -= job.text.size();
-        job.then(std::move(job.text), std::move(job.outcome));
+    for (Job& job : completed) {
+        queued_bytes_ -= job.text.size();
+        job.callback(std::move(job.text), std::move(job.outcome));
     }
 }
 
--- a/src/controller/configuration_validator.h
+++ b/src/controller/configuration_validator.h
@@ -15,32 +15,32 @@
 
 namespace shaletray::controller {
 
-class Checker {
+class ConfigurationValidator {
 public:
-    using Outcome = std::variant<configuration::Chart, configuration::Refusal>;
-    using Then = std::function<void(std::string text, Outcome outcome)>;                 // on the loop
-    static constexpr std::size_t kShort = 64 * 1024, kMostWaiting = 96 * 1024 * 1024;    // bytes
+    using Outcome = std::variant<configuration::Configuration, configuration::ConfigurationError>;
+    using Callback = std::function<void(std::string text, Outcome outcome)>;    // on the loop
+    static constexpr std::size_t kInlineLimit = 64 * 1024, kMaxQueuedBytes = 96 * 1024 * 1024;    // bytes
 
-    explicit Checker(Reactor& reactor);
-    ~Checker();
+    explicit ConfigurationValidator(Reactor& reactor);
+    ~ConfigurationValidator();
     // False where too much waits already: nothing was taken.
-    bool check(std::string&& text, Then then);
+    bool validate(std::string&& text, Callback callback);
 
 private:
     struct Job {
         std::string text;
-        Then then;
+        Callback callback;
         Outcome outcome;
     };
-    void run();
-    void hand_back();
+    void run_worker();
+    void deliver_results();
 
     Waker waker_;
     std::mutex mutex_;
     std::condition_variable ready_;
-    std::deque<Job> waiting_, done_;
-    std::size_t held_ = 0;    // bytes, by the loop's count
-    bool stop_ = false;
+    std::deque<Job> queued_, completed_;
+    std::size_t queued_bytes_ = 0;    // bytes, by the loop's count
+    bool stopping_ = false;
     std::thread thread_;    // begun by the first long text
 };
 
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -18,22 +18,26 @@
 using namespace shaletray;
 
 // A founder is one of those that the first start of the whole system names.
-bool is_founder(const runtime::NodeSettings& s) {
-    return s.bootstrap && std::find(s.seeds.begin(), s.seeds.end(), s.control) != s.seeds.end();
+bool is_founder(const runtime::NodeSettings& settings) {
+    return settings.bootstrap && std::find(settings.seed_addresses.begin(), settings.seed_addresses.end(),
+                                           settings.control_address) != settings.seed_addresses.end();
 }
 
 // A disk in trouble may be well again: the program waits for it.
-std::unique_ptr<consensus::Store> open_store(const runtime::NodeSettings& s) {
-    if (s.data_directory.empty()) return consensus::Store::in_memory(is_founder(s));
-    while (!runtime::stop_was_asked()) {
+std::unique_ptr<consensus::StateStore> open_store(const runtime::NodeSettings& settings) {
+    if (settings.data_directory.empty()) return consensus::StateStore::in_memory(is_founder(settings));
+    while (!runtime::is_stop_requested()) {
         auto store = boost::leaf::try_handle_all(
-            [&]() { return consensus::Store::open(s.data_directory + "/lamp", is_founder(s)); },
-            [&](const consensus::DiskTrouble& trouble) {
-                static LogGate gate(1s);
-                if (gate.open()) runtime::event(LogLevel::Warning, "disk_trouble", {kv("why", trouble.why)});
-                return std::unique_ptr<consensus::Store>();
+            [&]() {
+                return consensus::StateStore::open(settings.data_directory + "/lamp", is_founder(settings));
             },
-            [] { return std::unique_ptr<consensus::Store>(); });
+            [&](const consensus::StorageError& error) {
+                static LogRateLimiter gate(1s);
+                if (gate.try_acquire())
+                    runtime::log_event(LogLevel::Warning, "disk_trouble", {log_field("why", error.reason)});
+                return std::unique_ptr<consensus::StateStore>();
+            },
+            [] { return std::unique_ptr<consensus::StateStore>(); });
         if (store) return store;
         std::this_thread::sleep_for(100ms);
     }
@@ -43,20 +47,19 @@
 }    // namespace
 
 int main(int argc, char** argv) {
-    auto begun = runtime::begin(argc, argv, "controller");
-    if (const int* status = std::get_if<int>(&begun)) return *status;
-    runtime::Start start = std::move(std::get<runtime::Start>(begun));
-    runtime::open_log(start.settings.node_name);
+    auto startup_result = runtime::parse_command_line(argc, argv, "controller");
+    if (const int* status = std::get_if<int>(&startup_result)) return *status;
+    runtime::Startup startup = std::move(std::get<runtime::Startup>(startup_result));
+    runtime::open_log(startup.settings.node_name);
     runtime::catch_signals();
-    std::unique_ptr<consensus::Store> store = open_store(start.settings);
+    std::unique_ptr<consensus::StateStore> store = open_store(startup.settings);
     if (!store) return 0;
     try {
-        controller::Lighthouse lighthouse(start.settings, std::move(store));
-        lighthouse.run(runtime::look_after(
-            start,
-            {[&] { lighthouse.stop(); }, [&](const auto& settings) { lighthouse.settings_changed(settings); },
-             [&] { return lighthouse.counters_text(); }}));
-        runtime::event(LogLevel::Info, "counters", {kv("text", lighthouse.counters_text())});
+        controller::Controller node(startup.settings, std::move(store));
+        node.run(runtime::make_lifecycle_tick(
+            startup, {[&] { node.stop(); }, [&](const auto& settings) { node.reload_settings(settings); },
+                      [&] { return node.counters_text(); }}));
+        runtime::log_event(LogLevel::Info, "counters", {log_field("text", node.counters_text())});
         return 0;
     } catch (const Poco::Exception& error) {
         std::fprintf(stderr, "lighthouse: %s\n", error.displayText().c_str());
--- a/src/controller/quorum_tracker.cpp
+++ b/src/controller/quorum_tracker.cpp
@@ -5,13 +5,15 @@
 
 namespace shaletray::controller {
 
-std::optional<Quorum::Change> Quorum::look(std::optional<TimePoint> confirmed, TimePoint now) {
-    confirmed_ = confirmed;
-    if (held(now) == held_) return std::nullopt;
-    held_ = !held_;
-    losses_ += !held_;
-    const TimePoint from = held_ ? now : std::min(now, *confirmed_ + contact_ / 2);    // as nobody looked
-    return Change{held_, from - std::exchange(since_, from)};
+std::optional<QuorumTracker::Change> QuorumTracker::update(std::optional<TimePoint> confirmed_at,
+                                                           TimePoint now) {
+    confirmed_at_ = confirmed_at;
+    if (is_held(now) == was_held_) return std::nullopt;
+    was_held_ = !was_held_;
+    loss_count_ += !was_held_;
+    const TimePoint changed_at =
+        was_held_ ? now : std::min(now, *confirmed_at_ + contact_timeout_ / 2);    // as nobody looked
+    return Change{was_held_, changed_at - std::exchange(changed_at_, changed_at)};
 }
 
 }    // namespace shaletray::controller
--- a/src/controller/registry_forwarder.h
+++ b/src/controller/registry_forwarder.h
@@ -13,36 +13,39 @@
 
 namespace shaletray::controller {
 
-class Relay {
+class RegistryForwarder {
 public:
-    struct Send {
+    struct OutgoingMessage {
         std::string to, bytes;
     };
-    explicit Relay(registry::Muster& muster) : muster_(muster) {}
+    explicit RegistryForwarder(registry::ServiceRegistry& service_registry) : registry_(service_registry) {}
 
-    void others(const std::vector<std::string>& addresses);    // all lighthouses that are known, without this
-    void life();    // this lighthouse's was raised: all are told all anew
+    void set_peers(
+        const std::vector<std::string>& addresses);    // all lighthouses that are known, without this
+    void reset_peers();                                // this lighthouse's was raised: all are told all anew
     // Bytes that are no such message are counted, and nothing else. What they tell is in the muster then.
-    void heard(const std::string& from, std::uint64_t life, std::string_view bytes, TimePoint now);
+    void on_message(const std::string& from, std::uint64_t incarnation, std::string_view bytes,
+                    TimePoint now);
     // What changed since the others were told.
-    void tell(TimePoint now, std::vector<Send>& out);
-    void tick(TimePoint now, std::vector<Send>& out);
-    TimePoint next() const { return next_; }
-    std::uint64_t spoilt() const { return spoilt_; }
+    void send_changes(TimePoint now, std::vector<OutgoingMessage>& messages);
+    void tick(TimePoint now, std::vector<OutgoingMessage>& messages);
+    TimePoint next_deadline() const { return next_deadline_; }
+    std::uint64_t malformed_messages() const { return malformed_messages_; }
 
 private:
-    struct Other {
-        std::uint64_t life = 0;     // 0: not heard yet
-        std::uint64_t told = 0;     // our changes up to this one were sent
-        std::uint64_t knows = 0;    // these it has, as it says
-        TimePoint waits_since{};    // for it to know more of what was told
+    struct Peer {
+        std::uint64_t incarnation = 0;              // 0: not heard yet
+        std::uint64_t sent_sequence = 0;            // our changes up to this one were sent
+        std::uint64_t acknowledged_sequence = 0;    // these it has, as it says
+        TimePoint waiting_since{};                  // for it to know more of what was told
     };
-    void say(const std::string& to, Other& other, TimePoint now, std::vector<Send>& out);
+    void send_to_peer(const std::string& recipient, Peer& peer, TimePoint now,
+                      std::vector<OutgoingMessage>& messages);
 
-    registry::Muster& muster_;
-    std::map<std::string, Other> others_;
-    TimePoint next_{};
-    std::uint64_t spoilt_ = 0;
+    registry::ServiceRegistry& registry_;
+    std::map<std::string, Peer> peers_;
+    TimePoint next_deadline_{};
+    std::uint64_t malformed_messages_ = 0;
 };
 
 }    // namespace shaletray::controller
--- a/src/controller/voter_reconciler.h
+++ b/src/controller/voter_reconciler.h
@@ -18,49 +18,50 @@
 
 namespace shaletray::controller {
 
-class Steward {
+class VoterReconciler {
 public:
     struct Settings {
-        consensus::Member me;
-        std::size_t losses = 1;    // machines that the system may lose at once, by its settings
-        Duration catch_up = std::chrono::seconds(4);    // after which the next ones may be lost
+        consensus::Replica self;
+        std::size_t max_failures = 1;    // machines that the system may lose at once, by its settings
+        Duration catch_up_time = std::chrono::seconds(4);    // after which the next ones may be lost
     };
-    struct Step {
-        std::vector<consensus::Member> from, to;    // sorted
+    struct VoterChange {
+        std::vector<consensus::Replica> current_voters, new_voters;    // sorted
     };
     // Whether a lighthouse has said lately that it holds the newest decree, or nearly so.
-    using Follows = std::function<bool(const consensus::Member&)>;
+    using CaughtUpPredicate = std::function<bool(const consensus::Replica&)>;
 
-    Steward(Settings settings, TimePoint now);
+    VoterReconciler(Settings settings, TimePoint now);
     // This lighthouse is about to end: it hands its vote on, if somebody can take it.
-    void leave() { leaving_ = true; }
+    void start_leaving() { is_leaving_ = true; }
     // The step that this lighthouse is to propose now; none: the voters are as they should be, or it is
     // another one's turn. The first voter by address acts at once, as does one that leaves; the others each
     // half a second later.
-    std::optional<Step> next(const consensus::Decree& decree,
-                             const std::map<std::string, membership::Member>& members, const Follows& follows,
-                             TimePoint now);
+    std::optional<VoterChange> next_change(const consensus::LogEntry& entry,
+                                           const std::map<std::string, membership::Member>& members,
+                                           const CaughtUpPredicate& is_caught_up, TimePoint now);
     // The losses that voters bear of whom so many answer; below 0: they have no majority.
-    static int bears(std::size_t answer, std::size_t voters) {
-        return static_cast<int>(answer) - static_cast<int>(voters / 2 + 1);
+    static int tolerated_failures(std::size_t responding, std::size_t voters) {
+        return static_cast<int>(responding) - static_cast<int>(voters / 2 + 1);
     }
 
 private:
     using Members = std::map<std::string, membership::Member>;
-    enum class Fate { Answers, Leaves, Unknown, Away };
-    Fate fate(const consensus::Member& voter, const Members& members, TimePoint now) const;
-    std::vector<consensus::Member> newcomers(const consensus::Decree& decree, const Members& members,
-                                             const Follows& follows, TimePoint now);
-    std::vector<consensus::Member> wanted(const std::vector<consensus::Member>& voters,
-                                          const Members& members, std::vector<consensus::Member> newcomers,
-                                          TimePoint now) const;
+    enum class VoterStatus { Responding, Leaving, Unknown, Unavailable };
+    VoterStatus voter_status(const consensus::Replica& voter, const Members& members, TimePoint now) const;
+    std::vector<consensus::Replica> find_candidates(const consensus::LogEntry& entry, const Members& members,
+                                                    const CaughtUpPredicate& is_caught_up, TimePoint now);
+    std::vector<consensus::Replica> target_voters(const std::vector<consensus::Replica>& voters,
+                                                  const Members& members,
+                                                  std::vector<consensus::Replica> candidates,
+                                                  TimePoint now) const;
 
     Settings settings_;
-    std::size_t least_, most_;    // voters: none are left out below, none added above
-    TimePoint started_;
-    bool leaving_ = false;
-    std::map<consensus::Member, TimePoint> seen_;    // newcomers, and since when
-    TimePoint wanted_since_{};
+    std::size_t min_voters_, max_voters_;    // voters: none are left out below, none added above
+    TimePoint started_at_;
+    bool is_leaving_ = false;
+    std::map<consensus::Replica, TimePoint> candidates_since_;    // newcomers, and since when
+    TimePoint change_wanted_since_{};
 };
 
 }    // namespace shaletray::controller
--- a/src/data_plane/engine/engine.cpp
+++ b/src/data_plane/engine/engine.cpp
@@ -12,497 +12,546 @@
 using namespace std::chrono_literals;
 
 // The module answers by the deadline; this much later the engine does, whatever went wrong.
-constexpr Duration kOverdue = 4ms;
+constexpr Duration kOverdueDelay = 4ms;
 // How long a long request may stand still, by its client's fault or its server's, before its own time begins.
-constexpr Duration kUploadStall = 3s;
+constexpr Duration kUploadStallTimeout = 3s;
 
 }    // namespace
 
 Engine::Engine(const decision::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
                Counters& counters)
-    : settings_(settings),
+    : initial_settings_(settings),
       seed_(seed),
-      module_(settings, seed),
+      decision_module_(settings, seed),
       classes_(settings.classes),
-      settles_(settings.settles),
-      most_units_(std::max(1.0, settings.most_units)),
+      settles_units_(settings.settles),
+      max_request_units_(std::max(1.0, settings.most_units)),
       clock_(clock),
       timers_(timers),
       counters_(counters) {
-    take_limits(settings);
+    apply_limits(settings);
 }
 
 Engine::~Engine() {
-    timers_.cancel(tick_);
+    timers_.cancel(module_timer_);
     for (auto& [id, request] : requests_) {
-        timers_.cancel(request.overdue);
-        for (Attempt& attempt : request.attempts) timers_.cancel(attempt.timeout);
+        timers_.cancel(request.overdue_timer);
+        for (Attempt& attempt : request.attempts) timers_.cancel(attempt.timeout_timer);
     }
 }
 
-void Engine::take_limits(const decision::Settings& settings) {
-    most_open_ = static_cast<std::size_t>(std::max(1, settings.max_open));
-    most_attempts_ = static_cast<std::size_t>(std::max(0, settings.send_cap));
-    most_advice_ = settings.max_retry_after;
-    by_class_.clear();
-    for (const decision::ClassSettings& c : classes_) by_class_.push_back(&counters_.classes[c.name]);
-}
-
-std::vector<int> Engine::adopt(const decision::Settings& next) {
-    std::vector<bool> taken(classes_.size());
-    std::vector<int> places(next.classes.size(), -1);
-    for (std::size_t i = 0; i < next.classes.size(); ++i) {
-        const auto same = std::find(classes_.begin(), classes_.end(), next.classes[i]);
-        if (same == classes_.end() || taken[static_cast<std::size_t>(same - classes_.begin())]) continue;
-        places[i] = static_cast<int>(same - classes_.begin());
-        taken[static_cast<std::size_t>(places[i])] = true;
+void Engine::apply_limits(const decision::Settings& settings) {
+    max_open_requests_ = static_cast<std::size_t>(std::max(1, settings.max_open));
+    max_attempts_ = static_cast<std::size_t>(std::max(0, settings.send_cap));
+    max_retry_after_ = settings.max_retry_after;
+    counters_by_class_.clear();
+    for (const decision::ClassSettings& class_settings : classes_)
+        counters_by_class_.push_back(&counters_.classes[class_settings.name]);
+}
+
+std::vector<int> Engine::apply_settings(const decision::Settings& new_settings) {
+    std::vector<bool> index_taken(classes_.size());
+    std::vector<int> class_indices(new_settings.classes.size(), -1);
+    for (std::size_t index = 0; index < new_settings.classes.size(); ++index) {
+        const auto matching_class = std::find(classes_.begin(), classes_.end(), new_settings.classes[index]);
+        if (matching_class == classes_.end() ||
+            index_taken[static_cast<std::size_t>(matching_class - classes_.begin())])
+            continue;
+        class_indices[index] = static_cast<int>(matching_class - classes_.begin());
+        index_taken[static_cast<std::size_t>(class_indices[index])] = true;
     }
     for (const auto& [id, request] : requests_) {
-        const auto at = static_cast<std::size_t>(request.arrival.class_index);
-        if (at < taken.size()) taken[at] = true;
+        const auto class_index = static_cast<std::size_t>(request.incoming.class_index);
+        if (class_index < index_taken.size()) index_taken[class_index] = true;
     }
-    decision::Settings merged = next;
-    merged.classes = classes_;
-    for (std::size_t i = 0, free = 0; i < places.size(); ++i) {
-        if (places[i] >= 0) continue;
-        while (free < taken.size() && taken[free]) ++free;
-        if (free == merged.classes.size()) merged.classes.emplace_back();
-        merged.classes[free] = next.classes[i];
-        places[i] = static_cast<int>(free++);
+    decision::Settings merged_settings = new_settings;
+    merged_settings.classes = classes_;
+    for (std::size_t index = 0, free_index = 0; index < class_indices.size(); ++index) {
+        if (class_indices[index] >= 0) continue;
+        while (free_index < index_taken.size() && index_taken[free_index]) ++free_index;
+        if (free_index == merged_settings.classes.size()) merged_settings.classes.emplace_back();
+        merged_settings.classes[free_index] = new_settings.classes[index];
+        class_indices[index] = static_cast<int>(free_index++);
     }
-    module_.adopt(merged);
-    classes_ = std::move(merged.classes);
-    take_limits(next);
-    return places;
+    decision_module_.adopt(merged_settings);
+    classes_ = std::move(merged_settings.classes);
+    apply_limits(new_settings);
+    return class_indices;
 }
 
-void Engine::connect(Backend& backend, Mail& mail, ListSource& lists) {
-    backend_ = &backend;
-    mail_ = &mail;
-    lists_ = &lists;
+void Engine::connect(AttemptSender& attempt_sender, PeerMessenger& peer_messenger,
+                     HostListSource& host_lists) {
+    attempt_sender_ = &attempt_sender;
+    peer_messenger_ = &peer_messenger;
+    host_lists_ = &host_lists;
 }
 
-Engine::Request* Engine::find(RequestId id) {
-    const auto it = requests_.find(id);
-    return it == requests_.end() ? nullptr : &it->second;
+Engine::Request* Engine::find_request(RequestId id) {
+    const auto found = requests_.find(id);
+    return found == requests_.end() ? nullptr : &found->second;
 }
 
-Engine::Attempt* Engine::find_out(AttemptId id) {
-    Request* request = find(id.request);
-    if (request == nullptr || id.number < 0) return nullptr;
-    const auto at = static_cast<std::size_t>(id.number);
-    return at < request->attempts.size() && request->attempts[at].out ? &request->attempts[at] : nullptr;
+Engine::Attempt* Engine::find_active_attempt(AttemptId id) {
+    Request* request = find_request(id.request);
+    if (request == nullptr || id.attempt_number < 0) return nullptr;
+    const auto index = static_cast<std::size_t>(id.attempt_number);
+    return index < request->attempts.size() && request->attempts[index].is_active ? &request->attempts[index]
+                                                                                  : nullptr;
 }
 
 // ---- what comes in ----
 
-RequestId Engine::take(Front& front, Arrival&& arrival) {
-    ++counters_.taken;
-    if (requests_.size() >= most_open_ || handed_over_) {
-        ++counters_.turned_away;
-        count(arrival.class_index, Verdict::Refused);
+RequestId Engine::submit(DownstreamConnection& downstream, IncomingRequest&& incoming) {
+    ++counters_.requests_accepted;
+    if (requests_.size() >= max_open_requests_ || state_exported_) {
+        ++counters_.requests_rejected;
+        count_result(incoming.class_index, RequestResult::Rejected);
         // All of what may be asked: nothing says when there is room again.
-        front.refused(most_advice_, Refusal::Room);
+        downstream.on_rejected(max_retry_after_, RejectionReason::Capacity);
         return RequestId{};
     }
-    RequestId id{++last_request_};
-    while (last_request_ == 0 || requests_.contains(id)) id = RequestId{++last_request_};    // went round
+    RequestId id{++last_request_id_};
+    while (last_request_id_ == 0 || requests_.contains(id))
+        id = RequestId{++last_request_id_};    // went round
     Request& request = requests_[id];
-    request.front = &front;
-    ++owed_;
-    request.deadline = clock_.now() + arrival.budget;
-    request.overdue = timers_.at(request.deadline + kOverdue, [this, id] { overdue(id); });
-    decision::RequestArrived ask;
-    ask.request = id;
-    ask.customer = arrival.customer;
-    ask.class_index = arrival.class_index;
-    ask.plan_index = arrival.plan_index;
-    ask.units = arrival.units;
-    ask.budget = arrival.budget;
-    ask.first_gateway = arrival.first_gateway;
-    ask.width = arrival.width;
-    request.arrival = std::move(arrival);
+    request.downstream = &downstream;
+    ++unanswered_requests_;
+    request.deadline = clock_.now() + incoming.time_budget;
+    request.overdue_timer =
+        timers_.schedule_at(request.deadline + kOverdueDelay, [this, id] { on_request_overdue(id); });
+    decision::RequestArrived arrival_event;
+    arrival_event.request = id;
+    arrival_event.customer = incoming.customer;
+    arrival_event.class_index = incoming.class_index;
+    arrival_event.plan_index = incoming.plan_index;
+    arrival_event.units = incoming.units;
+    arrival_event.budget = incoming.time_budget;
+    arrival_event.first_gateway = incoming.first_gateway_index;
+    arrival_event.width = incoming.gateway_set_size;
+    request.incoming = std::move(incoming);
     // Told before each request, so that it matters neither what the module forgot nor what ran out meanwhile.
-    request.ruling = {ask.customer, ask.plan_index, 0, 0};
-    if (desk_ != nullptr) {
-        std::vector<decision::Allowance> told;
-        const plans::Desk::Ruling ruling =
-            desk_->rule(ask.customer, ask.plan_index, ask.first_gateway, ask.width, ask.units,
-                        request.arrival.reservation, clock_.now(), told);
-        request.ruling = ruling;
-        ask.customer = ruling.account;
-        ask.plan_index = ruling.plan_index;
-        for (const decision::Allowance& allowance : told) feed(allowance);
-    } else if (ledger_ != nullptr) {
-        if (const auto allowance = ledger_->asked(ask.customer, ask.plan_index, ask.first_gateway, ask.width,
-                                                  ask.units, clock_.now()))
-            feed(*allowance);
+    request.plan_decision = {arrival_event.customer, arrival_event.plan_index, 0, 0};
+    if (plan_service_ != nullptr) {
+        std::vector<decision::Allowance> allowances;
+        const plans::PlanService::PlanDecision plan_decision =
+            plan_service_->decide_plan(arrival_event.customer, arrival_event.plan_index,
+                                       arrival_event.first_gateway, arrival_event.width, arrival_event.units,
+                                       request.incoming.reservation_id, clock_.now(), allowances);
+        request.plan_decision = plan_decision;
+        arrival_event.customer = plan_decision.account;
+        arrival_event.plan_index = plan_decision.plan_index;
+        for (const decision::Allowance& allowance : allowances) process_event(allowance);
+    } else if (quota_state_table_ != nullptr) {
+        if (const auto allowance = quota_state_table_->on_request(
+                arrival_event.customer, arrival_event.plan_index, arrival_event.first_gateway,
+                arrival_event.width, arrival_event.units, clock_.now()))
+            process_event(*allowance);
     }
-    feed(ask);
+    process_event(arrival_event);
     return id;
 }
 
-void Engine::withdraw(RequestId id) {
-    if (drop(id) != nullptr) ++counters_.gone;
+void Engine::cancel(RequestId id) {
+    if (drop_request(id) != nullptr) ++counters_.requests_cancelled;
 }
 
 // Ends a request without the module's answer. Gives the front that is still owed one, if any.
-Front* Engine::drop(RequestId id) {
-    Request* request = find(id);
-    if (request == nullptr || request->front == nullptr) return nullptr;
-    Front* const front = close(*request);
-    feed(decision::RequestAborted{id});
+DownstreamConnection* Engine::drop_request(RequestId id) {
+    Request* request = find_request(id);
+    if (request == nullptr || request->downstream == nullptr) return nullptr;
+    DownstreamConnection* const downstream = detach_downstream(*request);
+    process_event(decision::RequestAborted{id});
     // What is still out serves nobody now.
-    for (std::size_t i = 0; (request = find(id)) != nullptr && i < request->attempts.size(); ++i) {
-        if (!request->attempts[i].out) continue;
-        const AttemptId attempt{id, static_cast<int>(i)};
-        call_off(attempt, request->attempts[i]);
-        ++counters_.cancelled;
-        end(attempt, request->attempts[i], Outcome::Cancelled, {}, true);
+    for (std::size_t index = 0; (request = find_request(id)) != nullptr && index < request->attempts.size();
+         ++index) {
+        if (!request->attempts[index].is_active) continue;
+        const AttemptId attempt{id, static_cast<int>(index)};
+        cancel_attempt(attempt, request->attempts[index]);
+        ++counters_.attempts_cancelled;
+        finish_attempt(attempt, request->attempts[index], Outcome::Cancelled, {}, true);
     }
-    forget_if_done(id);
-    return front;
+    erase_if_finished(id);
+    return downstream;
 }
 
 // Only an answer that is a stream is told to the module, as the simulator does: its time-out and the client's
 // deadline end there. All other answers are passed on whole.
-void Engine::attempt_began(AttemptId id) {
-    Attempt* attempt = find_out(id);
-    if (attempt == nullptr || attempt->began) return;
-    attempt->heard = clock_.now();
-    Request& request = *find(id.request);
-    if (!request.arrival.streams) return;
-    attempt->began = true;
-    timers_.cancel(attempt->timeout);
-    timers_.cancel(request.overdue);
-    feed(decision::AttemptStarted{id.request, id.number, attempt->host});
+void Engine::on_response_started(AttemptId id) {
+    Attempt* attempt = find_active_attempt(id);
+    if (attempt == nullptr || attempt->has_started) return;
+    attempt->response_started_at = clock_.now();
+    Request& request = *find_request(id.request);
+    if (!request.incoming.is_streaming) return;
+    attempt->has_started = true;
+    timers_.cancel(attempt->timeout_timer);
+    timers_.cancel(request.overdue_timer);
+    process_event(decision::AttemptStarted{id.request, id.attempt_number, attempt->host});
 }
 
-void Engine::attempt_uploads(AttemptId id) {
-    if (const Attempt* attempt = find_out(id))
-        feed(decision::AttemptStarted{id.request, id.number, attempt->host});
+void Engine::on_upload_started(AttemptId id) {
+    if (const Attempt* attempt = find_active_attempt(id))
+        process_event(decision::AttemptStarted{id.request, id.attempt_number, attempt->host});
 }
 
 // What the client took to send a long request says nothing of its server.
-void Engine::attempt_written(AttemptId id) {
-    Attempt* attempt = find_out(id);
-    if (attempt != nullptr && find(id.request)->arrival.payload.upload) attempt->sent = clock_.now();
+void Engine::on_request_written(AttemptId id) {
+    Attempt* attempt = find_active_attempt(id);
+    if (attempt != nullptr && find_request(id.request)->incoming.payload.upload)
+        attempt->sent_at = clock_.now();
 }
 
-void Engine::attempt_ended(AttemptId id, Outcome outcome, LoadReport&& report, Payload&& answer,
-                           double settled_units) {
-    Attempt* attempt = find_out(id);
+void Engine::on_attempt_ended(AttemptId id, Outcome outcome, LoadReport&& report, Payload&& answer,
+                              double settled_units) {
+    Attempt* attempt = find_active_attempt(id);
     if (attempt == nullptr) return;
-    Request& request = *find(id.request);
-    const double settled = outcome == Outcome::Ok ? settle(request, settled_units) : 0.0;
-    attempt->flows = answer.flow != nullptr && attempt->heard != TimePoint{};
-    if (manners_.keeps_failures && outcome == Outcome::Error && says_failure(answer))
-        request.failure = std::make_unique<Payload>(std::move(answer));
+    Request& request = *find_request(id.request);
+    const double charged_units = outcome == Outcome::Ok ? settle_units(request, settled_units) : 0.0;
+    attempt->is_streaming = answer.body_stream != nullptr && attempt->response_started_at != TimePoint{};
+    if (response_policy_.forwards_failure_answers && outcome == Outcome::Error && is_failure_answer(answer))
+        request.last_failure_answer = std::make_unique<Payload>(std::move(answer));
     // A good answer finishes the request by itself, and so does the break of a stream.
     if (outcome == Outcome::Ok) {
-        if (Front* const front = close(request)) {
-            count(request.arrival.class_index, Verdict::Served);
+        if (DownstreamConnection* const downstream = detach_downstream(request)) {
+            count_result(request.incoming.class_index, RequestResult::Served);
             // NOLINTNEXTLINE(bugprone-use-after-move): moved from above only where the outcome is an error
-            front->served(std::move(answer));
+            downstream->on_answer(std::move(answer));
         }
-    } else if (attempt->began) {
-        Ending broken = ending(id.request, request, Verdict::Failed);
-        if (Front* const front = close(request)) tell(*front, request.arrival.class_index, std::move(broken));
+    } else if (attempt->has_started) {
+        UnservedResponse failure_response =
+            make_unserved_response(id.request, request, RequestResult::Failed);
+        if (DownstreamConnection* const downstream = detach_downstream(request))
+            deliver_response(*downstream, request.incoming.class_index, std::move(failure_response));
     }
-    end(id, *attempt, outcome, std::move(report), request.front == nullptr, settled);
-    forget_if_done(id.request);
+    finish_attempt(id, *attempt, outcome, std::move(report), request.downstream == nullptr, charged_units);
+    erase_if_finished(id.request);
 }
 
 // A request's first good answer tells its true units; a later one would tell them again.
-double Engine::settle(Request& request, double told) {
-    if (!settles_ || request.settled) return 0.0;
-    request.settled = true;
-    if (!(told > 0.0 && told <= most_units_)) {    // none, no number, or more than one request counts
-        ++counters_.units_untold;
-        static LogGate gate;
-        if (gate.open())
-            log(LogLevel::Warning, Event::ServerUnitsUntold,
-                {kv("told", told == kUnitsUntold ? "nothing" : "no such number"),
-                 kv("guess", request.arrival.units)});
+double Engine::settle_units(Request& request, double reported_units) {
+    if (!settles_units_ || request.units_settled) return 0.0;
+    request.units_settled = true;
+    if (!(reported_units > 0.0 &&
+          reported_units <= max_request_units_)) {    // none, no number, or more than one request counts
+        ++counters_.units_unreported;
+        static LogRateLimiter log_limiter;
+        if (log_limiter.try_acquire())
+            log(LogLevel::Warning, Event::ServerUnitsUnreported,
+                {log_field("told", reported_units == kUnitsUnreported ? "nothing" : "no such number"),
+                 log_field("guess", request.incoming.units)});
         return 0.0;
     }
     ++counters_.units_settled;
     // The quota counts the true units in the end, charged where admit() charged the guess; the ceiling went
     // by the guess, and stays so.
-    const double difference = told - request.arrival.units;
-    if (desk_ != nullptr) desk_->settled(request.ruling, request.arrival.customer, difference, clock_.now());
-    else if (ledger_ != nullptr) ledger_->settled(request.arrival.customer, difference, clock_.now());
-    return told;
+    const double difference = reported_units - request.incoming.units;
+    if (plan_service_ != nullptr)
+        plan_service_->settle_units(request.plan_decision, request.incoming.customer, difference,
+                                    clock_.now());
+    else if (quota_state_table_ != nullptr)
+        quota_state_table_->settle_units(request.incoming.customer, difference, clock_.now());
+    return reported_units;
 }
 
-void Engine::allowances_due() {
-    if (ledger_ == nullptr) return;
+void Engine::refresh_allowances() {
+    if (quota_state_table_ == nullptr) return;
     const TimePoint now = clock_.now();
     std::vector<decision::Allowance> changed;
-    if (desk_ != nullptr) desk_->due(now, changed);
-    if (const auto next = ledger_->next(); next && *next <= now) ledger_->tick(now, changed);
-    for (const decision::Allowance& allowance : changed) feed(allowance);
+    if (plan_service_ != nullptr) plan_service_->apply_due_effects(now, changed);
+    if (const auto next_due = quota_state_table_->next_deadline(); next_due && *next_due <= now)
+        quota_state_table_->tick(now, changed);
+    for (const decision::Allowance& allowance : changed) process_event(allowance);
 }
 
-void Engine::probe_ended(HostId host, Outcome outcome, Duration took, LoadReport&& report) {
-    if (outcome != Outcome::Ok) ++counters_.probes_failed;
-    feed(decision::ProbeFinished{host, outcome, took, std::move(report)});
+void Engine::on_health_check_ended(HostId host, Outcome outcome, Duration duration, LoadReport&& report) {
+    if (outcome != Outcome::Ok) ++counters_.health_checks_failed;
+    process_event(decision::ProbeFinished{host, outcome, duration, std::move(report)});
 }
 
-void Engine::list_heard(decision::HostList&& list) { feed(std::move(list)); }
+void Engine::on_host_list(decision::HostList&& list) { process_event(std::move(list)); }
 
-void Engine::mail_heard(PeerId from, std::vector<std::uint8_t>&& bytes) {
-    feed(decision::PeerBytes{from, std::move(bytes)});
+void Engine::on_peer_message(PeerId peer, std::vector<std::uint8_t>&& bytes) {
+    process_event(decision::PeerBytes{peer, std::move(bytes)});
 }
 
 // ---- the module ----
 
-void Engine::feed(decision::Event&& event) {
-    events_.push_back(std::move(event));
-    if (feeding_) return;
-    feeding_ = true;
-    for (std::size_t next = 0; next < events_.size(); ++next) {
-        const decision::Event current = std::move(events_[next]);    // more may be added meanwhile
+void Engine::process_event(decision::Event&& event) {
+    queued_events_.push_back(std::move(event));
+    if (processing_events_) return;
+    processing_events_ = true;
+    for (std::size_t next_index = 0; next_index < queued_events_.size(); ++next_index) {
+        const decision::Event current =
+            std::move(queued_events_[next_index]);    // more may be added meanwhile
         try {
-            decide(current);
+            decide_actions(current);
         } catch (const std::exception& error) {
             // The request it was about is answered as overdue; all others go on.
-            static LogGate gate;
-            if (gate.open()) log(LogLevel::Error, Event::EngineFailed, {kv("why", error.what())});
+            static LogRateLimiter log_limiter;
+            if (log_limiter.try_acquire())
+                log(LogLevel::Error, Event::EngineFailed, {log_field("why", error.what())});
         }
     }
-    events_.clear();
-    feeding_ = false;
+    queued_events_.clear();
+    processing_events_ = false;
 }
 
-void Engine::decide(const decision::Event& event) {
-    actions_.clear();
-    module_.handle(clock_.now(), event, actions_);
-    for (const decision::Action& action : actions_) {
-        std::visit([this](const auto& a) { perform(a); }, action);
+void Engine::decide_actions(const decision::Event& event) {
+    pending_actions_.clear();
+    decision_module_.handle(clock_.now(), event, pending_actions_);
+    for (const decision::Action& action : pending_actions_) {
+        std::visit([this](const auto& action) { execute(action); }, action);
     }
 }
 
-void Engine::perform(const decision::Send& action) {
-    Request* request = find(action.request);
+void Engine::execute(const decision::Send& action) {
+    Request* request = find_request(action.request);
     const TimePoint now = clock_.now();
-    const bool moot = request == nullptr || request->front == nullptr || now >= deadline(*request) ||
-                      request->attempts.size() >= most_attempts_ ||
-                      (request->arrival.payload.upload && request->arrival.payload.upload->given());
+    const bool is_obsolete =
+        request == nullptr || request->downstream == nullptr || now >= request_deadline(*request) ||
+        request->attempts.size() >= max_attempts_ ||
+        (request->incoming.payload.upload && request->incoming.payload.upload->is_streaming());
     if (request == nullptr) {
         ++counters_.outcomes[static_cast<std::size_t>(Outcome::NotSent)];
-        feed(decision::AttemptFinished{action.request, 0, action.host, Outcome::NotSent, {}, 0.0, true, {}});
+        process_event(
+            decision::AttemptFinished{action.request, 0, action.host, Outcome::NotSent, {}, 0.0, true, {}});
         return;
     }
-    const AttemptId id{action.request, static_cast<int>(request->attempts.size())};
-    if (id.number == 0) admit(*request, now, !moot);
+    const AttemptId attempt_id{action.request, static_cast<int>(request->attempts.size())};
+    if (attempt_id.attempt_number == 0) record_admission(*request, now, !is_obsolete);
     request->attempts.push_back({action.host, now, action.limit});
-    ++request->out;
+    ++request->active_attempts;
     Attempt& attempt = request->attempts.back();
-    if (moot) {
-        end(id, attempt, Outcome::NotSent, {}, request->front == nullptr);
-        forget_if_done(action.request);
+    if (is_obsolete) {
+        finish_attempt(attempt_id, attempt, Outcome::NotSent, {}, request->downstream == nullptr);
+        erase_if_finished(action.request);
         return;
     }
-    const TimePoint until = limit(*request, attempt);
-    ++counters_.sent;
-    attempt.timeout = timers_.at(look_by(*request, until), [this, id] { time_out(id); });
-    backend_->send(id, action.host, request->arrival.payload, std::min(until - now, request->arrival.budget));
-}
-
-void Engine::perform(const decision::CancelAttempt& action) {
-    const AttemptId id{action.request, action.attempt};
-    Attempt* attempt = find_out(id);
-    if (attempt == nullptr || attempt->began) return;
-    call_off(id, *attempt);
-    ++counters_.cancelled;
-    end(id, *attempt, Outcome::Cancelled, {}, find(id.request)->front == nullptr);
-    forget_if_done(id.request);
-}
-
-void Engine::perform(const decision::Refuse& action) {
-    Request* request = find(action.request);
+    const TimePoint deadline = attempt_deadline(*request, attempt);
+    ++counters_.attempts_sent;
+    attempt.timeout_timer = timers_.schedule_at(next_check_time(*request, deadline),
+                                                [this, attempt_id] { on_attempt_timeout(attempt_id); });
+    attempt_sender_->send_attempt(attempt_id, action.host, request->incoming.payload,
+                                  std::min(deadline - now, request->incoming.time_budget));
+}
+
+void Engine::execute(const decision::CancelAttempt& action) {
+    const AttemptId attempt_id{action.request, action.attempt};
+    Attempt* attempt = find_active_attempt(attempt_id);
+    if (attempt == nullptr || attempt->has_started) return;
+    cancel_attempt(attempt_id, *attempt);
+    ++counters_.attempts_cancelled;
+    finish_attempt(attempt_id, *attempt, Outcome::Cancelled, {},
+                   find_request(attempt_id.request)->downstream == nullptr);
+    erase_if_finished(attempt_id.request);
+}
+
+void Engine::execute(const decision::Refuse& action) {
+    Request* request = find_request(action.request);
     if (request == nullptr) return;
-    Ending end = ending(action.request, *request, Verdict::Refused, action.retry_after);
-    if (Front* front = close(*request)) tell(*front, request->arrival.class_index, std::move(end));
-    forget_if_done(action.request);
+    UnservedResponse response =
+        make_unserved_response(action.request, *request, RequestResult::Rejected, action.retry_after);
+    if (DownstreamConnection* downstream = detach_downstream(*request))
+        deliver_response(*downstream, request->incoming.class_index, std::move(response));
+    erase_if_finished(action.request);
 }
 
-void Engine::perform(const decision::Fail& action) {
-    Request* request = find(action.request);
+void Engine::execute(const decision::Fail& action) {
+    Request* request = find_request(action.request);
     if (request == nullptr) return;
-    Ending end = ending(action.request, *request, Verdict::Failed);
-    if (Front* front = close(*request)) tell(*front, request->arrival.class_index, std::move(end));
-    forget_if_done(action.request);
+    UnservedResponse response = make_unserved_response(action.request, *request, RequestResult::Failed);
+    if (DownstreamConnection* downstream = detach_downstream(*request))
+        deliver_response(*downstream, request->incoming.class_index, std::move(response));
+    erase_if_finished(action.request);
 }
 
 // The module only ever brings its one timer forward, and ignores what that overtakes.
-void Engine::perform(const decision::SetTimer& action) {
-    timers_.cancel(tick_);
-    tick_ = timers_.at(action.at, [this, token = action.token] { feed(decision::TimerFired{token}); });
+void Engine::execute(const decision::SetTimer& action) {
+    timers_.cancel(module_timer_);
+    module_timer_ = timers_.schedule_at(
+        action.at, [this, token = action.token] { process_event(decision::TimerFired{token}); });
 }
 
-void Engine::perform(const decision::Probe& action) {
-    ++counters_.probes;
-    backend_->probe(action.host);
+void Engine::execute(const decision::Probe& action) {
+    ++counters_.health_checks;
+    attempt_sender_->check_health(action.host);
 }
 
-void Engine::perform(const decision::TellPeer& action) { mail_->tell(action.peer, action.bytes); }
+void Engine::execute(const decision::TellPeer& action) {
+    peer_messenger_->send_to_peer(action.peer, action.bytes);
+}
 
-void Engine::perform(const decision::Subscribe&) { lists_->subscribe(); }
+void Engine::execute(const decision::Subscribe&) { host_lists_->subscribe(); }
 
 // ---- requests ----
 
 // A request is about to be sent for the first time: it counts from here on, whatever becomes of it.
-void Engine::admit(const Request& request, TimePoint now, bool is_sent) {
-    const Arrival& a = request.arrival;
-    if (desk_ != nullptr) {
-        told_.clear();
-        desk_->admitted(request.ruling, a.customer, a.units, now, told_);
-        for (const decision::Allowance& allowance : told_) feed(allowance);
-    } else if (ledger_ != nullptr) {
-        ledger_->admitted(a.customer, a.units, now);
+void Engine::record_admission(const Request& request, TimePoint now, bool is_sent) {
+    const IncomingRequest& incoming = request.incoming;
+    if (plan_service_ != nullptr) {
+        pending_allowances_.clear();
+        plan_service_->record_admission(request.plan_decision, incoming.customer, incoming.units, now,
+                                        pending_allowances_);
+        for (const decision::Allowance& allowance : pending_allowances_) process_event(allowance);
+    } else if (quota_state_table_ != nullptr) {
+        quota_state_table_->record_admission(incoming.customer, incoming.units, now);
     }
-    if (use_ == nullptr || !is_sent) return;    // nobody is billed for what no server gets
-    const plans::Desk::Ruling& r = request.ruling;
-    use_->admitted({a.customer, a.class_index, r.plan_index, a.units, r.plan_version, r.reservation, now});
+    if (usage_recorder_ == nullptr || !is_sent) return;    // nobody is billed for what no server gets
+    const plans::PlanService::PlanDecision& plan_decision = request.plan_decision;
+    usage_recorder_->record_admission({incoming.customer, incoming.class_index, plan_decision.plan_index,
+                                       incoming.units, plan_decision.plan_version,
+                                       plan_decision.reservation_version, now});
 }
 
 // The one place where a request stops being owed an answer. Gives the front that is to have it, if any.
-Front* Engine::close(Request& request) {
-    timers_.cancel(request.overdue);
-    if (request.front != nullptr) --owed_;
-    return std::exchange(request.front, nullptr);
-}
-
-Engine::Ending Engine::ending(RequestId id, Request& request, Verdict wanted, Duration wait,
-                              bool dropped) const {
-    Ending end{wanted, wait, Failure::Broken, {}};
-    if (manners_.refusal_promises)
-        end.verdict = may_have_run(id, request, dropped) ? Verdict::Failed : Verdict::Refused;
-    if (clock_.now() >= deadline(request)) end.why = Failure::Late;
-    if (request.failure) end.answer = std::move(*std::exchange(request.failure, nullptr));
-    return end;
-}
-
-void Engine::tell(Front& front, int class_index, Ending&& end) {
-    count(class_index, end.verdict);
-    if (end.verdict == Verdict::Refused) front.refused(end.wait, Refusal::Room);
-    else front.failed(end.why, std::move(end.answer));
-}
-
-bool Engine::may_have_run(RequestId id, const Request& request, bool dropped) const {
-    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-        const Attempt& attempt = request.attempts[i];
-        if (attempt.out ? !dropped || backend_->began({id, static_cast<int>(i)}) : attempt.ran) return true;
+DownstreamConnection* Engine::detach_downstream(Request& request) {
+    timers_.cancel(request.overdue_timer);
+    if (request.downstream != nullptr) --unanswered_requests_;
+    return std::exchange(request.downstream, nullptr);
+}
+
+Engine::UnservedResponse Engine::make_unserved_response(RequestId id, Request& request, RequestResult result,
+                                                        Duration retry_after, bool attempts_dropped) const {
+    UnservedResponse response{result, retry_after, FailureReason::UpstreamFailed, {}};
+    if (response_policy_.rejects_only_unexecuted)
+        response.result = may_have_executed(id, request, attempts_dropped) ? RequestResult::Failed
+                                                                           : RequestResult::Rejected;
+    if (clock_.now() >= request_deadline(request)) response.reason = FailureReason::DeadlineExceeded;
+    if (request.last_failure_answer)
+        response.answer = std::move(*std::exchange(request.last_failure_answer, nullptr));
+    return response;
+}
+
+void Engine::deliver_response(DownstreamConnection& downstream, int class_index,
+                              UnservedResponse&& response) {
+    count_result(class_index, response.result);
+    if (response.result == RequestResult::Rejected)
+        downstream.on_rejected(response.retry_after, RejectionReason::Capacity);
+    else downstream.on_failed(response.reason, std::move(response.answer));
+}
+
+bool Engine::may_have_executed(RequestId id, const Request& request, bool attempts_dropped) const {
+    for (std::size_t index = 0; index < request.attempts.size(); ++index) {
+        const Attempt& attempt = request.attempts[index];
+        if (attempt.is_active
+                ? !attempts_dropped || attempt_sender_->has_started({id, static_cast<int>(index)})
+                : attempt.may_have_executed)
+            return true;
     }
     return false;
 }
 
-void Engine::call_off(AttemptId id, Attempt& attempt) {
-    attempt.ran = manners_.refusal_promises && backend_->began(id);
-    backend_->cancel(id);
+void Engine::cancel_attempt(AttemptId id, Attempt& attempt) {
+    attempt.may_have_executed = response_policy_.rejects_only_unexecuted && attempt_sender_->has_started(id);
+    attempt_sender_->cancel_attempt(id);
 }
 
-void Engine::count(int class_index, Verdict verdict) {
-    const auto at = static_cast<std::size_t>(class_index);
-    if (at >= by_class_.size()) return;    // of no class: the module would not have it
-    ClassCounts& counts = *by_class_[at];
-    ++(verdict == Verdict::Served    ? counts.passed
-       : verdict == Verdict::Refused ? counts.dropped
-                                     : counts.failed);
+void Engine::count_result(int class_index, RequestResult result) {
+    const auto index = static_cast<std::size_t>(class_index);
+    if (index >= counters_by_class_.size()) return;    // of no class: the module would not have it
+    RequestClassCounters& class_counters = *counters_by_class_[index];
+    ++(result == RequestResult::Served     ? class_counters.answered
+       : result == RequestResult::Rejected ? class_counters.dropped
+                                           : class_counters.failed);
 }
 
 // The one place where an attempt ends: each is told to the module exactly once.
-void Engine::end(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report, bool final,
-                 double settled_units) {
-    timers_.cancel(attempt.timeout);
-    attempt.out = false;
-    attempt.ran =
-        attempt.ran || outcome == Outcome::Ok || outcome == Outcome::Error || outcome == Outcome::Reset;
-    --find(id.request)->out;
+void Engine::finish_attempt(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report,
+                            bool is_final, double settled_units) {
+    timers_.cancel(attempt.timeout_timer);
+    attempt.is_active = false;
+    attempt.may_have_executed = attempt.may_have_executed || outcome == Outcome::Ok ||
+                                outcome == Outcome::Error || outcome == Outcome::Reset;
+    --find_request(id.request)->active_attempts;
     ++counters_.outcomes[static_cast<std::size_t>(outcome)];
     // How long the way of a long answer takes says nothing of how soon its server answers.
-    const TimePoint at = attempt.flows ? attempt.heard : clock_.now();
-    feed(decision::AttemptFinished{id.request, id.number, attempt.host, outcome, at - attempt.sent,
-                                   settled_units, final, std::move(report)});
+    const TimePoint started_at = attempt.is_streaming ? attempt.response_started_at : clock_.now();
+    process_event(decision::AttemptFinished{id.request, id.attempt_number, attempt.host, outcome,
+                                            started_at - attempt.sent_at, settled_units, is_final,
+                                            std::move(report)});
 }
 
 // A request's time runs from its last byte (PROTOCOL, Figures).
-TimePoint Engine::deadline(const Request& request) {
-    const Upload* const upload = request.arrival.payload.upload.get();
+TimePoint Engine::request_deadline(const Request& request) {
+    const RequestUpload* const upload = request.incoming.payload.upload.get();
     if (upload == nullptr) return request.deadline;
-    return upload->moved() + request.arrival.budget + (upload->whole() ? Duration(0) : kUploadStall);
+    return upload->last_received_at() + request.incoming.time_budget +
+           (upload->is_complete() ? Duration(0) : kUploadStallTimeout);
 }
 
-TimePoint Engine::limit(const Request& request, const Attempt& attempt) {
-    const TimePoint due = deadline(request);
-    return attempt.limit == Duration(0) ? due : std::min(due, attempt.sent + attempt.limit);
+TimePoint Engine::attempt_deadline(const Request& request, const Attempt& attempt) {
+    const TimePoint deadline_limit = request_deadline(request);
+    return attempt.time_limit == Duration(0) ? deadline_limit
+                                             : std::min(deadline_limit, attempt.sent_at + attempt.time_limit);
 }
 
 // When to look again at what is to end by then: the last byte of a long request may bring that forward, but
 // to no sooner than a budget from now.
-TimePoint Engine::look_by(const Request& request, TimePoint until) const {
-    return std::min(until, clock_.now() + request.arrival.budget);
+TimePoint Engine::next_check_time(const Request& request, TimePoint deadline) const {
+    return std::min(deadline, clock_.now() + request.incoming.time_budget);
 }
 
-void Engine::time_out(AttemptId id) {
-    Attempt* attempt = find_out(id);
+void Engine::on_attempt_timeout(AttemptId id) {
+    Attempt* attempt = find_active_attempt(id);
     if (attempt == nullptr) return;
-    if (const TimePoint until = limit(*find(id.request), *attempt); clock_.now() < until) {
-        attempt->timeout = timers_.at(look_by(*find(id.request), until), [this, id] { time_out(id); });
+    if (const TimePoint deadline = attempt_deadline(*find_request(id.request), *attempt);
+        clock_.now() < deadline) {
+        attempt->timeout_timer = timers_.schedule_at(next_check_time(*find_request(id.request), deadline),
+                                                     [this, id] { on_attempt_timeout(id); });
         return;
     }
-    call_off(id, *attempt);
-    end(id, *attempt, Outcome::Timeout, {}, find(id.request)->front == nullptr);
-    forget_if_done(id.request);
+    cancel_attempt(id, *attempt);
+    finish_attempt(id, *attempt, Outcome::Timeout, {}, find_request(id.request)->downstream == nullptr);
+    erase_if_finished(id.request);
 }
 
-void Engine::overdue(RequestId id) {
-    Request* const request = find(id);
+void Engine::on_request_overdue(RequestId id) {
+    Request* const request = find_request(id);
     if (request == nullptr) return;
-    const TimePoint until = deadline(*request) + kOverdue;
-    if (clock_.now() >= until) return give_up(id);
-    request->overdue = timers_.at(look_by(*request, until), [this, id] { overdue(id); });
+    const TimePoint deadline = request_deadline(*request) + kOverdueDelay;
+    if (clock_.now() >= deadline) return abandon_request(id);
+    request->overdue_timer =
+        timers_.schedule_at(next_check_time(*request, deadline), [this, id] { on_request_overdue(id); });
 }
 
-void Engine::give_up(RequestId id) {
-    Request* const request = find(id);
-    if (request == nullptr || request->front == nullptr) return;
-    const int class_index = request->arrival.class_index;
-    Ending end = ending(id, *request, Verdict::Failed, Duration(0), true);
-    Front* const front = drop(id);
-    ++counters_.overdue;
-    tell(*front, class_index, std::move(end));
+void Engine::abandon_request(RequestId id) {
+    Request* const request = find_request(id);
+    if (request == nullptr || request->downstream == nullptr) return;
+    const int class_index = request->incoming.class_index;
+    UnservedResponse response =
+        make_unserved_response(id, *request, RequestResult::Failed, Duration(0), true);
+    DownstreamConnection* const downstream = drop_request(id);
+    ++counters_.requests_overdue;
+    deliver_response(*downstream, class_index, std::move(response));
 }
 
-std::string Engine::hand_over() {
-    handed_over_ = true;
-    return module_.hand_over(clock_.now());
+std::string Engine::export_state() {
+    state_exported_ = true;
+    return decision_module_.hand_over(clock_.now());
 }
 
-bool Engine::take_over(std::string_view text) {
-    feed(decision::TimerFired{});    // its start
+bool Engine::import_state(std::string_view text) {
+    process_event(decision::TimerFired{});    // its start
     try {
-        module_.take_over(text, clock_.now());
+        decision_module_.take_over(text, clock_.now());
         return true;
     } catch (const std::exception& error) {
-        log(LogLevel::Warning, Event::HandoverUnread, {kv("why", error.what())});
-        module_ = decision::Gateway(settings_, seed_);
-        feed(decision::TimerFired{});
+        log(LogLevel::Warning, Event::HandoverMalformed, {log_field("why", error.what())});
+        decision_module_ = decision::Gateway(initial_settings_, seed_);
+        process_event(decision::TimerFired{});
         return false;
     }
 }
 
-void Engine::give_up_all() {
+void Engine::abandon_all_requests() {
     std::vector<RequestId> ids;
     for (const auto& [id, request] : requests_) ids.push_back(id);
-    for (const RequestId id : ids) give_up(id);
+    for (const RequestId id : ids) abandon_request(id);
 }
 
-void Engine::forget_if_done(RequestId id) {
-    const Request* request = find(id);
-    if (request != nullptr && request->front == nullptr && request->out == 0) requests_.erase(id);
+void Engine::erase_if_finished(RequestId id) {
+    const Request* request = find_request(id);
+    if (request != nullptr && request->downstream == nullptr && request->active_attempts == 0)
+        requests_.erase(id);
 }
 
 }    // namespace shaletray
--- a/src/data_plane/engine/engine.h
+++ b/src/data_plane/engine/engine.h
@@ -31,122 +31,122 @@
 class BodySink {
 public:
     virtual ~BodySink() = default;
-    virtual void on_body(std::string_view bytes) = 0;
-    virtual void on_body_end(bool whole) = 0;    // nothing follows
+    virtual void on_body_chunk(std::string_view bytes) = 0;
+    virtual void on_body_end(bool complete) = 0;    // nothing follows
 };
 // Where such a body comes from. To let go of it is to want no more.
-class BodyFlow {
+class BodyStream {
 public:
-    virtual ~BodyFlow() = default;
-    virtual void begin(BodySink& sink) = 0;    // pieces follow, the first perhaps before this returns
-    virtual void go_on(bool wanted) = 0;       // backpressure: none come while they are not wanted
-    virtual std::optional<std::uint64_t> length() const = 0;    // bytes in all, where that is known
+    virtual ~BodyStream() = default;
+    virtual void start(BodySink& sink) = 0;        // pieces follow, the first perhaps before this returns
+    virtual void set_reading(bool enabled) = 0;    // backpressure: none come while they are not wanted
+    virtual std::optional<std::uint64_t> total_length() const = 0;    // bytes in all, where that is known
 };
 
 // A request's body that is still coming, its first part apart. An attempt is written with that part, and then
 // begins the rest, which only one can.
-class Upload : public BodyFlow {
+class RequestUpload : public BodyStream {
 public:
-    virtual std::string_view first() const = 0;    // empty once the rest was begun
-    virtual bool given() const = 0;                // the rest was begun: no other attempt may follow
-    virtual bool whole() const = 0;                // all of it has come from the client
-    virtual TimePoint moved() const = 0;           // when the last of it came
+    virtual std::string_view initial_body() const = 0;    // empty once the rest was begun
+    virtual bool is_streaming() const = 0;                // the rest was begun: no other attempt may follow
+    virtual bool is_complete() const = 0;                 // all of it has come from the client
+    virtual TimePoint last_received_at() const = 0;       // when the last of it came
 };
 
 // A request or an answer as front and backend understand it. The engine passes it on and looks at no byte.
 struct Payload {
     std::string head, body;
     // In place of the body, where that is too long to be held: of an answer, of a request.
-    std::shared_ptr<BodyFlow> flow = {};
-    std::shared_ptr<Upload> upload = {};
-    int status = 200;       // of an answer
-    std::string id = {};    // of a request, where servers repeat it in their answers
+    std::shared_ptr<BodyStream> body_stream = {};
+    std::shared_ptr<RequestUpload> upload = {};
+    int status_code = 200;          // of an answer
+    std::string request_id = {};    // of a request, where servers repeat it in their answers
 };
 
 // A request as its front describes it.
-struct Arrival {
+struct IncomingRequest {
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
     double units = 1.0;
-    Duration budget{0};
-    int first_gateway = 0, width = 1;
-    bool streams = false;                        // its answer begins long before it ends
-    std::string reservation;                     // that it draws on, where plans change in service
-    std::shared_ptr<const void> purpose = {};    // the front's own, kept as long as the request
+    Duration time_budget{0};
+    int first_gateway_index = 0, gateway_set_size = 1;
+    bool is_streaming = false;                   // its answer begins long before it ends
+    std::string reservation_id;                  // that it draws on, where plans change in service
+    std::shared_ptr<const void> context = {};    // the front's own, kept as long as the request
     Payload payload;
 };
 
 // A request that was let in, as it is billed.
-struct Admission {
+struct AdmittedRequest {
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
     double units = 0.0;
-    std::uint64_t plan_version = 0, reservation = 0;
-    decision::TimePoint at{};
+    std::uint64_t plan_version = 0, reservation_version = 0;
+    decision::TimePoint admitted_at{};
 };
 // What keeps a record of use. Told of each request once, before its first attempt is sent.
-class UseKeeper {
+class UsageRecorder {
 public:
-    virtual ~UseKeeper() = default;
-    virtual void admitted(const Admission& admission) = 0;
+    virtual ~UsageRecorder() = default;
+    virtual void record_admission(const AdmittedRequest& admission) = 0;
 };
 
 // What a good answer tells of its request's true units, where units are settled afterwards: a number above 0,
 // or one of these.
-constexpr double kUnitsUntold = 0.0, kUnitsMalformed = -1.0;
+constexpr double kUnitsUnreported = 0.0, kUnitsMalformed = -1.0;
 
 struct AttemptId {
     RequestId request{};
-    int number = 0;
+    int attempt_number = 0;
 };
 
-enum class Refusal { Quota, Room };     // what there was too little of
-enum class Failure { Broken, Late };    // Late: its deadline came
+enum class RejectionReason { Quota, Capacity };                   // what there was too little of
+enum class FailureReason { UpstreamFailed, DeadlineExceeded };    // Late: its deadline came
 
 // Where a request came from. Exactly one of these is called for each request taken, unless it was withdrawn.
-class Front {
+class DownstreamConnection {
 public:
-    virtual ~Front() = default;
-    virtual void served(Payload&& answer) = 0;
-    virtual void refused(Duration retry_after, Refusal why) = 0;
+    virtual ~DownstreamConnection() = default;
+    virtual void on_answer(Payload&& answer) = 0;
+    virtual void on_rejected(Duration retry_after, RejectionReason reason) = 0;
     // With the last whole answer of a server that said itself that it failed, where such are kept; else one
     // that tells nothing (says_failure).
-    virtual void failed(Failure why, Payload&& answer) = 0;
+    virtual void on_failed(FailureReason reason, Payload&& answer) = 0;
 };
-inline bool says_failure(const Payload& answer) { return answer.status >= 400; }
+inline bool is_failure_answer(const Payload& answer) { return answer.status_code >= 400; }
 
 // Where a front's requests go.
-class Intake {
+class RequestHandler {
 public:
-    virtual ~Intake() = default;
+    virtual ~RequestHandler() = default;
     // May answer before it returns; 0 then, or any number, of which nothing is asked any more.
-    virtual std::uint64_t take(Front& front, Arrival&& arrival) = 0;
+    virtual std::uint64_t submit(DownstreamConnection& downstream, IncomingRequest&& incoming) = 0;
     // No answer is wanted any more. Never for a request that was answered.
-    virtual void withdraw(std::uint64_t ticket) = 0;
+    virtual void cancel(std::uint64_t request_ticket) = 0;
 };
 
 // What carries attempts and probes. Each ends with one call of Engine::attempt_ended or probe_ended, which
 // may come before send or probe returns; none comes for an attempt that was called off.
-class Backend {
+class AttemptSender {
 public:
-    virtual ~Backend() = default;
-    virtual void send(AttemptId attempt, HostId host, const Payload& request, Duration left) = 0;
-    virtual void cancel(AttemptId attempt) = 0;
-    virtual void probe(HostId host) = 0;
+    virtual ~AttemptSender() = default;
+    virtual void send_attempt(AttemptId attempt, HostId host, const Payload& request, Duration time_left) = 0;
+    virtual void cancel_attempt(AttemptId attempt) = 0;
+    virtual void check_health(HostId host) = 0;
     // Whether a byte of the attempt, which is out, may have reached its server.
-    virtual bool began(AttemptId) const { return true; }
+    virtual bool has_started(AttemptId) const { return true; }
 };
 
-class Mail {
+class PeerMessenger {
 public:
-    virtual ~Mail() = default;
-    virtual void tell(PeerId to, const std::vector<std::uint8_t>& bytes) = 0;
+    virtual ~PeerMessenger() = default;
+    virtual void send_to_peer(PeerId peer, const std::vector<std::uint8_t>& bytes) = 0;
 };
 
 // Where lists of servers come from; asked where the module has to.
-class ListSource {
+class HostListSource {
 public:
-    virtual ~ListSource() = default;
+    virtual ~HostListSource() = default;
     virtual void subscribe() = 0;
 };
 
@@ -159,168 +159,171 @@
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    void connect(Backend& backend, Mail& mail, ListSource& lists);
+    void connect(AttemptSender& attempt_sender, PeerMessenger& peer_messenger, HostListSource& host_lists);
     // Shares are worked out by this ledger, and not by the module's own mail. It outlives the engine's use.
-    void share_by(limits::Ledger& ledger) { ledger_ = &ledger; }
+    void set_quota_state_table(limits::QuotaStateTable& table) { quota_state_table_ = &table; }
     // Plans change in service: this desk rules on each request, and speaks to that ledger.
-    void rule_by(plans::Desk& desk) { desk_ = &desk; }
-    void keep_use_in(UseKeeper& keeper) { use_ = &keeper; }
+    void set_plan_service(plans::PlanService& service) { plan_service_ = &service; }
+    void set_usage_recorder(UsageRecorder& recorder) { usage_recorder_ = &recorder; }
     // What a platform wants beyond what the module decides. All off unless told.
-    struct Manners {
+    struct ResponsePolicy {
         // The last whole answer with which a server said that it failed goes to the front.
-        bool keeps_failures = false;
+        bool forwards_failure_answers = false;
         // A front hears `refused` where nothing of its request can have run, and `failed` where it may have,
         // whatever the module called it.
-        bool refusal_promises = false;
+        bool rejects_only_unexecuted = false;
     };
-    void behave(const Manners& manners) { manners_ = manners; }
-    bool keeps_failures() const { return manners_.keeps_failures; }
+    void set_response_policy(const ResponsePolicy& policy) { response_policy_ = policy; }
+    bool forwards_failure_answers() const { return response_policy_.forwards_failure_answers; }
     // Tells the module which of its allowances ran out or changed by now.
-    void allowances_due();
+    void refresh_allowances();
 
     // Takes over classes and limits in service. Gives each class's index for arrivals, in the order of
     // `next.classes`: one that changed gets another, so that requests under way keep theirs. Throws
     // BadSettings and changes nothing where they make no sense.
-    std::vector<int> adopt(const decision::Settings& next);
+    std::vector<int> apply_settings(const decision::Settings& new_settings);
 
-    RequestId take(Front& front, Arrival&& arrival);
+    RequestId submit(DownstreamConnection& downstream, IncomingRequest&& incoming);
     // The client left: no answer is wanted any more.
-    void withdraw(RequestId request);
+    void cancel(RequestId request);
 
-    void attempt_began(AttemptId attempt);    // its answer's first part is here
+    void on_response_started(AttemptId attempt);    // its answer's first part is here
     // Its request is passed on while it still comes: nothing can be tried again from here on.
-    void attempt_uploads(AttemptId attempt);
-    void attempt_written(AttemptId attempt);    // its server has its request whole
+    void on_upload_started(AttemptId attempt);
+    void on_request_written(AttemptId attempt);    // its server has its request whole
     // `settled_units` counts only on a good answer, where the settings say that units are settled afterwards:
     // the quota, here and in the ledger, is charged those instead of the guess; where the answer tells none
     // that can be used, the guess stands, and that is counted and logged.
-    void attempt_ended(AttemptId attempt, Outcome outcome, LoadReport&& report = {}, Payload&& answer = {},
-                       double settled_units = kUnitsUntold);
-    void probe_ended(HostId host, Outcome outcome, Duration took, LoadReport&& report = {});
-    void list_heard(decision::HostList&& list);
-    void mail_heard(PeerId from, std::vector<std::uint8_t>&& bytes);
+    void on_attempt_ended(AttemptId attempt, Outcome outcome, LoadReport&& report = {}, Payload&& answer = {},
+                          double settled_units = kUnitsUnreported);
+    void on_health_check_ended(HostId host, Outcome outcome, Duration duration, LoadReport&& report = {});
+    void on_host_list(decision::HostList&& list);
+    void on_peer_message(PeerId peer, std::vector<std::uint8_t>&& bytes);
 
     // The program ends now: whatever is still owed an answer gets one.
-    void give_up_all();
+    void abandon_all_requests();
     // For the process that takes this one's place. New requests are refused from then on.
-    std::string hand_over();
+    std::string export_state();
     // What the process before this one held; called before anything else. Where the text cannot be read that
     // is logged, and this one starts as it would alone. False then.
-    bool take_over(std::string_view text);
+    bool import_state(std::string_view text);
     std::size_t open_requests() const { return requests_.size(); }
-    std::size_t in_progress() const { return owed_; }    // requests still owed an answer
+    std::size_t unanswered_requests() const {
+        return unanswered_requests_;
+    }    // requests still owed an answer
     // Healthy servers of the list that the module keeps requests from by its own choice.
-    std::size_t avoided() const { return module_.avoided(); }
+    std::size_t avoided_hosts() const { return decision_module_.avoided(); }
 
 private:
     struct Attempt {
         HostId host{};
-        TimePoint sent{};
-        Duration limit{0};    // 0: as long as the client waits
-        Timers::Id timeout = 0;
-        TimePoint heard{};    // when its answer began
-        bool out = true, began = false, flows = false;
-        bool ran = false;    // or may have, once it ended
+        TimePoint sent_at{};
+        Duration time_limit{0};    // 0: as long as the client waits
+        Timers::Id timeout_timer = 0;
+        TimePoint response_started_at{};    // when its answer began
+        bool is_active = true, has_started = false, is_streaming = false;
+        bool may_have_executed = false;    // or may have, once it ended
     };
     struct Request {
-        Front* front = nullptr;    // none: answered or withdrawn
-        Arrival arrival;
-        plans::Desk::Ruling ruling;    // whatever changes meanwhile
+        DownstreamConnection* downstream = nullptr;    // none: answered or withdrawn
+        IncomingRequest incoming;
+        plans::PlanService::PlanDecision plan_decision;    // whatever changes meanwhile
         TimePoint deadline{};
-        Timers::Id overdue = 0;
+        Timers::Id overdue_timer = 0;
         std::vector<Attempt> attempts;
-        int out = 0;
-        bool settled = false;                // its true units were heard, or could not be
-        std::unique_ptr<Payload> failure;    // the last
+        int active_attempts = 0;
+        bool units_settled = false;                      // its true units were heard, or could not be
+        std::unique_ptr<Payload> last_failure_answer;    // the last
     };
 
-    Request* find(RequestId id);
-    Attempt* find_out(AttemptId id);
-    void feed(decision::Event&& event);
-    void decide(const decision::Event& event);
-    void perform(const decision::Send& action);
-    void perform(const decision::CancelAttempt& action);
-    void perform(const decision::Refuse& action);
-    void perform(const decision::Fail& action);
-    void perform(const decision::SetTimer& action);
-    void perform(const decision::Probe& action);
-    void perform(const decision::TellPeer& action);
-    void perform(const decision::Subscribe& action);
-    void admit(const Request& request, TimePoint now, bool is_sent);
-    Front* close(Request& request);
-    enum class Verdict { Served, Refused, Failed };
+    Request* find_request(RequestId id);
+    Attempt* find_active_attempt(AttemptId id);
+    void process_event(decision::Event&& event);
+    void decide_actions(const decision::Event& event);
+    void execute(const decision::Send& action);
+    void execute(const decision::CancelAttempt& action);
+    void execute(const decision::Refuse& action);
+    void execute(const decision::Fail& action);
+    void execute(const decision::SetTimer& action);
+    void execute(const decision::Probe& action);
+    void execute(const decision::TellPeer& action);
+    void execute(const decision::Subscribe& action);
+    void record_admission(const Request& request, TimePoint now, bool is_sent);
+    DownstreamConnection* detach_downstream(Request& request);
+    enum class RequestResult { Served, Rejected, Failed };
     // What a front hears that gets no good answer.
-    struct Ending {
-        Verdict verdict = Verdict::Failed;
-        Duration wait{0};
-        Failure why = Failure::Broken;
+    struct UnservedResponse {
+        RequestResult result = RequestResult::Failed;
+        Duration retry_after{0};
+        FailureReason reason = FailureReason::UpstreamFailed;
         Payload answer;
     };
     // `dropped`: what is still out is called off next.
-    Ending ending(RequestId id, Request& request, Verdict wanted, Duration wait = Duration(0),
-                  bool dropped = false) const;
-    void tell(Front& front, int class_index, Ending&& ending);
-    bool may_have_run(RequestId id, const Request& request, bool dropped) const;
-    void call_off(AttemptId id, Attempt& attempt);
+    UnservedResponse make_unserved_response(RequestId id, Request& request, RequestResult result,
+                                            Duration retry_after = Duration(0),
+                                            bool attempts_dropped = false) const;
+    void deliver_response(DownstreamConnection& downstream, int class_index, UnservedResponse&& response);
+    bool may_have_executed(RequestId id, const Request& request, bool attempts_dropped) const;
+    void cancel_attempt(AttemptId id, Attempt& attempt);
     // Counts the answer that a request is about to get.
-    void count(int class_index, Verdict verdict);
-    Front* drop(RequestId id);
-    void end(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report, bool final,
-             double settled_units = 0.0);
+    void count_result(int class_index, RequestResult result);
+    DownstreamConnection* drop_request(RequestId id);
+    void finish_attempt(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report, bool is_final,
+                        double settled_units = 0.0);
     // The true units of a request that was answered well, or 0 where the guess stands.
-    double settle(Request& request, double told);
-    void time_out(AttemptId id);
-    void overdue(RequestId id);
-    void give_up(RequestId id);
-    static TimePoint deadline(const Request& request);
-    static TimePoint limit(const Request& request, const Attempt& attempt);
-    TimePoint look_by(const Request& request, TimePoint until) const;
-    void forget_if_done(RequestId id);
+    double settle_units(Request& request, double reported_units);
+    void on_attempt_timeout(AttemptId id);
+    void on_request_overdue(RequestId id);
+    void abandon_request(RequestId id);
+    static TimePoint request_deadline(const Request& request);
+    static TimePoint attempt_deadline(const Request& request, const Attempt& attempt);
+    TimePoint next_check_time(const Request& request, TimePoint deadline) const;
+    void erase_if_finished(RequestId id);
 
-    void take_limits(const decision::Settings& settings);
+    void apply_limits(const decision::Settings& settings);
 
-    const decision::Settings settings_;    // as at the start
+    const decision::Settings initial_settings_;    // as at the start
     const std::uint64_t seed_;
-    decision::Gateway module_;
+    decision::Gateway decision_module_;
     std::vector<decision::ClassSettings> classes_;    // by index; those no longer listed stay until reused
-    std::size_t most_open_ = 0;
-    std::size_t most_attempts_ = 0;
-    Duration most_advice_{0};
-    bool settles_;
-    double most_units_;    // that one request counts
+    std::size_t max_open_requests_ = 0;
+    std::size_t max_attempts_ = 0;
+    Duration max_retry_after_{0};
+    bool settles_units_;
+    double max_request_units_;    // that one request counts
     const Clock& clock_;
     Timers& timers_;
     Counters& counters_;
-    Backend* backend_ = nullptr;
-    Mail* mail_ = nullptr;
-    ListSource* lists_ = nullptr;
-    limits::Ledger* ledger_ = nullptr;
-    plans::Desk* desk_ = nullptr;
-    UseKeeper* use_ = nullptr;
-    Manners manners_;
-    std::vector<decision::Allowance> told_;    // kept for its memory
+    AttemptSender* attempt_sender_ = nullptr;
+    PeerMessenger* peer_messenger_ = nullptr;
+    HostListSource* host_lists_ = nullptr;
+    limits::QuotaStateTable* quota_state_table_ = nullptr;
+    plans::PlanService* plan_service_ = nullptr;
+    UsageRecorder* usage_recorder_ = nullptr;
+    ResponsePolicy response_policy_;
+    std::vector<decision::Allowance> pending_allowances_;    // kept for its memory
     std::unordered_map<RequestId, Request> requests_;
-    Timers::Id tick_ = 0;    // the module's
-    std::uint32_t last_request_ = 0;
-    std::size_t owed_ = 0;
-    bool handed_over_ = false;
-    std::vector<ClassCounts*> by_class_;    // in counters_
+    Timers::Id module_timer_ = 0;    // the module's
+    std::uint32_t last_request_id_ = 0;
+    std::size_t unanswered_requests_ = 0;
+    bool state_exported_ = false;
+    std::vector<RequestClassCounters*> counters_by_class_;    // in counters_
     // An action's effects wait until all actions before them are done. Kept for their memory.
     // Held by the module's timers, which outlive the engine.
-    std::vector<decision::Event> events_;
-    std::vector<decision::Action> actions_;
-    bool feeding_ = false;
+    std::vector<decision::Event> queued_events_;
+    std::vector<decision::Action> pending_actions_;
+    bool processing_events_ = false;
 };
 
 // A front's way to one engine, with nothing in between.
-class EngineIntake : public Intake {
+class EngineRequestHandler : public RequestHandler {
 public:
-    explicit EngineIntake(Engine& engine) : engine_(engine) {}
-    std::uint64_t take(Front& front, Arrival&& arrival) override {
-        return static_cast<std::uint64_t>(engine_.take(front, std::move(arrival)));
+    explicit EngineRequestHandler(Engine& engine) : engine_(engine) {}
+    std::uint64_t submit(DownstreamConnection& downstream, IncomingRequest&& incoming) override {
+        return static_cast<std::uint64_t>(engine_.submit(downstream, std::move(incoming)));
     }
-    void withdraw(std::uint64_t ticket) override {
-        engine_.withdraw(RequestId{static_cast<std::uint32_t>(ticket)});
+    void cancel(std::uint64_t request_ticket) override {
+        engine_.cancel(RequestId{static_cast<std::uint32_t>(request_ticket)});
     }
 
 private:
--- a/src/data_plane/limits/quota_row.cpp
+++ b/src/data_plane/limits/quota_row.cpp
@@ -9,16 +9,16 @@
 namespace shaletray::limits {
 namespace {
 
-constexpr std::string_view kRowForm = "r1", kNewsForm = "n1";
-constexpr double kMostDemand = 1e9;
-constexpr std::size_t kMostItems = 1024;
+constexpr std::string_view kRowFormat = "r1", kAnnouncementFormat = "n1";
+constexpr double kMaxDemand = 1e9;
+constexpr std::size_t kMaxItems = 1024;
 
 // Takes words apart at single spaces. A value that is not wholly a number of its kind spoils the whole text.
-class Words {
+class WordReader {
 public:
-    explicit Words(std::string_view text) : rest_(text) {}
+    explicit WordReader(std::string_view text) : rest_(text) {}
 
-    std::string_view next() {
+    std::string_view next_word() {
         if (done_) {
             good_ = false;
             return {};
@@ -30,27 +30,28 @@
         return word;
     }
     template <class T>
-    T number(T least, T most, int base = 10) {
-        const std::string_view word = next();
+    T read_number(T least, T max_value, int base = 10) {
+        const std::string_view word = next_word();
         T value{};
         const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value, base);
-        return take(word, end, error, value, least, most);
+        return read_into(word, end, error, value, least, max_value);
     }
-    double real(double least, double most) {
-        const std::string_view word = next();
+    double read_real(double least, double max_value) {
+        const std::string_view word = next_word();
         double value = 0.0;
         const auto [end, error] =
             std::from_chars(word.data(), word.data() + word.size(), value, std::chars_format::fixed);
-        return take(word, end, error, value, least, most);
+        return read_into(word, end, error, value, least, max_value);
     }
     bool good() const { return good_; }
     bool done() const { return done_; }
 
 private:
     template <class T>
-    T take(std::string_view word, const char* end, std::errc error, T value, T least, T most) {
+    T read_into(std::string_view word, const char* end, std::errc error, T value, T least, T max_value) {
         // Written so that a value that is not a number fails too.
-        if (error != std::errc{} || end != word.data() + word.size() || !(value >= least && value <= most))
+        if (error != std::errc{} || end != word.data() + word.size() ||
+            !(value >= least && value <= max_value))
             good_ = false;
         return good_ ? value : least;
     }
@@ -61,67 +62,70 @@
 
 }    // namespace
 
-std::string write_row(const Row& row) {
-    std::string out = fmt::format("{} {:x} {} {} {} {} {:.3f} {:.4f}", kRowForm, row.incarnation, row.stamp,
-                                  row.plan, row.first, row.width, row.demand, row.fill);
-    for (const Row::Part& part : row.parts)
-        fmt::format_to(std::back_inserter(out), " {:x} {} {}", part.echo_incarnation, part.echo_stamp,
-                       part.lease);
-    return out;
+std::string serialize_row(const QuotaRow& row) {
+    std::string text =
+        fmt::format("{} {:x} {} {} {} {} {:.3f} {:.4f}", kRowFormat, row.incarnation, row.row_stamp,
+                    row.plan_index, row.first_gateway, row.set_size, row.demand, row.fill_level);
+    for (const QuotaRow::Part& part : row.parts)
+        fmt::format_to(std::back_inserter(text), " {:x} {} {}", part.echo_incarnation, part.echo_stamp,
+                       part.lease_parts);
+    return text;
 }
 
-std::optional<Row> read_row(std::string_view text) {
-    Words words(text);
-    if (words.next() != kRowForm) return std::nullopt;
-    constexpr std::uint64_t kMost = ~std::uint64_t{0};
-    Row row;
-    row.incarnation = words.number<std::uint64_t>(1, kMost, 16);
-    row.stamp = words.number<std::uint64_t>(1, kMost >> 1);
-    row.plan = words.number<int>(0, 1 << 20);
-    row.first = words.number<int>(0, 1 << 20);
-    row.width = words.number<int>(1, kWidest);
-    row.demand = words.real(0.0, kMostDemand);
-    row.fill = words.real(0.0, 1.0);
+std::optional<QuotaRow> parse_row(std::string_view text) {
+    WordReader words(text);
+    if (words.next_word() != kRowFormat) return std::nullopt;
+    constexpr std::uint64_t kMaxValue = ~std::uint64_t{0};
+    QuotaRow row;
+    row.incarnation = words.read_number<std::uint64_t>(1, kMaxValue, 16);
+    row.row_stamp = words.read_number<std::uint64_t>(1, kMaxValue >> 1);
+    row.plan_index = words.read_number<int>(0, 1 << 20);
+    row.first_gateway = words.read_number<int>(0, 1 << 20);
+    row.set_size = words.read_number<int>(1, kMaxGatewaySet);
+    row.demand = words.read_real(0.0, kMaxDemand);
+    row.fill_level = words.read_real(0.0, 1.0);
     std::uint64_t leased = 0;
-    for (int i = 0; i < row.width && words.good(); ++i) {
-        Row::Part part;
-        part.echo_incarnation = words.number<std::uint64_t>(0, kMost, 16);
-        part.echo_stamp = words.number<std::uint64_t>(0, kMost >> 1);
-        part.lease = words.number<std::uint32_t>(0, kWhole);
-        leased += part.lease;
+    for (int index = 0; index < row.set_size && words.good(); ++index) {
+        QuotaRow::Part part;
+        part.echo_incarnation = words.read_number<std::uint64_t>(0, kMaxValue, 16);
+        part.echo_stamp = words.read_number<std::uint64_t>(0, kMaxValue >> 1);
+        part.lease_parts = words.read_number<std::uint32_t>(0, kFullBaseline);
+        leased += part.lease_parts;
         row.parts.push_back(part);
     }
     // More than the whole was never leased by one of ours.
-    if (!words.good() || !words.done() || leased > kWhole) return std::nullopt;
+    if (!words.good() || !words.done() || leased > kFullBaseline) return std::nullopt;
     return row;
 }
 
-std::string write_news(const News& news) {
-    std::string out = fmt::format("{} {:x} {} {}", kNewsForm, news.incarnation, news.last, news.items.size());
-    for (const News::Item& item : news.items)
-        fmt::format_to(std::back_inserter(out), " {:x} {} {} {}", static_cast<std::uint64_t>(item.customer),
-                       item.plan, item.first, item.width);
-    return out;
+std::string serialize_announcement(const Announcement& announcement) {
+    std::string text = fmt::format("{} {:x} {} {}", kAnnouncementFormat, announcement.incarnation,
+                                   announcement.item_count, announcement.items.size());
+    for (const Announcement::Item& item : announcement.items)
+        fmt::format_to(std::back_inserter(text), " {:x} {} {} {}", static_cast<std::uint64_t>(item.customer),
+                       item.plan_index, item.first_gateway, item.set_size);
+    return text;
 }
 
-std::optional<News> read_news(std::string_view text) {
-    Words words(text);
-    if (words.next() != kNewsForm) return std::nullopt;
-    constexpr std::uint64_t kMost = ~std::uint64_t{0};
-    News news;
-    news.incarnation = words.number<std::uint64_t>(1, kMost, 16);
-    news.last = words.number<std::uint64_t>(0, kMost >> 1);
-    const auto count = words.number<std::size_t>(0, std::min<std::uint64_t>(kMostItems, news.last));
-    for (std::size_t i = 0; i < count && words.good(); ++i) {
-        News::Item item;
-        item.customer = decision::CustomerId{words.number<std::uint64_t>(0, kMost, 16)};
-        item.plan = words.number<int>(0, 1 << 20);
-        item.first = words.number<int>(0, 1 << 20);
-        item.width = words.number<int>(1, kWidest);
-        news.items.push_back(item);
+std::optional<Announcement> parse_announcement(std::string_view text) {
+    WordReader words(text);
+    if (words.next_word() != kAnnouncementFormat) return std::nullopt;
+    constexpr std::uint64_t kMaxValue = ~std::uint64_t{0};
+    Announcement announcement;
+    announcement.incarnation = words.read_number<std::uint64_t>(1, kMaxValue, 16);
+    announcement.item_count = words.read_number<std::uint64_t>(0, kMaxValue >> 1);
+    const auto count =
+        words.read_number<std::size_t>(0, std::min<std::uint64_t>(kMaxItems, announcement.item_count));
+    for (std::size_t index = 0; index < count && words.good(); ++index) {
+        Announcement::Item item;
+        item.customer = decision::CustomerId{words.read_number<std::uint64_t>(0, kMaxValue, 16)};
+        item.plan_index = words.read_number<int>(0, 1 << 20);
+        item.first_gateway = words.read_number<int>(0, 1 << 20);
+        item.set_size = words.read_number<int>(1, kMaxGatewaySet);
+        announcement.items.push_back(item);
     }
     if (!words.good() || !words.done()) return std::nullopt;
-    return news;
+    return announcement;
 }
 
 }    // namespace shaletray::limits
