--- a/src/data_plane/limits/quota_state_table.cpp
+++ b/src/data_plane/limits/quota_state_table.cpp
@@ -10,808 +10,915 @@
 
 // A holder stops this much before the giver counts on it: for clocks that run unlike, and for a busy turn.
 constexpr double kClockDrift = 0.02;
-constexpr Duration kTurnMargin = 50ms;
-constexpr int kRenewsPerLease = 4;       // rows of customers in use are written anew so often in a lease
-constexpr int kOverdueEighths = 3;       // of a lease: by then a row should have come
-constexpr int kFreshPart = 2;            // of a lease: who was not heard for so long is not leased to
-constexpr int kWantedWindows = 5;        // demand windows after the last request, in which rows go on
-constexpr Duration kStill = 3s;          // without news of a customer, after which its rows are read less
-constexpr Duration kForget = 30s;        // after the last request, once nothing is owed any more
-constexpr double kBaseWeight = 0.05;     // of an even part of the rate: a foot in the door for new traffic
-constexpr double kShift = 0.02;          // of a baseline: smaller moves are not worth what they lose,
-constexpr double kCalmShift = 0.12;      // and while no store of the quota runs low, neither are these
-constexpr double kLow = 0.5;             // of a store: below it, it runs low
-constexpr double kPressed = 0.8;         // of the rate that is owned: who asks for more needs the others
-constexpr double kDemandShift = 0.25;    // told anew before its time where it moved by this part of itself,
-constexpr double kDemandStep = 0.3;      // and by so many units a second, or by this part of the plan's rate
-constexpr double kDemandPart = 0.1;
-constexpr int kLongestWindow = 4;    // demand windows, over which a deep store's demand is averaged
-constexpr double kStay = 3.0;        // advantage in weight of those who hold a small ceiling already
-constexpr double kSmall = 2.0;       // largest requests in an even part of a ceiling: below it, it is small
-
-double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
+constexpr Duration kLeaseTurnMargin = 50ms;
+constexpr int kRenewsPerLease = 4;           // rows of customers in use are written anew so often in a lease
+constexpr int kOverdueLeaseEighths = 3;      // of a lease: by then a row should have come
+constexpr int kFreshLeaseDivisor = 2;        // of a lease: who was not heard for so long is not leased to
+constexpr int kExchangeDemandWindows = 5;    // demand windows after the last request, in which rows go on
+constexpr Duration kQuietReadDelay = 3s;     // without news of a customer, after which its rows are read less
+constexpr Duration kForgetDelay = 30s;       // after the last request, once nothing is owed any more
+constexpr double kMinShareWeight = 0.05;    // of an even part of the rate: a foot in the door for new traffic
+constexpr double kMinBaselineShift = 0.02;    // of a baseline: smaller moves are not worth what they lose,
+constexpr double kMinCalmBaselineShift =
+    0.12;                                    // and while no store of the quota runs low, neither are these
+constexpr double kLowLevelFraction = 0.5;    // of a store: below it, it runs low
+constexpr double kPressureRateFraction =
+    0.8;    // of the rate that is owned: who asks for more needs the others
+constexpr double kMinDemandChangeFraction =
+    0.25;    // told anew before its time where it moved by this part of itself,
+constexpr double kMinDemandChangeUnits =
+    0.3;    // and by so many units a second, or by this part of the plan's rate
+constexpr double kMinDemandChangeRateFraction = 0.1;
+constexpr int kMaxAveragedWindows = 4;    // demand windows, over which a deep store's demand is averaged
+constexpr double kCurrentHolderWeight =
+    3.0;    // advantage in weight of those who hold a small ceiling already
+constexpr double kSmallShareRequests =
+    2.0;    // largest requests in an even part of a ceiling: below it, it is small
+
+double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 }    // namespace
 
-void LedgerSettings::check() const {
+void QuotaTableSettings::validate() const {
     using decision::BadSettings;
-    if (gateways < 1 || me < 0 || me >= gateways) throw BadSettings("ledger: own number out of range");
+    if (gateway_count < 1 || own_index < 0 || own_index >= gateway_count)
+        throw BadSettings("ledger: own number out of range");
     if (plans.empty()) throw BadSettings("ledger: no plans");
     if (incarnation == 0) throw BadSettings("ledger: the incarnation must be above 0");
-    if (lease < 500ms || lease > 10min) throw BadSettings("ledger: lease must be 500 ms to 10 min");
-    if (!(reserve >= 0.0 && reserve < 1.0)) throw BadSettings("ledger: reserve must be 0 to below 1");
-    if (!(alone_share >= 0.0 && alone_share <= 1.0)) throw BadSettings("ledger: alone_share must be 0 to 1");
-    if (alone_after < Duration(0)) throw BadSettings("ledger: negative alone_after");
+    if (lease_duration < 500ms || lease_duration > 10min)
+        throw BadSettings("ledger: lease must be 500 ms to 10 min");
+    if (!(reserve_fraction >= 0.0 && reserve_fraction < 1.0))
+        throw BadSettings("ledger: reserve must be 0 to below 1");
+    if (!(isolated_quota_share >= 0.0 && isolated_quota_share <= 1.0))
+        throw BadSettings("ledger: alone_share must be 0 to 1");
+    if (isolation_timeout < Duration(0)) throw BadSettings("ledger: negative alone_after");
     if (demand_window < 100ms) throw BadSettings("ledger: demand_window must be 100 ms or more");
-    if (!(most_units > 0.0)) throw BadSettings("ledger: most_units must be above 0");
+    if (!(max_request_units > 0.0)) throw BadSettings("ledger: most_units must be above 0");
 }
 
-void Ledger::Bucket::refill(TimePoint now) {
-    if (now > touched) level = std::min(std::max(level, cap), level + rate * seconds(now - touched));
-    touched = std::max(touched, now);
+void QuotaStateTable::Bucket::refill(TimePoint now) {
+    if (now > refilled_at)
+        level = std::min(std::max(level, max_level), level + rate * seconds(now - refilled_at));
+    refilled_at = std::max(refilled_at, now);
 }
 
-Ledger::Ledger(LedgerSettings settings, TimePoint now)
-    : s_(std::move(settings)),
-      boot_(now),
-      hold_(Duration(static_cast<std::int64_t>(static_cast<double>(s_.lease.count()) * (1.0 - kClockDrift))) -
-            kTurnMargin) {
-    s_.check();
-    news_.incarnation = s_.incarnation;
+QuotaStateTable::QuotaStateTable(QuotaTableSettings settings, TimePoint now)
+    : settings_(std::move(settings)),
+      started_at_(now),
+      lease_hold_time_(Duration(static_cast<std::int64_t>(
+                           static_cast<double>(settings_.lease_duration.count()) * (1.0 - kClockDrift))) -
+                       kLeaseTurnMargin) {
+    settings_.validate();
+    announcement_.incarnation = settings_.incarnation;
 }
 
 // ---- a customer ----
 
-Ledger::Customer* Ledger::find(CustomerId id) {
-    const auto it = customers_.find(id);
-    return it == customers_.end() ? nullptr : &it->second;
+QuotaStateTable::Customer* QuotaStateTable::find_customer(CustomerId customer_id) {
+    const auto found = customers_.find(customer_id);
+    return found == customers_.end() ? nullptr : &found->second;
 }
 
-const Ledger::Customer* Ledger::find(CustomerId id) const {
-    const auto it = customers_.find(id);
-    return it == customers_.end() ? nullptr : &it->second;
+const QuotaStateTable::Customer* QuotaStateTable::find_customer(CustomerId customer_id) const {
+    const auto found = customers_.find(customer_id);
+    return found == customers_.end() ? nullptr : &found->second;
 }
 
-const LedgerTerms* Ledger::extra(int plan) const {
-    const auto it = extra_.find(plan);
-    return it == extra_.end() ? nullptr : &it->second;
+const CustomTerms* QuotaStateTable::find_custom_terms(int plan) const {
+    const auto found = custom_terms_.find(plan);
+    return found == custom_terms_.end() ? nullptr : &found->second;
 }
 
-const decision::PlanSettings* Ledger::terms(int plan) const {
-    if (plan >= 0 && static_cast<std::size_t>(plan) < s_.plans.size())
-        return &s_.plans[static_cast<std::size_t>(plan)];
-    const LedgerTerms* const more = extra(plan);
-    return more == nullptr ? nullptr : &more->figures;
+const decision::PlanSettings* QuotaStateTable::find_terms(int plan) const {
+    if (plan >= 0 && static_cast<std::size_t>(plan) < settings_.plans.size())
+        return &settings_.plans[static_cast<std::size_t>(plan)];
+    const CustomTerms* const more = find_custom_terms(plan);
+    return more == nullptr ? nullptr : &more->plan_settings;
 }
 
-Ledger::Customer* Ledger::track(CustomerId id, int plan_index, int first, int width, TimePoint now,
-                                const Standing& standing) {
-    if (Customer* c = find(id)) return c;
-    const bool sane = terms(plan_index) != nullptr && first >= 0 && first < s_.gateways && width >= 1 &&
-                      width <= s_.gateways && width <= kWidest;
-    const int place = sane ? ((s_.me - first) % s_.gateways + s_.gateways) % s_.gateways : width;
-    if (!sane || place >= width) return nullptr;
-    if (customers_.size() >= s_.most_customers) {
-        ++stats_.untracked;
+QuotaStateTable::Customer* QuotaStateTable::track_customer(CustomerId customer_id, int plan_index,
+                                                           int first_gateway, int set_size, TimePoint now,
+                                                           const CustomerStanding& standing) {
+    if (Customer* customer = find_customer(customer_id)) return customer;
+    const bool sane = find_terms(plan_index) != nullptr && first_gateway >= 0 &&
+                      first_gateway < settings_.gateway_count && set_size >= 1 &&
+                      set_size <= settings_.gateway_count && set_size <= kMaxGatewaySet;
+    const int place =
+        sane ? ((settings_.own_index - first_gateway) % settings_.gateway_count + settings_.gateway_count) %
+                   settings_.gateway_count
+             : set_size;
+    if (!sane || place >= set_size) return nullptr;
+    if (customers_.size() >= settings_.max_customers) {
+        ++statistics_.untracked_customers;
         return nullptr;
     }
-    Customer& c = customers_[id];
-    c.plan = plan_index;
-    c.first = first;
-    c.width = width;
-    c.place = place;
-    c.since = c.asked = c.demand_at = now;
-    for (int at = 0; at < width; ++at) {
-        if (at == place) continue;
-        Member m;
-        m.gateway = (first + at) % s_.gateways;
-        m.place = at;
-        c.members.push_back(m);
+    Customer& customer = customers_[customer_id];
+    customer.plan_index = plan_index;
+    customer.first_gateway = first_gateway;
+    customer.set_size = set_size;
+    customer.position = place;
+    customer.tracked_since = customer.last_request_at = customer.demand_at = now;
+    for (int position = 0; position < set_size; ++position) {
+        if (position == place) continue;
+        PeerState peer;
+        peer.gateway_index = (first_gateway + position) % settings_.gateway_count;
+        peer.position = position;
+        customer.peers.push_back(peer);
     }
-    const decision::PlanSettings& p = plan(c);
-    const double quota = own_quota_share(c);
-    double full = standing.rested_quota < 0.0 ? p.burst : std::min(p.burst, standing.rested_quota);
-    const LedgerTerms* const account = extra(plan_index);
-    if (account != nullptr && account->account && account->filled_from != TimePoint{})
-        full = std::min(p.burst, p.rate * seconds(std::max(Duration(0), now - account->filled_from)));
-    c.carved = standing.carved;
-    c.quota = {full * quota, p.burst * quota, std::max(0.0, p.rate - c.carved) * quota, now};
-    if (account != nullptr) c.quota.level = std::max(0.0, c.quota.level - account->spent);
+    const decision::PlanSettings& plan_settings = customer_plan(customer);
+    const double quota_limit = base_quota_share(customer);
+    double full = standing.rested_quota_units < 0.0
+                      ? plan_settings.burst
+                      : std::min(plan_settings.burst, standing.rested_quota_units);
+    const CustomTerms* const account = find_custom_terms(plan_index);
+    if (account != nullptr && account->is_account && account->fill_starts_at != TimePoint{})
+        full = std::min(plan_settings.burst,
+                        plan_settings.rate * seconds(std::max(Duration(0), now - account->fill_starts_at)));
+    customer.reserved_rate = standing.reserved_rate;
+    customer.quota_bucket = {full * quota_limit, plan_settings.burst * quota_limit,
+                             std::max(0.0, plan_settings.rate - customer.reserved_rate) * quota_limit, now};
+    if (account != nullptr)
+        customer.quota_bucket.level = std::max(0.0, customer.quota_bucket.level - account->spent_units);
     // An earlier life may have spent the ceiling: it counts from this start, and for the first lease's time
     // only as far as nobody can hold any of it.
-    const double own = baseline(c, c.place);
-    const double early = seconds(std::min(now - boot_, s_.lease));
-    const double late = seconds(std::max(Duration(0), now - boot_ - s_.lease));
-    const double share = ceiling_share(c, now);
-    c.ceiling = {0.0, p.ceiling_burst * share, p.ceiling_rate * share, now};
-    c.ceiling.level = std::min(c.ceiling.cap, p.ceiling_rate * own * (reserve(c) * early + late));
-    if (standing.rested_ceiling >= 0.0)
-        c.ceiling.level = std::min(c.ceiling.level, standing.rested_ceiling * share);
-    return &c;
+    const double own_share = baseline_share(customer, customer.position);
+    const double early = seconds(std::min(now - started_at_, settings_.lease_duration));
+    const double late = seconds(std::max(Duration(0), now - started_at_ - settings_.lease_duration));
+    const double share = rate_limit_share(customer, now);
+    customer.rate_bucket = {0.0, plan_settings.ceiling_burst * share, plan_settings.ceiling_rate * share,
+                            now};
+    customer.rate_bucket.level =
+        std::min(customer.rate_bucket.max_level,
+                 plan_settings.ceiling_rate * own_share * (reserve_share(customer) * early + late));
+    if (standing.rested_rate_units >= 0.0)
+        customer.rate_bucket.level = std::min(customer.rate_bucket.level, standing.rested_rate_units * share);
+    return &customer;
 }
 
 // Where an even part of the ceiling has hardly room for a large request, parts are kept whole: only so many
 // gateways hold any at a time, each as much as the others.
-bool Ledger::small(const Customer& c) const {
-    const decision::PlanSettings& p = plan(c);
-    return p.ceiling_rate > 0.0 && p.ceiling_burst / c.width < kSmall * std::max(1.0, s_.most_units);
+bool QuotaStateTable::has_small_quota(const Customer& customer) const {
+    const decision::PlanSettings& plan_settings = customer_plan(customer);
+    return plan_settings.ceiling_rate > 0.0 &&
+           plan_settings.ceiling_burst / customer.set_size <
+               kSmallShareRequests * std::max(1.0, settings_.max_request_units);
 }
 
 // As the module has it where no ledger is: the first gateways of the set hold a ceiling that is small.
-int Ledger::holders(const Customer& c) const {
-    const decision::PlanSettings& p = plan(c);
-    if (p.ceiling_rate <= 0.0) return c.width;
-    return std::clamp(static_cast<int>(p.ceiling_burst / std::max(1.0, s_.most_units)), 1, c.width);
+int QuotaStateTable::quota_holders(const Customer& customer) const {
+    const decision::PlanSettings& plan_settings = customer_plan(customer);
+    if (plan_settings.ceiling_rate <= 0.0) return customer.set_size;
+    return std::clamp(
+        static_cast<int>(plan_settings.ceiling_burst / std::max(1.0, settings_.max_request_units)), 1,
+        customer.set_size);
 }
 
-double Ledger::baseline(const Customer& c, int place) const {
-    const int of = holders(c);
-    return place < of ? 1.0 / of : 0.0;
+double QuotaStateTable::baseline_share(const Customer& customer, int position) const {
+    const int part = quota_holders(customer);
+    return position < part ? 1.0 / part : 0.0;
 }
 
-double Ledger::reserve(const Customer& c) const { return small(c) ? 0.0 : s_.reserve; }
+double QuotaStateTable::reserve_share(const Customer& customer) const {
+    return has_small_quota(customer) ? 0.0 : settings_.reserve_fraction;
+}
 
 // What an earlier life leased may still be in use, until its time is over or each other has seen this life.
-bool Ledger::confined(const Customer& c, TimePoint now) const {
-    if (plan(c).ceiling_rate <= 0.0 || now - boot_ >= s_.lease) return false;
-    return std::any_of(c.members.begin(), c.members.end(), [](const Member& m) { return !m.cleared; });
+bool QuotaStateTable::is_confined(const Customer& customer, TimePoint now) const {
+    if (customer_plan(customer).ceiling_rate <= 0.0 || now - started_at_ >= settings_.lease_duration)
+        return false;
+    return std::any_of(customer.peers.begin(), customer.peers.end(),
+                       [](const PeerState& peer) { return !peer.acknowledged_incarnation; });
 }
 
-std::uint32_t Ledger::liability(const Member& m) {
-    std::uint32_t most = 0;
-    for (const Posting& p : m.out) most = std::max(most, p.lease);
-    return most;
+std::uint32_t QuotaStateTable::lease_liability(const PeerState& peer) {
+    std::uint32_t max_lease = 0;
+    for (const WrittenLease& written : peer.outstanding_leases)
+        max_lease = std::max(max_lease, written.lease_parts);
+    return max_lease;
 }
 
-std::uint32_t Ledger::kept(const Customer& c) const {
-    std::uint32_t out = 0;
-    for (const Member& m : c.members) out += liability(m);
-    return out >= kWhole ? 0 : kWhole - out;
+std::uint32_t QuotaStateTable::retained_baseline(const Customer& customer) const {
+    std::uint32_t lent = 0;
+    for (const PeerState& peer : customer.peers) lent += lease_liability(peer);
+    return lent >= kFullBaseline ? 0 : kFullBaseline - lent;
 }
 
-bool Ledger::fresh(const Member& m, TimePoint now) const {
-    return m.known && now - m.heard < s_.lease / kFreshPart;
+bool QuotaStateTable::is_fresh(const PeerState& peer, TimePoint now) const {
+    return peer.is_known && now - peer.last_heard < settings_.lease_duration / kFreshLeaseDivisor;
 }
 
 // Some gateway of the set is not heard: it may be gone, or apart from us and granting.
-bool Ledger::unheard(const Customer& c, TimePoint now) const {
-    if (now >= c.wanted_until || now - c.since < s_.alone_after) return false;
-    return std::any_of(c.members.begin(), c.members.end(), [&](const Member& m) { return !fresh(m, now); });
+bool QuotaStateTable::has_silent_peer(const Customer& customer, TimePoint now) const {
+    if (now >= customer.exchange_until || now - customer.tracked_since < settings_.isolation_timeout)
+        return false;
+    return std::any_of(customer.peers.begin(), customer.peers.end(),
+                       [&](const PeerState& peer) { return !is_fresh(peer, now); });
 }
 
 // A little longer than that: when all are heard again it takes a few rows until parts are leased by demand.
-bool Ledger::alone(const Customer& c, TimePoint now) const { return now < c.alone_until || unheard(c, now); }
-
-double Ledger::ceiling_share(const Customer& c, TimePoint now) const {
-    if (plan(c).ceiling_rate <= 0.0) return 0.0;
-    const double fixed = reserve(c);
-    const double own = confined(c, now) ? 0.0 : static_cast<double>(kept(c)) / kWhole;
-    double share = baseline(c, c.place) * (fixed + (1.0 - fixed) * own);
-    for (const Member& m : c.members)
-        share += baseline(c, m.place) * (1.0 - fixed) * static_cast<double>(m.held) / kWhole;
+bool QuotaStateTable::is_isolated(const Customer& customer, TimePoint now) const {
+    return now < customer.isolated_until || has_silent_peer(customer, now);
+}
+
+double QuotaStateTable::rate_limit_share(const Customer& customer, TimePoint now) const {
+    if (customer_plan(customer).ceiling_rate <= 0.0) return 0.0;
+    const double fixed = reserve_share(customer);
+    const double own_share =
+        is_confined(customer, now) ? 0.0 : static_cast<double>(retained_baseline(customer)) / kFullBaseline;
+    double share = baseline_share(customer, customer.position) * (fixed + (1.0 - fixed) * own_share);
+    for (const PeerState& peer : customer.peers)
+        share += baseline_share(customer, peer.position) * (1.0 - fixed) *
+                 static_cast<double>(peer.lease_received) / kFullBaseline;
     return share;
 }
 
-double Ledger::own_quota_share(const Customer& c) const {
-    double share = baseline(c, c.place) * static_cast<double>(kept(c)) / kWhole;
-    for (const Member& m : c.members) share += baseline(c, m.place) * static_cast<double>(m.held) / kWhole;
+double QuotaStateTable::base_quota_share(const Customer& customer) const {
+    double share = baseline_share(customer, customer.position) *
+                   static_cast<double>(retained_baseline(customer)) / kFullBaseline;
+    for (const PeerState& peer : customer.peers)
+        share += baseline_share(customer, peer.position) * static_cast<double>(peer.lease_received) /
+                 kFullBaseline;
     return share;
 }
 
 // A gateway that does not hear of all others stands in for them as far as the operator allows.
-double Ledger::quota_share(const Customer& c, TimePoint now) const {
-    const double share = own_quota_share(c);
-    if (!unheard(c, now)) return now < c.alone_until ? std::max(share, c.stood_in) : share;
-    double heard = baseline(c, c.place);
-    for (const Member& m : c.members) heard += fresh(m, now) ? baseline(c, m.place) : 0.0;
-    const double of_those = heard > 0.0 ? share / heard : 1.0;
-    return std::max(share, std::min(s_.alone_share, of_those));
+double QuotaStateTable::quota_share(const Customer& customer, TimePoint now) const {
+    const double share = base_quota_share(customer);
+    if (!has_silent_peer(customer, now))
+        return now < customer.isolated_until ? std::max(share, customer.isolated_share) : share;
+    double heard_share = baseline_share(customer, customer.position);
+    for (const PeerState& peer : customer.peers)
+        heard_share += is_fresh(peer, now) ? baseline_share(customer, peer.position) : 0.0;
+    const double of_those = heard_share > 0.0 ? share / heard_share : 1.0;
+    return std::max(share, std::min(settings_.isolated_quota_share, of_those));
 }
 
-double Ledger::ceiling_share(CustomerId id, TimePoint now) const {
-    const Customer* c = find(id);
-    return c == nullptr ? 0.0 : ceiling_share(*c, now);
+double QuotaStateTable::rate_limit_share(CustomerId customer_id, TimePoint now) const {
+    const Customer* customer = find_customer(customer_id);
+    return customer == nullptr ? 0.0 : rate_limit_share(*customer, now);
 }
 
-double Ledger::quota_share(CustomerId id, TimePoint now) const {
-    const Customer* c = find(id);
-    return c == nullptr ? 0.0 : quota_share(*c, now);
+double QuotaStateTable::quota_share(CustomerId customer_id, TimePoint now) const {
+    const Customer* customer = find_customer(customer_id);
+    return customer == nullptr ? 0.0 : quota_share(*customer, now);
 }
 
 // As long as the store of the quota lasts: what it evens out need not move shares.
-double Ledger::window(const Customer& c) const {
-    const decision::PlanSettings& p = plan(c);
-    const double least = seconds(s_.demand_window);
-    return p.rate > 0.0 ? std::clamp(p.burst / p.rate, least, kLongestWindow * least) : least;
+double QuotaStateTable::demand_window(const Customer& customer) const {
+    const decision::PlanSettings& plan_settings = customer_plan(customer);
+    const double least = seconds(settings_.demand_window);
+    return plan_settings.rate > 0.0
+               ? std::clamp(plan_settings.burst / plan_settings.rate, least, kMaxAveragedWindows * least)
+               : least;
 }
 
-double Ledger::demand_step(const Customer& c) const {
-    return std::max(kDemandStep, kDemandPart * plan(c).rate);
+double QuotaStateTable::min_demand_change(const Customer& customer) const {
+    return std::max(kMinDemandChangeUnits, kMinDemandChangeRateFraction * customer_plan(customer).rate);
 }
 
-double Ledger::demand(const Customer& c, TimePoint now) const {
-    if (now - c.asked > kWantedWindows * s_.demand_window) return 0.0;
-    return c.demand * std::exp(-seconds(now - c.demand_at) / window(c));
+double QuotaStateTable::current_demand(const Customer& customer, TimePoint now) const {
+    if (now - customer.last_request_at > kExchangeDemandWindows * settings_.demand_window) return 0.0;
+    return customer.demand * std::exp(-seconds(now - customer.demand_at) / demand_window(customer));
 }
 
 // What this gateway owns may not do for what is asked of it: rows must travel. Where it does, nothing is
 // exchanged at all, and each gateway keeps to its baseline.
-bool Ledger::pressed(Customer& c, TimePoint now) const {
-    const decision::PlanSettings& p = plan(c);
-    c.quota.refill(now);
-    c.ceiling.refill(now);
-    const auto low = [&](const Bucket& b) { return b.cap < s_.most_units || b.level <= kLow * b.cap; };
-    if (p.burst > 0.0 && low(c.quota)) return true;
-    if (p.ceiling_rate > 0.0 && low(c.ceiling)) return true;
-    return demand(c, now) > kPressed * baseline(c, c.place) * p.rate;
+bool QuotaStateTable::is_under_pressure(Customer& customer, TimePoint now) const {
+    const decision::PlanSettings& plan_settings = customer_plan(customer);
+    customer.quota_bucket.refill(now);
+    customer.rate_bucket.refill(now);
+    const auto is_low = [&](const Bucket& bucket) {
+        return bucket.max_level < settings_.max_request_units ||
+               bucket.level <= kLowLevelFraction * bucket.max_level;
+    };
+    if (plan_settings.burst > 0.0 && is_low(customer.quota_bucket)) return true;
+    if (plan_settings.ceiling_rate > 0.0 && is_low(customer.rate_bucket)) return true;
+    return current_demand(customer, now) >
+           kPressureRateFraction * baseline_share(customer, customer.position) * plan_settings.rate;
 }
 
 // Ends what ran out. A holder's end comes before its giver's, by the margins above.
-bool Ledger::settle(Customer& c, TimePoint now) {
-    for (Member& m : c.members) {
-        if (m.held > 0 && now >= m.held_until) {
-            m.held = 0;
-            ++stats_.leases_ended;
+bool QuotaStateTable::update_to_now(Customer& customer, TimePoint now) {
+    for (PeerState& peer : customer.peers) {
+        if (peer.lease_received > 0 && now >= peer.lease_expires_at) {
+            peer.lease_received = 0;
+            ++statistics_.leases_expired;
         }
-        const std::uint32_t before = liability(m);
-        std::erase_if(m.out, [&](const Posting& p) { return now >= p.void_at; });
-        if (liability(m) < before) ++stats_.reclaimed;
+        const std::uint32_t before = lease_liability(peer);
+        std::erase_if(peer.outstanding_leases,
+                      [&](const WrittenLease& written) { return now >= written.expires_at; });
+        if (lease_liability(peer) < before) ++statistics_.leases_reclaimed;
     }
-    if (unheard(c, now)) {
-        c.stood_in = quota_share(c, now);
-        c.alone_until = now + s_.alone_after;
+    if (has_silent_peer(customer, now)) {
+        customer.isolated_share = quota_share(customer, now);
+        customer.isolated_until = now + settings_.isolation_timeout;
     }
-    return reshare(c, now);
-}
-
-bool Ledger::reshare(Customer& c, TimePoint now) {
-    const decision::PlanSettings& p = plan(c);
-    c.quota.refill(now);
-    c.ceiling.refill(now);
-    const double quota = quota_share(c, now), ceiling = ceiling_share(c, now);
-    const double burst = p.burst * quota;
-    if (burst < c.quota.cap && c.quota.level > 0.0) {    // units go with the part that goes
-        const double level = c.quota.level * burst / c.quota.cap;
-        c.gain += level - c.quota.level;
-        c.quota.level = level;
+    return update_shares(customer, now);
+}
+
+bool QuotaStateTable::update_shares(Customer& customer, TimePoint now) {
+    const decision::PlanSettings& plan_settings = customer_plan(customer);
+    customer.quota_bucket.refill(now);
+    customer.rate_bucket.refill(now);
+    const double quota_limit = quota_share(customer, now), ceiling = rate_limit_share(customer, now);
+    const double burst = plan_settings.burst * quota_limit;
+    if (burst < customer.quota_bucket.max_level &&
+        customer.quota_bucket.level > 0.0) {    // units go with the part that goes
+        const double level = customer.quota_bucket.level * burst / customer.quota_bucket.max_level;
+        customer.unreported_units += level - customer.quota_bucket.level;
+        customer.quota_bucket.level = level;
     }
-    const bool changed = burst != c.quota.cap || c.quota.rate != std::max(0.0, p.rate - c.carved) * quota ||
-                         p.ceiling_burst * ceiling != c.ceiling.cap || c.gain != 0.0;
-    c.quota.cap = burst;
-    c.quota.rate = std::max(0.0, p.rate - c.carved) * quota;
-    c.ceiling.cap = p.ceiling_burst * ceiling;
-    c.ceiling.rate = p.ceiling_rate * ceiling;
-    c.ceiling.level = std::min(c.ceiling.level, c.ceiling.cap);
+    const bool changed = burst != customer.quota_bucket.max_level ||
+                         customer.quota_bucket.rate !=
+                             std::max(0.0, plan_settings.rate - customer.reserved_rate) * quota_limit ||
+                         plan_settings.ceiling_burst * ceiling != customer.rate_bucket.max_level ||
+                         customer.unreported_units != 0.0;
+    customer.quota_bucket.max_level = burst;
+    customer.quota_bucket.rate = std::max(0.0, plan_settings.rate - customer.reserved_rate) * quota_limit;
+    customer.rate_bucket.max_level = plan_settings.ceiling_burst * ceiling;
+    customer.rate_bucket.rate = plan_settings.ceiling_rate * ceiling;
+    customer.rate_bucket.level = std::min(customer.rate_bucket.level, customer.rate_bucket.max_level);
     return changed;
 }
 
-Allowance Ledger::told(CustomerId id, Customer& c) {
-    c.told = true;
-    const LedgerTerms* const more = extra(c.plan);
-    const Customer* const owner = more != nullptr && more->account ? find(more->owner) : nullptr;
-    const Bucket& ceiling = owner != nullptr ? owner->ceiling : c.ceiling;
-    return {id,
-            more != nullptr ? more->like : c.plan,
-            c.first,
-            c.width,
-            c.quota.rate,
-            c.quota.cap,
-            std::exchange(c.gain, 0.0),
+Allowance QuotaStateTable::make_allowance(CustomerId customer_id, Customer& customer) {
+    customer.is_reported = true;
+    const CustomTerms* const more = find_custom_terms(customer.plan_index);
+    const Customer* const owner = more != nullptr && more->is_account ? find_customer(more->owner) : nullptr;
+    const Bucket& ceiling = owner != nullptr ? owner->rate_bucket : customer.rate_bucket;
+    return {customer_id,
+            more != nullptr ? more->base_plan : customer.plan_index,
+            customer.first_gateway,
+            customer.set_size,
+            customer.quota_bucket.rate,
+            customer.quota_bucket.max_level,
+            std::exchange(customer.unreported_units, 0.0),
             ceiling.rate,
-            ceiling.cap,
+            ceiling.max_level,
             ceiling.level};
 }
 
 // ---- what the gateway sees ----
 
-std::optional<Allowance> Ledger::asked(CustomerId id, int plan_index, int first, int width, double units,
-                                       TimePoint now, const Standing& standing) {
-    Customer* c = track(id, plan_index, first, width, now, standing);
-    if (c == nullptr) return std::nullopt;
-    c->carved = standing.carved;
-    if (c->plan != plan_index && terms(plan_index) != nullptr) replan(id, *c, plan_index, now);
-    c->demand = demand(*c, now) + std::max(0.0, units) / window(*c);
-    c->demand_at = c->asked = now;
-    if (pressed(*c, now)) {
-        if (now >= c->wanted_until) announce(id, *c);
-        want(id, *c, now + kWantedWindows * s_.demand_window, now);
+std::optional<Allowance> QuotaStateTable::on_request(CustomerId customer_id, int plan_index,
+                                                     int first_gateway, int set_size, double units,
+                                                     TimePoint now, const CustomerStanding& standing) {
+    Customer* customer = track_customer(customer_id, plan_index, first_gateway, set_size, now, standing);
+    if (customer == nullptr) return std::nullopt;
+    customer->reserved_rate = standing.reserved_rate;
+    if (customer->plan_index != plan_index && find_terms(plan_index) != nullptr)
+        switch_plan(customer_id, *customer, plan_index, now);
+    customer->demand = current_demand(*customer, now) + std::max(0.0, units) / demand_window(*customer);
+    customer->demand_at = customer->last_request_at = now;
+    if (is_under_pressure(*customer, now)) {
+        if (now >= customer->exchange_until) announce_customer(customer_id, *customer);
+        request_exchange(customer_id, *customer, now + kExchangeDemandWindows * settings_.demand_window, now);
     }
-    const double moved = std::abs(demand(*c, now) - c->told_demand);
-    if (now < c->wanted_until && moved > demand_step(*c) + kDemandShift * c->told_demand) mark(id, *c);
-    return touch(id, *c, now);
-}
-
-Allowance Ledger::touch(CustomerId id, Customer& c, TimePoint now) {
-    settle(c, now);
-    schedule(id, c, now);
-    return told(id, c);
-}
-
-void Ledger::admitted(CustomerId id, double units, TimePoint now) {
-    Customer* c = find(id);
-    if (c == nullptr) return;
-    c->quota.refill(now);
-    c->ceiling.refill(now);
-    c->quota.level -= units;
-    if (const LedgerTerms* more = extra(c->plan); more != nullptr && more->account) {
-        if (Customer* owner = find(more->owner)) {
-            owner->ceiling.refill(now);
-            if (plan(*owner).ceiling_rate > 0.0) owner->ceiling.level -= units;
+    const double moved = std::abs(current_demand(*customer, now) - customer->reported_demand);
+    if (now < customer->exchange_until &&
+        moved > min_demand_change(*customer) + kMinDemandChangeFraction * customer->reported_demand)
+        mark_dirty(customer_id, *customer);
+    return update_and_report(customer_id, *customer, now);
+}
+
+Allowance QuotaStateTable::update_and_report(CustomerId customer_id, Customer& customer, TimePoint now) {
+    update_to_now(customer, now);
+    schedule_customer(customer_id, customer, now);
+    return make_allowance(customer_id, customer);
+}
+
+void QuotaStateTable::record_admission(CustomerId customer_id, double units, TimePoint now) {
+    Customer* customer = find_customer(customer_id);
+    if (customer == nullptr) return;
+    customer->quota_bucket.refill(now);
+    customer->rate_bucket.refill(now);
+    customer->quota_bucket.level -= units;
+    if (const CustomTerms* more = find_custom_terms(customer->plan_index);
+        more != nullptr && more->is_account) {
+        if (Customer* owner = find_customer(more->owner)) {
+            owner->rate_bucket.refill(now);
+            if (customer_plan(*owner).ceiling_rate > 0.0) owner->rate_bucket.level -= units;
         }
         return;
     }
     // Where there is no ceiling, nothing is owed to one that comes with a later plan.
-    if (plan(*c).ceiling_rate > 0.0) c->ceiling.level -= units;
+    if (customer_plan(*customer).ceiling_rate > 0.0) customer->rate_bucket.level -= units;
 }
 
-void Ledger::settled(CustomerId id, double difference, TimePoint now) {
-    Customer* c = find(id);
-    if (c == nullptr) return;
-    c->quota.refill(now);
+void QuotaStateTable::settle_units(CustomerId customer_id, double difference, TimePoint now) {
+    Customer* customer = find_customer(customer_id);
+    if (customer == nullptr) return;
+    customer->quota_bucket.refill(now);
     // Given back, it holds no more than it could have held.
-    c->quota.level = std::min(c->quota.level - difference, c->quota.cap);
+    customer->quota_bucket.level =
+        std::min(customer->quota_bucket.level - difference, customer->quota_bucket.max_level);
 }
 
 // ---- plans that change in service ----
 
-void Ledger::define(int plan, LedgerTerms terms) {
-    if (plan >= 0 && static_cast<std::size_t>(plan) < s_.plans.size())
+void QuotaStateTable::define_terms(int plan, CustomTerms terms) {
+    if (plan >= 0 && static_cast<std::size_t>(plan) < settings_.plans.size())
         throw decision::BadSettings("ledger: the settings' own plans are as they are");
-    extra_.emplace(plan, std::move(terms));
+    custom_terms_.emplace(plan, std::move(terms));
 }
 
 // Units only ever come from rate x time: whatever sequence of plans a customer goes through, it gets no more
 // than the largest of their stores once, and the largest rate.
-void Ledger::replan(CustomerId id, Customer& c, int to, TimePoint now) {
-    c.quota.refill(now);
-    c.ceiling.refill(now);
-    const int before = holders(c);
-    c.plan = to;
-    ++stats_.replanned;
+void QuotaStateTable::switch_plan(CustomerId customer_id, Customer& customer, int target_plan,
+                                  TimePoint now) {
+    customer.quota_bucket.refill(now);
+    customer.rate_bucket.refill(now);
+    const int before = quota_holders(customer);
+    customer.plan_index = target_plan;
+    ++statistics_.plan_switches;
     // A lease is a part of a baseline. Where those are others now, it means nothing any more.
-    if (holders(c) != before) {
-        for (Member& m : c.members) m.held = m.credited = 0;
+    if (quota_holders(customer) != before) {
+        for (PeerState& peer : customer.peers) peer.lease_received = peer.lease_credited = 0;
     }
-    const double cap = plan(c).burst * quota_share(c, now);
-    const double level = std::min(c.quota.level, cap);
-    c.gain += level - c.quota.level;
-    c.quota.level = level;
-    c.quota.cap = cap;
-    reshare(c, now);
-    if (now < c.wanted_until) mark(id, c);
-}
-
-std::optional<Allowance> Ledger::set(CustomerId id, int plan, double carved, TimePoint now) {
-    Customer* const c = find(id);
-    if (c == nullptr || terms(plan) == nullptr || (c->plan == plan && c->carved == carved))
+    const double max_level = customer_plan(customer).burst * quota_share(customer, now);
+    const double level = std::min(customer.quota_bucket.level, max_level);
+    customer.unreported_units += level - customer.quota_bucket.level;
+    customer.quota_bucket.level = level;
+    customer.quota_bucket.max_level = max_level;
+    update_shares(customer, now);
+    if (now < customer.exchange_until) mark_dirty(customer_id, customer);
+}
+
+std::optional<Allowance> QuotaStateTable::set_plan(CustomerId customer_id, int plan, double carved,
+                                                   TimePoint now) {
+    Customer* const customer = find_customer(customer_id);
+    if (customer == nullptr || find_terms(plan) == nullptr ||
+        (customer->plan_index == plan && customer->reserved_rate == carved))
         return std::nullopt;
-    c->quota.refill(now);
-    c->carved = carved;
-    if (c->plan != plan) replan(id, *c, plan, now);
-    settle(*c, now);
-    schedule(id, *c, now);
-    if (!c->told) return std::nullopt;
-    return told(id, *c);
-}
-
-std::optional<Allowance> Ledger::close(CustomerId id, TimePoint now) {
-    Customer* const c = find(id);
-    if (c == nullptr) return std::nullopt;
-    c->quota.refill(now);
-    const double left = c->quota.level;    // below nothing: the owner's quota makes up for it
-    const LedgerTerms* const more = extra(c->plan);
-    Customer* const owner = more == nullptr ? nullptr : find(more->owner);
+    customer->quota_bucket.refill(now);
+    customer->reserved_rate = carved;
+    if (customer->plan_index != plan) switch_plan(customer_id, *customer, plan, now);
+    update_to_now(*customer, now);
+    schedule_customer(customer_id, *customer, now);
+    if (!customer->is_reported) return std::nullopt;
+    return make_allowance(customer_id, *customer);
+}
+
+std::optional<Allowance> QuotaStateTable::close_account(CustomerId customer_id, TimePoint now) {
+    Customer* const customer = find_customer(customer_id);
+    if (customer == nullptr) return std::nullopt;
+    customer->quota_bucket.refill(now);
+    const double remaining =
+        customer->quota_bucket.level;    // below nothing: the owner's quota makes up for it
+    const CustomTerms* const more = find_custom_terms(customer->plan_index);
+    Customer* const owner = more == nullptr ? nullptr : find_customer(more->owner);
     const CustomerId owner_id = more == nullptr ? CustomerId{} : more->owner;
-    erase(id);
+    erase_customer(customer_id);
     if (owner == nullptr) return std::nullopt;    // not tracked: its own store is full
-    owner->quota.refill(now);
-    const double back = std::min(left, std::max(0.0, owner->quota.cap - owner->quota.level));
-    owner->quota.level += back;
-    owner->gain += back;
-    if (!owner->told) return std::nullopt;
-    return told(owner_id, *owner);
+    owner->quota_bucket.refill(now);
+    const double back =
+        std::min(remaining, std::max(0.0, owner->quota_bucket.max_level - owner->quota_bucket.level));
+    owner->quota_bucket.level += back;
+    owner->unreported_units += back;
+    if (!owner->is_reported) return std::nullopt;
+    return make_allowance(owner_id, *owner);
 }
 
-double Ledger::level(CustomerId id, TimePoint now) {
-    Customer* const c = find(id);
-    if (c == nullptr) return 0.0;
-    c->quota.refill(now);
-    return c->quota.level;
+double QuotaStateTable::quota_level(CustomerId customer_id, TimePoint now) {
+    Customer* const customer = find_customer(customer_id);
+    if (customer == nullptr) return 0.0;
+    customer->quota_bucket.refill(now);
+    return customer->quota_bucket.level;
 }
 
-std::optional<Allowance> Ledger::retell(CustomerId id, TimePoint now) {
-    Customer* const c = find(id);
-    if (c == nullptr || !c->told) return std::nullopt;
-    settle(*c, now);
-    return told(id, *c);
+std::optional<Allowance> QuotaStateTable::refresh_allowance(CustomerId customer_id, TimePoint now) {
+    Customer* const customer = find_customer(customer_id);
+    if (customer == nullptr || !customer->is_reported) return std::nullopt;
+    update_to_now(*customer, now);
+    return make_allowance(customer_id, *customer);
 }
 
-std::vector<CustomerId> Ledger::customers() const {
+std::vector<CustomerId> QuotaStateTable::tracked_customers() const {
     std::vector<CustomerId> ids;
     ids.reserve(customers_.size());
-    for (const auto& [id, c] : customers_) ids.push_back(id);
+    for (const auto& [customer_id, c] : customers_) ids.push_back(customer_id);
     return ids;
 }
 
-void Ledger::erase(CustomerId id) {
-    const auto it = customers_.find(id);
-    if (it == customers_.end()) return;
-    due_.erase({it->second.due, id});
-    dirty_.erase(id);
-    live_.erase(id);
-    customers_.erase(it);
+void QuotaStateTable::erase_customer(CustomerId customer_id) {
+    const auto found = customers_.find(customer_id);
+    if (found == customers_.end()) return;
+    schedule_.erase({found->second.next_due, customer_id});
+    dirty_customers_.erase(customer_id);
+    exchanging_customers_.erase(customer_id);
+    customers_.erase(found);
 }
 
-void Ledger::want(CustomerId id, Customer& c, TimePoint until, TimePoint now) {
-    if (now >= c.wanted_until) {
-        c.since = c.moved = now;
-        mark(id, c);
+void QuotaStateTable::request_exchange(CustomerId customer_id, Customer& customer, TimePoint exchange_until,
+                                       TimePoint now) {
+    if (now >= customer.exchange_until) {
+        customer.tracked_since = customer.last_changed_at = now;
+        mark_dirty(customer_id, customer);
     }
-    c.wanted_until = std::max(c.wanted_until, until);
-    live_.insert(id);
+    customer.exchange_until = std::max(customer.exchange_until, exchange_until);
+    exchanging_customers_.insert(customer_id);
 }
 
-void Ledger::announce(CustomerId id, const Customer& c) {
-    if (c.members.empty()) return;
-    const News::Item item{id, c.plan, c.first, c.width};
-    news_.items.push_back(item);
-    ++news_.last;
-    if (news_.items.size() > s_.most_news) news_.items.erase(news_.items.begin());
+void QuotaStateTable::announce_customer(CustomerId customer_id, const Customer& customer) {
+    if (customer.peers.empty()) return;
+    const Announcement::Item item{customer_id, customer.plan_index, customer.first_gateway,
+                                  customer.set_size};
+    announcement_.items.push_back(item);
+    ++announcement_.item_count;
+    if (announcement_.items.size() > settings_.max_announced_customers)
+        announcement_.items.erase(announcement_.items.begin());
 }
 
-void Ledger::mark(CustomerId id, Customer& c) {
-    if (c.dirty || c.members.empty()) return;
-    c.dirty = true;
-    dirty_.insert(id);
+void QuotaStateTable::mark_dirty(CustomerId customer_id, Customer& customer) {
+    if (customer.is_dirty || customer.peers.empty()) return;
+    customer.is_dirty = true;
+    dirty_customers_.insert(customer_id);
 }
 
-void Ledger::refresh() {
-    for (const CustomerId id : live_) mark(id, customers_.at(id));
+void QuotaStateTable::rewrite_all_rows() {
+    for (const CustomerId customer_id : exchanging_customers_)
+        mark_dirty(customer_id, customers_.at(customer_id));
 }
 
 // ---- rows ----
 
 // Each gateway leases out of its own baseline by what all of the set have asked for, as far as it hears of
 // them: as all do so, each one's parts add up to its part of the demand.
-void Ledger::divide(Customer& c, TimePoint now) {
+void QuotaStateTable::divide_baseline(Customer& customer, TimePoint now) {
     struct Share {
-        Member* member;    // none: ourselves
+        PeerState* member;    // none: ourselves
         double weight, demand;
         std::uint32_t lease = 0;
     };
-    std::vector<Share> shares{{nullptr, 0.0, demand(c, now)}};
-    for (Member& m : c.members) {
-        if (fresh(m, now)) shares.push_back({&m, 0.0, m.demand});
+    std::vector<Share> shares{{nullptr, 0.0, current_demand(customer, now)}};
+    for (PeerState& peer : customer.peers) {
+        if (is_fresh(peer, now)) shares.push_back({&peer, 0.0, peer.demand});
     }
-    const double base = kBaseWeight * std::max(1e-3, plan(c).rate) / c.width;
-    double all = 0.0;
-    for (Share& s : shares) all += s.demand;
-    const bool mine = baseline(c, c.place) > 0.0 && !confined(c, now) && all > 0.0;
-    if (mine && small(c)) {
-        const auto place = [&](const Share& s) { return s.member == nullptr ? c.place : s.member->place; };
-        for (Share& s : shares) {
-            const bool holds = s.member == nullptr ? kept(c) > 0 : s.member->giving > 0;
-            s.weight = s.demand * (holds ? kStay : 1.0);
+    const double base = kMinShareWeight * std::max(1e-3, customer_plan(customer).rate) / customer.set_size;
+    double total_weight = 0.0;
+    for (Share& share : shares) total_weight += share.demand;
+    const bool mine = baseline_share(customer, customer.position) > 0.0 && !is_confined(customer, now) &&
+                      total_weight > 0.0;
+    if (mine && has_small_quota(customer)) {
+        const auto place = [&](const Share& s) {
+            return s.member == nullptr ? customer.position : s.member->position;
+        };
+        for (Share& share : shares) {
+            const bool holds =
+                share.member == nullptr ? retained_baseline(customer) > 0 : share.member->lease_granted > 0;
+            share.weight = share.demand * (holds ? kCurrentHolderWeight : 1.0);
         }
         std::erase_if(shares, [](const Share& s) { return s.weight <= 0.0; });
-        std::sort(shares.begin(), shares.end(), [&](const Share& a, const Share& b) {
-            return a.weight != b.weight ? a.weight > b.weight : place(a) < place(b);
+        std::sort(shares.begin(), shares.end(), [&](const Share& left, const Share& right) {
+            return left.weight != right.weight ? left.weight > right.weight : place(left) < place(right);
         });
-        if (shares.size() > static_cast<std::size_t>(holders(c)))
-            shares.resize(static_cast<std::size_t>(holders(c)));
-        for (Share& s : shares) s.lease = kWhole / static_cast<std::uint32_t>(shares.size());
+        if (shares.size() > static_cast<std::size_t>(quota_holders(customer)))
+            shares.resize(static_cast<std::size_t>(quota_holders(customer)));
+        for (Share& share : shares) share.lease = kFullBaseline / static_cast<std::uint32_t>(shares.size());
     } else if (mine) {
-        all += base * static_cast<double>(shares.size());
-        for (Share& s : shares) s.lease = static_cast<std::uint32_t>((s.demand + base) / all * kWhole);
+        total_weight += base * static_cast<double>(shares.size());
+        for (Share& share : shares)
+            share.lease = static_cast<std::uint32_t>((share.demand + base) / total_weight * kFullBaseline);
     }
     // What is not leased on purpose stays here. Small moves wait, but not those that begin or end a lease.
-    std::map<Member*, std::uint32_t> target;
-    bool moves = false, low = c.quota.level <= kLow * c.quota.cap;
-    for (const Member& m : c.members) low = low || (fresh(m, now) && m.fill <= kLow);
-    const double shift = low || small(c) ? kShift : kCalmShift;
-    for (const Share& s : shares) {
-        if (s.member != nullptr && mine) target[s.member] = s.lease;
+    std::map<PeerState*, std::uint32_t> target_leases;
+    bool moves = false,
+         is_low = customer.quota_bucket.level <= kLowLevelFraction * customer.quota_bucket.max_level;
+    for (const PeerState& peer : customer.peers)
+        is_low = is_low || (is_fresh(peer, now) && peer.fill_level <= kLowLevelFraction);
+    const double shift = is_low || has_small_quota(customer) ? kMinBaselineShift : kMinCalmBaselineShift;
+    for (const Share& share : shares) {
+        if (share.member != nullptr && mine) target_leases[share.member] = share.lease;
     }
-    for (Member& m : c.members) {
-        const std::uint32_t to = target.contains(&m) ? target[&m] : 0;
-        const double by = std::abs(static_cast<double>(to) - static_cast<double>(m.giving)) / kWhole;
-        moves = moves || by > shift || (by > 0.0 && (to == 0 || m.giving == 0));
+    for (PeerState& peer : customer.peers) {
+        const std::uint32_t target_lease = target_leases.contains(&peer) ? target_leases[&peer] : 0;
+        const double relative_change =
+            std::abs(static_cast<double>(target_lease) - static_cast<double>(peer.lease_granted)) /
+            kFullBaseline;
+        moves = moves || relative_change > shift ||
+                (relative_change > 0.0 && (target_lease == 0 || peer.lease_granted == 0));
     }
     if (!moves) return;
-    for (Member& m : c.members) m.giving = std::min(m.giving, target.contains(&m) ? target[&m] : 0);
-    for (Member& m : c.members) {
-        const std::uint32_t to = target.contains(&m) ? target[&m] : 0;
-        if (to <= m.giving) continue;
+    for (PeerState& peer : customer.peers)
+        peer.lease_granted =
+            std::min(peer.lease_granted, target_leases.contains(&peer) ? target_leases[&peer] : 0);
+    for (PeerState& peer : customer.peers) {
+        const std::uint32_t target_lease = target_leases.contains(&peer) ? target_leases[&peer] : 0;
+        if (target_lease <= peer.lease_granted) continue;
         // What another may still act on is not given twice: the rest follows with a later row.
-        const std::uint32_t free = liability(m) + kept(c);
+        const std::uint32_t free = lease_liability(peer) + retained_baseline(customer);
         std::uint32_t others = 0;    // raised in this same row, and not posted yet
-        for (const Member& o : c.members)
-            others += &o != &m && o.giving > liability(o) ? o.giving - liability(o) : 0;
-        const std::uint32_t most = free > others ? free - others : 0;
-        m.giving = std::max(m.giving, std::min(to, most));
+        for (const PeerState& other : customer.peers)
+            others += &other != &peer && other.lease_granted > lease_liability(other)
+                          ? other.lease_granted - lease_liability(other)
+                          : 0;
+        const std::uint32_t max_parts = free > others ? free - others : 0;
+        peer.lease_granted = std::max(peer.lease_granted, std::min(target_lease, max_parts));
     }
 }
 
-Row Ledger::write(Customer& c, TimePoint now) {
-    divide(c, now);
-    const auto age = static_cast<std::uint64_t>(std::max(Duration(0), now - boot_).count());
-    c.stamp = std::max(c.stamp + 1, age);
-    c.posted = now;
-    Row row;
-    row.incarnation = s_.incarnation;
-    row.stamp = c.stamp;
-    row.plan = c.plan;
-    row.first = c.first;
-    row.width = c.width;
-    row.demand = std::min(1e9, c.told_demand = demand(c, now));
-    row.parts.resize(static_cast<std::size_t>(c.width));
-    for (Member& m : c.members) {
-        Row::Part& part = row.parts[static_cast<std::size_t>(m.place)];
-        if (m.known) part = {m.incarnation, m.stamp, m.giving};
-        else m.giving = 0;    // it could not tell how old this is
-        if (!m.out.empty() && m.out.back().lease == m.giving) m.out.pop_back();
+QuotaRow QuotaStateTable::make_row(Customer& customer, TimePoint now) {
+    divide_baseline(customer, now);
+    const auto age = static_cast<std::uint64_t>(std::max(Duration(0), now - started_at_).count());
+    customer.last_row_stamp = std::max(customer.last_row_stamp + 1, age);
+    customer.last_written_at = now;
+    QuotaRow row;
+    row.incarnation = settings_.incarnation;
+    row.row_stamp = customer.last_row_stamp;
+    row.plan_index = customer.plan_index;
+    row.first_gateway = customer.first_gateway;
+    row.set_size = customer.set_size;
+    row.demand = std::min(1e9, customer.reported_demand = current_demand(customer, now));
+    row.parts.resize(static_cast<std::size_t>(customer.set_size));
+    for (PeerState& peer : customer.peers) {
+        QuotaRow::Part& part = row.parts[static_cast<std::size_t>(peer.position)];
+        if (peer.is_known) part = {peer.incarnation, peer.row_stamp, peer.lease_granted};
+        else peer.lease_granted = 0;    // it could not tell how old this is
+        if (!peer.outstanding_leases.empty() &&
+            peer.outstanding_leases.back().lease_parts == peer.lease_granted)
+            peer.outstanding_leases.pop_back();
         // Nothing to remember where nothing was leased and nothing is.
-        if (m.giving > 0 || !m.out.empty()) m.out.push_back({c.stamp, m.giving, now + s_.lease});
+        if (peer.lease_granted > 0 || !peer.outstanding_leases.empty())
+            peer.outstanding_leases.push_back(
+                {customer.last_row_stamp, peer.lease_granted, now + settings_.lease_duration});
     }
-    reshare(c, now);    // before the row is out: from here on the others may act on it
-    row.fill = c.quota.cap > 0.0 ? std::clamp(c.quota.level / c.quota.cap, 0.0, 1.0) : 0.0;
-    c.last = row;
+    update_shares(customer, now);    // before the row is out: from here on the others may act on it
+    row.fill_level = customer.quota_bucket.max_level > 0.0
+                         ? std::clamp(customer.quota_bucket.level / customer.quota_bucket.max_level, 0.0, 1.0)
+                         : 0.0;
+    customer.last_row = row;
     return row;
 }
 
-std::vector<std::pair<CustomerId, Row>> Ledger::rows_due(TimePoint now, std::size_t most) {
-    std::vector<std::pair<CustomerId, Row>> rows;
-    while (rows.size() < most && !dirty_.empty()) {
+std::vector<std::pair<CustomerId, QuotaRow>> QuotaStateTable::rows_due(TimePoint now, std::size_t max_rows) {
+    std::vector<std::pair<CustomerId, QuotaRow>> rows;
+    while (rows.size() < max_rows && !dirty_customers_.empty()) {
         // In turn, so that a crowd of new customers cannot keep another's leases from being renewed.
-        auto it = dirty_.upper_bound(force_cursor_);
-        if (it == dirty_.end()) it = dirty_.begin();
-        const CustomerId id = force_cursor_ = *it;
-        dirty_.erase(it);
-        Customer& c = customers_.at(id);
-        c.dirty = false;
-        settle(c, now);
-        rows.emplace_back(id, write(c, now));
-        schedule(id, c, now);
+        auto found = dirty_customers_.upper_bound(in_force_cursor_);
+        if (found == dirty_customers_.end()) found = dirty_customers_.begin();
+        const CustomerId customer_id = in_force_cursor_ = *found;
+        dirty_customers_.erase(found);
+        Customer& customer = customers_.at(customer_id);
+        customer.is_dirty = false;
+        update_to_now(customer, now);
+        rows.emplace_back(customer_id, make_row(customer, now));
+        schedule_customer(customer_id, customer, now);
     }
     return rows;
 }
 
-std::vector<std::pair<CustomerId, Row>> Ledger::rows_in_force(std::size_t most) {
-    std::vector<std::pair<CustomerId, Row>> rows;
-    for (std::size_t i = 0; i < live_.size() && rows.size() < most; ++i) {
-        auto it = live_.upper_bound(force_cursor_);
-        if (it == live_.end()) it = live_.begin();
-        force_cursor_ = *it;
-        const Customer& c = customers_.at(*it);
-        if (c.stamp > 0) rows.emplace_back(*it, c.last);
+std::vector<std::pair<CustomerId, QuotaRow>> QuotaStateTable::rows_in_force(std::size_t max_rows) {
+    std::vector<std::pair<CustomerId, QuotaRow>> rows;
+    for (std::size_t count = 0; count < exchanging_customers_.size() && rows.size() < max_rows; ++count) {
+        auto found = exchanging_customers_.upper_bound(in_force_cursor_);
+        if (found == exchanging_customers_.end()) found = exchanging_customers_.begin();
+        in_force_cursor_ = *found;
+        const Customer& customer = customers_.at(*found);
+        if (customer.last_row_stamp > 0) rows.emplace_back(*found, customer.last_row);
     }
     return rows;
 }
 
-std::vector<std::pair<CustomerId, int>> Ledger::rows_wanted(TimePoint now, std::size_t most, bool all) {
+std::vector<std::pair<CustomerId, int>> QuotaStateTable::rows_to_read(TimePoint now, std::size_t max_rows,
+                                                                      bool include_all) {
     std::vector<std::pair<CustomerId, int>> rows;
-    for (std::size_t i = 0; i < live_.size() && rows.size() < most; ++i) {
-        auto it = live_.upper_bound(read_cursor_);
-        if (it == live_.end()) it = live_.begin();
-        read_cursor_ = *it;
-        Customer& c = customers_.at(*it);
+    for (std::size_t count = 0; count < exchanging_customers_.size() && rows.size() < max_rows; ++count) {
+        auto found = exchanging_customers_.upper_bound(read_cursor_);
+        if (found == exchanging_customers_.end()) found = exchanging_customers_.begin();
+        read_cursor_ = *found;
+        Customer& customer = customers_.at(*found);
         // Where nothing has moved for a while, rows come anew once in a renewal only.
-        const bool still = now - c.moved > kStill && now - c.read < s_.lease / (2 * kRenewsPerLease);
-        if (still && !all) continue;
-        c.read = now;
-        for (const Member& m : c.members) rows.emplace_back(*it, m.gateway);
+        const bool still = now - customer.last_changed_at > kQuietReadDelay &&
+                           now - customer.last_read_at < settings_.lease_duration / (2 * kRenewsPerLease);
+        if (still && !include_all) continue;
+        customer.last_read_at = now;
+        for (const PeerState& peer : customer.peers) rows.emplace_back(*found, peer.gateway_index);
     }
     return rows;
 }
 
-bool Ledger::row_heard(CustomerId id, int from, const Row& row, TimePoint now) {
-    Customer* c = find(id);
-    if (c == nullptr) return false;
-    const auto at = std::find_if(c->members.begin(), c->members.end(),
-                                 [&](const Member& m) { return m.gateway == from; });
-    if (at == c->members.end() || row.plan != c->plan || row.first != c->first || row.width != c->width ||
-        row.parts.size() != static_cast<std::size_t>(c->width)) {
-        ++stats_.rows_ignored;
+bool QuotaStateTable::on_row(CustomerId customer_id, int sender, const QuotaRow& row, TimePoint now) {
+    Customer* customer = find_customer(customer_id);
+    if (customer == nullptr) return false;
+    const auto position = std::find_if(customer->peers.begin(), customer->peers.end(),
+                                       [&](const PeerState& peer) { return peer.gateway_index == sender; });
+    if (position == customer->peers.end() || row.plan_index != customer->plan_index ||
+        row.first_gateway != customer->first_gateway || row.set_size != customer->set_size ||
+        row.parts.size() != static_cast<std::size_t>(customer->set_size)) {
+        ++statistics_.rows_ignored;
         return false;
     }
-    Member& m = *at;
-    const Row::Part& part = row.parts[static_cast<std::size_t>(c->place)];
-    const bool ours = part.echo_incarnation == s_.incarnation;
-    const auto age = static_cast<std::uint64_t>(std::max(Duration(0), now - boot_).count());
-    if (ours && part.echo_stamp > age + 1'000'000) {    // we never said that: the store is spoilt
-        ++stats_.rows_ignored;
+    PeerState& m = *position;
+    const QuotaRow::Part& part = row.parts[static_cast<std::size_t>(customer->position)];
+    const bool ours = part.echo_incarnation == settings_.incarnation;
+    const auto row_age = static_cast<std::uint64_t>(std::max(Duration(0), now - started_at_).count());
+    if (ours && part.echo_stamp > row_age + 1'000'000) {    // we never said that: the store is spoilt
+        ++statistics_.rows_ignored;
         return false;
     }
-    if (m.known && row.incarnation == m.incarnation && row.stamp <= m.stamp) {
-        stats_.rows_ignored += row.stamp < m.stamp;
+    if (m.is_known && row.incarnation == m.incarnation && row.row_stamp <= m.row_stamp) {
+        statistics_.rows_ignored += row.row_stamp < m.row_stamp;
         return false;
     }
-    const bool other_life = !m.known || row.incarnation != m.incarnation;
-    if (m.known && other_life) {
+    const bool other_life = !m.is_known || row.incarnation != m.incarnation;
+    if (m.is_known && other_life) {
         // A row of an earlier life, from a store that fell back. Only where the later one is long gone may
         // the clock of that machine have been set back; all that the earlier one leased has run out by then.
-        if (row.incarnation < m.incarnation && now - m.heard < s_.lease) {
-            ++stats_.rows_ignored;
+        if (row.incarnation < m.incarnation && now - m.last_heard < settings_.lease_duration) {
+            ++statistics_.rows_ignored;
             return false;
         }
         // And once a lower one was taken for the later, what the other wrote last must not come into force.
-        if (row.incarnation > m.incarnation && now < m.no_higher_until) {
-            ++stats_.rows_ignored;
+        if (row.incarnation > m.incarnation && now < m.lease_cap_until) {
+            ++statistics_.rows_ignored;
             return false;
         }
-        if (row.incarnation < m.incarnation) m.no_higher_until = now + s_.lease;
-        ++stats_.lives_seen;
-        m.held = m.credited = 0;
+        if (row.incarnation < m.incarnation) m.lease_cap_until = now + settings_.lease_duration;
+        ++statistics_.peer_restarts;
+        m.lease_received = m.lease_credited = 0;
     }
-    ++stats_.rows_heard;
-    const bool news =
-        other_life || std::abs(row.demand - m.demand) > demand_step(*c) + kDemandShift * m.demand;
-    m.known = true;
+    ++statistics_.rows_received;
+    const bool news = other_life || std::abs(row.demand - m.demand) >
+                                        min_demand_change(*customer) + kMinDemandChangeFraction * m.demand;
+    m.is_known = true;
     m.incarnation = row.incarnation;
-    m.stamp = row.stamp;
-    m.heard = now;
+    m.row_stamp = row.row_stamp;
+    m.last_heard = now;
     m.demand = row.demand;
-    m.fill = row.fill;
-    const std::uint32_t held = m.held, out = liability(m);
-    m.held = 0;
+    m.fill_level = row.fill_level;
+    const std::uint32_t previous_lease = m.lease_received, outstanding = lease_liability(m);
+    m.lease_received = 0;
     if (ours) {
-        m.cleared = true;
+        m.acknowledged_incarnation = true;
         // Its lease is no older than our own row that it had read: by our own clock.
-        m.held_until = boot_ + Duration(static_cast<std::int64_t>(part.echo_stamp)) + hold_;
-        if (now < m.held_until) m.held = part.lease;
-        std::erase_if(m.out, [&](const Posting& p) { return p.stamp < part.echo_stamp; });
+        m.lease_expires_at =
+            started_at_ + Duration(static_cast<std::int64_t>(part.echo_stamp)) + lease_hold_time_;
+        if (now < m.lease_expires_at) m.lease_received = part.lease_parts;
+        std::erase_if(m.outstanding_leases,
+                      [&](const WrittenLease& written) { return written.row_stamp < part.echo_stamp; });
     }
-    const decision::PlanSettings& p = plan(*c);
+    const decision::PlanSettings& plan_settings = customer_plan(*customer);
     const auto units = [&](int place, std::uint32_t lease) {
-        return baseline(*c, place) * p.burst * m.fill * static_cast<double>(lease) / kWhole;
+        return baseline_share(*customer, place) * plan_settings.burst * m.fill_level *
+               static_cast<double>(lease) / kFullBaseline;
     };
-    reshare(*c, now);
+    update_shares(*customer, now);
     double moved = 0.0;
-    if (m.held > m.credited) moved += units(m.place, m.held - m.credited);
-    m.credited = ours ? (m.held > 0 ? m.held : std::min(m.credited, part.lease)) : 0;
-    if (liability(m) < out) {
-        moved += units(c->place, out - liability(m));
-        ++stats_.acknowledged;
+    if (m.lease_received > m.lease_credited) moved += units(m.position, m.lease_received - m.lease_credited);
+    m.lease_credited =
+        ours ? (m.lease_received > 0 ? m.lease_received : std::min(m.lease_credited, part.lease_parts)) : 0;
+    if (lease_liability(m) < outstanding) {
+        moved += units(customer->position, outstanding - lease_liability(m));
+        ++statistics_.leases_acknowledged;
     }
-    moved = std::clamp(moved, 0.0, std::max(0.0, c->quota.cap - c->quota.level));
-    c->gain += moved;
-    c->quota.level += moved;
-    if (row.demand > 0.0) want(id, *c, now + s_.lease / kFreshPart, now);
+    moved = std::clamp(moved, 0.0,
+                       std::max(0.0, customer->quota_bucket.max_level - customer->quota_bucket.level));
+    customer->unreported_units += moved;
+    customer->quota_bucket.level += moved;
+    if (row.demand > 0.0)
+        request_exchange(customer_id, *customer, now + settings_.lease_duration / kFreshLeaseDivisor, now);
     // Said back soon where the other waits for it, or where it changes how our part is divided.
-    if (news || m.held != held || liability(m) != out) {
-        c->moved = now;
-        mark(id, *c);
+    if (news || m.lease_received != previous_lease || lease_liability(m) != outstanding) {
+        customer->last_changed_at = now;
+        mark_dirty(customer_id, *customer);
     }
-    schedule(id, *c, now);
+    schedule_customer(customer_id, *customer, now);
     // The module is told with the next request or tick, whichever comes first.
-    due_.erase({c->due, id});
-    c->due = now;
-    due_.emplace(now, id);
+    schedule_.erase({customer->next_due, customer_id});
+    customer->next_due = now;
+    schedule_.emplace(now, customer_id);
     return true;
 }
 
-bool Ledger::overdue(CustomerId id, int gateway, TimePoint now) const {
-    const Customer* c = find(id);
-    if (c == nullptr) return false;
-    for (const Member& m : c->members) {
-        if (m.gateway != gateway) continue;
-        return m.known ? now - m.heard > s_.lease * kOverdueEighths / 8
-                       : now - c->since > s_.lease / kFreshPart;
+bool QuotaStateTable::is_overdue(CustomerId customer_id, int gateway_index, TimePoint now) const {
+    const Customer* customer = find_customer(customer_id);
+    if (customer == nullptr) return false;
+    for (const PeerState& peer : customer->peers) {
+        if (peer.gateway_index != gateway_index) continue;
+        return peer.is_known ? now - peer.last_heard > settings_.lease_duration * kOverdueLeaseEighths / 8
+                             : now - customer->tracked_since > settings_.lease_duration / kFreshLeaseDivisor;
     }
     return false;
 }
 
-News Ledger::news() const { return news_; }
-
-void Ledger::news_heard(int from, const News& news, TimePoint now) {
-    if (from == s_.me || from < 0 || from >= s_.gateways) return;
-    auto& [life, last] = news_read_[from];
-    if (life != news.incarnation) last = 0;
-    life = news.incarnation;
-    if (news.last <= last) return;
-    const std::uint64_t first = news.last - news.items.size() + 1;
-    for (std::size_t i = 0; i < news.items.size(); ++i) {
-        if (first + i <= last) continue;
-        const News::Item& item = news.items[i];
-        const bool known = find(item.customer) != nullptr;
-        Customer* c = track(item.customer, item.plan, item.first, item.width, now);
-        if (c == nullptr) continue;
-        if (!known) c->asked = now - kWantedWindows * s_.demand_window;
-        ++stats_.news_heard;
-        want(item.customer, *c, now + s_.lease / kFreshPart, now);
-        schedule(item.customer, *c, now);
+Announcement QuotaStateTable::announcement() const { return announcement_; }
+
+void QuotaStateTable::on_announcement(int sender, const Announcement& announcement, TimePoint now) {
+    if (sender == settings_.own_index || sender < 0 || sender >= settings_.gateway_count) return;
+    auto& [life, last] = announcements_read_[sender];
+    if (life != announcement.incarnation) last = 0;
+    life = announcement.incarnation;
+    if (announcement.item_count <= last) return;
+    const std::uint64_t first = announcement.item_count - announcement.items.size() + 1;
+    for (std::size_t index = 0; index < announcement.items.size(); ++index) {
+        if (first + index <= last) continue;
+        const Announcement::Item& item = announcement.items[index];
+        const bool known = find_customer(item.customer) != nullptr;
+        Customer* customer =
+            track_customer(item.customer, item.plan_index, item.first_gateway, item.set_size, now);
+        if (customer == nullptr) continue;
+        if (!known) customer->last_request_at = now - kExchangeDemandWindows * settings_.demand_window;
+        ++statistics_.announcements_received;
+        request_exchange(item.customer, *customer, now + settings_.lease_duration / kFreshLeaseDivisor, now);
+        schedule_customer(item.customer, *customer, now);
     }
-    last = news.last;
+    last = announcement.item_count;
 }
 
 // ---- time ----
 
-bool Ledger::forgettable(const Customer& c, TimePoint now) const {
+bool QuotaStateTable::is_forgettable(const Customer& customer, TimePoint now) const {
     // Rows that could still be answered to are older than any lease by then: an old one can bring nothing
     // back.
-    if (now < c.wanted_until || now - c.asked < kForget || now - c.posted <= s_.lease + kTurnMargin)
+    if (now < customer.exchange_until || now - customer.last_request_at < kForgetDelay ||
+        now - customer.last_written_at <= settings_.lease_duration + kLeaseTurnMargin)
         return false;
-    for (const Member& m : c.members) {
-        if (m.held > 0 || !m.out.empty()) return false;
+    for (const PeerState& peer : customer.peers) {
+        if (peer.lease_received > 0 || !peer.outstanding_leases.empty()) return false;
     }
-    return c.quota.level >= c.quota.cap - 1e-9 && c.ceiling.level >= c.ceiling.cap - 1e-9;
+    return customer.quota_bucket.level >= customer.quota_bucket.max_level - 1e-9 &&
+           customer.rate_bucket.level >= customer.rate_bucket.max_level - 1e-9;
 }
 
 // Leases run out unless they are written anew; and who of the set does not speak is called once more.
-void Ledger::renew(CustomerId id, Customer& c, TimePoint now) {
-    if (now < c.posted + s_.lease / kRenewsPerLease) return;
-    mark(id, c);
-    const bool unheard =
-        std::any_of(c.members.begin(), c.members.end(), [&](const Member& m) { return !fresh(m, now); });
-    if (unheard && demand(c, now) > 0.0) announce(id, c);
-}
-
-void Ledger::schedule(CustomerId id, Customer& c, TimePoint now) {
-    TimePoint due = now + kForget;
-    const auto at = [&](TimePoint when) {
-        if (when > now) due = std::min(due, when);
+void QuotaStateTable::renew_leases(CustomerId customer_id, Customer& customer, TimePoint now) {
+    if (now < customer.last_written_at + settings_.lease_duration / kRenewsPerLease) return;
+    mark_dirty(customer_id, customer);
+    const bool unheard = std::any_of(customer.peers.begin(), customer.peers.end(),
+                                     [&](const PeerState& peer) { return !is_fresh(peer, now); });
+    if (unheard && current_demand(customer, now) > 0.0) announce_customer(customer_id, customer);
+}
+
+void QuotaStateTable::schedule_customer(CustomerId customer_id, Customer& customer, TimePoint now) {
+    TimePoint next_due = now + kForgetDelay;
+    const auto consider = [&](TimePoint when) {
+        if (when > now) next_due = std::min(next_due, when);
     };
-    for (const Member& m : c.members) {
-        if (m.held > 0) at(m.held_until);
-        for (const Posting& p : m.out) at(p.void_at);
-        if (m.known) at(m.heard + s_.lease / kFreshPart);
+    for (const PeerState& peer : customer.peers) {
+        if (peer.lease_received > 0) consider(peer.lease_expires_at);
+        for (const WrittenLease& written : peer.outstanding_leases) consider(written.expires_at);
+        if (peer.is_known) consider(peer.last_heard + settings_.lease_duration / kFreshLeaseDivisor);
     }
-    at(c.since + s_.alone_after);
-    at(c.alone_until);
-    at(boot_ + s_.lease);
-    if (now < c.wanted_until) {
-        at(c.wanted_until);
-        if (c.stamp > 0 && !c.dirty) renew(id, c, now);
-        if (c.stamp > 0) at(c.posted + s_.lease / kRenewsPerLease);
+    consider(customer.tracked_since + settings_.isolation_timeout);
+    consider(customer.isolated_until);
+    consider(started_at_ + settings_.lease_duration);
+    if (now < customer.exchange_until) {
+        consider(customer.exchange_until);
+        if (customer.last_row_stamp > 0 && !customer.is_dirty) renew_leases(customer_id, customer, now);
+        if (customer.last_row_stamp > 0)
+            consider(customer.last_written_at + settings_.lease_duration / kRenewsPerLease);
     } else {
-        at(c.posted + s_.lease + 2 * kTurnMargin);
-        at(c.asked + kForget);
+        consider(customer.last_written_at + settings_.lease_duration + 2 * kLeaseTurnMargin);
+        consider(customer.last_request_at + kForgetDelay);
     }
-    if (due == c.due) return;
-    due_.erase({c.due, id});
-    c.due = due;
-    due_.emplace(due, id);
-}
-
-void Ledger::tick(TimePoint now, std::vector<Allowance>& changed) {
-    while (!due_.empty() && due_.begin()->first <= now) {
-        const CustomerId id = due_.begin()->second;
-        due_.erase(due_.begin());
-        Customer& c = customers_.at(id);
-        c.due = TimePoint{};
-        if (settle(c, now) || c.gain != 0.0) {
-            if (c.told) changed.push_back(told(id, c));
+    if (next_due == customer.next_due) return;
+    schedule_.erase({customer.next_due, customer_id});
+    customer.next_due = next_due;
+    schedule_.emplace(next_due, customer_id);
+}
+
+void QuotaStateTable::tick(TimePoint now, std::vector<Allowance>& changed) {
+    while (!schedule_.empty() && schedule_.begin()->first <= now) {
+        const CustomerId customer_id = schedule_.begin()->second;
+        schedule_.erase(schedule_.begin());
+        Customer& customer = customers_.at(customer_id);
+        customer.next_due = TimePoint{};
+        if (update_to_now(customer, now) || customer.unreported_units != 0.0) {
+            if (customer.is_reported) changed.push_back(make_allowance(customer_id, customer));
         }
-        if (now >= c.wanted_until) {
-            live_.erase(id);
+        if (now >= customer.exchange_until) {
+            exchanging_customers_.erase(customer_id);
         }
-        if (forgettable(c, now)) {
-            erase(id);
+        if (is_forgettable(customer, now)) {
+            erase_customer(customer_id);
             continue;
         }
-        schedule(id, c, now);
+        schedule_customer(customer_id, customer, now);
     }
 }
 
-std::optional<TimePoint> Ledger::next() const {
-    if (due_.empty()) return std::nullopt;
-    return due_.begin()->first;
+std::optional<TimePoint> QuotaStateTable::next_deadline() const {
+    if (schedule_.empty()) return std::nullopt;
+    return schedule_.begin()->first;
 }
 
-LedgerStats Ledger::stats(TimePoint now) const {
-    LedgerStats stats = stats_;
-    stats.customers = customers_.size();
-    stats.live = live_.size();
-    for (const CustomerId id : live_) stats.alone += alone(customers_.at(id), now);
-    return stats;
+QuotaTableStatistics QuotaStateTable::statistics(TimePoint now) const {
+    QuotaTableStatistics statistics = statistics_;
+    statistics.tracked_customers = customers_.size();
+    statistics.exchanging_customers = exchanging_customers_.size();
+    for (const CustomerId customer_id : exchanging_customers_)
+        statistics.isolated_customers += is_isolated(customers_.at(customer_id), now);
+    return statistics;
 }
 
-Ledger::QuotaBound Ledger::quota_bound(const LedgerSettings& s, int plan_index, int width, Duration time) {
-    const decision::PlanSettings& p = s.plans.at(static_cast<std::size_t>(plan_index));
-    const double quota = p.rate * seconds(time) + p.burst;
+QuotaStateTable::AdmissionBound QuotaStateTable::admission_bound(const QuotaTableSettings& settings,
+                                                                 int plan_index, int set_size,
+                                                                 Duration time) {
+    const decision::PlanSettings& plan_settings = settings.plans.at(static_cast<std::size_t>(plan_index));
+    const double quota_limit = plan_settings.rate * seconds(time) + plan_settings.burst;
     // A full store passes any request, at each gateway.
-    const double last = width * s.most_units;
-    return {quota + last, quota * (1.0 + (width - 1) * s.alone_share) + last};
+    const double last = set_size * settings.max_request_units;
+    return {quota_limit + last, quota_limit * (1.0 + (set_size - 1) * settings.isolated_quota_share) + last};
 }
 
 }    // namespace shaletray::limits
--- a/src/data_plane/plans/change_replicator.cpp
+++ b/src/data_plane/plans/change_replicator.cpp
@@ -8,13 +8,13 @@
 namespace shaletray::plans {
 namespace {
 
-constexpr std::uint64_t kAhead = 16;    // entries that are on the board at once
+constexpr std::uint64_t kMaxPublishedEntries = 16;    // entries that are on the board at once
 
-std::string place_field(int gateway) { return fmt::format("bookat:{}", gateway); }
-std::string entry_field(std::uint64_t version) { return fmt::format("book:{}", version); }
+std::string progress_field_name(int gateway_index) { return fmt::format("bookat:{}", gateway_index); }
+std::string entry_field_name(std::uint64_t version) { return fmt::format("book:{}", version); }
 
 template <class Number>
-std::optional<Number> number(std::string_view text, int base) {
+std::optional<Number> parse_number(std::string_view text, int base) {
     Number value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
     if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -23,101 +23,118 @@
 
 }    // namespace
 
-Spread::Spread(int me, int gateways, bool keeper, const Book& book, Take take)
-    : me_(me), gateways_(gateways), keeper_(keeper), book_(book), take_(std::move(take)) {}
+ChangeReplicator::ChangeReplicator(int own_index, int gateway_count, bool is_owner,
+                                   const PlanTable& plan_table, ApplyChange apply_change)
+    : own_index_(own_index),
+      gateway_count_(gateway_count),
+      is_owner_(is_owner),
+      plan_table_(plan_table),
+      apply_change_(std::move(apply_change)) {}
 
-std::string Spread::own() const { return fmt::format("{}:{:016x}", book_.version(), book_.chain()); }
+std::string ChangeReplicator::own_progress() const {
+    return fmt::format("{}:{:016x}", plan_table_.version(), plan_table_.chain_hash());
+}
 
 // The first entry that a gateway lacks which has said where it is, or has said nothing.
-std::uint64_t Spread::first_lacking() const {
-    std::uint64_t least = book_.version();
-    for (int i = 0; i < gateways_; ++i) {
-        if (i == me_) continue;
-        const auto it = places_.find(i);
-        least = std::min(least, it == places_.end() ? 0 : it->second.version);
+std::uint64_t ChangeReplicator::first_missing_version() const {
+    std::uint64_t least = plan_table_.version();
+    for (int index = 0; index < gateway_count_; ++index) {
+        if (index == own_index_) continue;
+        const auto found = progress_by_gateway_.find(index);
+        least = std::min(least, found == progress_by_gateway_.end() ? 0 : found->second.version);
     }
     return least + 1;
 }
 
-std::vector<std::pair<std::string, std::string>> Spread::to_write() {
-    std::vector<std::pair<std::string, std::string>> out;
-    if (shown_ != own()) out.emplace_back(place_field(me_), own());
-    if (!keeper_) return out;
-    for (std::uint64_t v = first_lacking(); v <= book_.version() && v < first_lacking() + kAhead; ++v) {
-        const Change& c = book_.log()[v - 1];
-        if (const auto it = up_.find(v); it != up_.end() && it->second == c.chain) continue;
-        out.emplace_back(entry_field(v), write_change(c));
-        ++stats_.put;
+std::vector<std::pair<std::string, std::string>> ChangeReplicator::fields_to_write() {
+    std::vector<std::pair<std::string, std::string>> result;
+    if (published_progress_ != own_progress())
+        result.emplace_back(progress_field_name(own_index_), own_progress());
+    if (!is_owner_) return result;
+    for (std::uint64_t v = first_missing_version();
+         v <= plan_table_.version() && v < first_missing_version() + kMaxPublishedEntries; ++v) {
+        const PlanChange& change = plan_table_.change_log()[v - 1];
+        if (const auto found = published_entries_.find(v);
+            found != published_entries_.end() && found->second == change.chain_hash)
+            continue;
+        result.emplace_back(entry_field_name(v), serialize_change(change));
+        ++statistics_.entries_written;
     }
-    return out;
+    return result;
 }
 
-std::vector<std::string> Spread::wanted() {
-    std::vector<std::string> out;
-    if (keeper_) {
-        for (int i = 0; i < gateways_; ++i) out.push_back(place_field(i));
-        for (std::uint64_t v = first_lacking(); v <= book_.version() && v < first_lacking() + kAhead; ++v)
-            out.push_back(entry_field(v));
+std::vector<std::string> ChangeReplicator::fields_to_read() {
+    std::vector<std::string> result;
+    if (is_owner_) {
+        for (int index = 0; index < gateway_count_; ++index) result.push_back(progress_field_name(index));
+        for (std::uint64_t v = first_missing_version();
+             v <= plan_table_.version() && v < first_missing_version() + kMaxPublishedEntries; ++v)
+            result.push_back(entry_field_name(v));
     } else {
-        out.push_back(place_field(me_));
-        for (std::uint64_t v = book_.version() + 1; v <= book_.version() + kAhead; ++v)
-            out.push_back(entry_field(v));
+        result.push_back(progress_field_name(own_index_));
+        for (std::uint64_t v = plan_table_.version() + 1; v <= plan_table_.version() + kMaxPublishedEntries;
+             ++v)
+            result.push_back(entry_field_name(v));
     }
-    return out;
+    return result;
 }
 
-void Spread::absent(const std::string& field) {
-    if (field == entry_field(book_.version() + 1)) current_ = true;
-    if (field == place_field(me_)) shown_.clear();
+void ChangeReplicator::on_field_absent(const std::string& field) {
+    if (field == entry_field_name(plan_table_.version() + 1)) is_current_ = true;
+    if (field == progress_field_name(own_index_)) published_progress_.clear();
     else if (field.starts_with("book:"))
-        if (const auto v = number<std::uint64_t>(std::string_view(field).substr(5), 10)) up_.erase(*v);
+        if (const auto v = parse_number<std::uint64_t>(std::string_view(field).substr(5), 10))
+            published_entries_.erase(*v);
 }
 
-void Spread::heard(const std::string& field, const std::string& value, TimePoint) {
+void ChangeReplicator::on_field_read(const std::string& field, const std::string& value, TimePoint) {
     if (field.starts_with("bookat:")) {
-        const auto gateway = number<int>(std::string_view(field).substr(7), 10);
+        const auto gateway_index = parse_number<int>(std::string_view(field).substr(7), 10);
         const std::size_t colon = value.find(':');
-        const auto version = number<std::uint64_t>(std::string_view(value).substr(0, colon), 10);
+        const auto version = parse_number<std::uint64_t>(std::string_view(value).substr(0, colon), 10);
         const auto chain = colon == std::string::npos
                                ? std::nullopt
-                               : number<std::uint64_t>(std::string_view(value).substr(colon + 1), 16);
-        if (!gateway || !version || !chain) {
-            ++stats_.bad_values;
-            if (gateway == me_) shown_.clear();
+                               : parse_number<std::uint64_t>(std::string_view(value).substr(colon + 1), 16);
+        if (!gateway_index || !version || !chain) {
+            ++statistics_.bad_values;
+            if (gateway_index == own_index_) published_progress_.clear();
             return;
         }
-        if (*gateway == me_) {
-            shown_ = value;
+        if (*gateway_index == own_index_) {
+            published_progress_ = value;
             return;
         }
         // Further than the keeper, or the same place with other entries: that is another book.
         const std::uint64_t at = version.value_or(0), of = chain.value_or(0);
-        const bool ours = at <= book_.version() && (at == 0 || book_.log()[at - 1].chain == of);
-        stats_.foreign += !ours && keeper_;
-        places_[*gateway] = ours ? Place{at, of} : Place{book_.version(), book_.chain()};
+        const bool ours =
+            at <= plan_table_.version() && (at == 0 || plan_table_.change_log()[at - 1].chain_hash == of);
+        statistics_.foreign_entries += !ours && is_owner_;
+        progress_by_gateway_[*gateway_index] =
+            ours ? Progress{at, of} : Progress{plan_table_.version(), plan_table_.chain_hash()};
         return;
     }
-    const auto version =
-        number<std::uint64_t>(std::string_view(field).substr(std::min<std::size_t>(5, field.size())), 10);
+    const auto version = parse_number<std::uint64_t>(
+        std::string_view(field).substr(std::min<std::size_t>(5, field.size())), 10);
     if (!version) return;
     try {
-        const Change c = read_change(value);
-        if (keeper_) {
-            if (up_.size() > 4 * kAhead) up_.clear();
-            up_[*version] = c.chain;
-        } else if (c.version == book_.version() + 1) {
-            take_(c);
-            ++stats_.heard;
+        const PlanChange change = parse_change(value);
+        if (is_owner_) {
+            if (published_entries_.size() > 4 * kMaxPublishedEntries) published_entries_.clear();
+            published_entries_[*version] = change.chain_hash;
+        } else if (change.version == plan_table_.version() + 1) {
+            apply_change_(change);
+            ++statistics_.entries_received;
         }
-    } catch (const BadChange&) {
-        ++(keeper_ ? stats_.bad_values : stats_.foreign);
-        up_.erase(*version);
+    } catch (const InvalidChange&) {
+        ++(is_owner_ ? statistics_.bad_values : statistics_.foreign_entries);
+        published_entries_.erase(*version);
     }
 }
 
-SpreadStats Spread::stats() const {
-    SpreadStats s = stats_;
-    for (const auto& [gateway, place] : places_) s.behind += place.version < book_.version();
+ReplicationStatistics ChangeReplicator::statistics() const {
+    ReplicationStatistics s = statistics_;
+    for (const auto& [gateway, position] : progress_by_gateway_)
+        s.gateways_behind += position.version < plan_table_.version();
     return s;
 }
 
--- a/src/data_plane/plans/field_exchange.h
+++ b/src/data_plane/plans/field_exchange.h
@@ -10,14 +10,15 @@
 
 namespace shaletray::plans {
 
-class Notices {
+class FieldExchange {
 public:
-    virtual ~Notices() = default;
-    virtual std::vector<std::pair<std::string, std::string>> to_write() = 0;
-    virtual std::vector<std::string> wanted() = 0;
+    virtual ~FieldExchange() = default;
+    virtual std::vector<std::pair<std::string, std::string>> fields_to_write() = 0;
+    virtual std::vector<std::string> fields_to_read() = 0;
     // Of each wanted field that was there; the others are told as absent.
-    virtual void heard(const std::string& field, const std::string& value, decision::TimePoint now) = 0;
-    virtual void absent(const std::string& field) = 0;
+    virtual void on_field_read(const std::string& field, const std::string& value,
+                               decision::TimePoint now) = 0;
+    virtual void on_field_absent(const std::string& field) = 0;
 };
 
 }    // namespace shaletray::plans
--- a/src/data_plane/plans/plan_change.cpp
+++ b/src/data_plane/plans/plan_change.cpp
@@ -15,144 +15,157 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kLongestText = 4096;    // of one change: nothing that an operator means is longer
+constexpr std::size_t kMaxTextLength = 4096;    // of one change: nothing that an operator means is longer
 
-std::int64_t micros(TimePoint t) { return t.time_since_epoch().count(); }
+std::int64_t to_microseconds(TimePoint t) { return t.time_since_epoch().count(); }
 
-Json body_json(const Body& body) {
+Json body_to_json(const ChangeBody& body) {
     struct Write {
-        Json operator()(const Define& d) const {
+        Json operator()(const DefinePlan& definition) const {
             return {{"kind", "define"},
-                    {"plan", d.plan},
-                    {"like", d.like},
-                    {"rate", d.terms.rate},
-                    {"burst", d.terms.burst},
-                    {"ceiling_rate", d.terms.ceiling_rate},
-                    {"ceiling_burst", d.terms.ceiling_burst},
-                    {"ceiling_slack", d.terms.ceiling_slack}};
+                    {"plan", definition.plan_name},
+                    {"like", definition.base_plan},
+                    {"rate", definition.terms.rate},
+                    {"burst", definition.terms.burst},
+                    {"ceiling_rate", definition.terms.ceiling_rate},
+                    {"ceiling_burst", definition.terms.ceiling_burst},
+                    {"ceiling_slack", definition.terms.ceiling_slack}};
         }
-        Json operator()(const Withdraw& w) const {
-            return {{"kind", "withdraw"}, {"plan", w.plan}, {"successor", w.successor}};
+        Json operator()(const WithdrawPlan& withdrawal) const {
+            return {{"kind", "withdraw"}, {"plan", withdrawal.plan}, {"successor", withdrawal.successor}};
         }
-        Json operator()(const Assign& a) const {
-            return {{"kind", "assign"}, {"customer", customer_text(a.customer)}, {"plan", a.plan}};
+        Json operator()(const AssignPlan& assignment) const {
+            return {{"kind", "assign"},
+                    {"customer", format_customer(assignment.customer)},
+                    {"plan", assignment.plan}};
         }
-        Json operator()(const Reserve& r) const {
-            return {{"kind", "reserve"},       {"id", r.id},     {"customer", customer_text(r.customer)},
-                    {"units", r.units},        {"plan", r.plan}, {"from", micros(r.from)},
-                    {"until", micros(r.until)}};
+        Json operator()(const MakeReservation& reservation) const {
+            return {{"kind", "reserve"},
+                    {"id", reservation.reservation_id},
+                    {"customer", format_customer(reservation.customer)},
+                    {"units", reservation.units},
+                    {"plan", reservation.plan},
+                    {"from", to_microseconds(reservation.starts_at)},
+                    {"until", to_microseconds(reservation.ends_at)}};
+        }
+        Json operator()(const ReleaseReservation& reservation) const {
+            return {{"kind", "release"}, {"id", reservation.reservation_id}};
         }
-        Json operator()(const Release& r) const { return {{"kind", "release"}, {"id", r.id}}; }
     };
     return std::visit(Write{}, body);
 }
 
 // Reads fields of one object; whatever was not asked for is wrong, as it would be lost without a word.
-class Fields {
+class FieldReader {
 public:
-    explicit Fields(std::string_view text) {
-        if (text.size() > kLongestText) throw BadChange("longer than 4096 bytes");
+    explicit FieldReader(std::string_view text) {
+        if (text.size() > kMaxTextLength) throw InvalidChange("longer than 4096 bytes");
         json_ = Json::parse(text, nullptr, false);
-        if (!json_.is_object()) throw BadChange("expected one object of JSON");
+        if (!json_.is_object()) throw InvalidChange("expected one object of JSON");
     }
-    std::string text(const char* name, bool needed = true) {
+    std::string read_text(const char* name, bool needed = true) {
         const Json* const v = find(name, needed);
         if (v == nullptr) return {};
-        if (!v->is_string()) throw BadChange(fmt::format("{}: expected a text, found {}", name, v->dump()));
+        if (!v->is_string())
+            throw InvalidChange(fmt::format("{}: expected a text, found {}", name, v->dump()));
         return v->get<std::string>();
     }
-    double number(const char* name, bool needed = true) {
+    double read_number(const char* name, bool needed = true) {
         const Json* const v = find(name, needed);
         if (v == nullptr) return 0.0;
-        if (!v->is_number()) throw BadChange(fmt::format("{}: expected a number, found {}", name, v->dump()));
+        if (!v->is_number())
+            throw InvalidChange(fmt::format("{}: expected a number, found {}", name, v->dump()));
         return v->get<double>();
     }
-    std::uint64_t whole(const char* name, bool needed = true) {
+    std::uint64_t read_integer(const char* name, bool needed = true) {
         const Json* const v = find(name, needed);
         if (v == nullptr) return 0;
         if (!v->is_number_unsigned())
-            throw BadChange(fmt::format("{}: expected a whole number from 0, found {}", name, v->dump()));
+            throw InvalidChange(fmt::format("{}: expected a whole number from 0, found {}", name, v->dump()));
         return v->get<std::uint64_t>();
     }
-    std::optional<TimePoint> time(const char* name, bool needed = true) {
+    std::optional<TimePoint> read_time(const char* name, bool needed = true) {
         const Json* const v = find(name, needed);
         if (v == nullptr) return std::nullopt;
         if (v->is_number_integer()) return TimePoint(Duration(v->get<std::int64_t>()));
-        const auto t = v->is_string() ? read_time(v->get<std::string>()) : std::nullopt;
+        const auto t = v->is_string() ? parse_time(v->get<std::string>()) : std::nullopt;
         if (!t)
-            throw BadChange(
+            throw InvalidChange(
                 fmt::format("{}: expected a time such as 2026-12-01T08:00:00Z, found {}", name, v->dump()));
         return t;
     }
-    CustomerId customer(const char* name) {
-        const std::string t = text(name);
-        const auto id = read_customer(t);
-        if (!id)
-            throw BadChange(fmt::format("{}: expected sixteen hexadecimal digits, found \"{}\"", name, t));
-        return *id;
+    CustomerId read_customer(const char* name) {
+        const std::string t = read_text(name);
+        const auto customer_id = parse_customer(t);
+        if (!customer_id)
+            throw InvalidChange(
+                fmt::format("{}: expected sixteen hexadecimal digits, found \"{}\"", name, t));
+        return *customer_id;
     }
     void done() const {
         for (const auto& [name, value] : json_.items()) {
-            if (!asked_.contains(name)) throw BadChange(fmt::format("{}: no such field here", name));
+            if (!read_fields_.contains(name))
+                throw InvalidChange(fmt::format("{}: no such field here", name));
         }
     }
 
 private:
     const Json* find(const char* name, bool needed) {
-        asked_.insert(name);
-        const auto it = json_.find(name);
-        if (it != json_.end()) return &*it;
-        if (needed) throw BadChange(fmt::format("{}: missing", name));
+        read_fields_.insert(name);
+        const auto found = json_.find(name);
+        if (found != json_.end()) return &*found;
+        if (needed) throw InvalidChange(fmt::format("{}: missing", name));
         return nullptr;
     }
     Json json_;
-    std::set<std::string, std::less<>> asked_;
+    std::set<std::string, std::less<>> read_fields_;
 };
 
-Body read_body(Fields& f) {
-    const std::string kind = f.text("kind");
+ChangeBody parse_body(FieldReader& f) {
+    const std::string kind = f.read_text("kind");
     if (kind == "define") {
-        return Define{f.text("plan"), f.text("like"),
-                      Terms{f.number("rate"), f.number("burst"), f.number("ceiling_rate", false),
-                            f.number("ceiling_burst", false), f.number("ceiling_slack", false)}};
+        return DefinePlan{
+            f.read_text("plan"), f.read_text("like"),
+            PlanTerms{f.read_number("rate"), f.read_number("burst"), f.read_number("ceiling_rate", false),
+                      f.read_number("ceiling_burst", false), f.read_number("ceiling_slack", false)}};
     }
-    if (kind == "withdraw") return Withdraw{f.text("plan"), f.text("successor", false)};
-    if (kind == "assign") return Assign{f.customer("customer"), f.text("plan", false)};
+    if (kind == "withdraw") return WithdrawPlan{f.read_text("plan"), f.read_text("successor", false)};
+    if (kind == "assign") return AssignPlan{f.read_customer("customer"), f.read_text("plan", false)};
     if (kind == "reserve") {
-        return Reserve{f.text("id"),    f.customer("customer"), f.number("units"),
-                       *f.time("from"), *f.time("until"),       f.text("plan", false)};
+        return MakeReservation{f.read_text("id"),    f.read_customer("customer"), f.read_number("units"),
+                               *f.read_time("from"), *f.read_time("until"),       f.read_text("plan", false)};
     }
-    if (kind == "release") return Release{f.text("id")};
-    throw BadChange(
+    if (kind == "release") return ReleaseReservation{f.read_text("id")};
+    throw InvalidChange(
         fmt::format("kind: expected define, withdraw, assign, reserve or release, found \"{}\"", kind));
 }
 
-Json change_json(const Change& c) {
-    Json json = body_json(c.body);
-    json.update({{"version", c.version},
-                 {"against", c.against},
-                 {"made", micros(c.made)},
-                 {"at", micros(c.at)},
-                 {"author", c.author},
-                 {"note", c.note},
-                 {"request", c.request}});
+Json change_to_json(const PlanChange& change) {
+    Json json = body_to_json(change.body);
+    json.update({{"version", change.version},
+                 {"against", change.expected_version},
+                 {"made", to_microseconds(change.made_at)},
+                 {"at", to_microseconds(change.effective_at)},
+                 {"author", change.author},
+                 {"note", change.note},
+                 {"request", change.request_key}});
     return json;
 }
 
 }    // namespace
 
-std::string customer_text(CustomerId customer) {
-    return fmt::format("{:016x}", static_cast<std::uint64_t>(customer));
+std::string format_customer(CustomerId customer_id) {
+    return fmt::format("{:016x}", static_cast<std::uint64_t>(customer_id));
 }
 
-std::optional<CustomerId> read_customer(std::string_view text) {
+std::optional<CustomerId> parse_customer(std::string_view text) {
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, 16);
     if (text.size() != 16 || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
     return CustomerId{number};
 }
 
-std::optional<TimePoint> read_time(std::string_view text) {
+std::optional<TimePoint> parse_time(std::string_view text) {
     std::int64_t number = 0;
     const char* const last = text.data() + text.size();
     if (const auto [end, error] = std::from_chars(text.data(), last, number);
@@ -178,69 +191,78 @@
     return TimePoint(Duration(seconds * 1'000'000 + std::llround(fraction * 1e6)));
 }
 
-std::string time_text(TimePoint time) {
-    const std::int64_t us = micros(time);
+std::string format_time(TimePoint time) {
+    const std::int64_t us = to_microseconds(time);
     const std::int64_t whole = us >= 0 ? us / 1'000'000 : -((-us + 999'999) / 1'000'000);
     return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z", fmt::gmtime(static_cast<std::time_t>(whole)),
                        us - whole * 1'000'000);
 }
 
-std::string subject_of(const Body& body) {
+std::string subject_of(const ChangeBody& body) {
     struct Name {
-        std::string operator()(const Define& d) const { return "plan:" + d.plan; }
-        std::string operator()(const Withdraw& w) const { return "plan:" + w.plan; }
-        std::string operator()(const Assign& a) const { return "customer:" + customer_text(a.customer); }
-        std::string operator()(const Reserve& r) const { return "reservation:" + r.id; }
-        std::string operator()(const Release& r) const { return "reservation:" + r.id; }
+        std::string operator()(const DefinePlan& definition) const { return "plan:" + definition.plan_name; }
+        std::string operator()(const WithdrawPlan& withdrawal) const { return "plan:" + withdrawal.plan; }
+        std::string operator()(const AssignPlan& assignment) const {
+            return "customer:" + format_customer(assignment.customer);
+        }
+        std::string operator()(const MakeReservation& reservation) const {
+            return "reservation:" + reservation.reservation_id;
+        }
+        std::string operator()(const ReleaseReservation& reservation) const {
+            return "reservation:" + reservation.reservation_id;
+        }
     };
     return std::visit(Name{}, body);
 }
 
-std::uint64_t chain_of(std::uint64_t before, const Change& change) {
-    const std::string text = change_json(change).dump();
-    return XXH64(text.data(), text.size(), before);
+std::uint64_t chain_hash(std::uint64_t previous_hash, const PlanChange& change) {
+    const std::string text = change_to_json(change).dump();
+    return XXH64(text.data(), text.size(), previous_hash);
 }
 
-std::string write_change(const Change& change) {
-    Json json = change_json(change);
-    json["chain"] = change.chain;
+std::string serialize_change(const PlanChange& change) {
+    Json json = change_to_json(change);
+    json["chain"] = change.chain_hash;
     return json.dump();
 }
 
-Change read_change(std::string_view text) {
-    Fields f(text);
-    Change c;
-    c.body = read_body(f);
-    c.version = f.whole("version");
-    c.against = f.whole("against");
-    c.made = *f.time("made");
-    c.at = *f.time("at");
-    c.author = f.text("author");
-    c.note = f.text("note");
-    c.request = f.text("request");
-    c.chain = f.whole("chain");
+PlanChange parse_change(std::string_view text) {
+    FieldReader f(text);
+    PlanChange change;
+    change.body = parse_body(f);
+    change.version = f.read_integer("version");
+    change.expected_version = f.read_integer("against");
+    change.made_at = *f.read_time("made");
+    change.effective_at = *f.read_time("at");
+    change.author = f.read_text("author");
+    change.note = f.read_text("note");
+    change.request_key = f.read_text("request");
+    change.chain_hash = f.read_integer("chain");
     f.done();
-    return c;
+    return change;
 }
 
-std::string write_proposal(const Proposal& p) {
-    Json json = body_json(p.body);
-    json.update({{"against", p.against}, {"author", p.author}, {"note", p.note}, {"request", p.request}});
-    if (p.at) json["at"] = micros(*p.at);
+std::string serialize_proposal(const ChangeProposal& p) {
+    Json json = body_to_json(p.body);
+    json.update({{"against", p.expected_version},
+                 {"author", p.author},
+                 {"note", p.note},
+                 {"request", p.request_key}});
+    if (p.effective_at) json["at"] = to_microseconds(*p.effective_at);
     return json.dump();
 }
 
-Proposal read_proposal(std::string_view text) {
-    Fields f(text);
-    Proposal p;
-    p.body = read_body(f);
-    p.against = f.whole("against", false);
-    p.at = f.time("at", false);
-    p.author = f.text("author");
-    p.note = f.text("note", false);
-    p.request = f.text("request", false);
+ChangeProposal parse_proposal(std::string_view text) {
+    FieldReader f(text);
+    ChangeProposal proposal;
+    proposal.body = parse_body(f);
+    proposal.expected_version = f.read_integer("against", false);
+    proposal.effective_at = f.read_time("at", false);
+    proposal.author = f.read_text("author");
+    proposal.note = f.read_text("note", false);
+    proposal.request_key = f.read_text("request", false);
     f.done();
-    return p;
+    return proposal;
 }
 
 }    // namespace shaletray::plans
--- a/src/data_plane/plans/plan_service.cpp
+++ b/src/data_plane/plans/plan_service.cpp
@@ -8,184 +8,217 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kAccounts = 1ULL << 63;    // no customer's number is as high
-constexpr std::size_t kAtOnce = 2000;              // customers that are looked at in a turn
-constexpr std::size_t kMostKnown = 200'000;
-constexpr double kHair = 1e-9;
+constexpr std::uint64_t kFirstAccountId = 1ULL << 63;    // no customer's number is as high
+constexpr std::size_t kMaxCustomersPerTurn = 2000;       // customers that are looked at in a turn
+constexpr std::size_t kMaxKnownCustomers = 200'000;
+constexpr double kRoundingTolerance = 1e-9;
 
 }    // namespace
 
-Desk::Desk(Book book, Ledger& ledger, TimePoint now, std::map<std::uint64_t, double> redeemed)
-    : book_(std::move(book)), ledger_(ledger), seen_(now), redeemed_(std::move(redeemed)) {}
-
-CustomerId Desk::account_of(const Reservation& r) { return CustomerId{kAccounts | r.version}; }
-
-int Desk::terms_for(const InForce& f) {
-    if (f.version > 0 && !ledger_.defined(f.terms)) {
-        limits::LedgerTerms t;
-        t.figures = book_.platform(f.like);
-        t.figures.rate = f.figures.rate;
-        t.figures.burst = f.figures.burst;
-        t.figures.ceiling_rate = f.figures.ceiling_rate;
-        t.figures.ceiling_burst = f.figures.ceiling_burst;
-        t.figures.ceiling_slack = f.figures.ceiling_slack;
-        t.like = f.like;
-        ledger_.define(f.terms, t);
+PlanService::PlanService(PlanTable plan_table, QuotaStateTable& quota_state_table, TimePoint now,
+                         std::map<std::uint64_t, double> redeemed_units)
+    : plan_table_(std::move(plan_table)),
+      quota_state_table_(quota_state_table),
+      effects_queued_until_(now),
+      redeemed_units_(std::move(redeemed_units)) {}
+
+CustomerId PlanService::reservation_account(const Reservation& reservation) {
+    return CustomerId{kFirstAccountId | reservation.version};
+}
+
+int PlanService::define_terms(const EffectivePlan& effective_plan) {
+    if (effective_plan.terms_version > 0 && !quota_state_table_.has_terms(effective_plan.terms_index)) {
+        limits::CustomTerms custom_terms;
+        custom_terms.plan_settings = plan_table_.platform_plan(effective_plan.base_plan);
+        custom_terms.plan_settings.rate = effective_plan.terms.rate;
+        custom_terms.plan_settings.burst = effective_plan.terms.burst;
+        custom_terms.plan_settings.ceiling_rate = effective_plan.terms.ceiling_rate;
+        custom_terms.plan_settings.ceiling_burst = effective_plan.terms.ceiling_burst;
+        custom_terms.plan_settings.ceiling_slack = effective_plan.terms.ceiling_slack;
+        custom_terms.base_plan = effective_plan.base_plan;
+        quota_state_table_.define_terms(effective_plan.terms_index, custom_terms);
     }
-    return f.terms;
+    return effective_plan.terms_index;
 }
 
-void Desk::open(const Reservation& r, int like) {
-    const int terms = kBookTerms + static_cast<int>(r.version);
-    open_.insert(r.made.id);
-    if (ledger_.defined(terms)) return;
-    limits::LedgerTerms t;
-    t.figures = book_.platform(like);
-    t.figures.ceiling_rate = t.figures.ceiling_burst = 0.0;    // its owner's is drawn on
-    t.figures.burst = r.made.units;
-    const bool ahead = r.full <= r.made.from;
-    t.figures.rate = ahead ? 0.0 : r.carve_rate();
-    if (!ahead) t.filled_from = r.start;
-    t.like = like;
-    t.account = true;
-    t.owner = r.made.customer;
-    if (const auto it = redeemed_.find(r.version); it != redeemed_.end()) t.spent = it->second;
-    ledger_.define(terms, t);
+void PlanService::open_account(const Reservation& reservation, int base_plan) {
+    const int terms = kFirstTableTerms + static_cast<int>(reservation.version);
+    open_reservations_.insert(reservation.definition.reservation_id);
+    if (quota_state_table_.has_terms(terms)) return;
+    limits::CustomTerms custom_terms;
+    custom_terms.plan_settings = plan_table_.platform_plan(base_plan);
+    custom_terms.plan_settings.ceiling_rate = custom_terms.plan_settings.ceiling_burst =
+        0.0;    // its owner's is drawn on
+    custom_terms.plan_settings.burst = reservation.definition.units;
+    const bool ahead = reservation.fully_reserved_at <= reservation.definition.starts_at;
+    custom_terms.plan_settings.rate = ahead ? 0.0 : reservation.reservation_rate();
+    if (!ahead) custom_terms.fill_starts_at = reservation.starts_at;
+    custom_terms.base_plan = base_plan;
+    custom_terms.is_account = true;
+    custom_terms.owner = reservation.definition.customer;
+    if (const auto found = redeemed_units_.find(reservation.version); found != redeemed_units_.end())
+        custom_terms.spent_units = found->second;
+    quota_state_table_.define_terms(terms, custom_terms);
 }
 
-limits::Standing Desk::standing(CustomerId customer, int asked_plan, TimePoint now) const {
-    limits::Standing s;
-    s.carved = book_.carved(customer, now);
-    if (ledger_.tracks(customer)) return s;    // its stores are known; the rest is for one that begins
-    const Book::Rested rested = book_.rested(customer, asked_plan, now);
-    s.rested_quota = rested.quota;
-    s.rested_ceiling = rested.ceiling;
-    return s;
+limits::CustomerStanding PlanService::customer_standing(CustomerId customer_id, int asked_plan,
+                                                        TimePoint now) const {
+    limits::CustomerStanding customer_state;
+    customer_state.reserved_rate = plan_table_.reserved_rate(customer_id, now);
+    if (quota_state_table_.is_tracked(customer_id))
+        return customer_state;    // its stores are known; the rest is for one that begins
+    const PlanTable::RestedLevels rested = plan_table_.rested_levels(customer_id, asked_plan, now);
+    customer_state.rested_quota_units = rested.quota_units;
+    customer_state.rested_rate_units = rested.rate_units;
+    return customer_state;
 }
 
-Desk::Ruling Desk::rule(CustomerId customer, int asked_plan, int first, int width, double units,
-                        const std::string& reservation, TimePoint now, std::vector<Allowance>& told) {
-    due(now, told);
-    const InForce f = book_.in_force(customer, asked_plan, now);
-    const int terms = terms_for(f);
-    if (known_.size() < kMostKnown || known_.contains(customer)) known_[customer].asked_plan = asked_plan;
-    Ruling out{customer, f.like, f.version, 0};
-    if (const auto a =
-            ledger_.asked(customer, terms, first, width, units, now, standing(customer, asked_plan, now)))
-        told.push_back(*a);
-    if (reservation.empty()) return out;
-    const Reservation* const r = book_.reservation(reservation);
-    if (r != nullptr && r->made.customer == customer && r->open(now)) {
-        open(*r, f.like);
-        const CustomerId account = account_of(*r);
-        const int own = kBookTerms + static_cast<int>(r->version);
-        if (const auto a = ledger_.asked(account, own, first, width, units, now)) {
-            if (ledger_.level(account, now) >= units - kHair) {
-                told.push_back(*a);
-                out.account = account;
-                out.reservation = r->version;
-                return out;
+PlanService::PlanDecision PlanService::decide_plan(CustomerId customer_id, int asked_plan, int first_gateway,
+                                                   int set_size, double units, const std::string& reservation,
+                                                   TimePoint now, std::vector<Allowance>& allowances) {
+    apply_due_effects(now, allowances);
+    const EffectivePlan effective_plan = plan_table_.effective_plan_for(customer_id, asked_plan, now);
+    const int terms = define_terms(effective_plan);
+    if (known_customers_.size() < kMaxKnownCustomers || known_customers_.contains(customer_id))
+        known_customers_[customer_id].asked_plan = asked_plan;
+    PlanDecision decision{customer_id, effective_plan.base_plan, effective_plan.terms_version, 0};
+    if (const auto allowance =
+            quota_state_table_.on_request(customer_id, terms, first_gateway, set_size, units, now,
+                                          customer_standing(customer_id, asked_plan, now)))
+        allowances.push_back(*allowance);
+    if (reservation.empty()) return decision;
+    const Reservation* const reservation_found = plan_table_.find_reservation(reservation);
+    if (reservation_found != nullptr && reservation_found->definition.customer == customer_id &&
+        reservation_found->is_open(now)) {
+        open_account(*reservation_found, effective_plan.base_plan);
+        const CustomerId account = reservation_account(*reservation_found);
+        const int own_plan = kFirstTableTerms + static_cast<int>(reservation_found->version);
+        if (const auto allowance =
+                quota_state_table_.on_request(account, own_plan, first_gateway, set_size, units, now)) {
+            if (quota_state_table_.quota_level(account, now) >= units - kRoundingTolerance) {
+                allowances.push_back(*allowance);
+                decision.account = account;
+                decision.reservation_version = reservation_found->version;
+                return decision;
             }
         }
     }
     // It is judged as its customer's other requests are.
-    ++stats_.not_redeemed;
-    return out;
+    ++statistics_.failed_redemptions;
+    return decision;
 }
 
-void Desk::admitted(const Ruling& ruling, CustomerId customer, double units, TimePoint now,
-                    std::vector<Allowance>& told) {
-    if (ruling.reservation == 0) {
-        ledger_.admitted(customer, units, now);
+void PlanService::record_admission(const PlanDecision& decision, CustomerId customer_id, double units,
+                                   TimePoint now, std::vector<Allowance>& allowances) {
+    if (decision.reservation_version == 0) {
+        quota_state_table_.record_admission(customer_id, units, now);
         // Accounts of it go by the same ceiling.
-        for (const Reservation* r : book_.reservations_of(customer)) {
-            if (!open_.contains(r->made.id)) continue;
-            if (const auto a = ledger_.retell(account_of(*r), now)) told.push_back(*a);
+        for (const Reservation* reservation : plan_table_.customer_reservations(customer_id)) {
+            if (!open_reservations_.contains(reservation->definition.reservation_id)) continue;
+            if (const auto a = quota_state_table_.refresh_allowance(reservation_account(*reservation), now))
+                allowances.push_back(*a);
         }
         return;
     }
-    ++stats_.redeemed;
-    const double sum = redeemed_[ruling.reservation] += units;
-    if (redeemed_told_) redeemed_told_(ruling.reservation, sum);
-    ledger_.admitted(payer(ruling, customer), units, now);
-    if (const auto a = ledger_.retell(customer, now)) told.push_back(*a);
+    ++statistics_.redemptions;
+    const double sum = redeemed_units_[decision.reservation_version] += units;
+    if (redemption_handler_) redemption_handler_(decision.reservation_version, sum);
+    quota_state_table_.record_admission(paying_customer(decision, customer_id), units, now);
+    if (const auto a = quota_state_table_.refresh_allowance(customer_id, now)) allowances.push_back(*a);
 }
 
-void Desk::settled(const Ruling& ruling, CustomerId customer, double difference, TimePoint now) {
-    ledger_.settled(ruling.reservation == 0 ? customer : payer(ruling, customer), difference, now);
+void PlanService::settle_units(const PlanDecision& decision, CustomerId customer_id, double difference,
+                               TimePoint now) {
+    quota_state_table_.settle_units(
+        decision.reservation_version == 0 ? customer_id : paying_customer(decision, customer_id), difference,
+        now);
 }
 
 // Where the account was closed meanwhile, what was left of it is back with its owner, who pays.
-CustomerId Desk::payer(const Ruling& ruling, CustomerId customer) const {
-    return open_.contains(book_.reservation_name(ruling.reservation)) ? ruling.account : customer;
+CustomerId PlanService::paying_customer(const PlanDecision& decision, CustomerId customer_id) const {
+    return open_reservations_.contains(plan_table_.reservation_name(decision.reservation_version))
+               ? decision.account
+               : customer_id;
 }
 
-void Desk::take(const Change& change, TimePoint now) {
-    book_.apply(change);
-    ++stats_.changes;
-    if (change.at > seen_) return;    // its time is still to come, and is in the book's schedule
-    ++stats_.late;
-    stats_.latest = std::max(stats_.latest, now - change.at);
-    queue(book_.effects_of(change));
+void PlanService::apply_change(const PlanChange& change, TimePoint now) {
+    plan_table_.append(change);
+    ++statistics_.applied_changes;
+    if (change.effective_at > effects_queued_until_)
+        return;    // its time is still to come, and is in the book's schedule
+    ++statistics_.late_changes;
+    statistics_.max_lateness = std::max(statistics_.max_lateness, now - change.effective_at);
+    queue_effects(plan_table_.effects_of(change));
 }
 
-void Desk::queue(const Book::Effects& effects) {
-    for (const CustomerId id : effects.customers) moving_.push_back(id);
+void PlanService::queue_effects(const PlanTable::Effects& effects) {
+    for (const CustomerId customer_id : effects.customers) queued_customers_.push_back(customer_id);
     if (effects.plans.empty()) return;
     // Whoever has the plan, by whatever way: all that are tracked are looked at anew.
-    for (const CustomerId id : ledger_.customers()) {
-        if ((static_cast<std::uint64_t>(id) & kAccounts) == 0) moving_.push_back(id);
+    for (const CustomerId customer_id : quota_state_table_.tracked_customers()) {
+        if ((static_cast<std::uint64_t>(customer_id) & kFirstAccountId) == 0)
+            queued_customers_.push_back(customer_id);
     }
 }
 
-void Desk::settle_reservation(const std::string& id, TimePoint now, std::vector<Allowance>& changed) {
-    const Reservation* const r = book_.reservation(id);
-    if (r == nullptr || r->open(now) || !open_.erase(id)) return;
-    if (const auto a = ledger_.close(account_of(*r), now)) changed.push_back(*a);
+void PlanService::update_reservation(const std::string& reservation_id, TimePoint now,
+                                     std::vector<Allowance>& changed) {
+    const Reservation* const reservation = plan_table_.find_reservation(reservation_id);
+    if (reservation == nullptr || reservation->is_open(now) || !open_reservations_.erase(reservation_id))
+        return;
+    if (const auto a = quota_state_table_.close_account(reservation_account(*reservation), now))
+        changed.push_back(*a);
 }
 
-void Desk::due(TimePoint now, std::vector<Allowance>& changed) {
-    if (now > seen_) {
-        const Book::Effects effects = book_.between(seen_, now);
+void PlanService::apply_due_effects(TimePoint now, std::vector<Allowance>& changed) {
+    if (now > effects_queued_until_) {
+        const PlanTable::Effects effects = plan_table_.effects_between(effects_queued_until_, now);
         if (!effects.empty()) {
-            if (moving_.empty()) acting_since_ = book_.next_after(seen_).value_or(now);
-            queue(effects);
+            if (queued_customers_.empty())
+                processing_since_ = plan_table_.next_effect_after(effects_queued_until_).value_or(now);
+            queue_effects(effects);
         }
-        seen_ = now;
-        for (const std::string& id : effects.reservations) settle_reservation(id, now, changed);
+        effects_queued_until_ = now;
+        for (const std::string& reservation_id : effects.reservations)
+            update_reservation(reservation_id, now, changed);
     }
-    act(now, changed);
+    process_queue(now, changed);
 }
 
-void Desk::act(TimePoint now, std::vector<Allowance>& changed) {
-    if (moving_.empty()) return;
-    for (std::size_t i = 0; i < kAtOnce && !moving_.empty(); ++i) {
-        const CustomerId id = moving_.front();
-        moving_.pop_front();
-        const auto it = known_.find(id);
-        if (it == known_.end()) continue;
-        const int terms = terms_for(book_.in_force(id, it->second.asked_plan, now));
-        if (const auto a = ledger_.set(id, terms, book_.carved(id, now), now)) changed.push_back(*a);
+void PlanService::process_queue(TimePoint now, std::vector<Allowance>& changed) {
+    if (queued_customers_.empty()) return;
+    for (std::size_t index = 0; index < kMaxCustomersPerTurn && !queued_customers_.empty(); ++index) {
+        const CustomerId customer_id = queued_customers_.front();
+        queued_customers_.pop_front();
+        const auto found = known_customers_.find(customer_id);
+        if (found == known_customers_.end()) continue;
+        const int terms =
+            define_terms(plan_table_.effective_plan_for(customer_id, found->second.asked_plan, now));
+        if (const auto a = quota_state_table_.set_plan(customer_id, terms,
+                                                       plan_table_.reserved_rate(customer_id, now), now))
+            changed.push_back(*a);
     }
-    if (moving_.empty() && acting_since_ != TimePoint{}) {
-        stats_.behind = std::max(stats_.behind, now - acting_since_);
-        acting_since_ = {};
+    if (queued_customers_.empty() && processing_since_ != TimePoint{}) {
+        statistics_.max_delay = std::max(statistics_.max_delay, now - processing_since_);
+        processing_since_ = {};
     }
-    if (known_.size() >= kMostKnown) {    // those that the ledger forgot
+    if (known_customers_.size() >= kMaxKnownCustomers) {    // those that the ledger forgot
         std::set<CustomerId> tracked;
-        for (const CustomerId id : ledger_.customers()) tracked.insert(id);
-        std::erase_if(known_, [&](const auto& one) { return !tracked.contains(one.first); });
+        for (const CustomerId customer_id : quota_state_table_.tracked_customers())
+            tracked.insert(customer_id);
+        std::erase_if(known_customers_, [&](const auto& one) { return !tracked.contains(one.first); });
     }
 }
 
-std::optional<TimePoint> Desk::next() const {
-    if (!moving_.empty()) return seen_;
-    return book_.next_after(seen_);
+std::optional<TimePoint> PlanService::next_deadline() const {
+    if (!queued_customers_.empty()) return effects_queued_until_;
+    return plan_table_.next_effect_after(effects_queued_until_);
 }
 
-DeskStats Desk::stats(TimePoint now) const {
-    DeskStats s = stats_;
-    for (const std::string& id : open_) s.open += book_.reservation(id)->open(now);
+PlanServiceStatistics PlanService::statistics(TimePoint now) const {
+    PlanServiceStatistics s = statistics_;
+    for (const std::string& reservation_id : open_reservations_)
+        s.open_reservations += plan_table_.find_reservation(reservation_id)->is_open(now);
     return s;
 }
 
--- a/src/data_plane/plans/plan_service.h
+++ b/src/data_plane/plans/plan_service.h
@@ -14,81 +14,84 @@
 namespace shaletray::plans {
 
 using decision::Allowance;
-using limits::Ledger;
+using limits::QuotaStateTable;
 
-struct DeskStats {
-    std::uint64_t changes = 0;         // taken into the book in this life
-    std::uint64_t late = 0;            // heard of after their time
-    Duration latest{0};                // by how much, at most
-    Duration behind{0};                // from a change's time until it was acted on here, at most
-    std::uint64_t redeemed = 0;        // tries that drew on a reservation
-    std::uint64_t not_redeemed = 0;    // tries that named one which is not open, not theirs or used up
-    std::size_t open = 0;              // reservations that may be drawn on now
+struct PlanServiceStatistics {
+    std::uint64_t applied_changes = 0;       // taken into the book in this life
+    std::uint64_t late_changes = 0;          // heard of after their time
+    Duration max_lateness{0};                // by how much, at most
+    Duration max_delay{0};                   // from a change's time until it was acted on here, at most
+    std::uint64_t redemptions = 0;           // tries that drew on a reservation
+    std::uint64_t failed_redemptions = 0;    // tries that named one which is not open, not theirs or used up
+    std::size_t open_reservations = 0;       // reservations that may be drawn on now
 };
 
-class Desk {
+class PlanService {
 public:
     // `redeemed`: units that this gateway drew on reservations in earlier lives, by version.
-    Desk(Book book, Ledger& ledger, TimePoint now, std::map<std::uint64_t, double> redeemed = {});
+    PlanService(PlanTable plan_table, QuotaStateTable& quota_state_table, TimePoint now,
+                std::map<std::uint64_t, double> redeemed_units = {});
 
     // How a request is judged and billed, for all of its attempts.
-    struct Ruling {
+    struct PlanDecision {
         CustomerId account{};    // the module's customer: the customer, or its reservation's account
         int plan_index = 0;      // the module's
-        std::uint64_t plan_version = 0, reservation = 0;
+        std::uint64_t plan_version = 0, reservation_version = 0;
     };
     // Appends what the module must be told before the request.
-    Ruling rule(CustomerId customer, int asked_plan, int first, int width, double units,
-                const std::string& reservation, TimePoint now, std::vector<Allowance>& told);
+    PlanDecision decide_plan(CustomerId customer_id, int asked_plan, int first_gateway, int set_size,
+                             double units, const std::string& reservation, TimePoint now,
+                             std::vector<Allowance>& allowances);
     // It is about to be sent for the first time. Appends what others must be told.
-    void admitted(const Ruling& ruling, CustomerId customer, double units, TimePoint now,
-                  std::vector<Allowance>& told);
+    void record_admission(const PlanDecision& decision, CustomerId customer_id, double units, TimePoint now,
+                          std::vector<Allowance>& allowances);
     // Its answer told its true units: whoever paid at admission is charged `difference` more, as
     // Ledger::settled. What was redeemed of a reservation stays counted by the guess.
-    void settled(const Ruling& ruling, CustomerId customer, double difference, TimePoint now);
+    void settle_units(const PlanDecision& decision, CustomerId customer_id, double difference, TimePoint now);
 
     // Told of each sum that is raised, before the attempt is sent.
-    void on_redeemed(std::function<void(std::uint64_t version, double units)> told) {
-        redeemed_told_ = std::move(told);
+    void set_redemption_handler(std::function<void(std::uint64_t version, double units)> handler) {
+        redemption_handler_ = std::move(handler);
     }
 
-    const Book& book() const { return book_; }
+    const PlanTable& plan_table() const { return plan_table_; }
     // The next entry of the book, made here or heard of. Throws BadChange.
-    void take(const Change& change, TimePoint now);
+    void apply_change(const PlanChange& change, TimePoint now);
 
     // What has taken effect by now; appends what the module must be told. To be called when `next` is due; a
     // large change is carried out in several calls.
-    void due(TimePoint now, std::vector<Allowance>& changed);
-    std::optional<TimePoint> next() const;
+    void apply_due_effects(TimePoint now, std::vector<Allowance>& changed);
+    std::optional<TimePoint> next_deadline() const;
 
     // Units drawn on a reservation here, in this life and earlier ones, by its version.
-    const std::map<std::uint64_t, double>& redeemed() const { return redeemed_; }
-    DeskStats stats(TimePoint now) const;
+    const std::map<std::uint64_t, double>& redeemed_units() const { return redeemed_units_; }
+    PlanServiceStatistics statistics(TimePoint now) const;
 
 private:
-    struct Known {    // customers that the ledger may track: what their requests said
+    struct KnownCustomer {    // customers that the ledger may track: what their requests said
         int asked_plan = 0;
     };
-    static CustomerId account_of(const Reservation& r);
+    static CustomerId reservation_account(const Reservation& reservation);
     // Whose quota pays for a request drawn on a reservation: its account, or its owner once it was closed.
-    CustomerId payer(const Ruling& ruling, CustomerId customer) const;
-    int terms_for(const InForce& f);
-    void open(const Reservation& r, int like);
-    limits::Standing standing(CustomerId customer, int asked_plan, TimePoint now) const;
-    void queue(const Book::Effects& effects);
-    void act(TimePoint now, std::vector<Allowance>& changed);
-    void settle_reservation(const std::string& id, TimePoint now, std::vector<Allowance>& changed);
+    CustomerId paying_customer(const PlanDecision& decision, CustomerId customer_id) const;
+    int define_terms(const EffectivePlan& effective_plan);
+    void open_account(const Reservation& reservation, int base_plan);
+    limits::CustomerStanding customer_standing(CustomerId customer_id, int asked_plan, TimePoint now) const;
+    void queue_effects(const PlanTable::Effects& effects);
+    void process_queue(TimePoint now, std::vector<Allowance>& changed);
+    void update_reservation(const std::string& reservation_id, TimePoint now,
+                            std::vector<Allowance>& changed);
 
-    Book book_;
-    Ledger& ledger_;
-    TimePoint seen_{};    // effects up to here are queued
-    std::map<CustomerId, Known> known_;
-    std::deque<CustomerId> moving_;    // to be looked at anew
-    std::set<std::string> open_;       // reservations whose accounts are open
-    std::map<std::uint64_t, double> redeemed_;
-    std::function<void(std::uint64_t, double)> redeemed_told_;
-    TimePoint acting_since_{};
-    DeskStats stats_;
+    PlanTable plan_table_;
+    QuotaStateTable& quota_state_table_;
+    TimePoint effects_queued_until_{};    // effects up to here are queued
+    std::map<CustomerId, KnownCustomer> known_customers_;
+    std::deque<CustomerId> queued_customers_;    // to be looked at anew
+    std::set<std::string> open_reservations_;    // reservations whose accounts are open
+    std::map<std::uint64_t, double> redeemed_units_;
+    std::function<void(std::uint64_t, double)> redemption_handler_;
+    TimePoint processing_since_{};
+    PlanServiceStatistics statistics_;
 };
 
 }    // namespace shaletray::plans
--- a/src/data_plane/plans/plan_table.h
+++ b/src/data_plane/plans/plan_table.h
@@ -13,95 +13,105 @@
 
 namespace shaletray::plans {
 
-struct BookSettings {
-    std::vector<decision::PlanSettings> platform;
-    bool book_wins = false;                         // over the plan that a request names
-    Duration lead{2'000'000};                       // from a change to its effect, at least
-    Duration most_ahead{86'400'000'000LL * 400};    // of an effect or the end of a window
-    double most_carved = 0.5;                       // of a customer's rate, by all its reservations at once
-    std::size_t most_plans = 1000, most_customers = 1'000'000, most_reservations = 100'000;
-    std::size_t most_of_one = 16;    // reservations of one customer that are not over
+struct PlanTableSettings {
+    std::vector<decision::PlanSettings> platform_plans;
+    bool table_overrides_request = false;              // over the plan that a request names
+    Duration lead_time{2'000'000};                     // from a change to its effect, at least
+    Duration max_lead_time{86'400'000'000LL * 400};    // of an effect or the end of a window
+    double max_reserved_fraction = 0.5;    // of a customer's rate, by all its reservations at once
+    std::size_t max_plans = 1000, max_customers = 1'000'000, max_reservations = 100'000;
+    std::size_t max_reservations_per_customer = 16;    // reservations of one customer that are not over
 };
 
-struct Refusal {
-    enum class Why { Stale, Unknown, Wrong, Closed, TooMuch, TooFar, Full };
-    Why why{};
+struct ChangeRejection {
+    enum class Reason { Stale, Unknown, Invalid, Closed, OverCapacity, TooFarAhead, Full };
+    Reason reason{};
     std::string text;
-    std::uint64_t newest = 0;    // version of the subject
-    std::string newest_by;
-    std::optional<double> fits;    // TooMuch: the largest amount that would
+    std::uint64_t latest_version = 0;    // version of the subject
+    std::string latest_author;
+    std::optional<double> max_acceptable;    // TooMuch: the largest amount that would
 };
-const char* name_of(Refusal::Why why);
+const char* reason_name(ChangeRejection::Reason reason);
 
 // A plan as it is for a customer at a time.
-struct InForce {
-    int terms = 0;    // of the platform: its index; of the book: kBookTerms + the version that defined them
-    int like = 0;     // the platform's plan behind it
-    Terms figures;
-    std::string plan;
-    std::uint64_t version = 0;     // that defined the terms; 0: the platform's own
-    std::uint64_t assigned = 0;    // that assigned the plan; 0: the request named it
-    bool operator==(const InForce&) const = default;
+struct EffectivePlan {
+    int terms_index =
+        0;    // of the platform: its index; of the book: kBookTerms + the version that defined them
+    int base_plan = 0;    // the platform's plan behind it
+    PlanTerms terms;
+    std::string plan_name;
+    std::uint64_t terms_version = 0;         // that defined the terms; 0: the platform's own
+    std::uint64_t assignment_version = 0;    // that assigned the plan; 0: the request named it
+    bool operator==(const EffectivePlan&) const = default;
 };
-constexpr int kBookTerms = 1024;
+constexpr int kFirstTableTerms = 1024;
 
 struct Reservation {
-    Reserve made;
+    MakeReservation definition;
     std::uint64_t version = 0;
-    TimePoint start{}, full{};    // carved evenly from start until full
-    TimePoint end{};              // it takes nothing from then on: the window's end, or its release
-    double carve_rate() const;    // units a second
+    TimePoint starts_at{}, fully_reserved_at{};    // carved evenly from start until full
+    TimePoint ends_at{};                // it takes nothing from then on: the window's end, or its release
+    double reservation_rate() const;    // units a second
     // Of its units, carved by then.
-    double carved(TimePoint at) const;
-    bool carving(TimePoint at) const { return at >= start && at < std::min(full, end); }
+    double reserved_units(TimePoint time) const;
+    bool is_accumulating(TimePoint time) const {
+        return time >= starts_at && time < std::min(fully_reserved_at, ends_at);
+    }
     // Not before its change is in effect, however early its window begins.
-    bool open(TimePoint at) const { return at >= std::max(made.from, start) && at < end; }
+    bool is_open(TimePoint time) const {
+        return time >= std::max(definition.starts_at, starts_at) && time < ends_at;
+    }
     bool operator==(const Reservation&) const = default;
 };
 
-class Book {
+class PlanTable {
 public:
     // Throws decision::BadSettings.
-    explicit Book(BookSettings settings);
+    explicit PlanTable(PlanTableSettings settings);
 
     // What would become of it, without doing it. The same request once more gives the same change.
-    std::variant<Change, Refusal> propose(const Proposal& proposal, TimePoint now) const;
+    std::variant<PlanChange, ChangeRejection> validate_proposal(const ChangeProposal& proposal,
+                                                                TimePoint now) const;
     // The next entry. Throws BadChange where it does not follow on from what is here, or makes no sense; the
     // book is as before then.
-    void apply(const Change& change);
+    void append(const PlanChange& change);
 
     // Throws as apply would, and changes nothing: for who must keep the entry before it counts.
-    static void check_next(const Book& book, const Change& change) { book.check(change); }
+    static void validate_next(const PlanTable& plan_table, const PlanChange& change) {
+        plan_table.validate_entry(change);
+    }
 
-    std::uint64_t version() const { return log_.size(); }
-    std::uint64_t chain() const { return log_.empty() ? 0 : log_.back().chain; }
-    const std::vector<Change>& log() const { return log_; }
+    std::uint64_t version() const { return change_log_.size(); }
+    std::uint64_t chain_hash() const { return change_log_.empty() ? 0 : change_log_.back().chain_hash; }
+    const std::vector<PlanChange>& change_log() const { return change_log_; }
     // The newest version of a subject; 0: none.
-    std::uint64_t version_of(const std::string& subject) const;
+    std::uint64_t subject_version(const std::string& subject) const;
 
-    InForce in_force(CustomerId customer, int asked_plan, TimePoint at) const;
+    EffectivePlan effective_plan_for(CustomerId customer_id, int asked_plan, TimePoint time) const;
     // Whether the newest word on a body's subject is just that, in force already or not.
-    bool says(const Body& body) const;
+    bool matches_latest(const ChangeBody& body) const;
     // A plan's own terms, or its successor's; nothing where it has none at that time.
-    std::optional<InForce> terms(const std::string& plan, TimePoint at) const { return terms_of(plan, at); }
+    std::optional<EffectivePlan> plan_terms(const std::string& plan, TimePoint time) const {
+        return resolve_terms(plan, time);
+    }
     // What the book assigns, where the file lets it win or not.
-    std::string assigned(CustomerId customer, TimePoint at) const;
+    std::string assigned_plan_name(CustomerId customer_id, TimePoint time) const;
     // Units a second that are carved out of the customer's quota.
-    double carved(CustomerId customer, TimePoint at) const;
-    const Reservation* reservation(const std::string& id) const;
+    double reserved_rate(CustomerId customer_id, TimePoint time) const;
+    const Reservation* find_reservation(const std::string& reservation_id) const;
     std::string reservation_name(std::uint64_t version) const;    // empty where that version made none
-    const decision::PlanSettings& platform(int plan) const {
-        return s_.platform.at(static_cast<std::size_t>(plan));
+    const decision::PlanSettings& platform_plan(int plan) const {
+        return settings_.platform_plans.at(static_cast<std::size_t>(plan));
     }
     // What a customer's stores would hold, over all gateways, had it drawn nothing lately: after a change to
     // a larger plan they are not full at once. Below 0: full.
-    struct Rested {
-        double quota = -1.0, ceiling = -1.0;
+    struct RestedLevels {
+        double quota_units = -1.0, rate_units = -1.0;
     };
-    Rested rested(CustomerId customer, int asked_plan, TimePoint at) const;
-    std::vector<const Reservation*> reservations_of(CustomerId customer) const;
-    std::vector<std::string> plans() const;    // names, the platform's first
-    std::size_t customers_of(const std::string& plan, TimePoint at) const;
+    RestedLevels rested_levels(CustomerId customer_id, int asked_plan, TimePoint time) const;
+    std::vector<const Reservation*> customer_reservations(CustomerId customer_id) const;
+    std::vector<std::string> plan_names() const;    // names, the platform's first
+    std::size_t customer_count(const std::string& plan, TimePoint time) const;
 
     // What takes effect after `from` and by `to`.
     struct Effects {
@@ -110,52 +120,55 @@
         std::set<std::string> reservations;
         bool empty() const { return plans.empty() && customers.empty() && reservations.empty(); }
     };
-    Effects between(TimePoint from, TimePoint to) const;
-    std::optional<TimePoint> next_after(TimePoint at) const;
+    Effects effects_between(TimePoint from, TimePoint to) const;
+    std::optional<TimePoint> next_effect_after(TimePoint time) const;
     // What the entry changes wherever its time lies: for gateways that hear of it late.
-    Effects effects_of(const Change& change) const;
+    Effects effects_of(const PlanChange& change) const;
 
 private:
     template <class T>
     struct Versions {    // of one subject, by version
         struct Entry {
             std::uint64_t version;
-            TimePoint at;
-            T what;
+            TimePoint effective_at;
+            T value;
         };
         std::vector<Entry> entries;
-        const Entry* at(TimePoint when) const {
-            for (auto it = entries.rbegin(); it != entries.rend(); ++it)
-                if (it->at <= when) return &*it;
+        const Entry* effective_at(TimePoint time) const {
+            for (auto found = entries.rbegin(); found != entries.rend(); ++found)
+                if (found->effective_at <= time) return &*found;
             return nullptr;
         }
     };
-    using PlanEntry = std::variant<Define, Withdraw>;
-
-    int platform_index(const std::string& plan) const;
-    std::optional<Refusal> wrong(const Define& d, TimePoint at) const;
-    std::optional<Refusal> wrong(const Withdraw& w, TimePoint at) const;
-    std::optional<Refusal> wrong(const Assign& a, TimePoint at) const;
-    std::optional<Refusal> wrong(const Reserve& r, TimePoint at) const;
-    std::optional<Refusal> wrong(const Release& r, TimePoint at) const;
-    std::optional<Refusal> overdrawn(const Change& change) const;
-    bool known(const std::string& plan) const;
-    bool closed(const std::string& plan, TimePoint at) const;
-    std::optional<InForce> terms_of(const std::string& plan, TimePoint at, int depth = 0) const;
-    std::string plan_for(const Reserve& r, TimePoint at) const;
-    std::vector<TimePoint> steps(const Reservation& r) const;
-    double room(const Reservation& r, const std::string& but) const;
-    static Reservation laid_out(const Reserve& r, TimePoint at, std::uint64_t version);
-    void check(const Change& change) const;
-    void take(const Change& change);
-
-    BookSettings s_;
-    std::vector<Change> log_;
+    using PlanEntry = std::variant<DefinePlan, WithdrawPlan>;
+
+    int find_platform_plan(const std::string& plan) const;
+    std::optional<ChangeRejection> check_body(const DefinePlan& definition, TimePoint effective_at) const;
+    std::optional<ChangeRejection> check_body(const WithdrawPlan& withdrawal, TimePoint effective_at) const;
+    std::optional<ChangeRejection> check_body(const AssignPlan& assignment, TimePoint effective_at) const;
+    std::optional<ChangeRejection> check_body(const MakeReservation& reservation,
+                                              TimePoint effective_at) const;
+    std::optional<ChangeRejection> check_body(const ReleaseReservation& reservation,
+                                              TimePoint effective_at) const;
+    std::optional<ChangeRejection> check_reserved_total(const PlanChange& change) const;
+    bool is_known_plan(const std::string& plan) const;
+    bool is_withdrawn(const std::string& plan, TimePoint time) const;
+    std::optional<EffectivePlan> resolve_terms(const std::string& plan, TimePoint time, int depth = 0) const;
+    std::string reservation_plan(const MakeReservation& reservation, TimePoint time) const;
+    std::vector<TimePoint> rate_change_times(const Reservation& reservation) const;
+    double available_rate(const Reservation& candidate, const std::string& excluded_id) const;
+    static Reservation make_reservation(const MakeReservation& definition, TimePoint effective_at,
+                                        std::uint64_t version);
+    void validate_entry(const PlanChange& change) const;
+    void apply_entry(const PlanChange& change);
+
+    PlanTableSettings settings_;
+    std::vector<PlanChange> change_log_;
     std::map<std::string, Versions<PlanEntry>> plans_;
     std::unordered_map<CustomerId, Versions<std::string>> customers_;
     std::map<std::string, Reservation> reservations_;
-    std::unordered_map<CustomerId, std::vector<std::string>> reserved_;
-    std::unordered_map<std::string, std::uint64_t> subjects_, requests_;
+    std::unordered_map<CustomerId, std::vector<std::string>> reservations_by_customer_;
+    std::unordered_map<std::string, std::uint64_t> subject_versions_, versions_by_request_;
     std::multimap<TimePoint, std::string> schedule_;    // subjects whose state may change then
 };
 
--- a/src/data_plane/proxy/host_table.h
+++ b/src/data_plane/proxy/host_table.h
@@ -8,16 +8,16 @@
 
 namespace shaletray {
 
-class Hosts {
+class HostTable {
 public:
     struct Host {
-        std::string address;    // numeric, with its port
-        TimePoint born{};       // its process's start: another one is another process
+        std::string address;               // numeric, with its port
+        TimePoint process_started_at{};    // its process's start: another one is another process
     };
-    virtual ~Hosts() = default;
-    virtual const Host* find(decision::HostId host) const = 0;    // none: not known, or gone
+    virtual ~HostTable() = default;
+    virtual const Host* find_host(decision::HostId host) const = 0;    // none: not known, or gone
     // Whether the first byte of a request may still go there.
-    virtual bool may_begin(decision::HostId host, TimePoint now) const = 0;
+    virtual bool may_send_to(decision::HostId host, TimePoint now) const = 0;
 };
 
 }    // namespace shaletray
--- a/src/data_plane/proxy/server_connection.cpp
+++ b/src/data_plane/proxy/server_connection.cpp
@@ -7,198 +7,212 @@
 namespace shaletray {
 namespace {
 
-constexpr int kMostSkipped = 32;
+constexpr int kMaxSkippedAnswers = 32;
 
 }    // namespace
 
-void ServerConnection::begin(std::string message, bool probe, std::string id,
-                             std::shared_ptr<Upload> upload) {
+void ServerConnection::start_exchange(std::string message, bool is_health_check, std::string request_id,
+                                      std::shared_ptr<RequestUpload> upload) {
     message_ = std::move(message);
-    upload_ = std::move(upload);
-    asked_.probe = probe;
-    asked_.id = std::move(id);
-    began_ = answered_ = judged_ = false;
-    skipped_ = 0;
-    if (state_ == State::Idle) return write();
+    pending_upload_ = std::move(upload);
+    exchange_.is_health_check = is_health_check;
+    exchange_.request_id = std::move(request_id);
+    answer_started_ = is_answered_ = head_examined_ = false;
+    skipped_answers_ = 0;
+    if (state_ == State::Idle) return write_message();
     state_ = State::Dialling;
-    if (!stream_.dial(address_)) end(Outcome::ConnectFailed, false);
+    if (!stream_.connect(address_)) finish_exchange(Outcome::ConnectFailed, false);
 }
 
 void ServerConnection::on_connected() {
     if (state_ != State::Dialling) return;
     // The list may have taken the server out of service while the connection came up.
-    if (!owner_.may_begin(*this)) return end(Outcome::ConnectFailed, false);
-    write();
+    if (!owner_.may_begin(*this)) return finish_exchange(Outcome::ConnectFailed, false);
+    write_message();
 }
 
-void ServerConnection::write() {
+void ServerConnection::write_message() {
     state_ = State::Writing;
-    if (!stream_.send(std::exchange(message_, {}))) return end(Outcome::ConnectFailed, false);
-    if (stream_.sent_all()) written();
+    if (!stream_.write_bytes(std::exchange(message_, {})))
+        return finish_exchange(Outcome::ConnectFailed, false);
+    if (stream_.all_sent()) on_message_written();
 }
 
-void ServerConnection::on_sent() {
-    if (state_ == State::Writing) written();
+void ServerConnection::on_all_sent() {
+    if (state_ == State::Writing) on_message_written();
 }
 
 // All that there is so far is with the system.
-void ServerConnection::written() {
-    const std::shared_ptr<Upload> upload = upload_;    // which the next piece may end
+void ServerConnection::on_message_written() {
+    const std::shared_ptr<RequestUpload> upload = pending_upload_;    // which the next piece may end
     if (!upload) {
         state_ = State::Reading;
-        owner_.request_written(*this);
-    } else if (upload->given()) {
-        upload->go_on(true);
+        owner_.on_request_written(*this);
+    } else if (upload->is_streaming()) {
+        upload->set_reading(true);
     } else {
-        owner_.upload_began(*this);
-        upload->begin(*this);
+        owner_.on_upload_started(*this);
+        upload->start(*this);
     }
 }
 
-void ServerConnection::on_body(std::string_view bytes) {
-    if (state_ != State::Writing || !upload_) return;
-    if (!stream_.send(upload_->length() ? std::string(bytes) : write_chunk(bytes)))
-        return end(Outcome::ConnectFailed, false);
-    if (!stream_.sent_all()) upload_->go_on(false);
+void ServerConnection::on_body_chunk(std::string_view bytes) {
+    if (state_ != State::Writing || !pending_upload_) return;
+    if (!stream_.write_bytes(pending_upload_->total_length() ? std::string(bytes) : write_chunk(bytes)))
+        return finish_exchange(Outcome::ConnectFailed, false);
+    if (!stream_.all_sent()) pending_upload_->set_reading(false);
 }
 
 // One that is cut short ends with its request, since the client is gone then.
-void ServerConnection::on_body_end(bool whole) {
-    if (state_ != State::Writing || !whole || !upload_) return;
-    const bool chunked = !std::exchange(upload_, nullptr)->length();
-    if (chunked && !stream_.send(write_chunk(""))) return end(Outcome::ConnectFailed, false);
-    if (stream_.sent_all()) written();
+void ServerConnection::on_body_end(bool complete) {
+    if (state_ != State::Writing || !complete || !pending_upload_) return;
+    const bool chunked = !std::exchange(pending_upload_, nullptr)->total_length();
+    if (chunked && !stream_.write_bytes(write_chunk("")))
+        return finish_exchange(Outcome::ConnectFailed, false);
+    if (stream_.all_sent()) on_message_written();
 }
 
-void ServerConnection::let_go() {
-    if (const std::shared_ptr<Upload> upload = std::exchange(upload_, nullptr); upload && upload->given())
-        upload->go_on(false);
+void ServerConnection::release_upload() {
+    if (const std::shared_ptr<RequestUpload> upload = std::exchange(pending_upload_, nullptr);
+        upload && upload->is_streaming())
+        upload->set_reading(false);
 }
 
 void ServerConnection::on_input() {
     if (state_ == State::Idle) {
-        owner_.idle_broken(
+        owner_.on_idle_connection_lost(
             *this);    // nobody asked: whatever it is, the next answer must not be taken for it
         return;
     }
-    if (state_ == State::Flowing) return flow();
+    if (state_ == State::Streaming) return read_streamed_body();
     if (state_ != State::Reading && state_ != State::Writing) return;
-    const http::Status status = read_answer();
-    if (judged_ && good_ && !std::exchange(began_, true)) owner_.answer_began(*this);
-    if (status == http::Status::Bad) return end_spoilt();
-    http::Buffer& input = stream_.input();
-    if (status == http::Status::More) {
+    const http::ParseStatus status = read_answer();
+    if (head_examined_ && is_forwardable_ && !std::exchange(answer_started_, true))
+        owner_.on_answer_started(*this);
+    if (status == http::ParseStatus::Malformed) return finish_malformed();
+    http::Buffer& input = stream_.input_buffer();
+    if (status == http::ParseStatus::Incomplete) {
         // The first of a long answer is what its client waits for. Where no length is stated, only what is
         // here tells how long it is.
-        const bool flows = state_ == State::Reading && judged_ && good_ &&
-                           parser_.length().value_or(parser_.body(input).size()) >= kFlowFrom;
-        if (!flows) {
+        const bool is_streamed =
+            state_ == State::Reading && head_examined_ && is_forwardable_ &&
+            parser_.content_length().value_or(parser_.body(input).size()) >= kStreamingThreshold;
+        if (!is_streamed) {
             // What is no good answer, or comes before its request was written, is not held at any length.
-            if (parser_.head_done() && parser_.body(input).size() >= kFlowFrom) end_spoilt();
+            if (parser_.head_complete() && parser_.body(input).size() >= kStreamingThreshold)
+                finish_malformed();
             return;
         }
-        state_ = State::Flowing;
-        wanted_ = false;
-        stream_.read_on(false);
-        return owner_.answer_flows(*this);
+        state_ = State::Streaming;
+        streaming_enabled_ = false;
+        stream_.set_reading(false);
+        return owner_.on_streamed_answer(*this);
     }
     // A server begins once it has the whole request: what is good before that answers something else.
-    if (good_ && state_ == State::Writing) return end_spoilt();
-    const bool whole = state_ == State::Reading && input.size() == parser_.size();
-    answered_ = true;
-    end(dialect_.outcome_of(asked_, parser_, input), whole && parser_.keep_alive());
+    if (is_forwardable_ && state_ == State::Writing) return finish_malformed();
+    const bool complete = state_ == State::Reading && input.size() == parser_.message_size();
+    is_answered_ = true;
+    finish_exchange(protocol_.outcome_of(exchange_, parser_, input), complete && parser_.keep_alive());
 }
 
 // Up to the answer that counts, and how far that one is here. Those before it say nothing of the request; but
 // they must not go on for ever, nor lead to another protocol.
-http::Status ServerConnection::read_answer() {
-    http::Buffer& input = stream_.input();
+http::ParseStatus ServerConnection::read_answer() {
+    http::Buffer& input = stream_.input_buffer();
     while (true) {
-        const http::Status status = parser_.parse(input);
-        if (!parser_.head_done()) return status;
-        const bool interim = parser_.status() < 200;
-        if (!interim && !std::exchange(judged_, true)) {
-            fits_ = dialect_.fits(asked_, parser_, input);
-            good_ = fits_ == Fits::Yes && dialect_.good(asked_, parser_, input);
+        const http::ParseStatus status = parser_.parse(input);
+        if (!parser_.head_complete()) return status;
+        const bool interim = parser_.status_code() < 200;
+        if (!interim && !std::exchange(head_examined_, true)) {
+            answer_match_ = protocol_.match_answer(exchange_, parser_, input);
+            is_forwardable_ =
+                answer_match_ == AnswerMatch::Match && protocol_.is_forwardable(exchange_, parser_, input);
         }
-        if (status == http::Status::Bad || (judged_ && fits_ == Fits::No)) return http::Status::Bad;
-        if (judged_ && fits_ == Fits::Yes) return status;
-        if (status == http::Status::More) {
-            parser_.drop_body(input, parser_.body(input).size());
+        if (status == http::ParseStatus::Malformed ||
+            (head_examined_ && answer_match_ == AnswerMatch::Mismatch))
+            return http::ParseStatus::Malformed;
+        if (head_examined_ && answer_match_ == AnswerMatch::Match) return status;
+        if (status == http::ParseStatus::Incomplete) {
+            parser_.consume_body(input, parser_.body(input).size());
             return status;
         }
-        if (++skipped_ > kMostSkipped || parser_.status() == 101) return http::Status::Bad;
-        input.consume(parser_.size());
+        if (++skipped_answers_ > kMaxSkippedAnswers || parser_.status_code() == 101)
+            return http::ParseStatus::Malformed;
+        input.consume(parser_.message_size());
         parser_.reset();
-        judged_ = false;
+        head_examined_ = false;
     }
 }
 
-void ServerConnection::on_broken() {
+void ServerConnection::on_disconnected() {
     switch (state_) {
         case State::Dialling:
-        case State::Writing: return end(Outcome::ConnectFailed, false);
+        case State::Writing: return finish_exchange(Outcome::ConnectFailed, false);
         case State::Reading:
-            answered_ =
-                stream_.ended() && judged_ && fits_ == Fits::Yes && parser_.end() == http::Status::Done;
-            return end(answered_ ? dialect_.outcome_of(asked_, parser_, stream_.input()) : Outcome::Reset,
-                       false);
-        case State::Flowing: return end_flow(stream_.ended() && parser_.end() == http::Status::Done);
-        case State::Idle: return owner_.idle_broken(*this);
+            is_answered_ = stream_.is_ended() && head_examined_ && answer_match_ == AnswerMatch::Match &&
+                           parser_.finish() == http::ParseStatus::Complete;
+            return finish_exchange(is_answered_
+                                       ? protocol_.outcome_of(exchange_, parser_, stream_.input_buffer())
+                                       : Outcome::Reset,
+                                   false);
+        case State::Streaming:
+            return finish_streamed_body(stream_.is_ended() &&
+                                        parser_.finish() == http::ParseStatus::Complete);
+        case State::Idle: return owner_.on_idle_connection_lost(*this);
         default: return;
     }
 }
 
-void ServerConnection::flow_on(bool wanted) {
-    if (state_ != State::Flowing || wanted == wanted_) return;
-    wanted_ = wanted;
-    stream_.read_on(wanted);
-    if (wanted && !flowing_) flow();
+void ServerConnection::set_streaming(bool enabled) {
+    if (state_ != State::Streaming || enabled == streaming_enabled_) return;
+    streaming_enabled_ = enabled;
+    stream_.set_reading(enabled);
+    if (enabled && !reading_stream_) read_streamed_body();
 }
 
 // Who takes the pieces may stop them, or let go of them, while he is given one.
-void ServerConnection::flow() {
-    flowing_ = true;
-    http::Buffer& input = stream_.input();
-    const http::Status status = parser_.parse(input);
+void ServerConnection::read_streamed_body() {
+    reading_stream_ = true;
+    http::Buffer& input = stream_.input_buffer();
+    const http::ParseStatus status = parser_.parse(input);
     if (const std::string_view bytes = parser_.body(input); !bytes.empty()) {
         const std::size_t count = bytes.size();
-        owner_.body_came(*this, bytes);
-        if (state_ == State::Flowing) parser_.drop_body(input, count);
+        owner_.on_answer_body(*this, bytes);
+        if (state_ == State::Streaming) parser_.consume_body(input, count);
     }
-    flowing_ = false;
-    if (state_ != State::Flowing || status == http::Status::More) return;
-    end_flow(status == http::Status::Done);
+    reading_stream_ = false;
+    if (state_ != State::Streaming || status == http::ParseStatus::Incomplete) return;
+    finish_streamed_body(status == http::ParseStatus::Complete);
 }
 
-void ServerConnection::end_flow(bool whole) {
-    const bool reusable =
-        whole && !stream_.ended() && stream_.input().size() == parser_.size() && parser_.keep_alive();
-    stream_.read_on(true);
+void ServerConnection::finish_streamed_body(bool complete) {
+    const bool reusable = complete && !stream_.is_ended() &&
+                          stream_.input_buffer().size() == parser_.message_size() && parser_.keep_alive();
+    stream_.set_reading(true);
     state_ = reusable ? State::Idle : State::Closed;
-    owner_.body_ended(*this, whole, reusable);
+    owner_.on_answer_body_end(*this, complete, reusable);
 }
 
-void ServerConnection::end(Outcome outcome, bool reusable) {
-    let_go();
+void ServerConnection::finish_exchange(Outcome outcome, bool reusable) {
+    release_upload();
     state_ = reusable ? State::Idle : State::Closed;
-    owner_.exchange_ended(*this, outcome, reusable);
+    owner_.on_exchange_ended(*this, outcome, reusable);
 }
 
 // A spoilt answer is a failed attempt that may have run. It is no reset: its server goes on answering, and to
 // take one for a process that ended would put most of the fleet out of use when a few answers spoil.
-void ServerConnection::end_spoilt() {
-    spoilt_ = true;
-    end(Outcome::Error, false);
+void ServerConnection::finish_malformed() {
+    is_malformed_ = true;
+    finish_exchange(Outcome::Error, false);
 }
 
-void ServerConnection::release() {
-    stream_.input().consume(parser_.size());
+void ServerConnection::mark_idle() {
+    stream_.input_buffer().consume(parser_.message_size());
     parser_.reset();
 }
 
 void ServerConnection::close() {
-    let_go();
+    release_upload();
     state_ = State::Closed;
     stream_.close();
 }
--- a/src/data_plane/proxy/server_pool.cpp
+++ b/src/data_plane/proxy/server_pool.cpp
@@ -7,35 +7,36 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kSweepEvery = 1s;
+constexpr Duration kSweepInterval = 1s;
 // What a server sends beyond its answer comes right after it. On a connection used again sooner, that would
 // be read as the next request's answer.
-constexpr Duration kSettle = 200us;
-constexpr double kIdleShare = 0.6;    // of the time after which a server says that it closes a connection
+constexpr Duration kIdleInputCheckDelay = 200us;
+constexpr double kServerIdleTimeoutFraction =
+    0.6;    // of the time after which a server says that it closes a connection
 
 }    // namespace
 
 // A long answer on its way. It outlives neither its connection's use nor who takes it: each tells the other.
-class ServerPool::Flow : public BodyFlow {
+class ServerPool::AnswerStream : public BodyStream {
 public:
-    Flow(ServerPool& pool, ServerConnection& connection)
-        : pool_(pool), connection_(&connection), length_(connection.parser().length()) {}
-    ~Flow() override {
+    AnswerStream(ServerPool& pool, ServerConnection& connection)
+        : pool_(pool), connection_(&connection), length_(connection.parser().content_length()) {}
+    ~AnswerStream() override {
         if (connection_ == nullptr) return;
-        pool_.connections_.at(connection_).flow = nullptr;
-        pool_.drop(*connection_);    // its server sees that nobody wants the rest
+        pool_.connections_.at(connection_).answer_stream = nullptr;
+        pool_.drop_connection(*connection_);    // its server sees that nobody wants the rest
     }
-    Flow(const Flow&) = delete;
-    Flow& operator=(const Flow&) = delete;
+    AnswerStream(const AnswerStream&) = delete;
+    AnswerStream& operator=(const AnswerStream&) = delete;
 
-    void begin(BodySink& sink) override {
+    void start(BodySink& sink) override {
         sink_ = &sink;
-        go_on(true);
+        set_reading(true);
     }
-    void go_on(bool wanted) override {
-        if (connection_ != nullptr) connection_->flow_on(wanted);
+    void set_reading(bool enabled) override {
+        if (connection_ != nullptr) connection_->set_streaming(enabled);
     }
-    std::optional<std::uint64_t> length() const override { return length_; }
+    std::optional<std::uint64_t> total_length() const override { return length_; }
     BodySink* sink() const { return sink_; }
     void detach() { connection_ = nullptr; }
 
@@ -46,123 +47,134 @@
     BodySink* sink_ = nullptr;
 };
 
-ServerPool::ServerPool(Engine& engine, const Hosts& hosts, const Dialect& dialect, ConnectionBudget& budget,
-                       Counters& counters, Reactor& reactor, Limits limits)
+ServerPool::ServerPool(Engine& engine, const HostTable& hosts, const UpstreamProtocol& protocol,
+                       ConnectionBudget& budget, Counters& counters, Reactor& reactor, Limits limits)
     : engine_(engine),
       hosts_(hosts),
-      dialect_(dialect),
+      protocol_(protocol),
       budget_(budget),
       counters_(counters),
       reactor_(reactor),
       limits_(limits) {}
 
 ServerPool::~ServerPool() {
-    reactor_.cancel(sweep_timer_);
+    reactor_.cancel_timer(sweep_timer_);
     for (auto& [connection, entry] : connections_) {
-        reactor_.cancel(entry.limit);
-        if (entry.flow != nullptr) entry.flow->detach();
+        reactor_.cancel_timer(entry.dial_timer);
+        if (entry.answer_stream != nullptr) entry.answer_stream->detach();
     }
-    for (auto& [host, place] : places_) {
-        for (ServerConnection* const idle : place.idle) budget_.idle_.erase(connections_.at(idle).place);
+    for (auto& [host, host_connections] : hosts_connections_) {
+        for (ServerConnection* const idle : host_connections.idle_connections)
+            budget_.idle_connections_.erase(connections_.at(idle).idle_position);
     }
-    budget_.open_ -= connections_.size();
+    budget_.open_connections_ -= connections_.size();
     connections_.clear();
-    reactor_.reap();
+    reactor_.destroy_retired();
 }
 
 // An address may pass on to another server, and a server's process may be another one after a restart.
-bool ServerPool::current(const ServerConnection& connection, const Entry& entry) const {
-    const Hosts::Host* const known = hosts_.find(connection.host());
-    return known != nullptr && known->address == connection.address() && known->born == entry.born;
+bool ServerPool::is_current(const ServerConnection& connection, const PooledConnection& entry) const {
+    const HostTable::Host* const known_host = hosts_.find_host(connection.host());
+    return known_host != nullptr && known_host->address == connection.address() &&
+           known_host->process_started_at == entry.process_started_at;
 }
 
-ServerPool::Entry* ServerPool::acquire(HostId host, Outcome& why_not) {
-    const Hosts::Host* const known = hosts_.find(host);
-    if (known == nullptr || !hosts_.may_begin(host, reactor_.clock().now())) {
-        why_not = Outcome::ConnectFailed;
+ServerPool::PooledConnection* ServerPool::acquire_connection(HostId host, Outcome& failure) {
+    const HostTable::Host* const known_host = hosts_.find_host(host);
+    if (known_host == nullptr || !hosts_.may_send_to(host, reactor_.clock().now())) {
+        failure = Outcome::ConnectFailed;
         return nullptr;
     }
     // The most recently used first: the others may then grow old and be closed.
     const TimePoint now = reactor_.clock().now();
-    if (const auto place = places_.find(host); place != places_.end()) {
-        std::vector<ServerConnection*>& idle = place->second.idle;    // gone with the last that is dropped
-        for (std::size_t at = idle.size(); at-- > 0;) {
-            ServerConnection* const connection = idle[at];
-            Entry& entry = connections_.at(connection);
-            if (entry.since > now - kSettle) continue;
+    if (const auto host_connections = hosts_connections_.find(host);
+        host_connections != hosts_connections_.end()) {
+        std::vector<ServerConnection*>& idle =
+            host_connections->second.idle_connections;    // gone with the last that is dropped
+        for (std::size_t index = idle.size(); index-- > 0;) {
+            ServerConnection* const connection = idle[index];
+            PooledConnection& entry = connections_.at(connection);
+            if (entry.state_since > now - kIdleInputCheckDelay) continue;
             // Past the limits' own time one is closed at the next sweep; what its server told is kept to the
             // dot.
-            const bool old = entry.keep < limits_.idle && now - entry.since > entry.keep;
-            if (!old && connection->fit() && current(*connection, entry)) {
-                idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(at));
-                budget_.idle_.erase(entry.place);
-                ++counters_.servers_reused;
+            const bool is_stale =
+                entry.idle_timeout < limits_.idle_timeout && now - entry.state_since > entry.idle_timeout;
+            if (!is_stale && connection->is_reusable() && is_current(*connection, entry)) {
+                idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(index));
+                budget_.idle_connections_.erase(entry.idle_position);
+                ++counters_.server_connections_reused;
                 return &entry;
             }
-            drop(*connection);
+            drop_connection(*connection);
         }
     }
-    if (budget_.open_ >= budget_.most_ && !budget_.idle_.empty()) {
-        const auto [pool, longest] = budget_.idle_.front();
-        pool->drop(*longest);
+    if (budget_.open_connections_ >= budget_.max_connections_ && !budget_.idle_connections_.empty()) {
+        const auto [pool, longest_idle] = budget_.idle_connections_.front();
+        pool->drop_connection(*longest_idle);
     }
-    const auto place = places_.find(host);
-    const std::size_t there = place == places_.end() ? 0 : place->second.open;
+    const auto host_connections = hosts_connections_.find(host);
+    const std::size_t connections_there =
+        host_connections == hosts_connections_.end() ? 0 : host_connections->second.open_connections;
     // Our own want of descriptors, or places, which says nothing of the server.
-    if (budget_.open_ >= budget_.most_ || (limits_.per_host > 0 && there >= limits_.per_host)) {
-        why_not = Outcome::NotSent;
+    if (budget_.open_connections_ >= budget_.max_connections_ ||
+        (limits_.max_per_host > 0 && connections_there >= limits_.max_per_host)) {
+        failure = Outcome::NotSent;
         return nullptr;
     }
-    ++budget_.open_;
-    ++places_[host].open;
-    ++counters_.servers_dialled;
-    ++counters_.servers_open;
+    ++budget_.open_connections_;
+    ++hosts_connections_[host].open_connections;
+    ++counters_.server_connections_dialled;
+    ++counters_.open_server_connections;
     ServerConnectionOwner& owner = *this;
-    auto connection = std::make_unique<ServerConnection>(reactor_, owner, dialect_, host, known->address);
-    ServerConnection* const at = connection.get();
-    Entry& entry = connections_[at];
+    auto connection =
+        std::make_unique<ServerConnection>(reactor_, owner, protocol_, host, known_host->address);
+    ServerConnection* const index = connection.get();
+    PooledConnection& entry = connections_[index];
     entry.connection = std::move(connection);
-    entry.born = known->born;
+    entry.process_started_at = known_host->process_started_at;
     return &entry;
 }
 
-void ServerPool::send(AttemptId attempt, HostId host, const Payload& request, Duration left) {
-    Outcome why_not{};
-    Entry* const entry = acquire(host, why_not);
-    if (entry == nullptr) return report(attempt, host, why_not, {}, {}, {});
+void ServerPool::send_attempt(AttemptId attempt, HostId host, const Payload& request, Duration time_left) {
+    Outcome failure{};
+    PooledConnection* const entry = acquire_connection(host, failure);
+    if (entry == nullptr) return report_outcome(attempt, host, failure, {}, {}, {});
     ServerConnection* const connection = entry->connection.get();
     entry->attempt = attempt;
-    entry->since = reactor_.clock().now();
-    attempts_[key(attempt)] = connection;
-    connection->begin(dialect_.write_request(request, host, left), false, request.id, request.upload);
-    if (const auto it = connections_.find(connection); it != connections_.end() && connection->dialling()) {
-        it->second.limit = reactor_.after(limits_.dial, [this, connection] {
-            if (connection->dialling()) exchange_ended(*connection, Outcome::ConnectFailed, false);
+    entry->state_since = reactor_.clock().now();
+    connections_by_attempt_[attempt_key(attempt)] = connection;
+    connection->start_exchange(protocol_.write_request(request, host, time_left), false, request.request_id,
+                               request.upload);
+    if (const auto found = connections_.find(connection);
+        found != connections_.end() && connection->is_dialling()) {
+        found->second.dial_timer = reactor_.schedule_after(limits_.dial_timeout, [this, connection] {
+            if (connection->is_dialling()) on_exchange_ended(*connection, Outcome::ConnectFailed, false);
         });
     }
 }
 
-void ServerPool::cancel(AttemptId attempt) {
-    const auto it = attempts_.find(key(attempt));
-    if (it != attempts_.end()) drop(*it->second);    // its server sees the connection end, and so the attempt
+void ServerPool::cancel_attempt(AttemptId attempt) {
+    const auto found = connections_by_attempt_.find(attempt_key(attempt));
+    if (found != connections_by_attempt_.end())
+        drop_connection(*found->second);    // its server sees the connection end, and so the attempt
 }
 
-bool ServerPool::began(AttemptId attempt) const {
-    const auto it = attempts_.find(key(attempt));
-    return it == attempts_.end() || !it->second->dialling();
+bool ServerPool::has_started(AttemptId attempt) const {
+    const auto found = connections_by_attempt_.find(attempt_key(attempt));
+    return found == connections_by_attempt_.end() || !found->second->is_dialling();
 }
 
-void ServerPool::probe(HostId host) {
-    Outcome why_not{};
-    Entry* const entry = acquire(host, why_not);
-    if (entry == nullptr) return report(std::nullopt, host, why_not, {}, {}, {});
+void ServerPool::check_health(HostId host) {
+    Outcome failure{};
+    PooledConnection* const entry = acquire_connection(host, failure);
+    if (entry == nullptr) return report_outcome(std::nullopt, host, failure, {}, {}, {});
     ServerConnection* const connection = entry->connection.get();
-    entry->since = reactor_.clock().now();
-    entry->limit = reactor_.after(limits_.dial, [this, connection] {
-        const Outcome outcome = connection->dialling() ? Outcome::ConnectFailed : Outcome::Timeout;
-        exchange_ended(*connection, outcome, false);
+    entry->state_since = reactor_.clock().now();
+    entry->dial_timer = reactor_.schedule_after(limits_.dial_timeout, [this, connection] {
+        const Outcome outcome = connection->is_dialling() ? Outcome::ConnectFailed : Outcome::Timeout;
+        on_exchange_ended(*connection, outcome, false);
     });
-    connection->begin(dialect_.write_probe(host, connection->address()), true);
+    connection->start_exchange(protocol_.write_health_check(host, connection->address()), true);
 }
 
 // Nor where its time to come up is over, which this process may see late: it stood still, and what it
@@ -170,175 +182,182 @@
 bool ServerPool::may_begin(ServerConnection& connection) {
     const TimePoint now = reactor_.clock().now();
     const auto it = connections_.find(&connection);
-    return it != connections_.end() && now - it->second.since <= limits_.dial &&
-           hosts_.may_begin(connection.host(), now);
+    return it != connections_.end() && now - it->second.state_since <= limits_.dial_timeout &&
+           hosts_.may_send_to(connection.host(), now);
 }
 
-void ServerPool::request_written(ServerConnection& connection) {
+void ServerPool::on_request_written(ServerConnection& connection) {
     const auto it = connections_.find(&connection);
     if (it == connections_.end() || !it->second.attempt) return;
-    ++counters_.tries_written;
-    engine_.attempt_written(*it->second.attempt);
+    ++counters_.attempts_written;
+    engine_.on_request_written(*it->second.attempt);
 }
 
-void ServerPool::upload_began(ServerConnection& connection) {
+void ServerPool::on_upload_started(ServerConnection& connection) {
     const auto it = connections_.find(&connection);
-    if (it != connections_.end() && it->second.attempt) engine_.attempt_uploads(*it->second.attempt);
+    if (it != connections_.end() && it->second.attempt) engine_.on_upload_started(*it->second.attempt);
 }
 
-void ServerPool::answer_began(ServerConnection& connection) {
+void ServerPool::on_answer_started(ServerConnection& connection) {
     const auto it = connections_.find(&connection);
-    if (it != connections_.end() && it->second.attempt) engine_.attempt_began(*it->second.attempt);
+    if (it != connections_.end() && it->second.attempt) engine_.on_response_started(*it->second.attempt);
 }
 
 // The one place where an exchange ends by itself; cancel() is the other end that there is.
-void ServerPool::exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) {
-    const auto it = connections_.find(&connection);
-    if (it == connections_.end()) return;
-    Entry& entry = it->second;
-    const bool spoilt = connection.spoilt();
+void ServerPool::on_exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) {
+    const auto found = connections_.find(&connection);
+    if (found == connections_.end()) return;
+    PooledConnection& entry = found->second;
+    const bool is_malformed = connection.is_malformed();
     LoadReport load;
     Payload answer;
-    double units = kUnitsUntold;
-    if (spoilt) {
-        ++counters_.bad_answers;
-        if (gate_.open())
-            log(LogLevel::Warning, Event::ServerSpoiltAnswer, {kv("server", connection.address())});
-    } else if (connection.answered()) {
-        load = dialect_.report_of(connection.parser(), connection.input());
-        const bool wanted = outcome == Outcome::Ok || (outcome == Outcome::Error && engine_.keeps_failures());
-        if (wanted && entry.attempt)
-            answer = dialect_.answer_of(connection.parser(), connection.input(), true);
+    double units = kUnitsUnreported;
+    if (is_malformed) {
+        ++counters_.malformed_answers;
+        if (log_limiter_.try_acquire())
+            log(LogLevel::Warning, Event::ServerMalformedAnswer, {log_field("server", connection.address())});
+    } else if (connection.is_answered()) {
+        load = protocol_.load_report_of(connection.parser(), connection.input());
+        const bool wants_body =
+            outcome == Outcome::Ok || (outcome == Outcome::Error && engine_.forwards_failure_answers());
+        if (wants_body && entry.attempt)
+            answer = protocol_.answer_of(connection.parser(), connection.input(), true);
         if (outcome == Outcome::Ok && entry.attempt)
-            units = dialect_.settled_units_of(connection.parser(), connection.input());
+            units = protocol_.settled_units_of(connection.parser(), connection.input());
     } else if (outcome == Outcome::ConnectFailed) {
-        ++counters_.servers_dial_failed;
+        ++counters_.server_dials_failed;
     }
     const std::optional<AttemptId> attempt = entry.attempt;
     const HostId host = connection.host();
     const TimePoint now = reactor_.clock().now();
-    const Duration took = now - entry.since;
-    const std::optional<Duration> most = reusable ? most_idle(connection) : std::nullopt;
-    if (most && current(connection, entry)) keep(connection, entry, *most);
-    else drop(connection);
-    report(attempt, host, outcome, took, std::move(load), std::move(answer), units);
+    const Duration duration = now - entry.state_since;
+    const std::optional<Duration> max_idle = reusable ? max_idle_time(connection) : std::nullopt;
+    if (max_idle && is_current(connection, entry)) keep_idle(connection, entry, *max_idle);
+    else drop_connection(connection);
+    report_outcome(attempt, host, outcome, duration, std::move(load), std::move(answer), units);
 }
 
 // It has ended, or no decision is left on it.
-void ServerPool::forget_attempt(Entry& entry) {
-    if (entry.attempt) attempts_.erase(key(*entry.attempt));
+void ServerPool::forget_attempt(PooledConnection& entry) {
+    if (entry.attempt) connections_by_attempt_.erase(attempt_key(*entry.attempt));
     entry.attempt.reset();
-    reactor_.cancel(entry.limit);
+    reactor_.cancel_timer(entry.dial_timer);
 }
 
 // For the next exchange.
-void ServerPool::keep(ServerConnection& connection, Entry& entry, Duration most) {
-    connection.release();
+void ServerPool::keep_idle(ServerConnection& connection, PooledConnection& entry, Duration max_idle) {
+    connection.mark_idle();
     forget_attempt(entry);
-    entry.since = reactor_.clock().now();
-    entry.keep = most;
-    places_[connection.host()].idle.push_back(&connection);
-    entry.place = budget_.idle_.insert(budget_.idle_.end(), {this, &connection});
-    if (sweep_timer_ == 0) sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    entry.state_since = reactor_.clock().now();
+    entry.idle_timeout = max_idle;
+    hosts_connections_[connection.host()].idle_connections.push_back(&connection);
+    entry.idle_position =
+        budget_.idle_connections_.insert(budget_.idle_connections_.end(), {this, &connection});
+    if (sweep_timer_ == 0)
+        sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_expired_connections(); });
 }
 
 // Before the answer's buffer is given back.
-std::optional<Duration> ServerPool::most_idle(const ServerConnection& connection) const {
-    const auto told = dialect_.idle_limit(connection.parser(), connection.input());
-    if (!told) return limits_.idle;
-    if (*told <= Duration(0)) return std::nullopt;
-    const Duration ours(static_cast<std::int64_t>(kIdleShare * static_cast<double>(told->count())));
-    return std::min(limits_.idle, ours);
+std::optional<Duration> ServerPool::max_idle_time(const ServerConnection& connection) const {
+    const auto server_timeout = protocol_.server_idle_timeout(connection.parser(), connection.input());
+    if (!server_timeout) return limits_.idle_timeout;
+    if (*server_timeout <= Duration(0)) return std::nullopt;
+    const Duration own_timeout(
+        static_cast<std::int64_t>(kServerIdleTimeoutFraction * static_cast<double>(server_timeout->count())));
+    return std::min(limits_.idle_timeout, own_timeout);
 }
 
 // The attempt has ended well as far as anybody decides on it: nothing can be tried again once a part of the
 // answer was passed on.
-void ServerPool::answer_flows(ServerConnection& connection) {
-    const auto it = connections_.find(&connection);
-    if (it == connections_.end()) return;
-    Entry& entry = it->second;
-    if (!entry.attempt) return drop(connection);    // no probe's answer is that long
+void ServerPool::on_streamed_answer(ServerConnection& connection) {
+    const auto found = connections_.find(&connection);
+    if (found == connections_.end()) return;
+    PooledConnection& entry = found->second;
+    if (!entry.attempt) return drop_connection(connection);    // no probe's answer is that long
     const AttemptId attempt = *entry.attempt;
-    const Duration took = reactor_.clock().now() - entry.since;
-    auto flow = std::make_shared<Flow>(*this, connection);
-    entry.flow = flow.get();
+    const Duration duration = reactor_.clock().now() - entry.state_since;
+    auto answer_stream = std::make_shared<AnswerStream>(*this, connection);
+    entry.answer_stream = answer_stream.get();
     forget_attempt(entry);
-    ++counters_.flows;
-    Payload answer = dialect_.answer_of(connection.parser(), connection.input(), false);
-    answer.flow = std::move(flow);
-    report(attempt, connection.host(), Outcome::Ok, took,
-           dialect_.report_of(connection.parser(), connection.input()), std::move(answer),
-           dialect_.settled_units_of(connection.parser(), connection.input()));
+    ++counters_.streamed_answers;
+    Payload answer = protocol_.answer_of(connection.parser(), connection.input(), false);
+    answer.body_stream = std::move(answer_stream);
+    report_outcome(attempt, connection.host(), Outcome::Ok, duration,
+                   protocol_.load_report_of(connection.parser(), connection.input()), std::move(answer),
+                   protocol_.settled_units_of(connection.parser(), connection.input()));
 }
 
-void ServerPool::body_came(ServerConnection& connection, std::string_view bytes) {
+void ServerPool::on_answer_body(ServerConnection& connection, std::string_view bytes) {
     const auto it = connections_.find(&connection);
-    if (it != connections_.end() && it->second.flow != nullptr) it->second.flow->sink()->on_body(bytes);
+    if (it != connections_.end() && it->second.answer_stream != nullptr)
+        it->second.answer_stream->sink()->on_body_chunk(bytes);
 }
 
-void ServerPool::body_ended(ServerConnection& connection, bool whole, bool reusable) {
+void ServerPool::on_answer_body_end(ServerConnection& connection, bool complete, bool reusable) {
     const auto it = connections_.find(&connection);
     if (it == connections_.end()) return;
-    Entry& entry = it->second;
-    Flow* const flow = std::exchange(entry.flow, nullptr);
-    const std::optional<Duration> most = reusable ? most_idle(connection) : std::nullopt;
-    if (most && current(connection, entry)) keep(connection, entry, *most);
-    else drop(connection);
-    if (!whole) ++counters_.flows_broken;
-    if (flow == nullptr) return;
-    flow->detach();
-    flow->sink()->on_body_end(whole);
+    PooledConnection& entry = it->second;
+    AnswerStream* const answer_stream = std::exchange(entry.answer_stream, nullptr);
+    const std::optional<Duration> max_idle = reusable ? max_idle_time(connection) : std::nullopt;
+    if (max_idle && is_current(connection, entry)) keep_idle(connection, entry, *max_idle);
+    else drop_connection(connection);
+    if (!complete) ++counters_.broken_streamed_answers;
+    if (answer_stream == nullptr) return;
+    answer_stream->detach();
+    answer_stream->sink()->on_body_end(complete);
 }
 
-void ServerPool::report(const std::optional<AttemptId>& attempt, HostId host, Outcome outcome, Duration took,
-                        LoadReport&& load, Payload&& answer, double units) {
-    if (attempt) engine_.attempt_ended(*attempt, outcome, std::move(load), std::move(answer), units);
-    else engine_.probe_ended(host, outcome, took, std::move(load));
+void ServerPool::report_outcome(const std::optional<AttemptId>& attempt, HostId host, Outcome outcome,
+                                Duration duration, LoadReport&& load, Payload&& answer, double units) {
+    if (attempt) engine_.on_attempt_ended(*attempt, outcome, std::move(load), std::move(answer), units);
+    else engine_.on_health_check_ended(host, outcome, duration, std::move(load));
 }
 
-void ServerPool::idle_broken(ServerConnection& connection) { drop(connection); }
+void ServerPool::on_idle_connection_lost(ServerConnection& connection) { drop_connection(connection); }
 
 // The one place where a connection is given back, whatever it was doing.
-void ServerPool::drop(ServerConnection& connection) {
-    const auto it = connections_.find(&connection);
-    if (it == connections_.end()) return;
-    Entry& entry = it->second;
+void ServerPool::drop_connection(ServerConnection& connection) {
+    const auto found = connections_.find(&connection);
+    if (found == connections_.end()) return;
+    PooledConnection& entry = found->second;
     forget_attempt(entry);
-    Place& place = places_.at(connection.host());
-    --place.open;
-    --budget_.open_;
-    if (std::erase(place.idle, &connection) > 0) budget_.idle_.erase(entry.place);
+    HostConnections& host_connections = hosts_connections_.at(connection.host());
+    --host_connections.open_connections;
+    --budget_.open_connections_;
+    if (std::erase(host_connections.idle_connections, &connection) > 0)
+        budget_.idle_connections_.erase(entry.idle_position);
     // Servers come and go all day: nothing may stay of those that went.
-    if (place.open == 0) places_.erase(connection.host());
+    if (host_connections.open_connections == 0) hosts_connections_.erase(connection.host());
     connection.close();
-    --counters_.servers_open;
-    reactor_.retire(std::move(entry.connection));
-    connections_.erase(it);
+    --counters_.open_server_connections;
+    reactor_.destroy_later(std::move(entry.connection));
+    connections_.erase(found);
 }
 
-void ServerPool::list_changed() {
+void ServerPool::on_host_list_changed() {
     std::vector<ServerConnection*> stale;
-    for (const auto& [host, place] : places_) {
-        for (ServerConnection* connection : place.idle) {
-            if (!current(*connection, connections_.at(connection))) stale.push_back(connection);
+    for (const auto& [host, host_connections] : hosts_connections_) {
+        for (ServerConnection* connection : host_connections.idle_connections) {
+            if (!is_current(*connection, connections_.at(connection))) stale.push_back(connection);
         }
     }
-    for (ServerConnection* connection : stale) drop(*connection);
+    for (ServerConnection* connection : stale) drop_connection(*connection);
 }
 
-void ServerPool::sweep() {
-    std::vector<ServerConnection*> old;
-    bool any = false;
+void ServerPool::close_expired_connections() {
+    std::vector<ServerConnection*> expired;
+    bool any_idle = false;
     const TimePoint now = reactor_.clock().now();
-    for (const auto& [host, place] : places_) {
-        for (ServerConnection* connection : place.idle) {
-            const Entry& entry = connections_.at(connection);
-            if (now - entry.since > entry.keep) old.push_back(connection);
-            else any = true;
+    for (const auto& [host, host_connections] : hosts_connections_) {
+        for (ServerConnection* connection : host_connections.idle_connections) {
+            const PooledConnection& entry = connections_.at(connection);
+            if (now - entry.state_since > entry.idle_timeout) expired.push_back(connection);
+            else any_idle = true;
         }
     }
-    for (ServerConnection* connection : old) drop(*connection);
-    sweep_timer_ = any ? reactor_.after(kSweepEvery, [this] { sweep(); }) : 0;
+    for (ServerConnection* connection : expired) drop_connection(*connection);
+    sweep_timer_ =
+        any_idle ? reactor_.schedule_after(kSweepInterval, [this] { close_expired_connections(); }) : 0;
 }
 
 }    // namespace shaletray
