--- a/src/gateway/control_plane_client.cpp
+++ b/src/gateway/control_plane_client.cpp
@@ -6,128 +6,144 @@
 namespace {
 
 // The same order at a pilot for as long as it lives, another one at each: lighthouses get even parts.
-std::size_t preference(const std::string& me, const std::string& lighthouse) {
-    return std::hash<std::string>{}(me + "|" + lighthouse);
+std::size_t preference(const std::string& self, const std::string& controller_address) {
+    return std::hash<std::string>{}(self + "|" + controller_address);
 }
 
 }    // namespace
 
-Lookout::Lookout(Settings settings) : settings_(std::move(settings)) {}
+ControlPlaneClient::ControlPlaneClient(Settings settings) : settings_(std::move(settings)) {}
 
-void Lookout::lighthouses(std::vector<std::string> known, std::vector<std::string> suspected) {
+void ControlPlaneClient::set_controllers(std::vector<std::string> controllers,
+                                         std::vector<std::string> suspect_controllers) {
     const auto by_preference = [this](const std::string& a, const std::string& b) {
-        return preference(settings_.me, a) < preference(settings_.me, b);
+        return preference(settings_.self, a) < preference(settings_.self, b);
     };
-    std::sort(known.begin(), known.end(), by_preference);
-    std::sort(suspected.begin(), suspected.end(), by_preference);
-    known_ = std::move(known);
-    known_.insert(known_.end(), suspected.begin(), suspected.end());
-    std::erase_if(watched_, [this](const auto& item) {
-        return std::find(known_.begin(), known_.end(), item.first) == known_.end();
+    std::sort(controllers.begin(), controllers.end(), by_preference);
+    std::sort(suspect_controllers.begin(), suspect_controllers.end(), by_preference);
+    controllers_ = std::move(controllers);
+    controllers_.insert(controllers_.end(), suspect_controllers.begin(), suspect_controllers.end());
+    std::erase_if(controller_states_, [this](const auto& item) {
+        return std::find(controllers_.begin(), controllers_.end(), item.first) == controllers_.end();
     });
 }
 
-std::vector<std::string> Lookout::confirmed(TimePoint now, Duration within) const {
-    std::vector<std::string> those;
-    for (const auto& [address, w] : watched_)
-        if (w.confirmed && now - w.heard <= within) those.push_back(address);
-    return those;
+std::vector<std::string> ControlPlaneClient::confirmed_controllers(TimePoint now, Duration timeout) const {
+    std::vector<std::string> addresses;
+    for (const auto& [address, controller_state] : controller_states_)
+        if (controller_state.confirmed && now - controller_state.last_heard <= timeout)
+            addresses.push_back(address);
+    return addresses;
 }
 
 // Those that answer stay; in the place of one that does not, the next one is tried. So it is where a majority
 // bore nothing out that one says: those that are watched may be cut off together, and what they say old.
-void Lookout::choose(TimePoint now) {
-    const auto silent = [&](const Watched& w) {
-        return w.asked != TimePoint{} && now - std::max(w.heard, w.asked) > settings_.silent_after;
+void ControlPlaneClient::select_controllers(TimePoint now) {
+    const auto silent = [&](const ControllerState& candidate) {
+        return candidate.requested_at != TimePoint{} &&
+               now - std::max(candidate.last_heard, candidate.requested_at) > settings_.response_timeout;
     };
-    const auto unconfirmed = [&](const Watched& w) {
-        return w.asked != TimePoint{} && now - std::max(w.confirmed_at, w.since) > settings_.silent_after;
+    const auto unconfirmed = [&](const ControllerState& candidate) {
+        return candidate.requested_at != TimePoint{} &&
+               now - std::max(candidate.last_confirmed, candidate.subscribed_since) >
+                   settings_.response_timeout;
     };
-    if (known_.size() > settings_.watched)
-        std::erase_if(watched_,
+    if (controllers_.size() > settings_.max_controllers)
+        std::erase_if(controller_states_,
                       [&](const auto& item) { return silent(item.second) || unconfirmed(item.second); });
-    for (std::size_t tried = 0; watched_.size() < settings_.watched && tried < known_.size(); ++tried) {
-        const std::string& next = known_[turn_++ % known_.size()];
-        const auto [it, is_new] = watched_.try_emplace(next);
-        if (is_new) it->second.since = now;
+    for (std::size_t tried = 0;
+         controller_states_.size() < settings_.max_controllers && tried < controllers_.size(); ++tried) {
+        const std::string& address = controllers_[next_candidate_++ % controllers_.size()];
+        const auto [it, is_new] = controller_states_.try_emplace(address);
+        if (is_new) it->second.subscribed_since = now;
     }
 }
 
-void Lookout::say(const std::string& to, Watched& watched, TimePoint now, Actions& out) {
-    subscription::Have have;
-    have.life = settings_.life;
-    if (table_ && !wants_whole_) {
-        have.version = table_->chart().version;
-        have.digest = digest_;
+void ControlPlaneClient::send_client_state(const std::string& to, ControllerState& controller_state,
+                                           TimePoint now, Actions& actions) {
+    subscription::ClientState client_state;
+    client_state.incarnation = settings_.incarnation;
+    if (configuration_index_ && !needs_full_update_) {
+        client_state.version = configuration_index_->config().version;
+        client_state.digest = digest_;
     }
-    have.known_life = watched.life;
-    have.known_sequence = watched.sequence;
-    have.counts = pilots_;
-    if (watched.asked < watched.heard || watched.asked == TimePoint{}) watched.asked = now;
-    out.sends.push_back({to, subscription::encode(have)});
+    client_state.known_incarnation = controller_state.incarnation;
+    client_state.known_sequence = controller_state.sequence;
+    client_state.quota_divisor = quota_divisor_;
+    if (controller_state.requested_at < controller_state.last_heard ||
+        controller_state.requested_at == TimePoint{})
+        controller_state.requested_at = now;
+    actions.sends.push_back({to, subscription::encode(client_state)});
 }
 
-void Lookout::tick(TimePoint now, std::uint32_t counts, Actions& out) {
-    pilots_ = counts;
-    if (now < next_) return;
-    next_ = now + settings_.every;
-    choose(now);
-    for (auto& [address, watched] : watched_) say(address, watched, now, out);
+void ControlPlaneClient::tick(TimePoint now, std::uint32_t quota_divisor, Actions& actions) {
+    quota_divisor_ = quota_divisor;
+    if (now < next_tick_) return;
+    next_tick_ = now + settings_.request_interval;
+    select_controllers(now);
+    for (auto& [address, controller_state] : controller_states_)
+        send_client_state(address, controller_state, now, actions);
 }
 
-void Lookout::heard(const std::string& from, std::uint64_t life, std::string_view bytes, TimePoint now,
-                    Actions& out) {
-    const auto it = watched_.find(from);
-    if (it == watched_.end()) return;    // not asked, or not any more
-    boost::leaf::result<subscription::News> read = subscription::decode_news(bytes);
-    if (!read || read->life != life) {
-        ++counts_.spoilt;
+void ControlPlaneClient::on_message(const std::string& from, std::uint64_t incarnation,
+                                    std::string_view bytes, TimePoint now, Actions& actions) {
+    const auto it = controller_states_.find(from);
+    if (it == controller_states_.end()) return;    // not asked, or not any more
+    boost::leaf::result<subscription::ControlUpdate> decoded = subscription::decode_control_update(bytes);
+    if (!decoded || decoded->incarnation != incarnation) {
+        ++statistics_.malformed_updates;
         return;
     }
-    const subscription::News& news = *read;
-    Watched& watched = it->second;
-    ++counts_.news;
-    watched.heard = now;
-    watched.confirmed = news.confirmed;
-    if (news.confirmed) watched.confirmed_at = now;
-    if (watched.life != news.life) {
-        watched.life = news.life;
-        watched.sequence = 0;
+    const subscription::ControlUpdate& update = *decoded;
+    ControllerState& controller_state = it->second;
+    ++statistics_.updates;
+    controller_state.last_heard = now;
+    controller_state.confirmed = update.quorum_confirmed;
+    if (update.quorum_confirmed) controller_state.last_confirmed = now;
+    if (controller_state.incarnation != update.incarnation) {
+        controller_state.incarnation = update.incarnation;
+        controller_state.sequence = 0;
     }
-    bool lacks = take_chart(news, out);
-    if (!news.servers.empty()) {
-        boost::leaf::result<std::vector<std::string>> changed = roster_.take(news.servers, now);
-        if (!changed) ++counts_.spoilt;
-        else out.servers_changed = out.servers_changed || !changed->empty();
+    bool incomplete = apply_update(update, actions);
+    if (!update.endpoint_changes.empty()) {
+        boost::leaf::result<std::vector<std::string>> changed =
+            endpoints_.apply_changes(update.endpoint_changes, now);
+        if (!changed) ++statistics_.malformed_updates;
+        else actions.servers_changed = actions.servers_changed || !changed->empty();
         if (!changed) return;
     }
-    if (news.since <= watched.sequence) watched.sequence = std::max(watched.sequence, news.sequence);
-    else lacks = true;
-    const bool all = !lacks && watched.sequence >= news.sequence;
-    if (news.confirmed && all && news.version > 0 && version() >= news.version) caught_up_ = true;
-    if (lacks && now - watched.repaired >= settings_.every / 5) {
-        watched.repaired = now;
-        say(from, watched, now, out);
+    if (update.since_sequence <= controller_state.sequence)
+        controller_state.sequence = std::max(controller_state.sequence, update.sequence);
+    else incomplete = true;
+    const bool complete = !incomplete && controller_state.sequence >= update.sequence;
+    if (update.quorum_confirmed && complete && update.version > 0 &&
+        configuration_version() >= update.version)
+        caught_up_ = true;
+    if (incomplete && now - controller_state.last_repair >= settings_.request_interval / 5) {
+        controller_state.last_repair = now;
+        send_client_state(from, controller_state, now, actions);
     }
 }
 
 // True where this pilot is behind what it was told of.
-bool Lookout::take_chart(const subscription::News& news, Actions& out) {
-    if (news.version <= version()) return false;    // never back
-    if (news.update.empty()) return true;
-    boost::leaf::result<configuration::Chart> next =
-        configuration::read_update(table_ ? table_->chart() : none_, news.update);
-    if (!next || next->version != news.version) {
+bool ControlPlaneClient::apply_update(const subscription::ControlUpdate& update, Actions& actions) {
+    if (update.version <= configuration_version()) return false;    // never back
+    if (update.configuration_delta.empty()) return true;
+    boost::leaf::result<configuration::Configuration> new_configuration = configuration::apply_update(
+        configuration_index_ ? configuration_index_->config() : empty_configuration_,
+        update.configuration_delta);
+    if (!new_configuration || new_configuration->version != update.version) {
         // A patch to something else, or damaged: the whole is asked for where that goes on.
-        ++counts_.spoilt;
-        wants_whole_ = true;
+        ++statistics_.malformed_updates;
+        needs_full_update_ = true;
         return true;
     }
-    ++(table_ && !wants_whole_ ? counts_.patches : counts_.wholes);
-    wants_whole_ = false;
-    table_ = std::make_shared<const configuration::Table>(std::move(*next));
-    digest_ = configuration::digest_of(table_->chart());
-    out.chart_changed = true;
+    ++(configuration_index_ && !needs_full_update_ ? statistics_.delta_updates : statistics_.full_updates);
+    needs_full_update_ = false;
+    configuration_index_ =
+        std::make_shared<const configuration::ConfigurationIndex>(std::move(*new_configuration));
+    digest_ = configuration::digest_of(configuration_index_->config());
+    actions.configuration_changed = true;
     return false;
 }
 
--- a/src/gateway/control_plane_client.h
+++ b/src/gateway/control_plane_client.h
@@ -13,14 +13,14 @@
 
 namespace shaletray::gateway {
 
-class Lookout {
+class ControlPlaneClient {
 public:
     struct Settings {
-        std::string me;    // internal address
-        std::uint64_t life = 0;
-        std::size_t watched = 3;                            // lighthouses at a time
-        Duration every = std::chrono::milliseconds(500);    // between two words to each
-        Duration silent_after =
+        std::string self;    // internal address
+        std::uint64_t incarnation = 0;
+        std::size_t max_controllers = 3;                               // lighthouses at a time
+        Duration request_interval = std::chrono::milliseconds(500);    // between two words to each
+        Duration response_timeout =
             std::chrono::milliseconds(1500);    // another one is watched then, where there is one
     };
     struct Actions {
@@ -28,54 +28,59 @@
             std::string to, bytes;
         };
         std::vector<Send> sends;
-        bool chart_changed = false, servers_changed = false;
+        bool configuration_changed = false, servers_changed = false;
     };
-    explicit Lookout(Settings settings);
+    explicit ControlPlaneClient(Settings settings);
 
-    void life(std::uint64_t life) { settings_.life = life; }
+    void set_incarnation(std::uint64_t incarnation) { settings_.incarnation = incarnation; }
     // All lighthouses that are known, by internal address; those in `suspected` are watched last.
-    void lighthouses(std::vector<std::string> known, std::vector<std::string> suspected);
-    void heard(const std::string& from, std::uint64_t life, std::string_view bytes, TimePoint now,
-               Actions& out);
-    void tick(TimePoint now, std::uint32_t counts, Actions& out);
-    TimePoint next() const { return next_; }
+    void set_controllers(std::vector<std::string> controllers, std::vector<std::string> suspect_controllers);
+    void on_message(const std::string& from, std::uint64_t incarnation, std::string_view bytes, TimePoint now,
+                    Actions& actions);
+    void tick(TimePoint now, std::uint32_t quota_divisor, Actions& actions);
+    TimePoint next_deadline() const { return next_tick_; }
 
-    const std::shared_ptr<const configuration::Table>& table() const { return table_; }
-    const std::map<std::string, registry::Server>& servers() const { return roster_.servers(); }
+    const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index() const {
+        return configuration_index_;
+    }
+    const std::map<std::string, registry::Server>& servers() const { return endpoints_.servers(); }
     // A lighthouse that a majority bore out has told this life all that there is, and this life has it.
-    bool caught_up() const { return caught_up_ && table_ != nullptr; }
+    bool caught_up() const { return caught_up_ && configuration_index_ != nullptr; }
     // The lighthouses whose last word, not older than `within`, was borne out by a majority.
-    std::vector<std::string> confirmed(TimePoint now, Duration within) const;
-    struct Counts {
-        std::uint64_t news = 0, wholes = 0, patches = 0, spoilt = 0;
+    std::vector<std::string> confirmed_controllers(TimePoint now, Duration timeout) const;
+    struct Statistics {
+        std::uint64_t updates = 0, full_updates = 0, delta_updates = 0, malformed_updates = 0;
     };
-    const Counts& counts() const { return counts_; }
+    const Statistics& statistics() const { return statistics_; }
 
 private:
-    struct Watched {
-        std::uint64_t life = 0, sequence = 0;    // of its muster, as far as it is known here
-        TimePoint asked{};                       // first, since it was last heard
-        TimePoint heard{}, repaired{};
-        TimePoint since{}, confirmed_at{};    // watched; last word that a majority bore out
+    struct ControllerState {
+        std::uint64_t incarnation = 0, sequence = 0;    // of its muster, as far as it is known here
+        TimePoint requested_at{};                       // first, since it was last heard
+        TimePoint last_heard{}, last_repair{};
+        TimePoint subscribed_since{}, last_confirmed{};    // watched; last word that a majority bore out
         bool confirmed = false;
     };
-    void say(const std::string& to, Watched& watched, TimePoint now, Actions& out);
-    void choose(TimePoint now);
-    bool take_chart(const subscription::News& news, Actions& out);
-    std::uint64_t version() const { return table_ ? table_->chart().version : 0; }
+    void send_client_state(const std::string& to, ControllerState& controller_state, TimePoint now,
+                           Actions& actions);
+    void select_controllers(TimePoint now);
+    bool apply_update(const subscription::ControlUpdate& update, Actions& actions);
+    std::uint64_t configuration_version() const {
+        return configuration_index_ ? configuration_index_->config().version : 0;
+    }
 
     Settings settings_;
-    std::vector<std::string> known_;    // in the order of preference
-    std::map<std::string, Watched> watched_;
-    std::size_t turn_ = 0;    // of known_
-    std::shared_ptr<const configuration::Table> table_;
-    configuration::Chart none_;
+    std::vector<std::string> controllers_;    // in the order of preference
+    std::map<std::string, ControllerState> controller_states_;
+    std::size_t next_candidate_ = 0;    // of known_
+    std::shared_ptr<const configuration::ConfigurationIndex> configuration_index_;
+    configuration::Configuration empty_configuration_;
     std::uint64_t digest_ = 0;
-    registry::Roster roster_;
-    bool caught_up_ = false, wants_whole_ = false;
-    std::uint32_t pilots_ = 0;
-    TimePoint next_{};
-    Counts counts_;
+    registry::EndpointDirectory endpoints_;
+    bool caught_up_ = false, needs_full_update_ = false;
+    std::uint32_t quota_divisor_ = 0;
+    TimePoint next_tick_{};
+    Statistics statistics_;
 };
 
 }    // namespace shaletray::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -10,312 +10,340 @@
 namespace {
 
 using namespace std::chrono_literals;
-using runtime::event;
+using runtime::log_event;
 
-constexpr Duration kPeersEvery = 250ms, kFleetEvery = 500ms;
-constexpr Duration kConfirmedWithin = 3s;    // a lighthouse's word, for the lease on quotas
+constexpr Duration kPeerUpdateInterval = 250ms, kHostUpdateInterval = 500ms;
+constexpr Duration kConfirmationTimeout = 3s;    // a lighthouse's word, for the lease on quotas
 // After the order to stop: new clients come for as long as the platform has not noticed (it asks each second,
 // and believes the second silence); what is open may end until shortly before the process is killed.
-constexpr Duration kAcceptOn = 2200ms, kEndBefore = 500ms;
-constexpr std::size_t kOwnDescriptors = 260;    // files outside the disk folder, and the loop's own
-constexpr double kClientShare = 0.65;           // of the others
+constexpr Duration kAcceptAfterStop = 2200ms, kKillMargin = 500ms;
+constexpr std::size_t kReservedDescriptors = 260;    // files outside the disk folder, and the loop's own
+constexpr double kClientSocketShare = 0.65;          // of the others
 
-std::vector<std::string> zone_names(const runtime::NodeSettings& s) {
+std::vector<std::string> zone_names(const runtime::NodeSettings& settings) {
     std::vector<std::string> names;
-    for (const auto& [zone, region] : s.zones) names.push_back(zone);
+    for (const auto& [zone, region] : settings.region_by_zone) names.push_back(zone);
     return names;
 }
 
-std::size_t sockets_of(const runtime::NodeSettings& s) {
-    return s.max_open_files > kOwnDescriptors + 64 ? s.max_open_files - kOwnDescriptors : 64;
+std::size_t max_sockets(const runtime::NodeSettings& settings) {
+    return settings.max_open_files > kReservedDescriptors + 64
+               ? settings.max_open_files - kReservedDescriptors
+               : 64;
 }
 
 }    // namespace
 
-Pilot::Pilot(runtime::NodeSettings settings)
+Gateway::Gateway(runtime::NodeSettings settings)
     : settings_(std::move(settings)),
-      address_(runtime::pilot_address(settings_.ip, settings_)),
-      life_(static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock_.now().time_since_epoch().count()))),
-      fleet_({zone_names(settings_), 300ms}),
-      lease_(address_) {
+      address_(runtime::gateway_address(settings_.ip, settings_)),
+      incarnation_(
+          static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock_.now().time_since_epoch().count()))),
+      hosts_({zone_names(settings_), 300ms}),
+      quota_lease_(address_) {
     const TimePoint now = clock_.now();
-    const std::uint64_t seed = std::hash<std::string>{}(address_) ^ life_;
-
-    membership::Settings c;
-    c.me.address = address_;
-    c.me.role = membership::Role::Pilot;
-    c.me.name = settings_.node_name;
-    c.me.zone = settings_.zone;
-    c.me.region = settings_.region;
-    c.me.life = life_;
-    c.seeds = runtime::lighthouse_seeds(settings_);
-    c.seed = seed;
-    convoy_ = std::make_unique<membership::Convoy>(c, now);
-
-    begin_tide();
-
-    Lookout::Settings l;
-    l.me = address_;
-    l.life = life_;
-    lookout_ = std::make_unique<Lookout>(l);
-    lighthouses_changed();
-
-    mailer_ =
-        std::make_unique<transport::Mailer>(reactor_, address_, life_, transport::Mailer::Limits{},
-                                            [this](transport::Letter&& letter) { heard(std::move(letter)); });
-
-    DeskSettings d;
-    d.seed = seed + 2;
-    d.server_sockets =
-        static_cast<std::size_t>(static_cast<double>(sockets_of(settings_)) * (1.0 - kClientShare));
-    d.zone = fleet_.zone_number(settings_.zone);
-    d.retry_ratio = settings_.bounds.retry_budget_ratio;
-    d.retry_slack = settings_.bounds.retry_slack;
-    d.retry_window = settings_.bounds.retry_window;
-    desk_ = std::make_unique<Desk>(d, reactor_, timers_, counters_, fleet_, *tide_, [this] { tick_soon(); });
-
-    listener_ = std::make_unique<Listener>(
-        *desk_, passage_, ClientRoom{sockets_of(settings_), settings_.memory_mb}, counters_, reactor_,
-        Listener::listen(settings_.frontend),
-        static_cast<std::size_t>(static_cast<double>(sockets_of(settings_)) * kClientShare),
+    const std::uint64_t seed = std::hash<std::string>{}(address_) ^ incarnation_;
+
+    membership::Settings membership_settings;
+    membership_settings.self.address = address_;
+    membership_settings.self.role = membership::Role::Gateway;
+    membership_settings.self.name = settings_.node_name;
+    membership_settings.self.zone = settings_.zone;
+    membership_settings.self.region = settings_.region;
+    membership_settings.self.incarnation = incarnation_;
+    membership_settings.seeds = runtime::controller_seeds(settings_);
+    membership_settings.random_seed = seed;
+    membership_ = std::make_unique<membership::Membership>(membership_settings, now);
+
+    start_quota_balancer();
+
+    ControlPlaneClient::Settings client_settings;
+    client_settings.self = address_;
+    client_settings.incarnation = incarnation_;
+    control_plane_client_ = std::make_unique<ControlPlaneClient>(client_settings);
+    update_controllers();
+
+    connections_ = std::make_unique<transport::ConnectionManager>(
+        reactor_, address_, incarnation_, transport::ConnectionManager::Limits{},
+        [this](transport::Message&& message) { on_message(std::move(message)); });
+
+    DispatcherSettings dispatcher_settings;
+    dispatcher_settings.seed = seed + 2;
+    dispatcher_settings.max_server_connections =
+        static_cast<std::size_t>(static_cast<double>(max_sockets(settings_)) * (1.0 - kClientSocketShare));
+    dispatcher_settings.zone = hosts_.zone_number(settings_.zone);
+    dispatcher_settings.retry_ratio = settings_.bounds.retry_budget_ratio;
+    dispatcher_settings.retry_slack = settings_.bounds.retry_slack;
+    dispatcher_settings.retry_window = settings_.bounds.retry_window;
+    dispatcher_ = std::make_unique<RequestDispatcher>(dispatcher_settings, reactor_, timers_, counters_,
+                                                      hosts_, *quota_balancer_, [this] { schedule_tick(); });
+
+    listener_ = std::make_unique<ClientListener>(
+        *dispatcher_, request_mapper_, ClientCapacity{max_sockets(settings_), settings_.memory_mb}, counters_,
+        reactor_, ClientListener::listen(settings_.frontend_address),
+        static_cast<std::size_t>(static_cast<double>(max_sockets(settings_)) * kClientSocketShare),
         [this] { return ready(); });
-    readiness_ = serve_readiness(reactor_, settings_.readiness, [this] { return ready(); });
-    event(LogLevel::Info, "pilot_started",
-          {kv("address", address_), kv("life", life_), kv("zone", settings_.zone)});
+    readiness_server_ = serve_readiness(reactor_, settings_.readiness_address, [this] { return ready(); });
+    log_event(
+        LogLevel::Info, "pilot_started",
+        {log_field("address", address_), log_field("life", incarnation_), log_field("zone", settings_.zone)});
 }
 
-Pilot::~Pilot() { reactor_.cancel(tick_timer_); }
+Gateway::~Gateway() { reactor_.cancel_timer(tick_timer_); }
 
-bool Pilot::ready() const { return stopping_since_ == TimePoint{} && lookout_->caught_up(); }
+bool Gateway::ready() const { return stopping_since_ == TimePoint{} && control_plane_client_->caught_up(); }
 
-void Pilot::run(std::function<void()> look) {
-    reactor_.before_turn([this, look = std::move(look)](bool) {
-        look();
-        look_after_stop();
+void Gateway::run(std::function<void()> on_turn) {
+    reactor_.set_pre_poll_task([this, on_turn = std::move(on_turn)](bool) {
+        on_turn();
+        check_shutdown();
     });
     tick();
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
     reactor_.run();
 }
 
-void Pilot::stop() {
+void Gateway::stop() {
     if (stopping_since_ != TimePoint{}) return;
     stopping_since_ = clock_.now();
-    event(LogLevel::Info, "pilot_stopping", {kv("clients", listener_->clients()), kv("open", desk_->open())});
-    listener_->begin_stop();
+    log_event(
+        LogLevel::Info, "pilot_stopping",
+        {log_field("clients", listener_->client_count()), log_field("open", dispatcher_->pending_count())});
+    listener_->start_shutdown();
 }
 
-void Pilot::settings_changed(const runtime::NodeSettings& settings) {
-    settings_.seeds = settings.seeds;
-    convoy_->seeds(runtime::lighthouse_seeds(settings_));
-    lighthouses_changed();
+void Gateway::apply_settings(const runtime::NodeSettings& settings) {
+    settings_.seed_addresses = settings.seed_addresses;
+    membership_->set_seeds(runtime::controller_seeds(settings_));
+    update_controllers();
 }
 
 // A life's stores begin empty.
-void Pilot::begin_tide() {
-    quota::Settings t;
-    t.me = address_;
-    t.life = life_;
-    t.seed = std::hash<std::string>{}(address_) + life_;
-    t.window = settings_.bounds.quota_window;
-    t.overshoot = settings_.bounds.quota_overshoot;
-    t.slack = settings_.bounds.quota_slack;
-    tide_ = std::make_unique<quota::Tide>(t, clock_.now());
-    if (desk_) desk_->quotas_from(*tide_);
+void Gateway::start_quota_balancer() {
+    quota::Settings balancer_settings;
+    balancer_settings.self = address_;
+    balancer_settings.incarnation = incarnation_;
+    balancer_settings.seed = std::hash<std::string>{}(address_) + incarnation_;
+    balancer_settings.window = settings_.bounds.quota_window;
+    balancer_settings.overshoot = settings_.bounds.quota_overshoot;
+    balancer_settings.slack = settings_.bounds.quota_slack;
+    quota_balancer_ = std::make_unique<quota::QuotaBalancer>(balancer_settings, clock_.now());
+    if (dispatcher_) dispatcher_->set_quota_balancer(*quota_balancer_);
 }
 
-void Pilot::set_quotas() {
-    const std::shared_ptr<const configuration::Table>& table = lookout_->table();
-    if (!table) return;
+void Gateway::set_quotas() {
+    const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index =
+        control_plane_client_->configuration_index();
+    if (!configuration_index) return;
     std::map<std::string, quota::Quota> quotas;
-    if (table->asks_for_keys()) {
-        for (const configuration::Tenant& tenant : *table->chart().tenants)
+    if (configuration_index->requires_api_key()) {
+        for (const configuration::Tenant& tenant : *configuration_index->config().tenants)
             quotas[tenant.name] = {tenant.rate_per_s, tenant.burst};
     }
-    tide_->quotas(quotas, clock_.now());
+    quota_balancer_->set_quotas(quotas, clock_.now());
 }
 
 // An earlier life of this address had a higher number, since the machine's clock was set back.
-void Pilot::look_after_life() {
-    if (convoy_->me().life == life_) return;
-    event(LogLevel::Info, "life_raised", {kv("from", life_), kv("to", convoy_->me().life)});
-    life_ = convoy_->me().life;
-    mailer_->life(life_);
-    lookout_->life(life_);
-    begin_tide();
-    lease_.end();
+void Gateway::check_incarnation() {
+    if (membership_->self().incarnation == incarnation_) return;
+    log_event(LogLevel::Info, "life_raised",
+              {log_field("from", incarnation_), log_field("to", membership_->self().incarnation)});
+    incarnation_ = membership_->self().incarnation;
+    connections_->set_incarnation(incarnation_);
+    control_plane_client_->set_incarnation(incarnation_);
+    start_quota_balancer();
+    quota_lease_.release();
     set_quotas();
 }
 
 // ---- other processes ----
 
-void Pilot::heard(transport::Letter&& letter) {
+void Gateway::on_message(transport::Message&& message) {
     const TimePoint now = clock_.now();
-    switch (letter.kind) {
-        case transport::Kind::Convoy: {
-            membership::Actions out;
-            convoy_->heard(letter.from, letter.bytes, now, out);
-            carry(out);
+    switch (message.kind) {
+        case transport::Kind::Membership: {
+            membership::Actions actions;
+            membership_->on_message(message.sender, message.payload, now, actions);
+            apply_actions(actions);
             break;
         }
-        case transport::Kind::Tide: {
-            quota::Actions out;
-            tide_->heard(letter.from, letter.bytes, now, out);
-            carry(out);
+        case transport::Kind::Quota: {
+            quota::Actions actions;
+            quota_balancer_->on_message(message.sender, message.payload, now, actions);
+            apply_actions(actions);
             break;
         }
-        case transport::Kind::Watch: {
-            convoy_->seen(letter.from, letter.life, now);
-            Lookout::Actions out;
-            lookout_->heard(letter.from, letter.life, letter.bytes, now, out);
-            carry(out);
+        case transport::Kind::Subscription: {
+            membership_->record_contact(message.sender, message.incarnation, now);
+            ControlPlaneClient::Actions actions;
+            control_plane_client_->on_message(message.sender, message.incarnation, message.payload, now,
+                                              actions);
+            apply_actions(actions);
             break;
         }
         default: break;    // lighthouses' own
     }
 }
 
-void Pilot::carry(const membership::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->datagram(send.to, transport::Kind::Convoy, send.bytes);
-    bool lighthouses = false;
-    for (const std::string& address : actions.changed) {
-        const auto it = convoy_->members().find(address);
-        if (it == convoy_->members().end()) continue;
-        const membership::Member& m = it->second;
-        const std::string_view state = m.state == membership::State::Alive       ? "alive"
-                                       : m.state == membership::State::Suspected ? "suspected"
-                                                                                 : "gone";
-        event(LogLevel::Debug, "member_changed",
-              {kv("member", address), kv("state", state), kv("life", m.facts.life),
-               kv("counts", m.facts.counts)});
-        lighthouses = lighthouses || m.facts.role == membership::Role::Lighthouse;
-        if (m.facts.role == membership::Role::Pilot) next_peers_ = TimePoint{};
+void Gateway::apply_actions(const membership::Actions& actions) {
+    for (const auto& send : actions.sends)
+        connections_->send_datagram(send.to, transport::Kind::Membership, send.bytes);
+    bool controllers_changed = false;
+    for (const std::string& address : actions.changed_members) {
+        const auto it = membership_->members().find(address);
+        if (it == membership_->members().end()) continue;
+        const membership::Member& member = it->second;
+        const std::string_view state = member.state == membership::State::Alive     ? "alive"
+                                       : member.state == membership::State::Suspect ? "suspected"
+                                                                                    : "gone";
+        log_event(
+            LogLevel::Debug, "member_changed",
+            {log_field("member", address), log_field("state", state),
+             log_field("life", member.info.incarnation), log_field("counts", member.info.quota_divisor)});
+        controllers_changed = controllers_changed || member.info.role == membership::Role::Controller;
+        if (member.info.role == membership::Role::Gateway) next_peer_update_ = TimePoint{};
     }
-    if (lighthouses) lighthouses_changed();
+    if (controllers_changed) update_controllers();
 }
 
-void Pilot::carry(const quota::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->datagram(send.to, transport::Kind::Tide, send.bytes);
-    if (!actions.woken.empty()) desk_->units_came(actions.woken);
+void Gateway::apply_actions(const quota::Actions& actions) {
+    for (const auto& send : actions.sends)
+        connections_->send_datagram(send.to, transport::Kind::Quota, send.bytes);
+    if (!actions.replenished_tenants.empty()) dispatcher_->on_units_available(actions.replenished_tenants);
 }
 
-void Pilot::carry(const Lookout::Actions& actions) {
-    for (const auto& send : actions.sends) mailer_->session(send.to, transport::Kind::Watch, send.bytes);
+void Gateway::apply_actions(const ControlPlaneClient::Actions& actions) {
+    for (const auto& send : actions.sends)
+        connections_->send_session_message(send.to, transport::Kind::Subscription, send.bytes);
     const TimePoint now = clock_.now();
-    if (actions.chart_changed) {
-        const std::shared_ptr<const configuration::Table>& table = lookout_->table();
+    if (actions.configuration_changed) {
+        const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index =
+            control_plane_client_->configuration_index();
         set_quotas();
-        passage_.chart(table);
-        desk_->chart(table);
-        event(LogLevel::Info, "chart_in_force",
-              {kv("version", table->chart().version), kv("routes", table->chart().routes.size()),
-               kv("services", table->chart().services.size()),
-               kv("tenants", table->asks_for_keys() ? table->chart().tenants->size() : 0)});
+        request_mapper_.set_configuration(configuration_index);
+        dispatcher_->set_configuration(configuration_index);
+        log_event(LogLevel::Info, "chart_in_force",
+                  {log_field("version", configuration_index->config().version),
+                   log_field("routes", configuration_index->config().routes.size()),
+                   log_field("services", configuration_index->config().services.size()),
+                   log_field("tenants", configuration_index->requires_api_key()
+                                            ? configuration_index->config().tenants->size()
+                                            : 0)});
     }
-    if (actions.servers_changed) desk_->servers_changed(fleet_.take(lookout_->servers(), now));
+    if (actions.servers_changed)
+        dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), now));
     if (ready() != was_ready_) {
         was_ready_ = ready();
-        event(LogLevel::Info, was_ready_ ? "pilot_ready" : "pilot_not_ready");
-        next_peers_ = TimePoint{};    // its quotas begin with it
-        tick_soon();
+        log_event(LogLevel::Info, was_ready_ ? "pilot_ready" : "pilot_not_ready");
+        next_peer_update_ = TimePoint{};    // its quotas begin with it
+        schedule_tick();
     }
 }
 
-void Pilot::lighthouses_changed() {
-    std::vector<std::string> known, suspected;
-    for (const auto& [address, member] : convoy_->members()) {
-        if (member.facts.role != membership::Role::Lighthouse || member.state == membership::State::Gone)
+void Gateway::update_controllers() {
+    std::vector<std::string> alive, suspect;
+    for (const auto& [address, member] : membership_->members()) {
+        if (member.info.role != membership::Role::Controller || member.state == membership::State::Dead)
             continue;
-        (member.state == membership::State::Alive ? known : suspected).push_back(address);
+        (member.state == membership::State::Alive ? alive : suspect).push_back(address);
     }
-    for (const std::string& seed : runtime::lighthouse_seeds(settings_)) {
-        if (!convoy_->members().contains(seed)) known.push_back(seed);
+    for (const std::string& seed : runtime::controller_seeds(settings_)) {
+        if (!membership_->members().contains(seed)) alive.push_back(seed);
     }
-    lookout_->lighthouses(std::move(known), std::move(suspected));
+    control_plane_client_->set_controllers(std::move(alive), std::move(suspect));
 }
 
 // ---- time ----
 
-void Pilot::tick() {
+void Gateway::tick() {
     const TimePoint now = clock_.now();
-    if (convoy_->next() <= now) {
-        membership::Actions out;
-        convoy_->tick(now, out);
-        carry(out);
-        look_after_life();
+    if (membership_->next_deadline() <= now) {
+        membership::Actions actions;
+        membership_->tick(now, actions);
+        apply_actions(actions);
+        check_incarnation();
     }
-    if (now >= next_peers_) look_after_peers();
-    if (tide_->next() <= now) {
-        quota::Actions out;
-        tide_->tick(now, out);
-        carry(out);
+    if (now >= next_peer_update_) update_quota_peers();
+    if (quota_balancer_->next_deadline() <= now) {
+        quota::Actions actions;
+        quota_balancer_->tick(now, actions);
+        apply_actions(actions);
     }
-    if (lookout_->next() <= now) {
-        Lookout::Actions out;
-        lookout_->tick(now, convoy_->me().counts, out);
-        carry(out);
+    if (control_plane_client_->next_deadline() <= now) {
+        ControlPlaneClient::Actions actions;
+        control_plane_client_->tick(now, membership_->self().quota_divisor, actions);
+        apply_actions(actions);
     }
-    if (now >= next_fleet_) {    // servers that have just started come to their full size
-        next_fleet_ = now + kFleetEvery;
-        desk_->servers_changed(fleet_.take(lookout_->servers(), now));
+    if (now >= next_host_update_) {    // servers that have just started come to their full size
+        next_host_update_ = now + kHostUpdateInterval;
+        dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), now));
     }
     const TimePoint due =
-        std::min({convoy_->next(), next_peers_, tide_->next(), lookout_->next(), next_fleet_});
-    reactor_.cancel(tick_timer_);
-    tick_timer_ = reactor_.at(std::max(due, now + 5ms), [this] { tick(); });
+        std::min({membership_->next_deadline(), next_peer_update_, quota_balancer_->next_deadline(),
+                  control_plane_client_->next_deadline(), next_host_update_});
+    reactor_.cancel_timer(tick_timer_);
+    tick_timer_ = reactor_.schedule_at(std::max(due, now + 5ms), [this] { tick(); });
 }
 
-void Pilot::tick_soon() {
-    reactor_.cancel(tick_timer_);
-    tick_timer_ = reactor_.after(Duration(0), [this] { tick(); });
+void Gateway::schedule_tick() {
+    reactor_.cancel_timer(tick_timer_);
+    tick_timer_ = reactor_.schedule_after(Duration(0), [this] { tick(); });
 }
 
 // Which pilots share the quotas, and whether this one may go on refilling its part.
-void Pilot::look_after_peers() {
+void Gateway::update_quota_peers() {
     const TimePoint now = clock_.now();
-    next_peers_ = now + kPeersEvery;
-    quota::Peers peers = lease_.look(*convoy_, lookout_->confirmed(now, kConfirmedWithin), now);
-    convoy_->counts(lease_.counts());
-    desk_->pilots(std::max(lease_.electorate(), static_cast<std::uint32_t>(peers.ring.size())));
-    const bool leased = peers.divisor > 0 && peers.refill_until > now;
-    if (leased != was_leased_) {
-        was_leased_ = leased;
-        event(LogLevel::Info, leased ? "quota_lease_begins" : "quota_lease_ended",
-              {kv("electorate", lease_.electorate()), kv("divisor", peers.divisor),
-               kv("pilots", peers.ring.size())});
+    next_peer_update_ = now + kPeerUpdateInterval;
+    quota::PeerSet peer_set = quota_lease_.update(
+        *membership_, control_plane_client_->confirmed_controllers(now, kConfirmationTimeout), now);
+    membership_->set_quota_divisor(quota_lease_.quota_divisor());
+    dispatcher_->set_gateway_count(
+        std::max(quota_lease_.possible_gateway_count(), static_cast<std::uint32_t>(peer_set.ring.size())));
+    const bool holds_lease = peer_set.divisor > 0 && peer_set.refill_until > now;
+    if (holds_lease != had_lease_) {
+        had_lease_ = holds_lease;
+        log_event(LogLevel::Info, holds_lease ? "quota_lease_begins" : "quota_lease_ended",
+                  {log_field("electorate", quota_lease_.possible_gateway_count()),
+                   log_field("divisor", peer_set.divisor), log_field("pilots", peer_set.ring.size())});
     }
-    tide_->peers(std::move(peers), now);
+    quota_balancer_->set_peers(std::move(peer_set), now);
 }
 
 // ---- the end ----
 
-void Pilot::look_after_stop() {
+void Gateway::check_shutdown() {
     if (stopping_since_ == TimePoint{}) return;
     const TimePoint now = clock_.now();
-    const Duration stopping = now - stopping_since_;
-    if (stopping >= kAcceptOn) listener_->end_accepting();
-    const bool late = stopping >= settings_.bounds.grace - kEndBefore;
-    if (late) desk_->give_up_all();
-    if (!late && (stopping < kAcceptOn || listener_->clients() > 0)) return;
-    membership::Actions out;
-    convoy_->leave(now, out);
-    for (const auto& send : out.sends) mailer_->datagram(send.to, transport::Kind::Convoy, send.bytes);
-    event(LogLevel::Info, "pilot_stopped", {kv("after_ms", stopping / 1ms), kv("open", desk_->open())});
+    const Duration elapsed = now - stopping_since_;
+    if (elapsed >= kAcceptAfterStop) listener_->stop_accepting();
+    const bool deadline_reached = elapsed >= settings_.bounds.grace - kKillMargin;
+    if (deadline_reached) dispatcher_->abandon_all();
+    if (!deadline_reached && (elapsed < kAcceptAfterStop || listener_->client_count() > 0)) return;
+    membership::Actions actions;
+    membership_->announce_departure(now, actions);
+    for (const auto& send : actions.sends)
+        connections_->send_datagram(send.to, transport::Kind::Membership, send.bytes);
+    log_event(LogLevel::Info, "pilot_stopped",
+              {log_field("after_ms", elapsed / 1ms), log_field("open", dispatcher_->pending_count())});
     reactor_.stop();
 }
 
-std::string Pilot::counters_text() const {
-    const Desk::Counts& d = desk_->counts();
-    const Lookout::Counts& l = lookout_->counts();
-    const transport::Mailer::Counts& m = mailer_->counts();
+std::string Gateway::counters_text() const {
+    const RequestDispatcher::Statistics& dispatch_statistics = dispatcher_->statistics();
+    const ControlPlaneClient::Statistics& update_statistics = control_plane_client_->statistics();
+    const transport::ConnectionManager::Counters& message_statistics = connections_->counters();
     return fmt::format(
         "taken={} granted={} waited={} refused_quota={} refused_room={} served={} failed={} sent={} "
         "dialled={} reused={} "
         "clients={} news={} wholes={} patches={} spoilt={} mail_sent={} mail_bytes={} mail_dropped={} "
         "mail_spoilt={}",
-        counters_.taken, d.granted, d.waited, d.refused_quota, d.refused_room, d.served, d.failed,
-        counters_.sent, counters_.servers_dialled, counters_.servers_reused, counters_.clients_accepted,
-        l.news, l.wholes, l.patches, l.spoilt, m.sent, m.sent_bytes, m.dropped, m.spoilt);
+        counters_.requests_accepted, dispatch_statistics.granted, dispatch_statistics.queued,
+        dispatch_statistics.rejected_quota, dispatch_statistics.rejected_capacity, dispatch_statistics.served,
+        dispatch_statistics.failed, counters_.attempts_sent, counters_.server_connections_dialled,
+        counters_.server_connections_reused, counters_.clients_accepted, update_statistics.updates,
+        update_statistics.full_updates, update_statistics.delta_updates, update_statistics.malformed_updates,
+        message_statistics.sent, message_statistics.sent_bytes, message_statistics.dropped,
+        message_statistics.malformed);
 }
 
 }    // namespace shaletray::gateway
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -18,55 +18,55 @@
 
 namespace shaletray::gateway {
 
-class Pilot {
+class Gateway {
 public:
     // Throws Poco::Exception where an address cannot be used.
-    explicit Pilot(runtime::NodeSettings settings);
-    ~Pilot();
+    explicit Gateway(runtime::NodeSettings settings);
+    ~Gateway();
     // Until stopped. `look` runs once a turn, and at least ten times a second.
-    void run(std::function<void()> look);
+    void run(std::function<void()> on_turn);
     // Finishes what was taken, then ends run().
     void stop();
     // Takes over the seeds; all else takes a restart.
-    void settings_changed(const runtime::NodeSettings& settings);
+    void apply_settings(const runtime::NodeSettings& settings);
     std::string counters_text() const;
 
 private:
     bool ready() const;
-    void heard(transport::Letter&& letter);
+    void on_message(transport::Message&& message);
     void tick();
-    void tick_soon();
-    void begin_tide();
+    void schedule_tick();
+    void start_quota_balancer();
     void set_quotas();
-    void look_after_life();
-    void look_after_peers();
-    void look_after_stop();
-    void carry(const membership::Actions& actions);
-    void carry(const quota::Actions& actions);
-    void carry(const Lookout::Actions& actions);
-    void lighthouses_changed();
+    void check_incarnation();
+    void update_quota_peers();
+    void check_shutdown();
+    void apply_actions(const membership::Actions& actions);
+    void apply_actions(const quota::Actions& actions);
+    void apply_actions(const ControlPlaneClient::Actions& actions);
+    void update_controllers();
 
     runtime::NodeSettings settings_;
     SystemClock clock_;
     std::string address_;
-    std::uint64_t life_;
+    std::uint64_t incarnation_;
     Timers timers_;
     Counters counters_;
     Reactor reactor_{clock_, timers_};
-    std::unique_ptr<membership::Convoy> convoy_;
-    std::unique_ptr<quota::Tide> tide_;
-    http_mapping::Fleet fleet_;
-    QuotaLease lease_;
-    http_mapping::Passage passage_;
-    std::unique_ptr<Lookout> lookout_;
-    std::unique_ptr<transport::Mailer> mailer_;
-    std::unique_ptr<Desk> desk_;
-    std::unique_ptr<Listener> listener_;
-    std::unique_ptr<CallServer> readiness_;
+    std::unique_ptr<membership::Membership> membership_;
+    std::unique_ptr<quota::QuotaBalancer> quota_balancer_;
+    http_mapping::UpstreamHosts hosts_;
+    QuotaLease quota_lease_;
+    http_mapping::RequestMapper request_mapper_;
+    std::unique_ptr<ControlPlaneClient> control_plane_client_;
+    std::unique_ptr<transport::ConnectionManager> connections_;
+    std::unique_ptr<RequestDispatcher> dispatcher_;
+    std::unique_ptr<ClientListener> listener_;
+    std::unique_ptr<ApiServer> readiness_server_;
     Timers::Id tick_timer_ = 0;
-    TimePoint next_peers_{}, next_fleet_{};
+    TimePoint next_peer_update_{}, next_host_update_{};
     TimePoint stopping_since_{};
-    bool was_ready_ = false, was_leased_ = false;
+    bool was_ready_ = false, had_lease_ = false;
 };
 
 }    // namespace shaletray::gateway
--- a/src/gateway/http_mapping/upstream_hosts.cpp
+++ b/src/gateway/http_mapping/upstream_hosts.cpp
@@ -9,14 +9,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kRampSize = 0.5;      // of a server that has just started
-constexpr double kMostLost = 0.5;      // of a service's servers: beyond it, silence is not the servers' fault
-constexpr Duration kKeepGone = 60s;    // what is still under way there may come back
+constexpr double kSlowStartFactor = 0.5;    // of a server that has just started
+constexpr double kMaxExpiredFraction =
+    0.5;    // of a service's servers: beyond it, silence is not the servers' fault
+constexpr Duration kRemovedHostRetention = 60s;    // what is still under way there may come back
 
 }    // namespace
 
 // The same number at all pilots and in all lives, unless two ids hash alike here.
-HostId Fleet::number_for(const std::string& id) {
+HostId UpstreamHosts::number_for(const std::string& id) {
     if (const auto it = numbers_.find(id); it != numbers_.end()) return it->second;
     std::uint64_t hash = XXH64(id.data(), id.size(), 0);
     HostId number{static_cast<std::uint32_t>(hash)};
@@ -28,64 +29,68 @@
     return number;
 }
 
-int Fleet::zone_number(const std::string& zone) const {
+int UpstreamHosts::zone_number(const std::string& zone) const {
     const auto it = std::find(settings_.zones.begin(), settings_.zones.end(), zone);
     return static_cast<int>(it - settings_.zones.begin());    // unknown ones share the number behind the last
 }
 
-std::set<std::string> Fleet::take(const std::map<std::string, registry::Server>& servers, TimePoint now) {
+std::set<std::string> UpstreamHosts::update(const std::map<std::string, registry::Server>& servers,
+                                            TimePoint now) {
     std::set<std::string> changed;
-    struct Tally {
-        std::size_t serving = 0, lost = 0;
+    struct StateCount {
+        std::size_t serving = 0, expired = 0;
     };
-    std::map<std::string, Tally> tallies;
-    for (const auto& [id, s] : servers) {
-        if (s.state == registry::State::InService) ++tallies[s.service].serving;
-        if (s.state == registry::State::Lost) ++tallies[s.service].lost;
+    std::map<std::string, StateCount> counts_by_service;
+    for (const auto& [id, server] : servers) {
+        if (server.state == registry::State::InService) ++counts_by_service[server.service].serving;
+        if (server.state == registry::State::Expired) ++counts_by_service[server.service].expired;
     }
-    for (const auto& [id, s] : servers) {
+    for (const auto& [id, server] : servers) {
         const HostId number = number_for(id);
         const auto [it, is_new] = hosts_.try_emplace(number);
-        Known& known = it->second;
+        HostRecord& record = it->second;
         decision::HostEntry entry;
         entry.host = number;
-        entry.zone = zone_number(s.zone);
-        const bool ramps = s.ramp_left > Duration(0) && s.at + s.ramp_left > now;
-        entry.rating = std::max(1, s.capacity) * (ramps ? kRampSize : 1.0);
-        const Tally& tally = tallies[s.service];
-        const bool believed =
-            static_cast<double>(tally.lost) <= kMostLost * static_cast<double>(tally.lost + tally.serving);
-        switch (s.state) {
+        entry.zone = zone_number(server.zone);
+        const bool slow_starting =
+            server.slow_start_left > Duration(0) && server.last_called_at + server.slow_start_left > now;
+        entry.rating = std::max(1, server.capacity) * (slow_starting ? kSlowStartFactor : 1.0);
+        const StateCount& state_count = counts_by_service[server.service];
+        const bool loss_plausible =
+            static_cast<double>(state_count.expired) <=
+            kMaxExpiredFraction * static_cast<double>(state_count.expired + state_count.serving);
+        switch (server.state) {
             case registry::State::InService: entry.state = decision::HostState::Healthy; break;
             case registry::State::Draining: entry.state = decision::HostState::Draining; break;
-            case registry::State::Gone: entry.state = decision::HostState::Gone; break;
-            case registry::State::Lost:
-                entry.state = believed ? decision::HostState::Gone : decision::HostState::Healthy;
+            case registry::State::Departed: entry.state = decision::HostState::Gone; break;
+            case registry::State::Expired:
+                entry.state = loss_plausible ? decision::HostState::Gone : decision::HostState::Healthy;
                 break;
         }
-        const bool same = !is_new && known.entry.state == entry.state && known.entry.rating == entry.rating &&
-                          known.host.address == s.address && known.entry.zone == entry.zone;
-        if (same) continue;
-        if (entry.state == decision::HostState::Healthy) known.left = TimePoint{};
-        else if (known.left == TimePoint{}) known.left = now;
-        known.id = id;
-        known.service = s.service;
-        known.host.address = s.address;
-        known.entry = entry;
-        by_service_[s.service].insert(number);
-        changed.insert(s.service);
+        const bool unchanged = !is_new && record.entry.state == entry.state &&
+                               record.entry.rating == entry.rating && record.host.address == server.address &&
+                               record.entry.zone == entry.zone;
+        if (unchanged) continue;
+        if (entry.state == decision::HostState::Healthy) record.unhealthy_since = TimePoint{};
+        else if (record.unhealthy_since == TimePoint{}) record.unhealthy_since = now;
+        record.id = id;
+        record.service = server.service;
+        record.host.address = server.address;
+        record.entry = entry;
+        by_service_[server.service].insert(number);
+        changed.insert(server.service);
     }
     for (auto it = hosts_.begin(); it != hosts_.end();) {
-        Known& known = it->second;
-        const bool listed = servers.contains(known.id);
-        if (!listed && known.entry.state != decision::HostState::Gone) {
-            known.entry.state = decision::HostState::Gone;
-            known.left = now;
-            changed.insert(known.service);
+        HostRecord& record = it->second;
+        const bool registered = servers.contains(record.id);
+        if (!registered && record.entry.state != decision::HostState::Gone) {
+            record.entry.state = decision::HostState::Gone;
+            record.unhealthy_since = now;
+            changed.insert(record.service);
         }
-        if (!listed && now - known.left > kKeepGone) {
-            by_service_[known.service].erase(it->first);
-            numbers_.erase(known.id);
+        if (!registered && now - record.unhealthy_since > kRemovedHostRetention) {
+            by_service_[record.service].erase(it->first);
+            numbers_.erase(record.id);
             it = hosts_.erase(it);
         } else {
             ++it;
@@ -94,50 +99,51 @@
     return changed;
 }
 
-decision::HostList Fleet::list(const std::string& service) const {
-    decision::HostList list;
+decision::HostList UpstreamHosts::host_list(const std::string& service) const {
+    decision::HostList result;
     if (const auto it = by_service_.find(service); it != by_service_.end()) {
         for (const HostId host : it->second) {
             const decision::HostEntry& entry = hosts_.at(host).entry;
-            if (entry.state != decision::HostState::Gone) list.hosts.push_back(entry);
+            if (entry.state != decision::HostState::Gone) result.hosts.push_back(entry);
         }
     }
-    return list;
+    return result;
 }
 
-std::size_t Fleet::in_service(const std::string& service) const {
-    const decision::HostList all = list(service);
-    return static_cast<std::size_t>(std::count_if(all.hosts.begin(), all.hosts.end(), [](const auto& h) {
-        return h.state == decision::HostState::Healthy;
+std::size_t UpstreamHosts::healthy_count(const std::string& service) const {
+    const decision::HostList all = host_list(service);
+    return static_cast<std::size_t>(std::count_if(all.hosts.begin(), all.hosts.end(), [](const auto& entry) {
+        return entry.state == decision::HostState::Healthy;
     }));
 }
 
-double Fleet::mean_capacity(const std::string& service) const {
-    const decision::HostList all = list(service);
+double UpstreamHosts::mean_capacity(const std::string& service) const {
+    const decision::HostList all = host_list(service);
     double sum = 0.0;
     for (const decision::HostEntry& host : all.hosts) sum += host.rating;
     return all.hosts.empty() ? 0.0 : sum / static_cast<double>(all.hosts.size());
 }
 
-const Hosts::Host* Fleet::find(HostId host) const {
+const HostTable::Host* UpstreamHosts::find_host(HostId host) const {
     const auto it = hosts_.find(host);
     return it == hosts_.end() || it->second.entry.state == decision::HostState::Gone ? nullptr
                                                                                      : &it->second.host;
 }
 
-bool Fleet::may_begin(HostId host, TimePoint now) const {
+bool UpstreamHosts::may_send_to(HostId host, TimePoint now) const {
     const auto it = hosts_.find(host);
     if (it == hosts_.end() || it->second.entry.state == decision::HostState::Gone) return false;
-    const Known& known = it->second;
-    return known.entry.state == decision::HostState::Healthy || now - known.left <= settings_.late_start;
+    const HostRecord& record = it->second;
+    return record.entry.state == decision::HostState::Healthy ||
+           now - record.unhealthy_since <= settings_.drain_start_grace;
 }
 
-const std::string* Fleet::id_of(HostId host) const {
+const std::string* UpstreamHosts::id_of(HostId host) const {
     const auto it = hosts_.find(host);
     return it == hosts_.end() ? nullptr : &it->second.id;
 }
 
-const std::string* Fleet::service_of(HostId host) const {
+const std::string* UpstreamHosts::service_of(HostId host) const {
     const auto it = hosts_.find(host);
     return it == hosts_.end() ? nullptr : &it->second.service;
 }
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -9,17 +9,18 @@
 
 int main(int argc, char** argv) {
     using namespace shaletray;
-    auto begun = runtime::begin(argc, argv, "gateway");
-    if (const int* status = std::get_if<int>(&begun)) return *status;
-    runtime::Start start = std::move(std::get<runtime::Start>(begun));
-    runtime::open_log(start.settings.node_name);
+    auto startup_result = runtime::parse_command_line(argc, argv, "gateway");
+    if (const int* status = std::get_if<int>(&startup_result)) return *status;
+    runtime::Startup startup = std::move(std::get<runtime::Startup>(startup_result));
+    runtime::open_log(startup.settings.node_name);
     runtime::catch_signals();
     try {
-        gateway::Pilot pilot(start.settings);
-        pilot.run(runtime::look_after(
-            start, {[&] { pilot.stop(); }, [&](const auto& settings) { pilot.settings_changed(settings); },
-                    [&] { return pilot.counters_text(); }}));
-        runtime::event(LogLevel::Info, "counters", {kv("text", pilot.counters_text())});
+        gateway::Gateway process(startup.settings);
+        process.run(runtime::make_lifecycle_tick(
+            startup,
+            {[&] { process.stop(); }, [&](const auto& settings) { process.apply_settings(settings); },
+             [&] { return process.counters_text(); }}));
+        runtime::log_event(LogLevel::Info, "counters", {log_field("text", process.counters_text())});
         return 0;
     } catch (const Poco::Exception& error) {
         std::fprintf(stderr, "pilot: %s\n", error.displayText().c_str());
--- a/src/gateway/quota_lease.cpp
+++ b/src/gateway/quota_lease.cpp
@@ -8,199 +8,217 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kTouch = 4s;
-constexpr Duration kGap = 1s;          // without a look: this process did not run
-constexpr Duration kSpread = 2s;       // in which most have heard what one has
-constexpr Duration kReturning = 5s;    // in which the others come to count a pilot that is back
+constexpr Duration kContactTimeout = 4s;
+constexpr Duration kMaxUpdateGap = 1s;       // without a look: this process did not run
+constexpr Duration kPropagationTime = 2s;    // in which most have heard what one has
+constexpr Duration kReconnectGrace = 5s;     // in which the others come to count a pilot that is back
 
 // Both ways, within the last moments.
-bool in_touch(const membership::Convoy& convoy, const membership::Member& m, TimePoint now) {
-    if (m.state != membership::State::Alive) return false;
-    if (!convoy.meets_each()) return true;    // heard_part and answered_part stand for all
-    return m.heard != TimePoint{} && now - m.heard <= kTouch && m.answered != TimePoint{} &&
-           now - m.answered <= kTouch;
+bool is_in_contact(const membership::Membership& cluster, const membership::Member& member, TimePoint now) {
+    if (member.state != membership::State::Alive) return false;
+    if (!cluster.contacts_every_member()) return true;    // heard_part and answered_part stand for all
+    return member.last_heard != TimePoint{} && now - member.last_heard <= kContactTimeout &&
+           member.last_acknowledged != TimePoint{} && now - member.last_acknowledged <= kContactTimeout;
 }
 
 }    // namespace
 
-quota::Peers QuotaLease::look(const membership::Convoy& convoy, const std::vector<std::string>& confirmed,
-                              TimePoint now) {
-    if (now - looked_ > kGap) {
-        for (auto& [address, peer] : peers_) peer.unheard = TimePoint{};
-        nameless_unheard_ = TimePoint{};
+quota::PeerSet QuotaLease::update(const membership::Membership& cluster,
+                                  const std::vector<std::string>& confirmed_controllers, TimePoint now) {
+    if (now - last_update_ > kMaxUpdateGap) {
+        for (auto& [address, peer] : peers_) peer.unheard_since = TimePoint{};
+        unknown_unheard_since_ = TimePoint{};
     }
-    looked_ = now;
-    sampled_ = !convoy.meets_each();
+    last_update_ = now;
+    contact_sampled_ = !cluster.contacts_every_member();
     bool quorum = false;
-    for (const std::string& lighthouse : confirmed) {
-        const auto it = convoy.members().find(lighthouse);
-        if (it == convoy.members().end() || !in_touch(convoy, it->second, now)) continue;
-        quorum = quorum || convoy.meets_each() || convoy.answered_part(now, kTouch) > 0.0;
-        agreed_ = agreed_ || it->second.agreed != TimePoint{};
+    for (const std::string& controller_address : confirmed_controllers) {
+        const auto it = cluster.members().find(controller_address);
+        if (it == cluster.members().end() || !is_in_contact(cluster, it->second, now)) continue;
+        quorum = quorum || cluster.contacts_every_member() ||
+                 cluster.acknowledged_fraction(now, kContactTimeout) > 0.0;
+        membership_agreed_ = membership_agreed_ || it->second.last_in_sync != TimePoint{};
     }
-    learn(convoy, now);
-    drop(quorum, now);
-    lately_.emplace_back(now, divisor_);
-    while (now - lately_.front().first > kSpread) lately_.pop_front();
-
-    quota::Peers out;
-    out.ring.push_back(me_);
-    for (const auto& [address, m] : convoy.members())
-        if (m.facts.role == membership::Role::Pilot && m.state != membership::State::Gone)
-            out.ring.push_back(address);
-    std::sort(out.ring.begin(), out.ring.end());
-    std::uint32_t most = std::max(divisor_, static_cast<std::uint32_t>(out.ring.size()));
-    std::size_t touched = 1;
+    update_peers(cluster, now);
+    drop_unheard_peers(quorum, now);
+    recent_divisors_.emplace_back(now, divisor_);
+    while (now - recent_divisors_.front().first > kPropagationTime) recent_divisors_.pop_front();
+
+    quota::PeerSet peer_set;
+    peer_set.ring.push_back(self_);
+    for (const auto& [address, member] : cluster.members())
+        if (member.info.role == membership::Role::Gateway && member.state != membership::State::Dead)
+            peer_set.ring.push_back(address);
+    std::sort(peer_set.ring.begin(), peer_set.ring.end());
+    std::uint32_t largest_divisor = std::max(divisor_, static_cast<std::uint32_t>(peer_set.ring.size()));
+    std::size_t contacts = 1;
     for (const auto& [address, peer] : peers_) {
-        most = std::max(most, peer.counts);
-        touched += peer.touched ? 1 : 0;
+        largest_divisor = std::max(largest_divisor, peer.quota_divisor);
+        contacts += peer.in_contact ? 1 : 0;
     }
 
-    const bool touch = convoy.joined() && (quorum || (began_ && majority_));
-    if (now >= held_at_ + kLease) held_ = false;
-    if (!touch) {
-        returned_ = TimePoint{};
+    const bool connected = cluster.joined() && (quorum || (ever_held_ && majority_in_contact_));
+    if (now >= last_renewal_ + kLeaseDuration) held_ = false;
+    if (!connected) {
+        reconnected_at_ = TimePoint{};
     } else {
-        if (returned_ == TimePoint{}) returned_ = now;
-        agreed_ = agreed_ || !convoy.meets_each();    // so many that some always differ
-        const bool counted = (agreed_ && counts_us(convoy, touched)) || now - returned_ >= kReturning;
-        held_ = held_ || (counted && (began_ || may_begin(now)));
-        if (held_) held_at_ = now;
-        began_ = began_ || held_;
+        if (reconnected_at_ == TimePoint{}) reconnected_at_ = now;
+        membership_agreed_ =
+            membership_agreed_ || !cluster.contacts_every_member();    // so many that some always differ
+        const bool counted =
+            (membership_agreed_ && is_counted(cluster, contacts)) || now - reconnected_at_ >= kReconnectGrace;
+        held_ = held_ || (counted && (ever_held_ || may_start(now)));
+        if (held_) last_renewal_ = now;
+        ever_held_ = ever_held_ || held_;
     }
-    out.divisor = held_ ? most : 0;
-    out.refill_until = held_at_ + kLease;
-    return out;
+    peer_set.divisor = held_ ? largest_divisor : 0;
+    peer_set.refill_until = last_renewal_ + kLeaseDuration;
+    return peer_set;
 }
 
-void QuotaLease::learn(const membership::Convoy& convoy, TimePoint now) {
-    const bool open = convoy.meets_each() ||
-                      (convoy.heard_part(now, kTouch) >= 0.5 && convoy.answered_part(now, kTouch) >= 0.5);
-    for (auto& [address, peer] : peers_) peer.touched = false;
-    for (const auto& [address, m] : convoy.members()) {
-        if (m.facts.role != membership::Role::Pilot) continue;
+void QuotaLease::update_peers(const membership::Membership& cluster, TimePoint now) {
+    const bool majority_reachable =
+        cluster.contacts_every_member() || (cluster.heard_fraction(now, kContactTimeout) >= 0.5 &&
+                                            cluster.acknowledged_fraction(now, kContactTimeout) >= 0.5);
+    for (auto& [address, peer] : peers_) peer.in_contact = false;
+    for (const auto& [address, member] : cluster.members()) {
+        if (member.info.role != membership::Role::Gateway) continue;
         auto it = peers_.find(address);
-        if (m.ended) {
+        if (member.departed) {
             if (it == peers_.end()) continue;
-            no_longer(it->second);
+            retain_unknown_peers(it->second);
             peers_.erase(it);
             continue;
         }
         if (it == peers_.end()) {
             // Dropped before, or told to a newcomer, which has dropped nobody that it didn't hear.
-            if (m.state == membership::State::Gone && (began_ || m.heard != TimePoint{})) continue;
+            if (member.state == membership::State::Dead && (ever_held_ || member.last_heard != TimePoint{}))
+                continue;
             it = peers_.emplace(address, Peer{}).first;
-            it->second.known = it->second.heard = now;
+            it->second.discovered_at = it->second.last_heard = now;
         }
         Peer& peer = it->second;
-        if (peer.life != m.facts.life) {
-            if (peer.life != 0) no_longer(peer);
-            peer.life = m.facts.life;
+        if (peer.incarnation != member.info.incarnation) {
+            if (peer.incarnation != 0) retain_unknown_peers(peer);
+            peer.incarnation = member.info.incarnation;
         }
-        if (m.facts.counts == 0 && peer.counts > 0) no_longer(peer);    // its lease has ended
-        peer.counts = m.facts.counts;
-        peer.gone = m.state == membership::State::Gone;
-        peer.hearsay = peer.hearsay && m.heard == TimePoint{};
-        peer.heard = std::max(peer.heard, m.heard);
-        if (!convoy.meets_each() && m.state == membership::State::Alive) peer.heard = now;
-        peer.touched = open && in_touch(convoy, m, now);
+        if (member.info.quota_divisor == 0 && peer.quota_divisor > 0)
+            retain_unknown_peers(peer);    // its lease has ended
+        peer.quota_divisor = member.info.quota_divisor;
+        peer.dead = member.state == membership::State::Dead;
+        peer.indirect_only = peer.indirect_only && member.last_heard == TimePoint{};
+        peer.last_heard = std::max(peer.last_heard, member.last_heard);
+        if (!cluster.contacts_every_member() && member.state == membership::State::Alive)
+            peer.last_heard = now;
+        peer.in_contact = majority_reachable && is_in_contact(cluster, member, now);
     }
 }
 
 // What it knew more than this pilot knew lately stays counted.
-void QuotaLease::no_longer(const Peer& peer) {
-    std::uint32_t most = std::max(divisor_, electorate());
-    for (const auto& [at, divisor] : lately_) most = std::max(most, divisor);
-    if (peer.counts > most) nameless_ += peer.counts - most;
+void QuotaLease::retain_unknown_peers(const Peer& peer) {
+    std::uint32_t largest_divisor = std::max(divisor_, possible_gateway_count());
+    for (const auto& [at, divisor] : recent_divisors_) largest_divisor = std::max(largest_divisor, divisor);
+    if (peer.quota_divisor > largest_divisor) unknown_peers_ += peer.quota_divisor - largest_divisor;
 }
 
-void QuotaLease::drop(bool quorum, TimePoint now) {
-    if (nameless_ == 0 &&
-        std::all_of(peers_.begin(), peers_.end(), [](const auto& item) { return item.second.touched; })) {
-        majority_ = true;
-        divisor_ = electorate();
-        for (auto& [address, peer] : peers_) peer.unheard = TimePoint{};
+void QuotaLease::drop_unheard_peers(bool quorum, TimePoint now) {
+    if (unknown_peers_ == 0 &&
+        std::all_of(peers_.begin(), peers_.end(), [](const auto& item) { return item.second.in_contact; })) {
+        majority_in_contact_ = true;
+        divisor_ = possible_gateway_count();
+        for (auto& [address, peer] : peers_) peer.unheard_since = TimePoint{};
         return;
     }
-    std::vector<const Peer*> by_known;
-    for (const auto& [address, peer] : peers_) by_known.push_back(&peer);
-    std::sort(by_known.begin(), by_known.end(),
-              [](const Peer* a, const Peer* b) { return a->known < b->known; });
-    std::vector<std::size_t> touched{1};    // of the first so many
-    for (const Peer* peer : by_known) touched.push_back(touched.back() + (peer->touched ? 1 : 0));
-
-    divisor_ = electorate();
-    majority_ = 2 * touched.back() > peers_.size() + 1 + nameless_;
-    std::vector<std::string> over;
+    std::vector<const Peer*> by_discovery;
+    for (const auto& [address, peer] : peers_) by_discovery.push_back(&peer);
+    std::sort(by_discovery.begin(), by_discovery.end(),
+              [](const Peer* a, const Peer* b) { return a->discovered_at < b->discovered_at; });
+    std::vector<std::size_t> contact_counts{1};    // of the first so many
+    for (const Peer* peer : by_discovery)
+        contact_counts.push_back(contact_counts.back() + (peer->in_contact ? 1 : 0));
+
+    divisor_ = possible_gateway_count();
+    majority_in_contact_ = 2 * contact_counts.back() > peers_.size() + 1 + unknown_peers_;
+    std::vector<std::string> dropped;
     for (auto& [address, peer] : peers_) {
-        if (peer.touched) {
-            peer.unheard = TimePoint{};
+        if (peer.in_contact) {
+            peer.unheard_since = TimePoint{};
             continue;
         }
-        const auto end = std::upper_bound(by_known.begin(), by_known.end(), peer.heard + kSpread,
-                                          [](TimePoint t, const Peer* p) { return t < p->known; });
-        const auto known = static_cast<std::size_t>(end - by_known.begin());
-        const std::size_t then = std::max<std::size_t>(known + 1, peer.counts);
-        majority_ = majority_ && 2 * touched[known] > then;
+        const auto end = std::upper_bound(
+            by_discovery.begin(), by_discovery.end(), peer.last_heard + kPropagationTime,
+            [](TimePoint time, const Peer* candidate) { return time < candidate->discovered_at; });
+        const auto known_before = static_cast<std::size_t>(end - by_discovery.begin());
+        const std::size_t peers_then = std::max<std::size_t>(known_before + 1, peer.quota_divisor);
+        majority_in_contact_ = majority_in_contact_ && 2 * contact_counts[known_before] > peers_then;
         // Touch that is a sample tells no shares: who knew fewer than the unheard one leaves them to those
         // who knew as many and tell theirs.
-        if (!peer.hearsay)    // rounded up
-            divisor_ =
-                std::max(divisor_, static_cast<std::uint32_t>(
-                                       sampled_ && known + 1 < then
-                                           ? then
-                                           : (then * touched.back() + touched[known] - 1) / touched[known]));
-        const bool may =
-            quorum && (began_ || !peer.hearsay) && 2 * touched[known] >= then && now - peer.heard > kTouch;
-        if (!may) {
-            peer.unheard = TimePoint{};
-        } else if (peer.unheard == TimePoint{}) {
-            peer.unheard = now;
-        } else if (now - peer.unheard >= kDropAfter) {
-            over.push_back(address);
+        if (!peer.indirect_only)    // rounded up
+            divisor_ = std::max(
+                divisor_, static_cast<std::uint32_t>(
+                              contact_sampled_ && known_before + 1 < peers_then
+                                  ? peers_then
+                                  : (peers_then * contact_counts.back() + contact_counts[known_before] - 1) /
+                                        contact_counts[known_before]));
+        const bool droppable = quorum && (ever_held_ || !peer.indirect_only) &&
+                               2 * contact_counts[known_before] >= peers_then &&
+                               now - peer.last_heard > kContactTimeout;
+        if (!droppable) {
+            peer.unheard_since = TimePoint{};
+        } else if (peer.unheard_since == TimePoint{}) {
+            peer.unheard_since = now;
+        } else if (now - peer.unheard_since >= kDropTimeout) {
+            dropped.push_back(address);
         }
     }
-    for (const std::string& address : over) {
+    for (const std::string& address : dropped) {
         const Peer peer = peers_.at(address);
-        no_longer(peer);
+        retain_unknown_peers(peer);
         peers_.erase(address);
     }
     // Figures by samples compound over many restarts: never so many that those in touch could not drop them.
-    if (sampled_)
-        nameless_ = std::min(nameless_, 2 * touched.back() - std::min(2 * touched.back(), peers_.size() + 1));
-    if (nameless_ == 0 || !quorum || 2 * touched.back() < peers_.size() + 1 + nameless_) {
-        nameless_unheard_ = TimePoint{};
-    } else if (nameless_unheard_ == TimePoint{}) {
-        nameless_unheard_ = now;
-    } else if (now - nameless_unheard_ >= kDropAfter) {
-        nameless_ = 0;
-        nameless_unheard_ = TimePoint{};
+    if (contact_sampled_)
+        unknown_peers_ = std::min(unknown_peers_, 2 * contact_counts.back() -
+                                                      std::min(2 * contact_counts.back(), peers_.size() + 1));
+    if (unknown_peers_ == 0 || !quorum || 2 * contact_counts.back() < peers_.size() + 1 + unknown_peers_) {
+        unknown_unheard_since_ = TimePoint{};
+    } else if (unknown_unheard_since_ == TimePoint{}) {
+        unknown_unheard_since_ = now;
+    } else if (now - unknown_unheard_since_ >= kDropTimeout) {
+        unknown_peers_ = 0;
+        unknown_unheard_since_ = TimePoint{};
     }
 }
 
 // A newcomer: whether nobody holds a lease that may not count it, or those do that hold one and so count the
 // others. By the lighthouses' word who is there and holds none begins after it has heard of this one.
-bool QuotaLease::may_begin(TimePoint now) {
-    const auto holds = [](const auto& item) { return item.second.touched && item.second.counts > 0; };
-    if (std::any_of(peers_.begin(), peers_.end(), holds)) {
-        std::erase_if(peers_, [](const auto& item) { return item.second.hearsay && !item.second.touched; });
+bool QuotaLease::may_start(TimePoint now) {
+    const auto holds_lease = [](const auto& item) {
+        return item.second.in_contact && item.second.quota_divisor > 0;
+    };
+    if (std::any_of(peers_.begin(), peers_.end(), holds_lease)) {
+        std::erase_if(peers_,
+                      [](const auto& item) { return item.second.indirect_only && !item.second.in_contact; });
         return true;
     }
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto& item) {
         const Peer& peer = item.second;
-        return peer.touched || (!peer.gone && peer.counts == 0) ||
-               (peer.hearsay && now - peer.known >= kUnknown);
+        return peer.in_contact || (!peer.dead && peer.quota_divisor == 0) ||
+               (peer.indirect_only && now - peer.discovered_at >= kUnknownPeerTimeout);
     });
 }
 
 // Those that are in touch and hold a lease divide by as many as are in touch here, at least: all, or nearly
 // all of many.
-bool QuotaLease::counts_us(const membership::Convoy& convoy, std::size_t touched) const {
-    const double enough = static_cast<double>(touched) * (convoy.meets_each() ? 1.0 : 0.9);
-    std::size_t less = 0;
+bool QuotaLease::is_counted(const membership::Membership& cluster, std::size_t contacts) const {
+    const double min_divisor = static_cast<double>(contacts) * (cluster.contacts_every_member() ? 1.0 : 0.9);
+    std::size_t smaller_divisors = 0;
     for (const auto& [address, peer] : peers_)
-        less += peer.touched && peer.counts > 0 && static_cast<double>(peer.counts) < enough ? 1 : 0;
-    return convoy.meets_each() ? less == 0 : 4 * less <= touched;
+        smaller_divisors +=
+            peer.in_contact && peer.quota_divisor > 0 && static_cast<double>(peer.quota_divisor) < min_divisor
+                ? 1
+                : 0;
+    return cluster.contacts_every_member() ? smaller_divisors == 0 : 4 * smaller_divisors <= contacts;
 }
 
 }    // namespace shaletray::gateway
--- a/src/gateway/quota_lease.h
+++ b/src/gateway/quota_lease.h
@@ -40,51 +40,55 @@
 
 namespace shaletray::gateway {
 
-constexpr Duration kLease = std::chrono::seconds(10);
-constexpr Duration kDropAfter = std::chrono::seconds(20);    // twice the lease: late proofs of touch, drift
-constexpr Duration kUnknown = std::chrono::seconds(150);     // less than what convoy keeps of the unheard
+constexpr Duration kLeaseDuration = std::chrono::seconds(10);
+constexpr Duration kDropTimeout = std::chrono::seconds(20);    // twice the lease: late proofs of touch, drift
+constexpr Duration kUnknownPeerTimeout =
+    std::chrono::seconds(150);    // less than what convoy keeps of the unheard
 
 class QuotaLease {
 public:
-    explicit QuotaLease(std::string me) : me_(std::move(me)) {}
+    explicit QuotaLease(std::string self) : self_(std::move(self)) {}
 
     // To be called a few times a second. `confirmed`: the lighthouses that a quorum bore out, by their word
     // of the last seconds.
-    quota::Peers look(const membership::Convoy& convoy, const std::vector<std::string>& confirmed,
-                      TimePoint now);
+    quota::PeerSet update(const membership::Membership& cluster,
+                          const std::vector<std::string>& confirmed_controllers, TimePoint now);
     // For Convoy::counts: how many pilots this one divides by of its own knowledge; 0: it has no lease.
-    std::uint32_t counts() const { return held_ ? divisor_ : 0; }
+    std::uint32_t quota_divisor() const { return held_ ? divisor_ : 0; }
     // How many pilots may run, this one included.
-    std::uint32_t electorate() const { return static_cast<std::uint32_t>(peers_.size() + 1 + nameless_); }
+    std::uint32_t possible_gateway_count() const {
+        return static_cast<std::uint32_t>(peers_.size() + 1 + unknown_peers_);
+    }
     // A later life of this pilot begins without a lease.
-    void end() { held_ = agreed_ = began_ = false; }
+    void release() { held_ = membership_agreed_ = ever_held_ = false; }
 
 private:
     struct Peer {
-        std::uint64_t life = 0;
-        std::uint32_t counts = 0;      // by its own word
-        TimePoint known{}, heard{};    // since when its address is known; when it was last heard of
-        TimePoint unheard{};           // since when it may be dropped; zero: it may not
-        bool touched = false;
-        bool hearsay = true;    // this life never heard of it itself
-        bool gone = false;      // for the failure detector
+        std::uint64_t incarnation = 0;
+        std::uint32_t quota_divisor = 0;    // by its own word
+        TimePoint discovered_at{},
+            last_heard{};             // since when its address is known; when it was last heard of
+        TimePoint unheard_since{};    // since when it may be dropped; zero: it may not
+        bool in_contact = false;
+        bool indirect_only = true;    // this life never heard of it itself
+        bool dead = false;            // for the failure detector
     };
-    void learn(const membership::Convoy& convoy, TimePoint now);
-    void no_longer(const Peer& peer);
-    void drop(bool quorum, TimePoint now);
-    bool counts_us(const membership::Convoy& convoy, std::size_t touched) const;
-    bool may_begin(TimePoint now);
+    void update_peers(const membership::Membership& cluster, TimePoint now);
+    void retain_unknown_peers(const Peer& peer);
+    void drop_unheard_peers(bool quorum, TimePoint now);
+    bool is_counted(const membership::Membership& cluster, std::size_t contacts) const;
+    bool may_start(TimePoint now);
 
-    std::string me_;
+    std::string self_;
     std::map<std::string, Peer> peers_;
-    std::size_t nameless_ = 0;
-    TimePoint nameless_unheard_{};
-    std::deque<std::pair<TimePoint, std::uint32_t>> lately_;    // divisor_, and when
-    TimePoint looked_{}, held_at_{}, returned_{};
-    bool sampled_ = false;     // so many that touch is reckoned from samples
-    bool majority_ = false;    // more than half of the pilots are in touch
-    bool agreed_ = false;      // a lighthouse that a quorum bore out knew no others, once
-    bool began_ = false;       // it had a lease
+    std::size_t unknown_peers_ = 0;
+    TimePoint unknown_unheard_since_{};
+    std::deque<std::pair<TimePoint, std::uint32_t>> recent_divisors_;    // divisor_, and when
+    TimePoint last_update_{}, last_renewal_{}, reconnected_at_{};
+    bool contact_sampled_ = false;        // so many that touch is reckoned from samples
+    bool majority_in_contact_ = false;    // more than half of the pilots are in touch
+    bool membership_agreed_ = false;      // a lighthouse that a quorum bore out knew no others, once
+    bool ever_held_ = false;              // it had a lease
     bool held_ = false;
     std::uint32_t divisor_ = 1;    // by this pilot's own knowledge
 };
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -12,373 +12,400 @@
 using namespace std::chrono_literals;
 
 // A request waits for units for this part of its aim at most, so that a refusal still comes early.
-constexpr double kWaitShare = 0.2;
-constexpr Duration kLongestWait = 250ms;
+constexpr double kMaxWaitFraction = 0.2;
+constexpr Duration kMaxQuotaWait = 250ms;
 // Advice where servers have no room: spread, so that those turned away do not come back together.
-constexpr Duration kComeBackLeast = 40ms, kComeBackSpread = 120ms;
-constexpr Duration kDial = 1s;
-constexpr Duration kIdle = 5s;    // kept connections, where servers state nothing
+constexpr Duration kMinRetryDelay = 40ms, kRetryDelaySpread = 120ms;
+constexpr Duration kDialTimeout = 1s;
+constexpr Duration kServerIdleTimeout = 5s;    // kept connections, where servers state nothing
 // Parts of the rule on repeats that are used: each pilot measures on its own windows.
-constexpr double kRatioUsed = 0.8, kSlackUsed = 0.35;
+constexpr double kRetryRatioFraction = 0.8, kRetrySlackFraction = 0.35;
 // Work alone may take a good part of the aim: less is let out only where queues are what takes the time.
-constexpr double kLatencyGoal = 0.85;
-constexpr double kLateShare = 0.3;    // an answer after the aim still earns a part
-constexpr int kMostOpen = 2000;       // requests of one service
+constexpr double kLatencyGoalFraction = 0.85;
+constexpr double kLateAnswerValue = 0.3;    // an answer after the aim still earns a part
+constexpr int kMaxOpenRequests = 2000;      // requests of one service
 
 ServerPool::Limits pool_limits() {
     ServerPool::Limits limits;
-    limits.dial = kDial;
-    limits.idle = kIdle;
+    limits.dial_timeout = kDialTimeout;
+    limits.idle_timeout = kServerIdleTimeout;
     return limits;
 }
 
-decision::ClassSettings class_of(const configuration::Route& route) {
-    decision::ClassSettings c;
-    c.name = route.name;
-    c.repeat = route.kind == configuration::RouteKind::Idempotent ? decision::Repeat::Safe
-                                                                  : decision::Repeat::Unsafe;
-    c.aim = route.target_latency > Duration(0) ? std::min(route.target_latency, route.timeout)
-                                               : route.timeout / 2;
-    c.give_up = route.timeout;
-    c.late_share = kLateShare;
-    c.max_attempts = route.max_attempts;
-    return c;
+decision::ClassSettings class_settings_of(const configuration::Route& route) {
+    decision::ClassSettings result;
+    result.name = route.name;
+    result.repeat = route.kind == configuration::RouteKind::Idempotent ? decision::Repeat::Safe
+                                                                       : decision::Repeat::Unsafe;
+    result.aim = route.target_latency > Duration(0) ? std::min(route.target_latency, route.timeout)
+                                                    : route.timeout / 2;
+    result.give_up = route.timeout;
+    result.late_share = kLateAnswerValue;
+    result.max_attempts = route.max_attempts;
+    return result;
 }
 
 }    // namespace
 
-struct Desk::Line {
-    Line(Desk& desk, std::string name, const decision::Settings& s, std::uint64_t seed)
+struct RequestDispatcher::ServicePipeline {
+    ServicePipeline(RequestDispatcher& dispatcher, std::string name,
+                    const decision::Settings& engine_settings, std::uint64_t seed)
         : service(std::move(name)),
-          settings(s),
-          engine(s, seed, desk.reactor_.clock(), desk.timers_, desk.counters_),
-          pool(engine, desk.fleet_, desk.tongue_, desk.sockets_, desk.counters_, desk.reactor_,
-               pool_limits()) {
-        engine.connect(pool, no_mail, no_lists);
-        engine.behave({true, true});
+          settings(engine_settings),
+          engine(engine_settings, seed, dispatcher.reactor_.clock(), dispatcher.timers_,
+                 dispatcher.counters_),
+          pool(engine, dispatcher.hosts_, dispatcher.codec_, dispatcher.connection_budget_,
+               dispatcher.counters_, dispatcher.reactor_, pool_limits()) {
+        engine.connect(pool, peer_messenger, host_lists);
+        engine.set_response_policy({true, true});
     }
-    struct NoMail : Mail {
-        void tell(PeerId, const std::vector<std::uint8_t>&) override {}
-    } no_mail;
-    struct NoLists : ListSource {
+    struct NullPeerMessenger : PeerMessenger {
+        void send_to_peer(PeerId, const std::vector<std::uint8_t>&) override {}
+    } peer_messenger;
+    struct NullHostListSource : HostListSource {
         void subscribe() override {}
-    } no_lists;
+    } host_lists;
     std::string service;
     decision::Settings settings;
     Engine engine;
     ServerPool pool;
-    std::unordered_map<std::string, int> class_of_route;
+    std::unordered_map<std::string, int> class_by_route;
 };
 
 // One request, between its client's connection and the engine.
-class Desk::Open final : public Front {
+class RequestDispatcher::PendingRequest final : public DownstreamConnection {
 public:
-    Open(Desk& desk, std::uint64_t ticket, Front& front, Arrival&& arrival)
-        : desk_(desk), ticket(ticket), front(&front), purpose(arrival.purpose), arrival(std::move(arrival)) {}
-
-    void served(Payload&& answer) override {
-        ++desk_.counts_.served;
-        Front* const to = front;
-        desk_.forget(*this);
-        to->served(std::move(answer));
+    PendingRequest(RequestDispatcher& dispatcher, std::uint64_t ticket, DownstreamConnection& client,
+                   IncomingRequest&& incoming)
+        : dispatcher_(dispatcher),
+          ticket(ticket),
+          client(&client),
+          context(incoming.context),
+          incoming(std::move(incoming)) {}
+
+    void on_answer(Payload&& answer) override {
+        ++dispatcher_.statistics_.served;
+        DownstreamConnection* const recipient = client;
+        dispatcher_.retire_request(*this);
+        recipient->on_answer(std::move(answer));
     }
-    void refused(Duration, Refusal why) override {
-        ++desk_.counts_.refused_room;
-        if (charged) desk_.tide_->give_back(tenant(), desk_.reactor_.clock().now());
-        Front* const to = front;
-        const Duration wait = desk_.come_back();
-        desk_.forget(*this);
-        to->refused(wait, why);
+    void on_rejected(Duration, RejectionReason reason) override {
+        ++dispatcher_.statistics_.rejected_capacity;
+        if (charged) dispatcher_.balancer_->return_unit(tenant(), dispatcher_.reactor_.clock().now());
+        DownstreamConnection* const recipient = client;
+        const Duration delay = dispatcher_.random_retry_delay();
+        dispatcher_.retire_request(*this);
+        recipient->on_rejected(delay, reason);
     }
-    void failed(Failure why, Payload&& answer) override {
-        ++desk_.counts_.failed;
-        Front* const to = front;
-        desk_.forget(*this);
-        to->failed(why, std::move(answer));
+    void on_failed(FailureReason reason, Payload&& answer) override {
+        ++dispatcher_.statistics_.failed;
+        DownstreamConnection* const recipient = client;
+        dispatcher_.retire_request(*this);
+        recipient->on_failed(reason, std::move(answer));
     }
-    const http_mapping::Errand& errand() const {
-        return *static_cast<const http_mapping::Errand*>(purpose.get());
+    const http_mapping::RouteMatch& route_match() const {
+        return *static_cast<const http_mapping::RouteMatch*>(context.get());
     }
     const std::string& tenant() const { return tenant_name; }
 
 private:
-    Desk& desk_;
+    RequestDispatcher& dispatcher_;
 
 public:
     std::uint64_t ticket;
-    Front* front;
-    std::shared_ptr<const void> purpose;
-    Arrival arrival;    // until it is sent on
+    DownstreamConnection* client;
+    std::shared_ptr<const void> context;
+    IncomingRequest incoming;    // until it is sent on
     std::string tenant_name;
-    Line* at = nullptr;
-    RequestId request{};
-    Timers::Id patience = 0;
+    ServicePipeline* pipeline = nullptr;
+    RequestId request_id{};
+    Timers::Id wait_timer = 0;
     Duration retry_after{0};
-    TimePoint came{};
-    bool charged = false, waits = false, answered = false;
+    TimePoint arrived_at{};
+    bool charged = false, queued = false, answered = false;
 };
 
-Desk::Desk(DeskSettings settings, Reactor& reactor, Timers& timers, Counters& counters,
-           http_mapping::Fleet& fleet, quota::Tide& tide, std::function<void()> tide_due)
+RequestDispatcher::RequestDispatcher(DispatcherSettings settings, Reactor& reactor, Timers& timers,
+                                     Counters& counters, http_mapping::UpstreamHosts& hosts,
+                                     quota::QuotaBalancer& balancer, std::function<void()> on_quota_due)
     : settings_(settings),
       reactor_(reactor),
       timers_(timers),
       counters_(counters),
-      fleet_(fleet),
-      tide_(&tide),
-      tide_due_(std::move(tide_due)),
-      tongue_([this](HostId host) -> std::optional<http_mapping::Tongue::Target> {
-          const std::string* const id = fleet_.id_of(host);
+      hosts_(hosts),
+      balancer_(&balancer),
+      on_quota_due_(std::move(on_quota_due)),
+      codec_([this](HostId host) -> std::optional<http_mapping::UpstreamCodec::Target> {
+          const std::string* const id = hosts_.id_of(host);
           if (id == nullptr) return std::nullopt;
-          const auto check = health_checks_.find(*fleet_.service_of(host));
-          return http_mapping::Tongue::Target{*id, check == health_checks_.end() ? "/" : check->second};
+          const auto health_check = health_checks_.find(*hosts_.service_of(host));
+          return http_mapping::UpstreamCodec::Target{
+              *id, health_check == health_checks_.end() ? "/" : health_check->second};
       }),
-      sockets_(settings.server_sockets),
+      connection_budget_(settings.max_server_connections),
       random_(settings.seed) {}
 
-Desk::~Desk() {
-    for (auto& [ticket, open] : open_) reactor_.cancel(open->patience);
+RequestDispatcher::~RequestDispatcher() {
+    for (auto& [ticket, pending] : pending_) reactor_.cancel_timer(pending->wait_timer);
 }
 
 // ---- requests ----
 
-std::uint64_t Desk::take(Front& front, Arrival&& arrival) {
-    const std::uint64_t ticket = ++last_;
+std::uint64_t RequestDispatcher::submit(DownstreamConnection& client, IncomingRequest&& incoming) {
+    const std::uint64_t ticket = ++last_ticket_;
     const TimePoint now = reactor_.clock().now();
-    Open& open = *open_.emplace(ticket, std::make_unique<Open>(*this, ticket, front, std::move(arrival)))
-                      .first->second;
-    open.came = now;
-    const http_mapping::Errand& errand = open.errand();
-    if (errand.tenant == nullptr || errand.tenant->rate_per_s <= 0.0) {
-        send_on(open);
+    PendingRequest& pending =
+        *pending_
+             .emplace(ticket, std::make_unique<PendingRequest>(*this, ticket, client, std::move(incoming)))
+             .first->second;
+    pending.arrived_at = now;
+    const http_mapping::RouteMatch& route_match = pending.route_match();
+    if (route_match.tenant == nullptr || route_match.tenant->rate_per_s <= 0.0) {
+        forward_request(pending);
         return ticket;
     }
-    open.tenant_name = errand.tenant->name;
-    const Duration aim = class_of(*errand.route).aim;
-    const Duration patience = std::min(
-        {kLongestWait, Duration(static_cast<std::int64_t>(static_cast<double>(aim.count()) * kWaitShare)),
-         open.arrival.budget / 3});
+    pending.tenant_name = route_match.tenant->name;
+    const Duration latency_target = class_settings_of(*route_match.route).aim;
+    const Duration max_wait = std::min(
+        {kMaxQuotaWait,
+         Duration(static_cast<std::int64_t>(static_cast<double>(latency_target.count()) * kMaxWaitFraction)),
+         pending.incoming.time_budget / 3});
     Duration retry_after{0};
-    quota::Ruling ruling = tide_->ask(open.tenant_name, patience, now, retry_after);
-    if (ruling == quota::Ruling::Wait && waiting_count_ >= settings_.most_waiting)
-        ruling = quota::Ruling::Refused;
-    switch (ruling) {
-        case quota::Ruling::Granted:
-            open.charged = true;
-            send_on(open);
+    quota::AdmissionDecision admission =
+        balancer_->request_unit(pending.tenant_name, max_wait, now, retry_after);
+    if (admission == quota::AdmissionDecision::Queued && queued_count_ >= settings_.max_queued)
+        admission = quota::AdmissionDecision::Rejected;
+    switch (admission) {
+        case quota::AdmissionDecision::Granted:
+            pending.charged = true;
+            forward_request(pending);
             break;
-        case quota::Ruling::Refused: refuse_quota(open, retry_after); break;
-        case quota::Ruling::Wait:
-            ++counts_.waited;
-            open.waits = true;
-            open.retry_after = retry_after;
-            waiting_[open.tenant_name].push_back(ticket);
-            ++waiting_count_;
-            tide_->waits(open.tenant_name, 1);
-            open.patience = reactor_.after(patience, [this, ticket] {
-                const auto it = open_.find(ticket);
-                if (it == open_.end() || !it->second->waits) return;
-                Open& late = *it->second;
-                late.patience = 0;
-                if (ask_again(late)) return;
-                end_wait(late);
-                refuse_quota(late, late.retry_after);
+        case quota::AdmissionDecision::Rejected: reject_over_quota(pending, retry_after); break;
+        case quota::AdmissionDecision::Queued:
+            ++statistics_.queued;
+            pending.queued = true;
+            pending.retry_after = retry_after;
+            queued_[pending.tenant_name].push_back(ticket);
+            ++queued_count_;
+            balancer_->adjust_queued(pending.tenant_name, 1);
+            pending.wait_timer = reactor_.schedule_after(max_wait, [this, ticket] {
+                const auto found = pending_.find(ticket);
+                if (found == pending_.end() || !found->second->queued) return;
+                PendingRequest& expired = *found->second;
+                expired.wait_timer = 0;
+                if (retry_admission(expired)) return;
+                remove_from_queue(expired);
+                reject_over_quota(expired, expired.retry_after);
             });
-            tide_due_();
+            on_quota_due_();
             break;
     }
     return ticket;
 }
 
-void Desk::end_wait(Open& open) {
-    open.waits = false;
-    reactor_.cancel(open.patience);
-    const auto it = waiting_.find(open.tenant_name);
-    std::erase(it->second, open.ticket);
-    if (it->second.empty()) waiting_.erase(it);
-    --waiting_count_;
-    tide_->waits(open.tenant_name, -1);
+void RequestDispatcher::remove_from_queue(PendingRequest& pending) {
+    pending.queued = false;
+    reactor_.cancel_timer(pending.wait_timer);
+    const auto found = queued_.find(pending.tenant_name);
+    std::erase(found->second, pending.ticket);
+    if (found->second.empty()) queued_.erase(found);
+    --queued_count_;
+    balancer_->adjust_queued(pending.tenant_name, -1);
 }
 
 // Sends it on where there is a unit for it now; else it goes on waiting.
-bool Desk::ask_again(Open& open) {
+bool RequestDispatcher::retry_admission(PendingRequest& pending) {
     const TimePoint now = reactor_.clock().now();
-    tide_->waits(open.tenant_name, -1);
-    const quota::Ruling ruling = tide_->ask(open.tenant_name, Duration(0), now, open.retry_after);
-    tide_->waits(open.tenant_name, 1);
-    if (ruling != quota::Ruling::Granted) return false;
-    end_wait(open);
-    open.charged = true;
-    open.arrival.budget = std::max(Duration(0), open.arrival.budget - (now - open.came));
-    send_on(open);
+    balancer_->adjust_queued(pending.tenant_name, -1);
+    const quota::AdmissionDecision admission =
+        balancer_->request_unit(pending.tenant_name, Duration(0), now, pending.retry_after);
+    balancer_->adjust_queued(pending.tenant_name, 1);
+    if (admission != quota::AdmissionDecision::Granted) return false;
+    remove_from_queue(pending);
+    pending.charged = true;
+    pending.incoming.time_budget =
+        std::max(Duration(0), pending.incoming.time_budget - (now - pending.arrived_at));
+    forward_request(pending);
     return true;
 }
 
-void Desk::refuse_quota(Open& open, Duration retry_after) {
-    ++counts_.refused_quota;
-    Front* const to = open.front;
-    forget(open);
-    to->refused(retry_after, Refusal::Quota);
+void RequestDispatcher::reject_over_quota(PendingRequest& pending, Duration retry_after) {
+    ++statistics_.rejected_quota;
+    DownstreamConnection* const recipient = pending.client;
+    retire_request(pending);
+    recipient->on_rejected(retry_after, RejectionReason::Quota);
 }
 
-void Desk::send_on(Open& open) {
-    if (open.charged) ++counts_.granted;
-    const http_mapping::Errand& errand = open.errand();
-    Line& to = line(configuration::Table::pick(*errand.route, random_()));
-    const auto cls = to.class_of_route.find(errand.route->name);
-    if (cls == to.class_of_route.end()) {    // the chart has moved the route on while this one waited
-        open.refused(Duration(0), Refusal::Room);
+void RequestDispatcher::forward_request(PendingRequest& pending) {
+    if (pending.charged) ++statistics_.granted;
+    const http_mapping::RouteMatch& route_match = pending.route_match();
+    ServicePipeline& pipeline =
+        pipeline_for(configuration::ConfigurationIndex::pick_service(*route_match.route, random_()));
+    const auto class_entry = pipeline.class_by_route.find(route_match.route->name);
+    if (class_entry ==
+        pipeline.class_by_route.end()) {    // the chart has moved the route on while this one waited
+        pending.on_rejected(Duration(0), RejectionReason::Capacity);
         return;
     }
-    Arrival arrival = std::move(open.arrival);
-    arrival.class_index = cls->second;
-    open.at = &to;
-    const std::uint64_t ticket = open.ticket;
-    const RequestId request = to.engine.take(open, std::move(arrival));
+    IncomingRequest incoming = std::move(pending.incoming);
+    incoming.class_index = class_entry->second;
+    pending.pipeline = &pipeline;
+    const std::uint64_t ticket = pending.ticket;
+    const RequestId request_id = pipeline.engine.submit(pending, std::move(incoming));
     // It may have been answered by now.
-    if (const auto it = open_.find(ticket); it != open_.end()) it->second->request = request;
+    if (const auto found = pending_.find(ticket); found != pending_.end())
+        found->second->request_id = request_id;
 }
 
-void Desk::withdraw(std::uint64_t ticket) {
-    const auto it = open_.find(ticket);
-    if (it == open_.end()) return;
-    Open& open = *it->second;
-    if (open.waits) {
-        end_wait(open);
-    } else if (open.at != nullptr) {
-        open.at->engine.withdraw(open.request);
+void RequestDispatcher::cancel(std::uint64_t ticket) {
+    const auto found = pending_.find(ticket);
+    if (found == pending_.end()) return;
+    PendingRequest& pending = *found->second;
+    if (pending.queued) {
+        remove_from_queue(pending);
+    } else if (pending.pipeline != nullptr) {
+        pending.pipeline->engine.cancel(pending.request_id);
     }
-    forget(open);
+    retire_request(pending);
 }
 
 // The front is still owed its call: it is made after this.
-void Desk::forget(Open& open) {
-    reactor_.cancel(open.patience);
-    const auto it = open_.find(open.ticket);
-    if (it == open_.end()) return;
-    struct Done : Retired {
-        explicit Done(std::unique_ptr<Open> o) : open(std::move(o)) {}
-        std::unique_ptr<Open> open;
+void RequestDispatcher::retire_request(PendingRequest& pending) {
+    reactor_.cancel_timer(pending.wait_timer);
+    const auto found = pending_.find(pending.ticket);
+    if (found == pending_.end()) return;
+    struct RetiredRequest : RetiredObject {
+        explicit RetiredRequest(std::unique_ptr<PendingRequest> retired) : request(std::move(retired)) {}
+        std::unique_ptr<PendingRequest> request;
     };
-    reactor_.retire(std::make_unique<Done>(std::move(it->second)));
-    open_.erase(it);
+    reactor_.destroy_later(std::make_unique<RetiredRequest>(std::move(found->second)));
+    pending_.erase(found);
 }
 
-void Desk::units_came(const std::vector<std::string>& tenants) {
+void RequestDispatcher::on_units_available(const std::vector<std::string>& tenants) {
     for (const std::string& tenant : tenants) {
         for (;;) {
-            const auto it = waiting_.find(tenant);
-            if (it == waiting_.end()) break;
-            if (!ask_again(*open_.at(it->second.front()))) break;
+            const auto found = queued_.find(tenant);
+            if (found == queued_.end()) break;
+            if (!retry_admission(*pending_.at(found->second.front()))) break;
         }
     }
 }
 
-void Desk::quotas_from(quota::Tide& tide) {
-    tide_ = &tide;
-    for (const auto& [tenant, queue] : waiting_) tide_->waits(tenant, static_cast<int>(queue.size()));
+void RequestDispatcher::set_quota_balancer(quota::QuotaBalancer& balancer) {
+    balancer_ = &balancer;
+    for (const auto& [tenant, queue] : queued_)
+        balancer_->adjust_queued(tenant, static_cast<int>(queue.size()));
 }
 
-void Desk::give_up_all() {
-    std::vector<std::uint64_t> waiting;
-    for (const auto& [ticket, open] : open_) {
-        if (open->waits) waiting.push_back(ticket);
+void RequestDispatcher::abandon_all() {
+    std::vector<std::uint64_t> queued_tickets;
+    for (const auto& [ticket, pending] : pending_) {
+        if (pending->queued) queued_tickets.push_back(ticket);
     }
-    for (const std::uint64_t ticket : waiting) {
-        const auto it = open_.find(ticket);
-        if (it == open_.end()) continue;
-        end_wait(*it->second);
-        refuse_quota(*it->second, it->second->retry_after);
+    for (const std::uint64_t ticket : queued_tickets) {
+        const auto found = pending_.find(ticket);
+        if (found == pending_.end()) continue;
+        remove_from_queue(*found->second);
+        reject_over_quota(*found->second, found->second->retry_after);
     }
-    for (auto& [service, line] : lines_) line->engine.give_up_all();
+    for (auto& [service, pipeline] : pipelines_) pipeline->engine.abandon_all_requests();
 }
 
-Duration Desk::come_back() {
-    return kComeBackLeast + Duration(static_cast<std::int64_t>(
-                                random_() % static_cast<std::uint64_t>(kComeBackSpread.count())));
+Duration RequestDispatcher::random_retry_delay() {
+    return kMinRetryDelay + Duration(static_cast<std::int64_t>(
+                                random_() % static_cast<std::uint64_t>(kRetryDelaySpread.count())));
 }
 
 // ---- services ----
 
-Desk::Line& Desk::line(const std::string& service) {
-    if (const auto it = lines_.find(service); it != lines_.end()) return *it->second;
-    decision::Settings s;
-    s.gateways = static_cast<int>(std::max<std::uint32_t>(1, pilots_));
-    s.zone = settings_.zone;
-    s.may_cancel = true;
-    s.may_probe = true;
-    s.max_retry_after = 1s;
-    s.max_open = kMostOpen;
-    s.retry_start = 0.0;    // what an earlier life had may be spent
-    s.retry_refunds = true;
-    s.classes.emplace_back();
-    Line& made = *lines_.emplace(service, std::make_unique<Line>(*this, service, s, random_())).first->second;
-    set_up(made);
-    made.engine.list_heard(fleet_.list(service));
-    return made;
+RequestDispatcher::ServicePipeline& RequestDispatcher::pipeline_for(const std::string& service) {
+    if (const auto found = pipelines_.find(service); found != pipelines_.end()) return *found->second;
+    decision::Settings engine_settings;
+    engine_settings.gateways = static_cast<int>(std::max<std::uint32_t>(1, gateway_count_));
+    engine_settings.zone = settings_.zone;
+    engine_settings.may_cancel = true;
+    engine_settings.may_probe = true;
+    engine_settings.max_retry_after = 1s;
+    engine_settings.max_open = kMaxOpenRequests;
+    engine_settings.retry_start = 0.0;    // what an earlier life had may be spent
+    engine_settings.retry_refunds = true;
+    engine_settings.classes.emplace_back();
+    ServicePipeline& created =
+        *pipelines_
+             .emplace(service, std::make_unique<ServicePipeline>(*this, service, engine_settings, random_()))
+             .first->second;
+    configure_pipeline(created);
+    created.engine.on_host_list(hosts_.host_list(service));
+    return created;
 }
 
 // Classes and limits of a service, by the chart in force and the number of pilots.
-void Desk::set_up(Line& line) {
-    decision::Settings& s = line.settings;
-    const std::vector<decision::ClassSettings> before = s.classes;
-    const decision::RequestLimits limits = s;
-    s.classes.clear();
-    s.send_cap = 1;
-    if (const auto here = routes_to_.find(line.service); here != routes_to_.end()) {
-        for (const configuration::Route* route : here->second) {
-            s.classes.push_back(class_of(*route));
-            s.send_cap = std::max(s.send_cap, route->max_attempts);
+void RequestDispatcher::configure_pipeline(ServicePipeline& pipeline) {
+    decision::Settings& engine_settings = pipeline.settings;
+    const std::vector<decision::ClassSettings> previous_classes = engine_settings.classes;
+    const decision::RequestLimits previous_limits = engine_settings;
+    engine_settings.classes.clear();
+    engine_settings.send_cap = 1;
+    if (const auto found = routes_by_service_.find(pipeline.service); found != routes_by_service_.end()) {
+        for (const configuration::Route* route : found->second) {
+            engine_settings.classes.push_back(class_settings_of(*route));
+            engine_settings.send_cap = std::max(engine_settings.send_cap, route->max_attempts);
         }
     }
-    if (s.classes.empty()) s.classes.emplace_back();    // nothing goes there now
-    const double part = kSlackUsed * settings_.retry_slack / pilots_;
-    s.retry_share = kRatioUsed * settings_.retry_ratio;
-    s.retry_burst = std::max(1.0, part);
-    s.retry_refill_per_s = part / std::chrono::duration<double>(settings_.retry_window).count();
-    s.latency_goal = kLatencyGoal;
-    s.least_out = std::max(2.0, fleet_.mean_capacity(line.service));    // what surely finds a place
-    s.sharing = static_cast<int>(pilots_);
-    const bool same = before == s.classes && limits == static_cast<const decision::RequestLimits&>(s);
-    if (same && !line.class_of_route.empty()) return;
-    const std::vector<int> places = line.engine.adopt(s);
-    line.class_of_route.clear();
-    for (std::size_t i = 0; i < s.classes.size(); ++i) line.class_of_route[s.classes[i].name] = places[i];
+    if (engine_settings.classes.empty()) engine_settings.classes.emplace_back();    // nothing goes there now
+    const double slack_share = kRetrySlackFraction * settings_.retry_slack / gateway_count_;
+    engine_settings.retry_share = kRetryRatioFraction * settings_.retry_ratio;
+    engine_settings.retry_burst = std::max(1.0, slack_share);
+    engine_settings.retry_refill_per_s =
+        slack_share / std::chrono::duration<double>(settings_.retry_window).count();
+    engine_settings.latency_goal = kLatencyGoalFraction;
+    engine_settings.least_out =
+        std::max(2.0, hosts_.mean_capacity(pipeline.service));    // what surely finds a place
+    engine_settings.sharing = static_cast<int>(gateway_count_);
+    const bool unchanged = previous_classes == engine_settings.classes &&
+                           previous_limits == static_cast<const decision::RequestLimits&>(engine_settings);
+    if (unchanged && !pipeline.class_by_route.empty()) return;
+    const std::vector<int> class_indices = pipeline.engine.apply_settings(engine_settings);
+    pipeline.class_by_route.clear();
+    for (std::size_t i = 0; i < engine_settings.classes.size(); ++i)
+        pipeline.class_by_route[engine_settings.classes[i].name] = class_indices[i];
 }
 
-void Desk::chart(std::shared_ptr<const configuration::Table> table) {
-    table_ = std::move(table);
+void RequestDispatcher::set_configuration(
+    std::shared_ptr<const configuration::ConfigurationIndex> configuration_index) {
+    configuration_index_ = std::move(configuration_index);
     health_checks_.clear();
-    for (const configuration::Service& service : table_->chart().services)
+    for (const configuration::Service& service : configuration_index_->config().services)
         health_checks_[service.name] = service.health_check;
-    routes_to_.clear();
-    for (const configuration::Route& route : table_->chart().routes) {
-        for (const configuration::Share& share : route.to) {
-            std::vector<const configuration::Route*>& here = routes_to_[share.service];
-            if (here.empty() || here.back() != &route) here.push_back(&route);
+    routes_by_service_.clear();
+    for (const configuration::Route& route : configuration_index_->config().routes) {
+        for (const configuration::WeightedService& share : route.targets) {
+            std::vector<const configuration::Route*>& service_routes = routes_by_service_[share.service];
+            if (service_routes.empty() || service_routes.back() != &route) service_routes.push_back(&route);
         }
     }
-    for (const auto& [service, routes] : routes_to_) line(service);
+    for (const auto& [service, routes] : routes_by_service_) pipeline_for(service);
     // A service that nothing leads to any more keeps its engine, with what it learned: it may come back. At
     // rest it costs its memory and a tick each 100 ms.
-    for (auto& [service, line] : lines_) set_up(*line);
+    for (auto& [service, pipeline] : pipelines_) configure_pipeline(*pipeline);
 }
 
-void Desk::servers_changed(const std::set<std::string>& services) {
+void RequestDispatcher::on_servers_changed(const std::set<std::string>& services) {
     for (const std::string& service : services) {
-        const auto it = lines_.find(service);
-        if (it == lines_.end()) continue;
-        set_up(*it->second);
-        it->second->engine.list_heard(fleet_.list(service));
-        it->second->pool.list_changed();
+        const auto found = pipelines_.find(service);
+        if (found == pipelines_.end()) continue;
+        configure_pipeline(*found->second);
+        found->second->engine.on_host_list(hosts_.host_list(service));
+        found->second->pool.on_host_list_changed();
     }
 }
 
-void Desk::pilots(std::uint32_t count) {
+void RequestDispatcher::set_gateway_count(std::uint32_t count) {
     count = std::max<std::uint32_t>(1, count);
-    if (count == pilots_) return;
-    pilots_ = count;
-    for (auto& [service, line] : lines_) set_up(*line);
+    if (count == gateway_count_) return;
+    gateway_count_ = count;
+    for (auto& [service, pipeline] : pipelines_) configure_pipeline(*pipeline);
 }
 
 }    // namespace shaletray::gateway
--- a/src/gateway/request_dispatcher.h
+++ b/src/gateway/request_dispatcher.h
@@ -18,78 +18,80 @@
 
 namespace shaletray::gateway {
 
-struct DeskSettings {
+struct DispatcherSettings {
     std::uint64_t seed = 0;
-    std::size_t server_sockets = 512;    // connections to all servers together
+    std::size_t max_server_connections = 512;    // connections to all servers together
     int zone = 0;
     double retry_ratio = 0.2, retry_slack = 0.0;    // over all pilots together,
     Duration retry_window = std::chrono::seconds(10);
-    std::size_t most_waiting = 2000;    // requests that wait for units
+    std::size_t max_queued = 2000;    // requests that wait for units
 };
 
-class Desk final : public Intake {
+class RequestDispatcher final : public RequestHandler {
 public:
     // `tide_due`: the tide has something to say before its next tick.
-    Desk(DeskSettings settings, Reactor& reactor, Timers& timers, Counters& counters,
-         http_mapping::Fleet& fleet, quota::Tide& tide, std::function<void()> tide_due);
-    ~Desk() override;
+    RequestDispatcher(DispatcherSettings settings, Reactor& reactor, Timers& timers, Counters& counters,
+                      http_mapping::UpstreamHosts& hosts, quota::QuotaBalancer& balancer,
+                      std::function<void()> on_quota_due);
+    ~RequestDispatcher() override;
 
-    std::uint64_t take(Front& front, Arrival&& arrival) override;
-    void withdraw(std::uint64_t ticket) override;
+    std::uint64_t submit(DownstreamConnection& client, IncomingRequest&& incoming) override;
+    void cancel(std::uint64_t ticket) override;
 
     // What is to be done from now on; requests under way go on by the chart that they came under.
-    void chart(std::shared_ptr<const configuration::Table> table);
+    void set_configuration(std::shared_ptr<const configuration::ConfigurationIndex> configuration_index);
     // These services' lists of servers differ.
-    void servers_changed(const std::set<std::string>& services);
+    void on_servers_changed(const std::set<std::string>& services);
     // Pilots that share the repeat budget and the servers.
-    void pilots(std::uint32_t count);
+    void set_gateway_count(std::uint32_t count);
     // In the place of the one before, with nothing in it.
-    void quotas_from(quota::Tide& tide);
+    void set_quota_balancer(quota::QuotaBalancer& balancer);
     // Units came in for these tenants.
-    void units_came(const std::vector<std::string>& tenants);
+    void on_units_available(const std::vector<std::string>& tenants);
     // Every request that is still owed an answer gets one.
-    void give_up_all();
+    void abandon_all();
 
-    std::size_t open() const { return open_.size(); }
-    struct Counts {
-        std::uint64_t granted = 0, waited = 0, refused_quota = 0, refused_room = 0, served = 0, failed = 0;
+    std::size_t pending_count() const { return pending_.size(); }
+    struct Statistics {
+        std::uint64_t granted = 0, queued = 0, rejected_quota = 0, rejected_capacity = 0, served = 0,
+                      failed = 0;
     };
-    const Counts& counts() const { return counts_; }
+    const Statistics& statistics() const { return statistics_; }
 
 private:
-    class Open;
-    struct Line;    // one service
-    void send_on(Open& open);
-    void end_wait(Open& open);
-    bool ask_again(Open& open);
-    void refuse_quota(Open& open, Duration retry_after);
-    void forget(Open& open);
-    Line& line(const std::string& service);
-    void set_up(Line& line);
-    const http_mapping::Errand& errand_of(const Open& open) const;
-    Duration come_back();
+    class PendingRequest;
+    struct ServicePipeline;    // one service
+    void forward_request(PendingRequest& pending);
+    void remove_from_queue(PendingRequest& pending);
+    bool retry_admission(PendingRequest& pending);
+    void reject_over_quota(PendingRequest& pending, Duration retry_after);
+    void retire_request(PendingRequest& pending);
+    ServicePipeline& pipeline_for(const std::string& service);
+    void configure_pipeline(ServicePipeline& pipeline);
+    const http_mapping::RouteMatch& route_match_of(const PendingRequest& pending) const;
+    Duration random_retry_delay();
 
-    DeskSettings settings_;
+    DispatcherSettings settings_;
     Reactor& reactor_;
     Timers& timers_;
     Counters& counters_;
-    http_mapping::Fleet& fleet_;
-    quota::Tide* tide_;
-    std::function<void()> tide_due_;
-    http_mapping::Tongue tongue_;
-    ConnectionBudget sockets_;
-    std::shared_ptr<const configuration::Table> table_;
+    http_mapping::UpstreamHosts& hosts_;
+    quota::QuotaBalancer* balancer_;
+    std::function<void()> on_quota_due_;
+    http_mapping::UpstreamCodec codec_;
+    ConnectionBudget connection_budget_;
+    std::shared_ptr<const configuration::ConfigurationIndex> configuration_index_;
     std::unordered_map<std::string, std::vector<const configuration::Route*>>
-        routes_to_;                                                 // of table_, by service
+        routes_by_service_;                                         // of table_, by service
     std::unordered_map<std::string, std::string> health_checks_;    // by service
-    std::unordered_map<std::string, std::unique_ptr<Line>> lines_;
-    std::unordered_map<std::uint64_t, std::unique_ptr<Open>> open_;
-    std::unordered_map<std::string, std::deque<std::uint64_t>> waiting_;    // for units, by tenant
-    std::size_t waiting_count_ = 0;
-    std::uint64_t last_ = 0;
-    std::uint32_t pilots_ = 1;
+    std::unordered_map<std::string, std::unique_ptr<ServicePipeline>> pipelines_;
+    std::unordered_map<std::uint64_t, std::unique_ptr<PendingRequest>> pending_;
+    std::unordered_map<std::string, std::deque<std::uint64_t>> queued_;    // for units, by tenant
+    std::size_t queued_count_ = 0;
+    std::uint64_t last_ticket_ = 0;
+    std::uint32_t gateway_count_ = 1;
     std::mt19937_64 random_;
-    Counts counts_;
+    Statistics statistics_;
 };
 
 }    // namespace shaletray::gateway
--- a/src/simulator/board.h
+++ b/src/simulator/board.h
@@ -13,8 +13,8 @@
 
 class Board {
 public:
-    std::string answer(const shared_counter::Reply& command) {
-        const std::vector<shared_counter::Reply>& words = command.items;
+    std::string answer(const shared_counter::RespReply& command) {
+        const std::vector<shared_counter::RespReply>& words = command.items;
         const std::string& name = words.at(0).text;
         if (name == "INFO") return "$11\r\nrun_id:1234\r\n";
         if (name == "PEXPIRE") return ":1\r\n";
--- a/src/simulator/clients.h
+++ b/src/simulator/clients.h
@@ -15,85 +15,87 @@
 namespace shaletray::testbed {
 
 // What a latency in milliseconds is kept in: bins of equal ratio, 0.7% wide.
-using Latency = decltype(boost::histogram::make_histogram(
+using FineLatencyHistogram = decltype(boost::histogram::make_histogram(
     boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(2000, 0.1, 1e5)));
-Latency no_latency();
-double quantile_ms(const Latency& h, double q);
+FineLatencyHistogram make_latency_histogram();
+double latency_quantile_ms(const FineLatencyHistogram& h, double q);
 
-enum class End : std::uint8_t { Served, Refused, Failed };
+enum class RequestEnd : std::uint8_t { Served, Rejected, Failed };
 
-struct Asked {
-    std::uint64_t request = 0;    // of the front; the same over its tries
-    int attempt = 0;              // of its client, from 1
+struct ClientRequest {
+    std::uint64_t request_number = 0;    // of the front; the same over its tries
+    int attempt_number = 0;              // of its client, from 1
     decision::CustomerId customer{};
-    int cls = 0, plan = 0;
+    int class_index = 0, plan_index = 0;
     double units = 1.0;
-    Duration left{0};
-    int gateway = 0;
+    Duration time_left{0};
+    int gateway_index = 0;
 };
 
-class FrontWorld {
+class FrontendEnvironment {
 public:
-    virtual ~FrontWorld() = default;
-    virtual TimePoint now() const = 0;
+    virtual ~FrontendEnvironment() = default;
+    virtual TimePoint current_time() const = 0;
     // Calls Clients::woken with `what` then.
-    virtual void wake(TimePoint at, std::uint64_t what) = 0;
-    virtual void ask(const Asked& asked) = 0;
-    virtual void leave(std::uint64_t request, int gateway) = 0;
+    virtual void schedule_wakeup(TimePoint at, std::uint64_t what) = 0;
+    virtual void send_request(const ClientRequest& asked) = 0;
+    virtual void abandon_request(std::uint64_t request, int gateway_index) = 0;
 };
 
 // How customers are drawn: Zipf over those of one front, added up.
-std::vector<double> activity(const Scenario& s);
+std::vector<double> customer_activity(const Scenario& s);
 
 class Clients {
 public:
     // `slack`: how much later than a client's patience an answer may still be written, without the way to the
     // client and back. `shares` is activity()'s and outlives this.
     Clients(const Scenario& scenario, int me, const std::vector<double>& shares, TimePoint start,
-            Duration slack, FrontWorld& world);
+            Duration slack, FrontendEnvironment& world);
 
-    void begin() { world_.wake(start_ + Duration(1000 + me_), Arrive); }
-    void woken(std::uint64_t what);
-    void answered(std::uint64_t request, End end, Duration retry_after);
+    void start_arrivals() {
+        environment_.schedule_wakeup(started_at_ + Duration(1000 + frontend_index_), NewRequest);
+    }
+    void on_wakeup(std::uint64_t what);
+    void on_answer(std::uint64_t request, RequestEnd end, Duration retry_after);
     // The front notices, late, that a gateway ended, or is back.
-    void gateway_seen(int gateway, bool there);
+    void on_gateway_state(int gateway_index, bool is_alive);
     // Once all is over: what was never answered.
-    void close();
+    void finish_run();
 
-    Figures figures;
-    const Latency& latency() const { return latency_; }
-    std::size_t customers_seen() const { return seen_.size(); }
+    RunStatistics statistics;
+    const FineLatencyHistogram& latency_histogram() const { return latency_histogram_; }
+    std::size_t distinct_customers() const { return seen_customers_.size(); }
 
 private:
     struct Request {
         decision::CustomerId customer{};
-        int cls = 0, tries = 0, gateway = 0;
+        int class_index = 0, attempt_count = 0, gateway_index = 0;
         double units = 1.0;
-        TimePoint first{}, sent{};
-        bool out = false, left = false;
+        TimePoint first_sent_at{}, last_sent_at{};
+        bool is_in_flight = false, is_abandoned = false;
     };
-    enum What : std::uint64_t { Arrive = 0, Again = 1, Go = 2 };
-    double real() { return std::uniform_real_distribution<>(0.0, 1.0)(random_); }
-    std::string course(std::uint64_t number, const Request& r, const std::string& what) const;
-    void arrive();
+    enum WakeupKind : std::uint64_t { NewRequest = 0, Retry = 1, Abandon = 2 };
+    double draw_fraction() { return std::uniform_real_distribution<>(0.0, 1.0)(random_); }
+    std::string describe_request(std::uint64_t number, const Request& r, const std::string& what) const;
+    void start_request();
     int pick_gateway(const Request& r);
-    void ask(std::uint64_t number, Request& r);
-    void finish(std::unordered_map<std::uint64_t, Request>::iterator it, std::uint64_t how);
+    void send_attempt(std::uint64_t number, Request& r);
+    void finish_request(std::unordered_map<std::uint64_t, Request>::iterator it, std::uint64_t how);
 
-    const Scenario& s_;
-    int me_;
-    const std::vector<double>& shares_;
-    TimePoint start_;
-    Duration slack_;
-    FrontWorld& world_;
+    const Scenario& settings_;
+    int frontend_index_;
+    const std::vector<double>& cumulative_shares_;
+    TimePoint started_at_;
+    Duration answer_slack_;
+    FrontendEnvironment& environment_;
     std::mt19937_64 random_;
-    std::unordered_map<std::uint64_t, Request> open_;
-    std::set<std::uint64_t> gone_, seen_;
-    std::vector<int> alive_;
-    std::uint64_t last_ = 0;
-    std::uint64_t favourite_ = 0;    // which of each set, for a while
+    std::unordered_map<std::uint64_t, Request> open_requests_;
+    std::set<std::uint64_t> abandoned_requests_, seen_customers_;
+    std::vector<int> live_gateways_;
+    std::uint64_t last_request_ = 0;
+    std::uint64_t favourite_draw_ = 0;    // which of each set, for a while
     TimePoint favourite_until_{};
-    Latency latency_;
+    FineLatencyHistogram latency_histogram_;
 };
 
 }    // namespace shaletray::testbed
--- a/src/simulator/kernel.h
+++ b/src/simulator/kernel.h
@@ -27,7 +27,7 @@
 using EntityId = std::uint32_t;
 
 // A generator of its own for each entity: what one draws changes nothing for another.
-inline std::uint64_t mix(std::uint64_t seed, std::uint64_t what) {
+inline std::uint64_t mix_hash(std::uint64_t seed, std::uint64_t what) {
     std::uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (what + 1);    // SplitMix64
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
@@ -40,20 +40,21 @@
     // What an entity may do while it handles an event.
     class Context {
     public:
-        TimePoint now() const { return now_; }
-        EntityId self() const { return self_; }
-        EntityId from() const { return from_; }    // who sent the event
+        TimePoint current_time() const { return current_time_; }
+        EntityId own_id() const { return own_id_; }
+        EntityId sender_id() const { return sender_id_; }    // who sent the event
         // To another entity, after the lookahead or more. Throws std::logic_error where it is sooner: the
         // order of events would depend on threads.
-        void send(EntityId to, Duration delay, Message message) {
-            if (to != self_ && delay < kernel_.lookahead_)
+        void send_message(EntityId to, Duration delay, Message message) {
+            if (to != own_id_ && delay < kernel_.lookahead_)
                 throw std::logic_error("sooner than the lookahead");
-            kernel_.post(shard_, {now_ + delay, self_, kernel_.numbers_[self_]++, to, std::move(message)});
+            kernel_.post_event(shard_, {current_time_ + delay, own_id_, kernel_.event_numbers_[own_id_]++, to,
+                                        std::move(message)});
         }
         // To itself, at any time from now on.
-        void wake(TimePoint at, Message message) {
-            kernel_.post(shard_,
-                         {std::max(at, now_), self_, kernel_.numbers_[self_]++, self_, std::move(message)});
+        void schedule_self(TimePoint at, Message message) {
+            kernel_.post_event(shard_, {std::max(at, current_time_), own_id_,
+                                        kernel_.event_numbers_[own_id_]++, own_id_, std::move(message)});
         }
 
     private:
@@ -61,49 +62,49 @@
         Context(Kernel& kernel, std::size_t shard) : kernel_(kernel), shard_(shard) {}
         Kernel& kernel_;
         std::size_t shard_;
-        TimePoint now_{};
-        EntityId self_ = 0, from_ = 0;
+        TimePoint current_time_{};
+        EntityId own_id_ = 0, sender_id_ = 0;
     };
     class Entity {
     public:
         virtual ~Entity() = default;
-        virtual void handle(Message&& message, Context& context) = 0;
+        virtual void handle_message(Message&& message, Context& context) = 0;
     };
 
     Kernel(Duration lookahead, std::size_t threads)
         : lookahead_(lookahead), shards_(std::max<std::size_t>(1, threads)) {
         if (lookahead <= Duration(0)) throw std::invalid_argument("the lookahead must be above 0");
-        for (Shard& s : shards_) s.out.resize(shards_.size());
+        for (Shard& s : shards_) s.outgoing_events.resize(shards_.size());
     }
 
-    EntityId add(std::unique_ptr<Entity> entity) {
+    EntityId add_entity(std::unique_ptr<Entity> entity) {
         entities_.push_back(std::move(entity));
-        numbers_.push_back(0);
+        event_numbers_.push_back(0);
         return static_cast<EntityId>(entities_.size() - 1);
     }
-    Entity& at(EntityId id) { return *entities_[id]; }
-    std::size_t size() const { return entities_.size(); }
+    Entity& entity_at(EntityId id) { return *entities_[id]; }
+    std::size_t entity_count() const { return entities_.size(); }
     // Before the run: something that happens to an entity.
-    void schedule(EntityId to, TimePoint at, Message message) {
-        push(shards_[shard_of(to)], {at, to, numbers_[to]++, to, std::move(message)});
+    void schedule_message(EntityId to, TimePoint at, Message message) {
+        push_event(shards_[shard_index_of(to)], {at, to, event_numbers_[to]++, to, std::move(message)});
     }
 
     // All events before `end`. Errors of a handler come out here.
-    void run(TimePoint end) {
-        if (shards_.size() == 1) return run_alone(end);
+    void run_until(TimePoint end) {
+        if (shards_.size() == 1) return run_single_threaded(end);
         std::exception_ptr error;
         std::atomic<bool> failed{false};
-        TimePoint window = earliest();
+        TimePoint window = earliest_event();
         bool stop = false;
         const auto complete = [&]() noexcept {
             for (Shard& to : shards_) {
                 for (Shard& from : shards_) {
-                    auto& box = from.out[static_cast<std::size_t>(&to - shards_.data())];
-                    for (Event& event : box) push(to, std::move(event));
+                    auto& box = from.outgoing_events[static_cast<std::size_t>(&to - shards_.data())];
+                    for (Event& event : box) push_event(to, std::move(event));
                     box.clear();
                 }
             }
-            window = earliest();
+            window = earliest_event();
             stop = failed;    // all leave at the same window
         };
         std::barrier barrier(static_cast<std::ptrdiff_t>(shards_.size()), complete);
@@ -112,7 +113,7 @@
             threads.emplace_back([&, s] {
                 while (window < end && !stop) {
                     try {
-                        work(s, std::min(end, window + lookahead_));
+                        process_window(s, std::min(end, window + lookahead_));
                     } catch (...) {
                         if (!failed.exchange(true)) error = std::current_exception();
                     }
@@ -123,88 +124,89 @@
         for (std::thread& t : threads) t.join();
         if (error) std::rethrow_exception(error);
     }
-    std::uint64_t events() const {
+    std::uint64_t event_count() const {
         std::uint64_t all = 0;
-        for (const Shard& s : shards_) all += s.events;
+        for (const Shard& s : shards_) all += s.event_count;
         return all;
     }
 
 private:
     struct Event {
-        TimePoint at;
-        EntityId from;
+        TimePoint due_at;
+        EntityId sender;
         std::uint64_t number;
-        EntityId to;
+        EntityId recipient;
         Message message;
     };
     // What is ordered. The messages themselves stay where they are: moving them through the heap costs more
     // than all the rest of it.
     struct Key {
-        TimePoint at;
+        TimePoint due_at;
         std::uint64_t number;
-        EntityId from, to;
+        EntityId sender, recipient;
         std::uint32_t slot;
         bool operator<(const Key& other) const {    // the earliest on top
-            if (at != other.at) return at > other.at;
-            if (from != other.from) return from > other.from;
+            if (due_at != other.due_at) return due_at > other.due_at;
+            if (sender != other.sender) return sender > other.sender;
             return number > other.number;
         }
     };
     struct alignas(64) Shard {
-        std::vector<Key> heap;
+        std::vector<Key> event_heap;
         std::vector<Message> messages;    // by slot
-        std::vector<std::uint32_t> free;
-        std::vector<std::vector<Event>> out;    // by shard
-        std::uint64_t events = 0;
+        std::vector<std::uint32_t> free_slots;
+        std::vector<std::vector<Event>> outgoing_events;    // by shard
+        std::uint64_t event_count = 0;
     };
 
-    std::size_t shard_of(EntityId id) const { return id % shards_.size(); }
-    static void push(Shard& shard, Event&& event) {
+    std::size_t shard_index_of(EntityId id) const { return id % shards_.size(); }
+    static void push_event(Shard& shard, Event&& event) {
         std::uint32_t slot = 0;
-        if (shard.free.empty()) {
+        if (shard.free_slots.empty()) {
             slot = static_cast<std::uint32_t>(shard.messages.size());
             shard.messages.push_back(std::move(event.message));
         } else {
-            slot = shard.free.back();
-            shard.free.pop_back();
+            slot = shard.free_slots.back();
+            shard.free_slots.pop_back();
             shard.messages[slot] = std::move(event.message);
         }
-        shard.heap.push_back({event.at, event.number, event.from, event.to, slot});
-        std::push_heap(shard.heap.begin(), shard.heap.end());
+        shard.event_heap.push_back({event.due_at, event.number, event.sender, event.recipient, slot});
+        std::push_heap(shard.event_heap.begin(), shard.event_heap.end());
     }
-    void post(std::size_t from, Event&& event) {
-        const std::size_t to = shard_of(event.to);
-        if (to == from) push(shards_[to], std::move(event));
-        else shards_[from].out[to].push_back(std::move(event));
+    void post_event(std::size_t from, Event&& event) {
+        const std::size_t to = shard_index_of(event.recipient);
+        if (to == from) push_event(shards_[to], std::move(event));
+        else shards_[from].outgoing_events[to].push_back(std::move(event));
     }
-    TimePoint earliest() const {
+    TimePoint earliest_event() const {
         TimePoint first = TimePoint::max() - lookahead_;
         for (const Shard& s : shards_)
-            if (!s.heap.empty()) first = std::min(first, s.heap.front().at);
+            if (!s.event_heap.empty()) first = std::min(first, s.event_heap.front().due_at);
         return first;
     }
-    void work(std::size_t s, TimePoint until) {
+    void process_window(std::size_t s, TimePoint until) {
         Shard& shard = shards_[s];
         Context context(*this, s);
-        while (!shard.heap.empty() && shard.heap.front().at < until) {
-            std::pop_heap(shard.heap.begin(), shard.heap.end());
-            const Key event = shard.heap.back();
-            shard.heap.pop_back();
+        while (!shard.event_heap.empty() && shard.event_heap.front().due_at < until) {
+            std::pop_heap(shard.event_heap.begin(), shard.event_heap.end());
+            const Key event = shard.event_heap.back();
+            shard.event_heap.pop_back();
             Message message = std::move(shard.messages[event.slot]);
-            shard.free.push_back(event.slot);
-            ++shard.events;
-            context.now_ = event.at;
-            context.self_ = event.to;
-            context.from_ = event.from;
-            entities_[event.to]->handle(std::move(message), context);
+            shard.free_slots.push_back(event.slot);
+            ++shard.event_count;
+            context.current_time_ = event.due_at;
+            context.own_id_ = event.recipient;
+            context.sender_id_ = event.sender;
+            entities_[event.recipient]->handle_message(std::move(message), context);
         }
     }
-    void run_alone(TimePoint end) { work(0, end); }
+    void run_single_threaded(TimePoint end) { process_window(0, end); }
 
     Duration lookahead_;
     std::vector<Shard> shards_;
     std::vector<std::unique_ptr<Entity>> entities_;
-    std::vector<std::uint64_t> numbers_;    // of events that an entity sent; touched by its own shard only
+    std::vector<std::uint64_t>
+        event_numbers_;    // of events that an entity sent; touched by its own shard only
 };
 
 }    // namespace shaletray::testbed
--- a/src/simulator/load.cpp
+++ b/src/simulator/load.cpp
@@ -15,86 +15,92 @@
 using namespace std::chrono_literals;
 namespace bh = boost::histogram;
 
-constexpr Duration kAfter = 3s;    // for the last answers
-constexpr double kLateMs = 5.0;    // of the tool's own lag at p99: beyond it, it ran late
-constexpr std::size_t kMostWaiting = 1'000'000;
+constexpr Duration kAnswerGracePeriod = 3s;    // for the last answers
+constexpr double kMaxLagMs = 5.0;              // of the tool's own lag at p99: beyond it, it ran late
+constexpr std::size_t kMaxWaitingRequests = 1'000'000;
 
-double ms(Duration d) { return std::max(1e-3, 1e3 * secs(d)); }
+double to_milliseconds(Duration d) { return std::max(1e-3, 1e3 * secs(d)); }
 
-class Constant : public Arrivals {
+class ConstantArrivals : public Arrivals {
 public:
-    explicit Constant(double rate) : rate_(rate) {}
-    std::optional<Duration> next() override { return from_secs(static_cast<double>(++n_) / rate_); }
+    explicit ConstantArrivals(double rate) : rate_(rate) {}
+    std::optional<Duration> next_arrival() override {
+        return from_secs(static_cast<double>(++arrival_count_) / rate_);
+    }
 
 private:
     double rate_;
-    std::uint64_t n_ = 0;
+    std::uint64_t arrival_count_ = 0;
 };
 
-class Poisson : public Arrivals {
+class PoissonArrivals : public Arrivals {
 public:
-    Poisson(double rate, std::uint64_t seed) : gap_(rate), random_(seed) {}
-    std::optional<Duration> next() override { return from_secs(at_ += gap_(random_)); }
+    PoissonArrivals(double rate, std::uint64_t seed) : gap_distribution_(rate), random_(seed) {}
+    std::optional<Duration> next_arrival() override {
+        return from_secs(last_arrival_ += gap_distribution_(random_));
+    }
 
 private:
-    std::exponential_distribution<> gap_;
+    std::exponential_distribution<> gap_distribution_;
     std::mt19937_64 random_;
-    double at_ = 0.0;
+    double last_arrival_ = 0.0;
 };
 
-class OnOff : public Arrivals {
+class OnOffArrivals : public Arrivals {
 public:
-    OnOff(double rate, Duration period, std::uint64_t seed)
-        : gap_(4.0 * rate), random_(seed), period_(std::max(1e-3, secs(period))) {}
-    std::optional<Duration> next() override {
-        on_ += gap_(random_);    // time while it is on, of which each period has a quarter
+    OnOffArrivals(double rate, Duration period, std::uint64_t seed)
+        : gap_distribution_(4.0 * rate), random_(seed), period_(std::max(1e-3, secs(period))) {}
+    std::optional<Duration> next_arrival() override {
+        elapsed_on_time_ +=
+            gap_distribution_(random_);    // time while it is on, of which each period has a quarter
         const double quarter = period_ / 4.0;
-        return from_secs(std::floor(on_ / quarter) * period_ + std::fmod(on_, quarter));
+        return from_secs(std::floor(elapsed_on_time_ / quarter) * period_ +
+                         std::fmod(elapsed_on_time_, quarter));
     }
 
 private:
-    std::exponential_distribution<> gap_;
+    std::exponential_distribution<> gap_distribution_;
     std::mt19937_64 random_;
-    double period_, on_ = 0.0;
+    double period_, elapsed_on_time_ = 0.0;
 };
 
-class Replay : public Arrivals {
+class RecordedReplay : public Arrivals {
 public:
-    explicit Replay(Recorded recorded) : recorded_(std::move(recorded)) {}
-    std::optional<Duration> next() override {
-        if (at_ == recorded_.times.size()) return std::nullopt;
-        return recorded_.times[at_++];
+    explicit RecordedReplay(RecordedArrivals recorded) : recorded_(std::move(recorded)) {}
+    std::optional<Duration> next_arrival() override {
+        if (next_index_ == recorded_.arrival_times.size()) return std::nullopt;
+        return recorded_.arrival_times[next_index_++];
     }
 
 private:
-    Recorded recorded_;
-    std::size_t at_ = 0;
+    RecordedArrivals recorded_;
+    std::size_t next_index_ = 0;
 };
 
-Milliseconds histogram() {
+LatencyHistogram make_histogram() {
     return bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(3000, 1e-3, 1e5));
 }
 
 }    // namespace
 
-std::unique_ptr<Arrivals> constant_arrivals(double rate) { return std::make_unique<Constant>(rate); }
+std::unique_ptr<Arrivals> constant_arrivals(double rate) { return std::make_unique<ConstantArrivals>(rate); }
 std::unique_ptr<Arrivals> poisson_arrivals(double rate, std::uint64_t seed) {
-    return std::make_unique<Poisson>(rate, seed);
+    return std::make_unique<PoissonArrivals>(rate, seed);
 }
 std::unique_ptr<Arrivals> on_off_arrivals(double rate, Duration period, std::uint64_t seed) {
-    return std::make_unique<OnOff>(rate, period, seed);
+    return std::make_unique<OnOffArrivals>(rate, period, seed);
 }
-std::unique_ptr<Arrivals> recorded_arrivals(Recorded recorded) {
-    return std::make_unique<Replay>(std::move(recorded));
+std::unique_ptr<Arrivals> recorded_arrivals(RecordedArrivals recorded) {
+    return std::make_unique<RecordedReplay>(std::move(recorded));
 }
 
-Recorded read_recorded(const std::string& text) {
-    Recorded out;
+RecordedArrivals parse_recorded_arrivals(const std::string& text) {
+    RecordedArrivals out;
     std::size_t at = 0, line = 0;
     while (at < text.size()) {
         const std::size_t end = text.find('\n', at);
         if (end == std::string::npos) {
-            out.cut_short = true;
+            out.is_truncated = true;
             break;
         }
         ++line;
@@ -105,193 +111,199 @@
                 fmt::format("line {}: expected a whole number of microseconds, found \"{}\"", line,
                             text.substr(at, std::min<std::size_t>(40, end - at))));
         Duration when(us);
-        if (!out.times.empty() && when < out.times.back()) {
-            ++out.late;
-            when = out.times.back();
+        if (!out.arrival_times.empty() && when < out.arrival_times.back()) {
+            ++out.out_of_order_count;
+            when = out.arrival_times.back();
         }
-        out.times.push_back(when);
+        out.arrival_times.push_back(when);
         at = end + 1;
     }
     return out;
 }
 
-double quantile_of(const Milliseconds& h, double q) { return quantile_in(h, q); }
+double histogram_quantile(const LatencyHistogram& h, double q) { return quantile_in(h, q); }
 
-LoadFigures::LoadFigures() : latency(histogram()), lag(histogram()) {}
+LoadStatistics::LoadStatistics() : latency(make_histogram()), scheduling_lag(make_histogram()) {}
 
-bool LoadFigures::ran_late() const { return quantile_of(lag, 0.99) > kLateMs; }
+bool LoadStatistics::ran_late() const { return histogram_quantile(scheduling_lag, 0.99) > kMaxLagMs; }
 
 // ---- one connection ----
 
-class Load::Line : public StreamOwner {
+class LoadGenerator::Connection : public StreamOwner {
 public:
-    explicit Line(Load& of) : load(of), stream(of.reactor_, *this), parser(http::Parser::Kind::Response) {}
-    void ask(const std::string& bytes, Due when) {
-        due = when;
-        busy = true;
-        stood = stream.is_open();
-        if (!stream.is_open() && !stream.dial(load.s_.address)) return load.ended(*this, 0, false);
-        if (!stream.send(bytes)) load.ended(*this, 0, false);
+    explicit Connection(LoadGenerator& of)
+        : generator(of), stream(of.reactor_, *this), parser(http::Parser::Kind::Response) {}
+    void send_request(const std::string& bytes, DueRequest when) {
+        due_request = when;
+        is_busy = true;
+        was_reused = stream.is_open();
+        if (!stream.is_open() && !stream.connect(generator.settings_.address))
+            return generator.on_request_ended(*this, 0, false);
+        if (!stream.write_bytes(bytes)) generator.on_request_ended(*this, 0, false);
     }
     void on_input() override {
-        if (!busy) return load.ended(*this, 0, false);    // nobody asked
-        const http::Status status = parser.parse(stream.input());
-        if (status == http::Status::More) return;
-        if (status == http::Status::Bad) return load.ended(*this, 0, false);
-        const int code = parser.status();
+        if (!is_busy) return generator.on_request_ended(*this, 0, false);    // nobody asked
+        const http::ParseStatus status = parser.parse(stream.input_buffer());
+        if (status == http::ParseStatus::Incomplete) return;
+        if (status == http::ParseStatus::Malformed) return generator.on_request_ended(*this, 0, false);
+        const int code = parser.status_code();
         const bool keep = parser.keep_alive();
-        stream.input().consume(parser.size());
+        stream.input_buffer().consume(parser.message_size());
         parser.reset();
-        load.ended(*this, code, keep);
+        generator.on_request_ended(*this, code, keep);
     }
-    void on_broken() override { load.ended(*this, 0, false); }
+    void on_disconnected() override { generator.on_request_ended(*this, 0, false); }
 
-    Load& load;
+    LoadGenerator& generator;
     Stream stream;
     http::Parser parser;
-    Due due;
-    bool busy = false, stood = false;    // stood: it was open before
+    DueRequest due_request;
+    bool is_busy = false, was_reused = false;    // stood: it was open before
 };
 
-Load::Load(Reactor& reactor, LoadSettings settings, std::unique_ptr<Arrivals> arrivals,
-           std::function<void()> done)
+LoadGenerator::LoadGenerator(Reactor& reactor, LoadSettings settings, std::unique_ptr<Arrivals> arrivals,
+                             std::function<void()> done)
     : reactor_(reactor),
-      s_(std::move(settings)),
+      settings_(std::move(settings)),
       arrivals_(std::move(arrivals)),
-      done_(std::move(done)),
-      random_(s_.seed) {}
+      on_done_(std::move(done)),
+      random_(settings_.seed) {}
 
-Load::~Load() {
-    reactor_.cancel(timer_);
-    lines_.clear();
+LoadGenerator::~LoadGenerator() {
+    reactor_.cancel_timer(timer_);
+    connections_.clear();
 }
 
-void Load::start() {
-    if (s_.ahead) open_more();
-    else begin();
+void LoadGenerator::start_load() {
+    if (settings_.open_in_advance) open_connections();
+    else start_arrivals();
 }
 
 // A few at a time: a listener's backlog is short.
-void Load::open_more() {
+void LoadGenerator::open_connections() {
     constexpr std::size_t kAtOnce = 64;
-    for (std::size_t i = 0; i < kAtOnce && lines_.size() < s_.connections; ++i) {
-        lines_.push_back(std::make_unique<Line>(*this));
-        Line* const line = lines_.back().get();
-        if (!line->stream.dial(s_.address)) {
-            lines_.pop_back();
+    for (std::size_t i = 0; i < kAtOnce && connections_.size() < settings_.max_connections; ++i) {
+        connections_.push_back(std::make_unique<Connection>(*this));
+        Connection* const line = connections_.back().get();
+        if (!line->stream.connect(settings_.address)) {
+            connections_.pop_back();
             continue;
         }
-        idle_.push_back(line);
-        ++figures_.opened;
+        idle_connections_.push_back(line);
+        ++statistics_.connections_opened;
     }
-    const bool all = lines_.size() >= s_.connections;
-    timer_ = reactor_.after(all ? Duration(200'000) : Duration(5'000), [this, all] {
-        if (all) begin();
-        else open_more();
+    const bool all = connections_.size() >= settings_.max_connections;
+    timer_ = reactor_.schedule_after(all ? Duration(200'000) : Duration(5'000), [this, all] {
+        if (all) start_arrivals();
+        else open_connections();
     });
 }
 
-void Load::begin() {
-    began_ = reactor_.clock().now();
-    reactor_.spin(true);    // a request that goes out a millisecond late counts as one
-    next_ = arrivals_->next();
-    step();
+void LoadGenerator::start_arrivals() {
+    started_at_ = reactor_.clock().now();
+    reactor_.set_busy_polling(true);    // a request that goes out a millisecond late counts as one
+    next_arrival_ = arrivals_->next_arrival();
+    process_due();
 }
 
-void Load::step() {
-    reactor_.cancel(timer_);
-    const Duration now = reactor_.clock().now() - began_;
-    while (next_ && *next_ <= now && *next_ < s_.time) {
-        ++figures_.due;
-        hand_out({*next_});
-        next_ = arrivals_->next();
+void LoadGenerator::process_due() {
+    reactor_.cancel_timer(timer_);
+    const Duration now = reactor_.clock().now() - started_at_;
+    while (next_arrival_ && *next_arrival_ <= now && *next_arrival_ < settings_.duration) {
+        ++statistics_.due_count;
+        assign_request({*next_arrival_});
+        next_arrival_ = arrivals_->next_arrival();
     }
-    if (next_ && *next_ < s_.time) {
-        timer_ = reactor_.at(began_ + *next_, [this] { step(); });
+    if (next_arrival_ && *next_arrival_ < settings_.duration) {
+        timer_ = reactor_.schedule_at(started_at_ + *next_arrival_, [this] { process_due(); });
         return;
     }
     // All are under way: a while for their answers, then what is left counts as unanswered.
-    if (figures_.due == figures_.sent && idle_.size() == lines_.size()) return finish();
-    const Duration end = std::max(s_.time, now) + kAfter;
-    timer_ = reactor_.at(began_ + end, [this] { finish(); });
-    next_.reset();
+    if (statistics_.due_count == statistics_.sent_count && idle_connections_.size() == connections_.size())
+        return finish_run();
+    const Duration end = std::max(settings_.duration, now) + kAnswerGracePeriod;
+    timer_ = reactor_.schedule_at(started_at_ + end, [this] { finish_run(); });
+    next_arrival_.reset();
 }
 
-void Load::hand_out(Due due) {
-    if (idle_.empty() && lines_.size() >= s_.connections) {
-        if (waiting_.size() < kMostWaiting) waiting_.push_back(due);
+void LoadGenerator::assign_request(DueRequest due) {
+    if (idle_connections_.empty() && connections_.size() >= settings_.max_connections) {
+        if (waiting_requests_.size() < kMaxWaitingRequests) waiting_requests_.push_back(due);
         return;
     }
-    if (idle_.empty()) {
-        lines_.push_back(std::make_unique<Line>(*this));
-        idle_.push_back(lines_.back().get());
-        ++figures_.opened;
+    if (idle_connections_.empty()) {
+        connections_.push_back(std::make_unique<Connection>(*this));
+        idle_connections_.push_back(connections_.back().get());
+        ++statistics_.connections_opened;
     }
-    Line* const line = s_.ahead ? idle_.front() : idle_.back();
-    if (s_.ahead) idle_.pop_front();
-    else idle_.pop_back();
-    ++figures_.sent;
-    if (!due.again) figures_.lag(ms(reactor_.clock().now() - began_ - due.at));
-    line->ask(request(++numbers_), due);
+    Connection* const line = settings_.open_in_advance ? idle_connections_.front() : idle_connections_.back();
+    if (settings_.open_in_advance) idle_connections_.pop_front();
+    else idle_connections_.pop_back();
+    ++statistics_.sent_count;
+    if (!due.is_resend)
+        statistics_.scheduling_lag(to_milliseconds(reactor_.clock().now() - started_at_ - due.due_at));
+    line->send_request(make_request(++last_request_number_), due);
 }
 
-std::string Load::request(std::uint64_t number) {
-    const std::uint64_t customer = random_() % std::max<std::uint64_t>(1, s_.customers) + 1;
+std::string LoadGenerator::make_request(std::uint64_t number) {
+    const std::uint64_t customer = random_() % std::max<std::uint64_t>(1, settings_.customer_count) + 1;
     return fmt::format(
         "{} /{}/{} HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: {:x}-{:x}\r\nX-Tier: {}\r\nCookie: "
         "customer={:016x}\r\n"
         "X-Call-Terms: units={},spread={},first=0\r\nX-Time-Left: {}u\r\n{}\r\n",
-        s_.method, s_.cls, number, s_.seed, number, s_.plan, customer, s_.units, s_.spread,
-        s_.time_left.count(),
-        s_.method == "GET"
+        settings_.method, settings_.class_name, number, settings_.seed, number, settings_.plan_name, customer,
+        settings_.units, settings_.unit_spread, settings_.time_budget.count(),
+        settings_.method == "GET"
             ? ""
-            : fmt::format("Idempotency-Key: {:x}-{:x}\r\nContent-Length: 0\r\n", s_.seed, number));
+            : fmt::format("Idempotency-Key: {:x}-{:x}\r\nContent-Length: 0\r\n", settings_.seed, number));
 }
 
-void Load::ended(Line& line, int status, bool keep) {
-    const bool was_busy = std::exchange(line.busy, false);
+void LoadGenerator::on_request_ended(Connection& line, int status, bool keep) {
+    const bool was_busy = std::exchange(line.is_busy, false);
     if (was_busy) {
         if (status > 0) {
-            ++figures_.by_status[status];
-            figures_.latency(ms(reactor_.clock().now() - began_ - line.due.at));
-        } else if (line.stood && !line.due.again) {
-            ++figures_.resent;
-            waiting_.push_front({line.due.at, true});
+            ++statistics_.by_status[status];
+            statistics_.latency(
+                to_milliseconds(reactor_.clock().now() - started_at_ - line.due_request.due_at));
+        } else if (line.was_reused && !line.due_request.is_resend) {
+            ++statistics_.resent_count;
+            waiting_requests_.push_front({line.due_request.due_at, true});
         } else {
-            ++figures_.broken;
+            ++statistics_.broken_count;
         }
     }
     if (keep) {
-        idle_.push_back(&line);
+        idle_connections_.push_back(&line);
     } else {
-        std::erase(idle_, &line);
-        const auto it =
-            std::find_if(lines_.begin(), lines_.end(), [&](const auto& one) { return one.get() == &line; });
-        struct Gone : Retired {    // it is on the call stack
-            explicit Gone(std::unique_ptr<Line> of) : line(std::move(of)) {}
-            std::unique_ptr<Line> line;
+        std::erase(idle_connections_, &line);
+        const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                     [&](const auto& one) { return one.get() == &line; });
+        struct Gone : RetiredObject {    // it is on the call stack
+            explicit Gone(std::unique_ptr<Connection> of) : line(std::move(of)) {}
+            std::unique_ptr<Connection> line;
         };
         line.stream.close();
-        reactor_.retire(std::make_unique<Gone>(std::move(*it)));
-        lines_.erase(it);
+        reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+        connections_.erase(it);
     }
-    if (over_) return;
-    if (!waiting_.empty()) {
-        const Due due = waiting_.front();
-        waiting_.pop_front();
-        hand_out(due);
-    } else if (!next_ && timer_ != 0 && idle_.size() == lines_.size()) {    // all were due, and have ended
-        finish();
+    if (is_finished_) return;
+    if (!waiting_requests_.empty()) {
+        const DueRequest due = waiting_requests_.front();
+        waiting_requests_.pop_front();
+        assign_request(due);
+    } else if (!next_arrival_ && timer_ != 0 &&
+               idle_connections_.size() == connections_.size()) {    // all were due, and have ended
+        finish_run();
     }
 }
 
-void Load::finish() {
-    if (std::exchange(over_, true)) return;
-    reactor_.cancel(timer_);
-    figures_.seconds = secs(std::min(reactor_.clock().now() - began_, s_.time));
-    for (const auto& line : lines_) figures_.unanswered += line->busy;
-    figures_.unanswered += waiting_.size();
-    done_();
+void LoadGenerator::finish_run() {
+    if (std::exchange(is_finished_, true)) return;
+    reactor_.cancel_timer(timer_);
+    statistics_.seconds = secs(std::min(reactor_.clock().now() - started_at_, settings_.duration));
+    for (const auto& line : connections_) statistics_.unanswered_count += line->is_busy;
+    statistics_.unanswered_count += waiting_requests_.size();
+    on_done_();
 }
 
 }    // namespace shaletray::testbed
--- a/src/simulator/report.h
+++ b/src/simulator/report.h
@@ -9,29 +9,29 @@
 
 namespace shaletray::testbed {
 
-struct Report {
-    ScenarioFile file;    // with the seed that was run
-    std::string text;     // of the scenario's file
-    Figures figures;
-    bool live = false;
+struct RunReport {
+    ScenarioFile scenario_file;    // with the seed that was run
+    std::string scenario_text;     // of the scenario's file
+    RunStatistics statistics;
+    bool is_live = false;
 };
 
-nlohmann::json figures_json(const Figures& f);
-nlohmann::json verdicts_json(const ScenarioFile& file, const Figures& f);
-nlohmann::json report_json(const Report& r);
+nlohmann::json statistics_to_json(const RunStatistics& f);
+nlohmann::json verdicts_to_json(const ScenarioFile& file, const RunStatistics& f);
+nlohmann::json report_to_json(const RunReport& r);
 // The scenario and seed that a report's JSON was made with, and its digest. Throws std::runtime_error with
 // what is wrong.
-struct Replayed {
-    ScenarioFile file;
+struct ReplayedRun {
+    ScenarioFile scenario_file;
     std::string digest;
-    bool live = false;
+    bool is_live = false;
 };
-Replayed read_report(const std::string& text, const std::string& file);
+ReplayedRun parse_report(const std::string& text, const std::string& file);
 
-std::string report_csv(const Figures& f);
+std::string report_to_csv(const RunStatistics& f);
 // The plots are drawn by gnuplot, which must be installed. Throws std::runtime_error where it is not.
-std::string report_html(const Report& r);
+std::string report_to_html(const RunReport& r);
 // NAME-SEED.html, .json and .csv in that folder, which is made. The path of the first.
-std::string write_report(const std::string& folder, const Report& r);
+std::string write_report(const std::string& folder, const RunReport& r);
 
 }    // namespace shaletray::testbed
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -20,139 +20,143 @@
 using settings::Record;
 using settings::ValuePtr;
 
-Fault fault_of(const Record& r) {
+Fault read_fault(const Record& r) {
     Fault f;
-    const std::string kind = r.text("kind");
-    for (int k = 0; k <= static_cast<int>(Fault::Kind::StoreLost); ++k) {
-        if (kind == name_of(static_cast<Fault::Kind>(k))) f.kind = static_cast<Fault::Kind>(k);
+    const std::string kind = r.text_at("kind");
+    for (int k = 0; k <= static_cast<int>(Fault::Kind::StoreOutage); ++k) {
+        if (kind == fault_name(static_cast<Fault::Kind>(k))) f.kind = static_cast<Fault::Kind>(k);
     }
-    f.at = r.duration("at");
-    f.lasts = r.duration("lasts");
-    if (r.has("server")) f.server = r.whole<int>("server");
-    if (r.has("room")) f.room = r.whole<int>("room");
-    if (r.has("gateway")) f.gateway = r.whole<int>("gateway");
-    if (r.has("share")) f.share = r.number("share");
+    f.starts_at = r.duration_at("at");
+    f.duration = r.duration_at("lasts");
+    if (r.has("server")) f.server_index = r.integer_at<int>("server");
+    if (r.has("room")) f.room_index = r.integer_at<int>("room");
+    if (r.has("gateway")) f.gateway_index = r.integer_at<int>("gateway");
+    if (r.has("share")) f.server_fraction = r.number_at("share");
     if (r.has("class")) {
-        const std::string cls = r.text("class");
-        for (std::size_t i = 0; i < lab_classes().size(); ++i)
-            if (lab_classes()[i].name == cls) f.cls = static_cast<int>(i);
+        const std::string cls = r.text_at("class");
+        for (std::size_t i = 0; i < simulated_classes().size(); ++i)
+            if (simulated_classes()[i].name == cls) f.class_index = static_cast<int>(i);
     }
-    f.with_gateways = r.truth("with_gateways");
-    f.by = r.number("by");
-    f.part = r.number("part");
-    if (r.has("at_to")) f.at_to = r.duration("at_to");
-    if (r.has("lasts_to")) f.lasts_to = r.duration("lasts_to");
-    if (r.has("by_to")) f.by_to = r.number("by_to");
-    if (r.has("part_to")) f.part_to = r.number("part_to");
+    f.includes_gateways = r.bool_at("with_gateways");
+    f.magnitude = r.number_at("by");
+    f.request_fraction = r.number_at("part");
+    if (r.has("at_to")) f.starts_at_max = r.duration_at("at_to");
+    if (r.has("lasts_to")) f.duration_max = r.duration_at("lasts_to");
+    if (r.has("by_to")) f.magnitude_max = r.number_at("by_to");
+    if (r.has("part_to")) f.request_fraction_max = r.number_at("part_to");
     return f;
 }
 
-ServerModel model_of(const Record& r) {
+ServerModel read_model(const Record& r) {
     ServerModel m;
-    m.cores = r.whole<int>("cores");
-    m.queue = r.whole<int>("queue");
-    m.work_ms = static_cast<double>(r.duration("work").count()) / 1e3;
-    m.tail = r.number("tail");
-    m.heavy = r.number("heavy");
-    m.loss_when_full = r.number("loss_when_full");
-    m.cold_speed = r.number("cold_speed");
-    m.cold = r.duration("cold");
-    m.cancel_stops = r.truth("cancel_stops");
-    m.connect = r.duration("connect");
-    m.report_late = r.duration("report_late");
-    m.report_noise = r.number("report_noise");
-    m.fall_multiple = r.number("fall_multiple");
-    m.fall = r.duration("fall");
+    m.cores = r.integer_at<int>("cores");
+    m.queue_length = r.integer_at<int>("queue");
+    m.work_ms = static_cast<double>(r.duration_at("work").count()) / 1e3;
+    m.work_sigma = r.number_at("tail");
+    m.heavy_fraction = r.number_at("heavy");
+    m.full_queue_slowdown = r.number_at("loss_when_full");
+    m.initial_speed = r.number_at("cold_speed");
+    m.warm_up_time = r.duration_at("cold");
+    m.cancel_stops_work = r.bool_at("cancel_stops");
+    m.connection_work = r.duration_at("connect");
+    m.max_report_age = r.duration_at("report_late");
+    m.report_noise_sigma = r.number_at("report_noise");
+    m.overload_factor = r.number_at("fall_multiple");
+    m.overload_duration = r.duration_at("fall");
     return m;
 }
 
-double part(std::uint64_t of, std::uint64_t all) {
+double read_fraction(std::uint64_t of, std::uint64_t all) {
     return static_cast<double>(of) / static_cast<double>(all);
 }
 
 }    // namespace
 
-ScenarioFile read_scenario(std::string_view text, const std::string& file) {
-    const Record r(settings::settled(text, file, kSchema, "schema.cue"));
+ScenarioFile parse_scenario(std::string_view text, const std::string& file) {
+    const Record r(settings::resolve_settings(text, file, kSchema, "schema.cue"));
     ScenarioFile out;
     Scenario& s = out.scenario;
-    s.name = r.text("name");
-    out.about = r.text("about");
-    s.time = r.duration("time");
-    s.gateways = r.whole<int>("gateways");
-    s.servers = r.whole<int>("servers");
-    s.rooms = r.whole<int>("rooms");
-    s.fronts = r.whole<int>("fronts");
-    s.customers = r.whole<std::uint64_t>("customers");
-    s.zipf = r.number("zipf");
-    s.rate = r.number("rate");
-    s.burst = r.number("burst");
-    s.uneven = r.number("uneven");
-    s.units = r.number("units");
-    s.tries = r.whole<int>("tries");
-    s.leaves = r.number("leaves");
-    s.patience = r.duration("patience");
-    s.delay = r.duration("delay");
-    s.list_delay = r.duration("list_delay");
-    s.model = model_of(Record(r.at("model")));
-    for (const ValuePtr& item : r.at("plans")->items) {
+    s.name = r.text_at("name");
+    out.description = r.text_at("about");
+    s.duration = r.duration_at("time");
+    s.gateway_count = r.integer_at<int>("gateways");
+    s.server_count = r.integer_at<int>("servers");
+    s.room_count = r.integer_at<int>("rooms");
+    s.frontend_count = r.integer_at<int>("fronts");
+    s.customer_count = r.integer_at<std::uint64_t>("customers");
+    s.zipf_exponent = r.number_at("zipf");
+    s.request_rate = r.number_at("rate");
+    s.burst_fraction = r.number_at("burst");
+    s.favourite_fraction = r.number_at("uneven");
+    s.request_units = r.number_at("units");
+    s.max_attempts = r.integer_at<int>("tries");
+    s.abandon_fraction = r.number_at("leaves");
+    s.request_timeout = r.duration_at("patience");
+    s.network_delay = r.duration_at("delay");
+    s.list_delay = r.duration_at("list_delay");
+    s.server_model = read_model(Record(r.value_at("model")));
+    for (const ValuePtr& item : r.value_at("plans")->items) {
         const Record p(item);
         decision::PlanSettings plan;
-        plan.name = p.text("name");
-        plan.rate = p.number("rate");
-        plan.burst = p.number("burst");
-        plan.ceiling_rate = p.number("ceiling_rate");
-        plan.ceiling_burst = p.number("ceiling_burst");
-        plan.ceiling_slack = p.number("ceiling_slack");
-        plan.over_worth = p.number("over_worth");
-        plan.over_cost = p.number("over_cost");
+        plan.name = p.text_at("name");
+        plan.rate = p.number_at("rate");
+        plan.burst = p.number_at("burst");
+        plan.ceiling_rate = p.number_at("ceiling_rate");
+        plan.ceiling_burst = p.number_at("ceiling_burst");
+        plan.ceiling_slack = p.number_at("ceiling_slack");
+        plan.over_worth = p.number_at("over_worth");
+        plan.over_cost = p.number_at("over_cost");
         s.plans.push_back(plan);
     }
-    s.mail_loss = r.number("mail_loss");
-    s.sharing = r.text("sharing") == "counter" ? Scenario::Sharing::Counter : Scenario::Sharing::Mail;
-    for (const ValuePtr& item : r.at("changes")->items) {
+    s.peer_message_loss = r.number_at("mail_loss");
+    s.quota_sharing = r.text_at("sharing") == "counter" ? Scenario::QuotaSharing::SharedCounter
+                                                        : Scenario::QuotaSharing::PeerMessages;
+    for (const ValuePtr& item : r.value_at("changes")->items) {
         const Record c(item);
         const auto plan = std::find_if(s.plans.begin(), s.plans.end(),
-                                       [&](const auto& p) { return p.name == c.text("plan"); });
+                                       [&](const auto& p) { return p.name == c.text_at("plan"); });
         if (plan == s.plans.end())
-            settings::fail(item->place, "changes",
-                           "expected a plan of this scenario, found none of that name");
-        s.changes.push_back({c.duration("at"), static_cast<int>(plan - s.plans.begin()), c.number("rate"),
-                             c.number("burst"), c.number("ceiling_rate"), c.number("ceiling_burst"),
-                             c.number("ceiling_slack")});
+            settings::throw_problem(item->position, "changes",
+                                    "expected a plan of this scenario, found none of that name");
+        s.plan_changes.push_back({c.duration_at("at"), static_cast<int>(plan - s.plans.begin()),
+                                  c.number_at("rate"), c.number_at("burst"), c.number_at("ceiling_rate"),
+                                  c.number_at("ceiling_burst"), c.number_at("ceiling_slack")});
     }
-    for (const ValuePtr& item : r.at("faults")->items) s.faults.push_back(fault_of(Record(item)));
-    for (const ValuePtr& item : r.at("bounds")->items) {
+    for (const ValuePtr& item : r.value_at("faults")->items) s.faults.push_back(read_fault(Record(item)));
+    for (const ValuePtr& item : r.value_at("bounds")->items) {
         const Record b(item);
-        Bound bound{b.text("figure"), {}, {}};
-        if (b.has("least")) bound.least = b.number("least");
-        if (b.has("most")) bound.most = b.number("most");
-        if (!bound.least && !bound.most)
-            settings::fail(item->place, "bounds", "expected least or most in a bound, found neither");
-        out.bounds.push_back(bound);
+        ExpectedRange bound{b.text_at("figure"), {}, {}};
+        if (b.has("least")) bound.min_value = b.number_at("least");
+        if (b.has("most")) bound.max_value = b.number_at("most");
+        if (!bound.min_value && !bound.max_value)
+            settings::throw_problem(item->position, "bounds",
+                                    "expected least or most in a bound, found neither");
+        out.expected_ranges.push_back(bound);
     }
-    s.check();
+    s.validate();
     return out;
 }
 
-ScenarioFile load_scenario(const std::string& path) { return read_scenario(settings::read_file(path), path); }
+ScenarioFile load_scenario(const std::string& path) {
+    return parse_scenario(settings::read_file(path), path);
+}
 
-const std::vector<std::string>& figure_names() {
+const std::vector<std::string>& statistic_names() {
     static const std::vector<std::string> names = {"served", "in_aim", "refused",
                                                    "failed", "wasted", "attempts_per_request",
                                                    "p50_ms", "p99_ms", "p999_ms"};
     return names;
 }
 
-std::optional<double> figure_of(const Figures& f, const std::string& name) {
+std::optional<double> statistic_of(const RunStatistics& f, const std::string& name) {
     if (f.requests == 0) return std::nullopt;
-    if (name == "served") return part(f.served, f.requests);
-    if (name == "in_aim") return part(f.in_aim, f.requests);
-    if (name == "refused") return part(f.refused, f.requests);
-    if (name == "failed") return part(f.failed, f.requests);
-    if (name == "attempts_per_request") return part(f.attempts, f.requests);
+    if (name == "served") return read_fraction(f.served, f.requests);
+    if (name == "in_aim") return read_fraction(f.within_target, f.requests);
+    if (name == "refused") return read_fraction(f.rejected, f.requests);
+    if (name == "failed") return read_fraction(f.failed, f.requests);
+    if (name == "attempts_per_request") return read_fraction(f.attempts, f.requests);
     if (name == "wasted")
-        return f.work_us == 0 ? std::nullopt : std::optional(part(f.wasted_work_us, f.work_us));
+        return f.work_us == 0 ? std::nullopt : std::optional(read_fraction(f.wasted_work_us, f.work_us));
     if (f.served == 0) return std::nullopt;
     if (name == "p50_ms") return f.p50_ms;
     if (name == "p99_ms") return f.p99_ms;
@@ -160,19 +164,20 @@
     return std::nullopt;
 }
 
-Verdict judge(const Bound& bound, const Figures& figures) {
-    const auto value = figure_of(figures, bound.figure);
+Verdict check_range(const ExpectedRange& bound, const RunStatistics& figures) {
+    const auto value = statistic_of(figures, bound.statistic_name);
     if (!value) return Verdict::NotChecked;
-    const bool kept = (!bound.least || *value >= *bound.least) && (!bound.most || *value <= *bound.most);
-    return kept ? Verdict::Kept : Verdict::Broken;
+    const bool kept =
+        (!bound.min_value || *value >= *bound.min_value) && (!bound.max_value || *value <= *bound.max_value);
+    return kept ? Verdict::Satisfied : Verdict::Violated;
 }
 
-Difference paired(const std::vector<double>& a, const std::vector<double>& b) {
+PairedDifference paired_difference(const std::vector<double>& a, const std::vector<double>& b) {
     namespace acc = boost::accumulators;
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::mean, acc::tag::variance>> set;
     const std::size_t n = std::min(a.size(), b.size());
     for (std::size_t i = 0; i < n; ++i) set(b[i] - a[i]);
-    Difference d{n == 0 ? 0.0 : acc::mean(set), 0.0, n};
+    PairedDifference d{n == 0 ? 0.0 : acc::mean(set), 0.0, n};
     if (n < 2) return d;
     // Boost gives the variance of what is there; the sample's is n / (n - 1) of it.
     const double variance =
