--- a/src/simulator/scenario_parts.cpp
+++ b/src/simulator/scenario_parts.cpp
@@ -17,34 +17,36 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kNoticed = 1s;    // until discovery takes a server that ended off its list
+constexpr Duration kDetectionDelay = 1s;    // until discovery takes a server that ended off its list
 
-bool ends_servers(Fault::Kind kind) { return kind == Fault::Kind::Crash || kind == Fault::Kind::RoomLost; }
+bool terminates_servers(Fault::Kind kind) {
+    return kind == Fault::Kind::Crash || kind == Fault::Kind::RoomLost;
+}
 
 }    // namespace
 
-const char* name_of(Fault::Kind kind) {
+const char* fault_name(Fault::Kind kind) {
     switch (kind) {
         case Fault::Kind::Crash: return "crash";
-        case Fault::Kind::Slow: return "slow";
+        case Fault::Kind::Slowdown: return "slow";
         case Fault::Kind::Hang: return "hang";
         case Fault::Kind::Errors: return "errors";
         case Fault::Kind::Drain: return "drain";
         case Fault::Kind::RoomLost: return "room_lost";
         case Fault::Kind::LinkLoss: return "link_loss";
-        case Fault::Kind::Heavy: return "heavy";
-        case Fault::Kind::GatewayLost: return "gateway_lost";
-        case Fault::Kind::DiscoverySilent: return "discovery_silent";
-        case Fault::Kind::MailLoss: return "mail_loss";
-        case Fault::Kind::StoreLost: return "store_lost";
+        case Fault::Kind::HeavyRequests: return "heavy";
+        case Fault::Kind::GatewayCrash: return "gateway_lost";
+        case Fault::Kind::DiscoveryOutage: return "discovery_silent";
+        case Fault::Kind::PeerMessageLoss: return "mail_loss";
+        case Fault::Kind::StoreOutage: return "store_lost";
     }
     return "?";
 }
 
-bool of_servers(Fault::Kind kind) {
+bool affects_servers(Fault::Kind kind) {
     switch (kind) {
         case Fault::Kind::Crash:
-        case Fault::Kind::Slow:
+        case Fault::Kind::Slowdown:
         case Fault::Kind::Hang:
         case Fault::Kind::Errors:
         case Fault::Kind::Drain:
@@ -53,98 +55,109 @@
     }
 }
 
-bool touches(const Scenario& s, const Fault& f, int server) {
-    if (f.kind == Fault::Kind::RoomLost) return server % s.rooms == f.room;
-    return f.kind == Fault::Kind::Heavy || server == f.server;
+bool fault_affects_server(const Scenario& s, const Fault& f, int server) {
+    if (f.kind == Fault::Kind::RoomLost) return server % s.room_count == f.room_index;
+    return f.kind == Fault::Kind::HeavyRequests || server == f.server_index;
 }
 
-void name_rules(Figures& figures) {
+void register_rules(RunStatistics& figures) {
     for (const char* name : {"one answer", "in time", "unasked repeats", "drains", "cold servers", "ceilings",
                              "held-back refusals"})
         figures.rules[name];
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split, one function a part
-void Scenario::check() const {
+void Scenario::validate() const {
     const auto need = [](bool good, const char* what) {
         if (!good) throw std::invalid_argument(std::string("scenario: ") + what);
     };
-    need(time > Duration(0) && time <= 24h, "time: expected more than 0 and at most a day");
-    need(gateways >= 1 && gateways <= 1000, "gateways: expected 1 to 1000");
-    need(servers >= 1 && servers <= 100'000, "servers: expected 1 to 100000");
-    need(rooms >= 1 && rooms <= servers, "rooms: expected 1 to as many as servers");
-    need(fronts >= 1 && fronts <= 1000, "fronts: expected 1 to 1000");
-    need(customers >= static_cast<std::uint64_t>(fronts) && customers <= 100'000'000,
+    need(duration > Duration(0) && duration <= 24h, "time: expected more than 0 and at most a day");
+    need(gateway_count >= 1 && gateway_count <= 1000, "gateways: expected 1 to 1000");
+    need(server_count >= 1 && server_count <= 100'000, "servers: expected 1 to 100000");
+    need(room_count >= 1 && room_count <= server_count, "rooms: expected 1 to as many as servers");
+    need(frontend_count >= 1 && frontend_count <= 1000, "fronts: expected 1 to 1000");
+    need(customer_count >= static_cast<std::uint64_t>(frontend_count) && customer_count <= 100'000'000,
          "customers: expected one for each front at least, and at most 100 million");
-    need(rate > 0.0 && rate <= 1e7, "rate: expected more than 0");
-    need(zipf >= 0.0 && zipf <= 5.0, "zipf: expected 0 to 5");
-    need(burst >= 0.0 && burst < 1.0 && uneven >= 0.0 && uneven <= 1.0 && leaves >= 0.0 && leaves <= 1.0 &&
-             mail_loss >= 0.0 && mail_loss <= 1.0,
+    need(request_rate > 0.0 && request_rate <= 1e7, "rate: expected more than 0");
+    need(zipf_exponent >= 0.0 && zipf_exponent <= 5.0, "zipf: expected 0 to 5");
+    need(burst_fraction >= 0.0 && burst_fraction < 1.0 && favourite_fraction >= 0.0 &&
+             favourite_fraction <= 1.0 && abandon_fraction >= 0.0 && abandon_fraction <= 1.0 &&
+             peer_message_loss >= 0.0 && peer_message_loss <= 1.0,
          "burst, uneven, leaves, mail_loss: expected parts of 1");
-    need(tries >= 1 && tries <= 100, "tries: expected 1 to 100");
-    need(units > 0.0, "units: expected more than 0");
-    need(delay >= Duration(1) && delay <= 10s, "delay: expected 1 us to 10 s");
-    need(model.cores >= 1 && model.queue >= 0 && model.work_ms > 0.0 && model.loss_when_full < 1.0 &&
-             model.cold_speed > 0.0 && model.cold_speed <= 1.0,
+    need(max_attempts >= 1 && max_attempts <= 100, "tries: expected 1 to 100");
+    need(request_units > 0.0, "units: expected more than 0");
+    need(network_delay >= Duration(1) && network_delay <= 10s, "delay: expected 1 us to 10 s");
+    need(server_model.cores >= 1 && server_model.queue_length >= 0 && server_model.work_ms > 0.0 &&
+             server_model.full_queue_slowdown < 1.0 && server_model.initial_speed > 0.0 &&
+             server_model.initial_speed <= 1.0,
          "model: a server must be able to work");
-    need(model.fall_multiple >= 1.0 && model.fall > Duration(0),
+    need(server_model.overload_factor >= 1.0 && server_model.overload_duration > Duration(0),
          "model: fall_multiple: expected 1 or more; fall: more than 0");
-    need(changes.empty() || sharing == Sharing::Counter,
+    need(plan_changes.empty() || quota_sharing == QuotaSharing::SharedCounter,
          "changes: plans change in service only where the gateways share by a counter");
-    for (const PlanChange& c : changes)
-        need(c.plan >= 0 && static_cast<std::size_t>(c.plan) < plans.size() && c.rate > 0.0 &&
-                 c.burst > 0.0 && c.at >= Duration(0) && c.at < time,
+    for (const PlanChange& c : plan_changes)
+        need(c.plan_index >= 0 && static_cast<std::size_t>(c.plan_index) < plans.size() && c.rate > 0.0 &&
+                 c.burst > 0.0 && c.proposed_at >= Duration(0) && c.proposed_at < duration,
              "changes: expected a plan that is there, figures above 0 and a time within the scenario's");
     for (std::size_t i = 0; i < faults.size(); ++i) {
         const Fault& f = faults[i];
         const auto wrong = [&](const char* what) {
             throw std::invalid_argument(
-                fmt::format("scenario: faults[{}] ({}): {}", i, name_of(f.kind), what));
+                fmt::format("scenario: faults[{}] ({}): {}", i, fault_name(f.kind), what));
         };
-        if (f.at < Duration(0) || f.at >= time)
+        if (f.starts_at < Duration(0) || f.starts_at >= duration)
             wrong("begins outside of the scenario's time: it would never happen");
-        if ((f.at_to > Duration(0) && (f.at_to < f.at || f.at_to >= time)) ||
-            (f.lasts_to > Duration(0) && f.lasts_to < f.lasts) || (f.by_to > 0.0 && f.by_to < f.by) ||
-            (f.part_to > 0.0 && f.part_to < f.part))
+        if ((f.starts_at_max > Duration(0) &&
+             (f.starts_at_max < f.starts_at || f.starts_at_max >= duration)) ||
+            (f.duration_max > Duration(0) && f.duration_max < f.duration) ||
+            (f.magnitude_max > 0.0 && f.magnitude_max < f.magnitude) ||
+            (f.request_fraction_max > 0.0 && f.request_fraction_max < f.request_fraction))
             wrong("a range must end after its beginning, and within the scenario's time");
         if (f.kind == Fault::Kind::RoomLost) {
-            if (f.room < 0 || f.room >= rooms) wrong("there is no such room");
-        } else if (f.kind == Fault::Kind::GatewayLost) {
-            if (f.gateway < 0 || f.gateway >= gateways) wrong("there is no such gateway");
-        } else if (of_servers(f.kind)) {
-            if (f.share > 0.0 && f.server >= 0) wrong("either a server or a share of them");
-            if (f.share < 0.0 || f.share > 1.0) wrong("share: expected a part of the servers");
-            if (f.share == 0.0 && (f.server < 0 || f.server >= servers)) wrong("there is no such server");
+            if (f.room_index < 0 || f.room_index >= room_count) wrong("there is no such room");
+        } else if (f.kind == Fault::Kind::GatewayCrash) {
+            if (f.gateway_index < 0 || f.gateway_index >= gateway_count) wrong("there is no such gateway");
+        } else if (affects_servers(f.kind)) {
+            if (f.server_fraction > 0.0 && f.server_index >= 0) wrong("either a server or a share of them");
+            if (f.server_fraction < 0.0 || f.server_fraction > 1.0)
+                wrong("share: expected a part of the servers");
+            if (f.server_fraction == 0.0 && (f.server_index < 0 || f.server_index >= server_count))
+                wrong("there is no such server");
         }
         if ((f.kind == Fault::Kind::Errors || f.kind == Fault::Kind::LinkLoss ||
-             f.kind == Fault::Kind::MailLoss) &&
-            !(f.by > 0.0 && std::max(f.by, f.by_to) <= 1.0))
+             f.kind == Fault::Kind::PeerMessageLoss) &&
+            !(f.magnitude > 0.0 && std::max(f.magnitude, f.magnitude_max) <= 1.0))
             wrong("by: expected a part of the requests");
-        if (f.kind == Fault::Kind::Heavy && !(f.part > 0.0 && std::max(f.part, f.part_to) <= 1.0))
+        if (f.kind == Fault::Kind::HeavyRequests &&
+            !(f.request_fraction > 0.0 && std::max(f.request_fraction, f.request_fraction_max) <= 1.0))
             wrong("part: expected a part of the requests");
-        if (f.cls >= static_cast<int>(lab_classes().size())) wrong("there is no such class");
-        if (f.kind == Fault::Kind::StoreLost && sharing != Sharing::Counter)
+        if (f.class_index >= static_cast<int>(simulated_classes().size())) wrong("there is no such class");
+        if (f.kind == Fault::Kind::StoreOutage && quota_sharing != QuotaSharing::SharedCounter)
             wrong("there is no counter that could be lost");
         for (std::size_t k = 0; k < i; ++k) {
             const Fault& o = faults[k];
-            if (!ends_servers(f.kind) || !ends_servers(o.kind) || f.share > 0.0 || o.share > 0.0) continue;
+            if (!terminates_servers(f.kind) || !terminates_servers(o.kind) || f.server_fraction > 0.0 ||
+                o.server_fraction > 0.0)
+                continue;
             const auto room_of = [&](const Fault& of) {
-                return of.kind == Fault::Kind::RoomLost ? of.room : of.server % rooms;
+                return of.kind == Fault::Kind::RoomLost ? of.room_index : of.server_index % room_count;
             };
             const bool same = f.kind == Fault::Kind::Crash && o.kind == Fault::Kind::Crash
-                                  ? f.server == o.server
+                                  ? f.server_index == o.server_index
                                   : room_of(f) == room_of(o);
-            const Duration f_end = std::max(f.at, f.at_to) + std::max(f.lasts, f.lasts_to);
-            const Duration o_end = std::max(o.at, o.at_to) + std::max(o.lasts, o.lasts_to);
-            if (same && f.at < o_end && o.at < f_end) wrong("the server is down already by an earlier fault");
+            const Duration f_end =
+                std::max(f.starts_at, f.starts_at_max) + std::max(f.duration, f.duration_max);
+            const Duration o_end =
+                std::max(o.starts_at, o.starts_at_max) + std::max(o.duration, o.duration_max);
+            if (same && f.starts_at < o_end && o.starts_at < f_end)
+                wrong("the server is down already by an earlier fault");
         }
     }
 }
 
-Scenario Scenario::drawn() const {
+Scenario Scenario::with_drawn_faults() const {
     Scenario out = *this;
     out.faults.clear();
-    std::mt19937_64 random(mix(seed, 31));
+    std::mt19937_64 random(mix_hash(seed, 31));
     const auto between = [&](double from, double to) {
         return to > from ? std::uniform_real_distribution<>(from, to)(random) : from;
     };
@@ -152,46 +165,47 @@
         return Duration(static_cast<std::int64_t>(
             between(static_cast<double>(from.count()), static_cast<double>(to.count()))));
     };
-    std::vector<std::pair<Duration, Duration>> down(static_cast<std::size_t>(servers));
+    std::vector<std::pair<Duration, Duration>> down(static_cast<std::size_t>(server_count));
     const auto is_down = [&](int server, const Fault& f) {
         const auto& [from, to] = down[static_cast<std::size_t>(server)];
-        return to > from && f.at < to && from < f.at + f.lasts;
+        return to > from && f.starts_at < to && from < f.starts_at + f.duration;
     };
     for (const Fault& drawn_from : faults) {
         Fault f = drawn_from;
-        f.at = time_between(f.at, f.at_to);
-        f.lasts = time_between(f.lasts, f.lasts_to);
-        f.by = between(f.by, f.by_to);
-        f.part = between(f.part, f.part_to);
-        f.at_to = f.lasts_to = Duration(0);
-        f.by_to = f.part_to = 0.0;
+        f.starts_at = time_between(f.starts_at, f.starts_at_max);
+        f.duration = time_between(f.duration, f.duration_max);
+        f.magnitude = between(f.magnitude, f.magnitude_max);
+        f.request_fraction = between(f.request_fraction, f.request_fraction_max);
+        f.starts_at_max = f.duration_max = Duration(0);
+        f.magnitude_max = f.request_fraction_max = 0.0;
         std::vector<int> which;
-        if (of_servers(f.kind) && f.share > 0.0) {
-            which.resize(static_cast<std::size_t>(servers));
+        if (affects_servers(f.kind) && f.server_fraction > 0.0) {
+            which.resize(static_cast<std::size_t>(server_count));
             std::iota(which.begin(), which.end(), 0);
             std::shuffle(which.begin(), which.end(), random);
-            which.resize(static_cast<std::size_t>(std::max(1.0, std::round(f.share * servers))));
+            which.resize(
+                static_cast<std::size_t>(std::max(1.0, std::round(f.server_fraction * server_count))));
             std::sort(which.begin(), which.end());
         } else {
-            which.push_back(f.server);
+            which.push_back(f.server_index);
         }
-        f.share = 0.0;
+        f.server_fraction = 0.0;
         for (const int server : which) {
-            f.server = server;
-            if (ends_servers(f.kind)) {
+            f.server_index = server;
+            if (terminates_servers(f.kind)) {
                 // What is down already by another of the drawn faults cannot end once more.
                 if (f.kind == Fault::Kind::Crash && is_down(server, f)) continue;
-                for (int i = 0; i < servers; ++i)
-                    if (f.kind == Fault::Kind::RoomLost ? i % rooms == f.room : i == server)
-                        down[static_cast<std::size_t>(i)] = {f.at, f.at + f.lasts};
+                for (int i = 0; i < server_count; ++i)
+                    if (f.kind == Fault::Kind::RoomLost ? i % room_count == f.room_index : i == server)
+                        down[static_cast<std::size_t>(i)] = {f.starts_at, f.starts_at + f.duration};
             }
             out.faults.push_back(f);
         }
-        if (f.kind == Fault::Kind::RoomLost && f.with_gateways) {
-            for (int g = f.room; g < gateways; g += rooms) {
+        if (f.kind == Fault::Kind::RoomLost && f.includes_gateways) {
+            for (int g = f.room_index; g < gateway_count; g += room_count) {
                 Fault lost = f;
-                lost.kind = Fault::Kind::GatewayLost;
-                lost.gateway = g;
+                lost.kind = Fault::Kind::GatewayCrash;
+                lost.gateway_index = g;
                 out.faults.push_back(lost);
             }
         }
@@ -199,7 +213,7 @@
     return out;
 }
 
-const std::vector<decision::ClassSettings>& lab_classes() {
+const std::vector<decision::ClassSettings>& simulated_classes() {
     using decision::KeyGroup;
     using decision::Repeat;
     static const std::vector<decision::ClassSettings> classes = {
@@ -212,31 +226,31 @@
 decision::Settings gateway_settings(const Scenario& s, int me) {
     decision::Settings v;
     v.me = me;
-    v.gateways = s.gateways;
-    v.zone = me % s.rooms;
-    v.classes = lab_classes();
+    v.gateways = s.gateway_count;
+    v.zone = me % s.room_count;
+    v.classes = simulated_classes();
     v.plans = s.plans;
     v.send_cap = 3;
     v.may_cancel = v.may_probe = true;
-    v.may_tell = s.sharing == Scenario::Sharing::Mail;
+    v.may_tell = s.quota_sharing == Scenario::QuotaSharing::PeerMessages;
     v.max_retry_after = 1s;
     v.drain_grace = 250ms;
-    v.cold = s.model.cold;
-    v.start_capacity = s.model.cold_speed;
-    v.fall_multiple = s.model.fall_multiple;
-    v.fall = s.model.fall;
+    v.cold = s.server_model.warm_up_time;
+    v.start_capacity = s.server_model.initial_speed;
+    v.fall_multiple = s.server_model.overload_factor;
+    v.fall = s.server_model.overload_duration;
     v.reports = decision::ReportVia::Inline;
     v.peer_messages_per_s = 40.0;
-    v.most_units = std::max(1.0, s.units * 2.0);
+    v.most_units = std::max(1.0, s.request_units * 2.0);
     return v;
 }
 
 decision::HostList all_servers(const Scenario& s) {
     decision::HostList all;
-    for (int i = 0; i < s.servers; ++i) {
+    for (int i = 0; i < s.server_count; ++i) {
         decision::HostEntry e;
         e.host = host_of(i);
-        e.zone = i % s.rooms;
+        e.zone = i % s.room_count;
         e.cell = i % 4;
         e.rating = 1.0;
         all.hosts.push_back(e);
@@ -244,113 +258,126 @@
     return all;
 }
 
-std::vector<Listing> listings(const Scenario& s) {
-    std::vector<Listing> out;
+std::vector<HostListChange> host_list_changes(const Scenario& s) {
+    std::vector<HostListChange> out;
     for (const Fault& f : s.faults) {
-        for (int i = 0; i < s.servers; ++i) {
-            if (!touches(s, f, i)) continue;
+        for (int i = 0; i < s.server_count; ++i) {
+            if (!fault_affects_server(s, f, i)) continue;
             if (f.kind == Fault::Kind::Drain) {
-                out.push_back({f.at, i, decision::HostState::Draining, Duration(-1)});
-                out.push_back({f.at + f.lasts, i, decision::HostState::Healthy, Duration(-1)});
-            } else if (ends_servers(f.kind)) {
-                if (f.lasts > kNoticed)
-                    out.push_back({f.at + kNoticed, i, decision::HostState::Gone, Duration(-1)});
-                out.push_back({f.at + f.lasts, i, decision::HostState::Healthy, f.at + f.lasts});
+                out.push_back({f.starts_at, i, decision::HostState::Draining, Duration(-1)});
+                out.push_back({f.starts_at + f.duration, i, decision::HostState::Healthy, Duration(-1)});
+            } else if (terminates_servers(f.kind)) {
+                if (f.duration > kDetectionDelay)
+                    out.push_back(
+                        {f.starts_at + kDetectionDelay, i, decision::HostState::Gone, Duration(-1)});
+                out.push_back(
+                    {f.starts_at + f.duration, i, decision::HostState::Healthy, f.starts_at + f.duration});
             }
         }
     }
     // While discovery is silent, nothing is told; then all of it.
-    for (Listing& l : out) {
+    for (HostListChange& l : out) {
         for (const Fault& f : s.faults) {
-            if (f.kind == Fault::Kind::DiscoverySilent && l.at >= f.at && l.at < f.at + f.lasts)
-                l.at = f.at + f.lasts;
+            if (f.kind == Fault::Kind::DiscoveryOutage && l.known_at >= f.starts_at &&
+                l.known_at < f.starts_at + f.duration)
+                l.known_at = f.starts_at + f.duration;
         }
     }
-    std::stable_sort(out.begin(), out.end(), [](const Listing& a, const Listing& b) { return a.at < b.at; });
+    std::stable_sort(out.begin(), out.end(), [](const HostListChange& a, const HostListChange& b) {
+        return a.known_at < b.known_at;
+    });
     return out;
 }
 
-Coarse no_coarse() {
+CoarseHistogram make_coarse_histogram() {
     return boost::histogram::make_histogram_with(
         std::vector<std::uint32_t>(),
         boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(120, 0.1, 1e5));
 }
 
-void check_ceilings(const Scenario& s, std::vector<Sent>&& sent, const std::vector<Terms>& changes,
-                    TimePoint start, Duration late, Figures& figures) {
-    std::stable_sort(sent.begin(), sent.end(), [](const Sent& a, const Sent& b) {
-        return a.customer != b.customer ? a.customer < b.customer : a.at < b.at;
-    });
+void check_rate_limits(const Scenario& s, std::vector<AdmittedRequestUnits>&& sent,
+                       const std::vector<RateLimitTerms>& changes, TimePoint start, Duration late,
+                       RunStatistics& figures) {
+    std::stable_sort(
+        sent.begin(), sent.end(), [](const AdmittedRequestUnits& a, const AdmittedRequestUnits& b) {
+            return a.customer != b.customer ? a.customer < b.customer : a.admitted_at < b.admitted_at;
+        });
     const auto terms_at = [&](int plan, TimePoint at) {
         const decision::PlanSettings& p = s.plans[static_cast<std::size_t>(plan)];
-        Terms t{TimePoint{}, plan, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack};
-        for (const Terms& c : changes)
-            if (c.plan == plan && c.from <= at) t = c;
+        RateLimitTerms t{TimePoint{}, plan, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack};
+        for (const RateLimitTerms& c : changes)
+            if (c.plan_index == plan && c.effective_at <= at) t = c;
         return t;
     };
     double level = 0.0;
     for (std::size_t i = 0; i < sent.size(); ++i) {
         const int plan = static_cast<int>(static_cast<std::uint64_t>(sent[i].customer) % s.plans.size());
-        const Terms t = terms_at(plan, sent[i].at);
-        if (t.ceiling_rate <= 0.0) continue;
+        const RateLimitTerms t = terms_at(plan, sent[i].admitted_at);
+        if (t.rate_limit <= 0.0) continue;
         const bool first = i == 0 || sent[i].customer != sent[i - 1].customer;
         // A change of terms: the store keeps its units and debts, up to the new size.
-        level = first ? t.ceiling_burst
-                      : std::min(t.ceiling_burst, level + t.ceiling_rate * secs(sent[i].at - sent[i - 1].at));
+        level = first ? t.rate_limit_burst
+                      : std::min(t.rate_limit_burst,
+                                 level + t.rate_limit * secs(sent[i].admitted_at - sent[i - 1].admitted_at));
         level -= static_cast<double>(sent[i].units);
-        const double slack = std::max(t.ceiling_slack, std::max(2.0 * s.units, 0.1 * t.ceiling_burst)) +
-                             t.ceiling_rate * secs(late);
-        count(figures.rules["ceilings"], level >= -slack, [&] {
+        const double slack =
+            std::max(t.rate_limit_slack, std::max(2.0 * s.request_units, 0.1 * t.rate_limit_burst)) +
+            t.rate_limit * secs(late);
+        record_rule_check(figures.rules["ceilings"], level >= -slack, [&] {
             return fmt::format(
                 "customer {:x} is {:.3f} units over its ceiling at {:.6f}, {:.3f} are its slack",
-                static_cast<std::uint64_t>(sent[i].customer), -level, secs(sent[i].at - start), slack);
+                static_cast<std::uint64_t>(sent[i].customer), -level, secs(sent[i].admitted_at - start),
+                slack);
         });
     }
 }
 
-void add_figures(Figures& to, const Figures& from) {
+void merge_statistics(RunStatistics& to, const RunStatistics& from) {
     for (const auto field :
-         {&Figures::requests, &Figures::tries, &Figures::served, &Figures::in_aim, &Figures::refused,
-          &Figures::failed, &Figures::left, &Figures::refusals, &Figures::attempts, &Figures::called_off,
-          &Figures::wasted_work_us, &Figures::work_us, &Figures::messages, &Figures::customers_seen})
+         {&RunStatistics::requests, &RunStatistics::client_attempts, &RunStatistics::served,
+          &RunStatistics::within_target, &RunStatistics::rejected, &RunStatistics::failed,
+          &RunStatistics::abandoned, &RunStatistics::rejected_attempts, &RunStatistics::attempts,
+          &RunStatistics::cancelled_attempts, &RunStatistics::wasted_work_us, &RunStatistics::work_us,
+          &RunStatistics::messages, &RunStatistics::distinct_customers})
         to.*field += from.*field;
     for (const auto& [name, rule] : from.rules) {
-        Figures::Rule& sum = to.rules[name];
-        if (sum.broken == 0 && rule.broken > 0) {
-            sum.first = rule.first;
-            sum.request = rule.request;
+        RunStatistics::Rule& sum = to.rules[name];
+        if (sum.violation_count == 0 && rule.violation_count > 0) {
+            sum.first_violation = rule.first_violation;
+            sum.violating_request = rule.violating_request;
         }
-        sum.checked += rule.checked;
-        sum.broken += rule.broken;
+        sum.check_count += rule.check_count;
+        sum.violation_count += rule.violation_count;
     }
     const auto add = [](auto& sum, const auto& of) {
         sum.resize(std::max(sum.size(), of.size()));
         for (std::size_t i = 0; i < of.size(); ++i) sum[i] += of[i];
     };
     add(to.served_by_second, from.served_by_second);
-    add(to.refused_by_second, from.refused_by_second);
+    add(to.rejected_by_second, from.rejected_by_second);
     add(to.failed_by_second, from.failed_by_second);
-    add(to.waste_by_second, from.waste_by_second);
-    add(to.mail_by_second, from.mail_by_second);
+    add(to.wasted_work_by_second, from.wasted_work_by_second);
+    add(to.peer_messages_by_second, from.peer_messages_by_second);
     add(to.work_by_second, from.work_by_second);
-    add(to.units_by_second, from.units_by_second);
+    add(to.admitted_units_by_second, from.admitted_units_by_second);
     to.latency_by_second.resize(std::max(to.latency_by_second.size(), from.latency_by_second.size()),
-                                no_coarse());
+                                make_coarse_histogram());
     for (std::size_t i = 0; i < from.latency_by_second.size(); ++i)
         to.latency_by_second[i] += from.latency_by_second[i];
-    to.course.insert(to.course.end(), from.course.begin(), from.course.end());
-    to.digest = mix(to.digest, from.digest);
+    to.request_trace.insert(to.request_trace.end(), from.request_trace.begin(), from.request_trace.end());
+    to.digest = mix_hash(to.digest, from.digest);
 }
 
-std::size_t fitting_threads(const Scenario& s, std::size_t most) {
+std::size_t useful_thread_count(const Scenario& s, std::size_t most) {
     constexpr double kEventsOfRequest = 10.0, kWorthAThread = 50.0;
-    const double in_a_window = s.rate * kEventsOfRequest * secs(s.delay);
+    const double in_a_window = s.request_rate * kEventsOfRequest * secs(s.network_delay);
     return std::clamp<std::size_t>(static_cast<std::size_t>(in_a_window / kWorthAThread), 1,
                                    std::max<std::size_t>(1, most));
 }
 
-bool Figures::kept() const {
-    return std::all_of(rules.begin(), rules.end(), [](const auto& rule) { return rule.second.broken == 0; });
+bool RunStatistics::all_rules_hold() const {
+    return std::all_of(rules.begin(), rules.end(),
+                       [](const auto& rule) { return rule.second.violation_count == 0; });
 }
 
 }    // namespace shaletray::testbed
--- a/src/simulator/server.cpp
+++ b/src/simulator/server.cpp
@@ -9,180 +9,189 @@
 
 namespace shaletray::testbed {
 EmulatedServer::EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start,
-                               ServerWorld& world)
-    : m_(scenario.model), random_(seed), world_(world), start_(start) {
-    const auto seconds = static_cast<std::size_t>(std::ceil(secs(scenario.time))) + 4;
-    figures.work_by_second.resize(seconds);
-    figures.waste_by_second.resize(seconds);
+                               ServerEnvironment& world)
+    : model_(scenario.server_model), random_(seed), environment_(world), started_at_(start) {
+    const auto seconds = static_cast<std::size_t>(std::ceil(secs(scenario.duration))) + 4;
+    statistics.work_by_second.resize(seconds);
+    statistics.wasted_work_by_second.resize(seconds);
 }
 
-double EmulatedServer::speed() const {
-    if (m_.cold <= Duration(0)) return 1.0;
-    const double age = secs(world_.now() - up_since_) / secs(m_.cold);
-    return m_.cold_speed + (1.0 - m_.cold_speed) * std::min(1.0, age);
+double EmulatedServer::current_speed() const {
+    if (model_.warm_up_time <= Duration(0)) return 1.0;
+    const double age = secs(environment_.current_time() - up_since_) / secs(model_.warm_up_time);
+    return model_.initial_speed + (1.0 - model_.initial_speed) * std::min(1.0, age);
 }
 
 // All that is sent to it presses on it, what it turns away too.
-void EmulatedServer::pressed_while_cold() {
-    const TimePoint now = world_.now();
-    if (now - up_since_ >= m_.cold) {
-        offered_.clear();
-        offered_sum_ = 0.0;
+void EmulatedServer::check_warm_up_load() {
+    const TimePoint now = environment_.current_time();
+    if (now - up_since_ >= model_.warm_up_time) {
+        offered_work_.clear();
+        offered_work_total_ = 0.0;
         return;
     }
     // Each cold start that meets any work at all is a case of the rule.
-    if (!std::exchange(was_cold_, true)) count(figures.rules["cold servers"], true, [] { return ""; });
-    const double work = m_.work_ms * 1e-3 * std::exp(m_.tail * m_.tail / 2.0);
-    offered_.emplace_back(now, work);
-    offered_sum_ += work;
-    for (; now - offered_.front().first > m_.fall; offered_.pop_front())
-        offered_sum_ -= offered_.front().second;
-    if (now - up_since_ < m_.fall || offered_sum_ <= m_.fall_multiple * m_.cores * speed() * secs(m_.fall))
+    if (!std::exchange(was_warming_up_, true))
+        record_rule_check(statistics.rules["cold servers"], true, [] { return ""; });
+    const double work = model_.work_ms * 1e-3 * std::exp(model_.work_sigma * model_.work_sigma / 2.0);
+    offered_work_.emplace_back(now, work);
+    offered_work_total_ += work;
+    for (; now - offered_work_.front().first > model_.overload_duration; offered_work_.pop_front())
+        offered_work_total_ -= offered_work_.front().second;
+    if (now - up_since_ < model_.overload_duration ||
+        offered_work_total_ <=
+            model_.overload_factor * model_.cores * current_speed() * secs(model_.overload_duration))
         return;
-    Figures::Rule& rule = figures.rules["cold servers"];
-    ++rule.broken;
-    rule.first =
+    RunStatistics::Rule& rule = statistics.rules["cold servers"];
+    ++rule.violation_count;
+    rule.first_violation =
         fmt::format("a server that began at {:.6f} was pushed over at {:.6f}: {:.2f} s of work in {} s",
-                    secs(up_since_ - start_), secs(now - start_), offered_sum_, secs(m_.fall));
-    fell_ = down_ = true;
-    end_all(decision::Outcome::Reset);
+                    secs(up_since_ - started_at_), secs(now - started_at_), offered_work_total_,
+                    secs(model_.overload_duration));
+    has_collapsed_ = is_down_ = true;
+    end_all_jobs(decision::Outcome::Reset);
 }
 
-void EmulatedServer::arrived(const JobId& id, int cls, bool fresh) {
-    if (!down_) pressed_while_cold();
-    if (down_) return world_.answer(id, decision::Outcome::ConnectFailed);
-    if (errors_ > 0.0 && real() < errors_) return world_.answer(id, decision::Outcome::Error);
-    if (running_ >= m_.cores && waiting_ >= static_cast<std::size_t>(m_.queue))
-        return world_.answer(id, decision::Outcome::Full);
-    const std::uint64_t number = ++last_;
-    by_id_[id] = number;
+void EmulatedServer::on_request(const JobId& id, int cls, bool fresh) {
+    if (!is_down_) check_warm_up_load();
+    if (is_down_) return environment_.send_answer(id, decision::Outcome::ConnectFailed);
+    if (error_probability_ > 0.0 && draw_fraction() < error_probability_)
+        return environment_.send_answer(id, decision::Outcome::Error);
+    if (running_count_ >= model_.cores && queued_count_ >= static_cast<std::size_t>(model_.queue_length))
+        return environment_.send_answer(id, decision::Outcome::Full);
+    const std::uint64_t number = ++last_job_;
+    jobs_by_id_[id] = number;
     Job& job = jobs_[number];
     job.id = id;
-    job.cls = cls;
-    job.fresh = fresh;
+    job.class_index = cls;
+    job.new_connection = fresh;
     queue_.push_back(number);
-    ++waiting_;
-    start();
+    ++queued_count_;
+    start_next_jobs();
 }
 
-Duration EmulatedServer::work_of(const Job& job) {
-    const double fill = static_cast<double>(waiting_) / std::max(1, m_.queue);
-    double work = m_.work_ms * 1e-3 * std::lognormal_distribution<>(0.0, m_.tail)(random_);
-    if (m_.heavy > 0.0 && real() < m_.heavy) work *= 10.0;
-    if (heavy_part_ > 0.0 && (heavy_class_ < 0 || heavy_class_ == job.cls) && real() < heavy_part_)
-        work *= heavy_by_;
-    work *= slow_ / (speed() * (1.0 - m_.loss_when_full * std::min(1.0, fill)));
-    if (job.fresh) work += secs(m_.connect);
+Duration EmulatedServer::draw_work(const Job& job) {
+    const double fill = static_cast<double>(queued_count_) / std::max(1, model_.queue_length);
+    double work = model_.work_ms * 1e-3 * std::lognormal_distribution<>(0.0, model_.work_sigma)(random_);
+    if (model_.heavy_fraction > 0.0 && draw_fraction() < model_.heavy_fraction) work *= 10.0;
+    if (heavy_fraction_ > 0.0 && (heavy_class_ < 0 || heavy_class_ == job.class_index) &&
+        draw_fraction() < heavy_fraction_)
+        work *= heavy_factor_;
+    work *= slowdown_ / (current_speed() * (1.0 - model_.full_queue_slowdown * std::min(1.0, fill)));
+    if (job.new_connection) work += secs(model_.connection_work);
     return Duration(static_cast<std::int64_t>(work * 1e6));
 }
 
-void EmulatedServer::start() {
-    while (running_ < m_.cores && head_ < queue_.size()) {
-        const std::uint64_t number = queue_[head_++];
-        if (head_ > 256 && head_ * 2 > queue_.size()) {
-            queue_.erase(queue_.begin(), queue_.begin() + static_cast<std::ptrdiff_t>(head_));
-            head_ = 0;
+void EmulatedServer::start_next_jobs() {
+    while (running_count_ < model_.cores && queue_head_ < queue_.size()) {
+        const std::uint64_t number = queue_[queue_head_++];
+        if (queue_head_ > 256 && queue_head_ * 2 > queue_.size()) {
+            queue_.erase(queue_.begin(), queue_.begin() + static_cast<std::ptrdiff_t>(queue_head_));
+            queue_head_ = 0;
         }
         const auto it = jobs_.find(number);
         if (it == jobs_.end()) continue;    // called off while it waited
-        --waiting_;
+        --queued_count_;
         Job& job = it->second;
-        job.running = true;
-        job.began = world_.now();
-        job.takes = work_of(job);
-        ++running_;
-        world_.wake(job.began + job.takes, number);
+        job.is_running = true;
+        job.started_at = environment_.current_time();
+        job.work_time = draw_work(job);
+        ++running_count_;
+        environment_.schedule_wakeup(job.started_at + job.work_time, number);
     }
 }
 
-void EmulatedServer::woken(std::uint64_t number) {
+void EmulatedServer::on_wakeup(std::uint64_t number) {
     const auto it = jobs_.find(number);
     if (it == jobs_.end()) return;
-    if (hung_until_ > world_.now()) return world_.wake(hung_until_, number);
+    if (hung_until_ > environment_.current_time()) return environment_.schedule_wakeup(hung_until_, number);
     const Job job = it->second;
-    finish(it, job.for_nobody ? job.takes : Duration(0));
-    if (!job.for_nobody) world_.answer(job.id, decision::Outcome::Ok);
-    start();
+    finish_job(it, job.is_abandoned ? job.work_time : Duration(0));
+    if (!job.is_abandoned) environment_.send_answer(job.id, decision::Outcome::Ok);
+    start_next_jobs();
 }
 
-void EmulatedServer::called_off(const JobId& id) {
-    const auto at = by_id_.find(id);
-    if (at == by_id_.end()) return;
+void EmulatedServer::on_cancel(const JobId& id) {
+    const auto at = jobs_by_id_.find(id);
+    if (at == jobs_by_id_.end()) return;
     const auto it = jobs_.find(at->second);
     Job& job = it->second;
-    if (!job.running) {
-        --waiting_;
-        by_id_.erase(at);
+    if (!job.is_running) {
+        --queued_count_;
+        jobs_by_id_.erase(at);
         jobs_.erase(it);
-    } else if (m_.cancel_stops) {
-        job.takes = world_.now() - job.began;
-        finish(it, job.takes);
-        start();
+    } else if (model_.cancel_stops_work) {
+        job.work_time = environment_.current_time() - job.started_at;
+        finish_job(it, job.work_time);
+        start_next_jobs();
     } else {
-        job.for_nobody = true;
+        job.is_abandoned = true;
     }
 }
 
-void EmulatedServer::finish(Jobs::iterator it, Duration wasted) {
-    figures.work_us += static_cast<std::uint64_t>(it->second.takes.count());
-    figures.wasted_work_us += static_cast<std::uint64_t>(wasted.count());
-    const auto second = std::min(static_cast<std::size_t>(std::max(0.0, secs(world_.now() - start_))),
-                                 figures.work_by_second.size() - 1);
-    figures.work_by_second[second] += static_cast<double>(it->second.takes.count());
-    figures.waste_by_second[second] += static_cast<std::uint64_t>(wasted.count());
-    by_id_.erase(it->second.id);
+void EmulatedServer::finish_job(Jobs::iterator it, Duration wasted) {
+    statistics.work_us += static_cast<std::uint64_t>(it->second.work_time.count());
+    statistics.wasted_work_us += static_cast<std::uint64_t>(wasted.count());
+    const auto second =
+        std::min(static_cast<std::size_t>(std::max(0.0, secs(environment_.current_time() - started_at_))),
+                 statistics.work_by_second.size() - 1);
+    statistics.work_by_second[second] += static_cast<double>(it->second.work_time.count());
+    statistics.wasted_work_by_second[second] += static_cast<std::uint64_t>(wasted.count());
+    jobs_by_id_.erase(it->second.id);
     jobs_.erase(it);
-    --running_;
+    --running_count_;
 }
 
-EmulatedServer::Load EmulatedServer::load() {
-    if (world_.now() >= told_at_) {
-        told_at_ = world_.now() + m_.report_late;
-        told_ = {static_cast<double>(running_) + static_cast<double>(waiting_),
-                 static_cast<double>(waiting_)};
+EmulatedServer::ReportedLoad EmulatedServer::reported_load() {
+    if (environment_.current_time() >= reported_at_) {
+        reported_at_ = environment_.current_time() + model_.max_report_age;
+        last_report_ = {static_cast<double>(running_count_) + static_cast<double>(queued_count_),
+                        static_cast<double>(queued_count_)};
     }
-    if (m_.report_noise <= 0.0) return told_;
-    const double by = std::lognormal_distribution<>(0.0, m_.report_noise)(random_);
-    return {std::round(told_.outstanding * by), std::round(told_.backlog * by)};
+    if (model_.report_noise_sigma <= 0.0) return last_report_;
+    const double by = std::lognormal_distribution<>(0.0, model_.report_noise_sigma)(random_);
+    return {std::round(last_report_.outstanding * by), std::round(last_report_.backlog * by)};
 }
 
-void EmulatedServer::trouble(const Fault& f, bool begins) {
-    const double on = begins ? f.by : 0.0;
+void EmulatedServer::apply_fault(const Fault& f, bool begins) {
+    const double on = begins ? f.magnitude : 0.0;
     switch (f.kind) {
-        case Fault::Kind::Slow: slow_ = begins ? std::max(1.0, f.by) : 1.0; return;
-        case Fault::Kind::Errors: errors_ = on; return;
-        case Fault::Kind::LinkLoss: lost_ = on; return;
-        case Fault::Kind::Heavy:
-            heavy_part_ = begins ? f.part : 0.0;
-            heavy_by_ = f.by;
-            heavy_class_ = f.cls;
+        case Fault::Kind::Slowdown: slowdown_ = begins ? std::max(1.0, f.magnitude) : 1.0; return;
+        case Fault::Kind::Errors: error_probability_ = on; return;
+        case Fault::Kind::LinkLoss: loss_probability_ = on; return;
+        case Fault::Kind::HeavyRequests:
+            heavy_fraction_ = begins ? f.request_fraction : 0.0;
+            heavy_factor_ = f.magnitude;
+            heavy_class_ = f.class_index;
+            return;
+        case Fault::Kind::Hang:
+            hung_until_ = begins ? environment_.current_time() + f.duration : TimePoint{};
             return;
-        case Fault::Kind::Hang: hung_until_ = begins ? world_.now() + f.lasts : TimePoint{}; return;
         case Fault::Kind::Crash:
         case Fault::Kind::RoomLost: break;
         default: return;    // what listens goes on: others have this trouble
     }
-    down_ = begins || fell_;
+    is_down_ = begins || has_collapsed_;
     if (!begins) {
-        up_since_ = world_.now();
-        was_cold_ = false;
+        up_since_ = environment_.current_time();
+        was_warming_up_ = false;
         return;
     }
-    end_all(decision::Outcome::Reset);
+    end_all_jobs(decision::Outcome::Reset);
 }
 
-void EmulatedServer::end_all(decision::Outcome outcome) {
+void EmulatedServer::end_all_jobs(decision::Outcome outcome) {
     std::vector<std::uint64_t> numbers;    // in their order: a map's own is nobody's
     for (const auto& [number, job] : jobs_) numbers.push_back(number);
     std::sort(numbers.begin(), numbers.end());
     std::vector<JobId> ended;
     for (const std::uint64_t number : numbers) ended.push_back(jobs_.at(number).id);
     jobs_.clear();
-    by_id_.clear();
+    jobs_by_id_.clear();
     queue_.clear();
-    head_ = waiting_ = 0;
-    running_ = 0;
-    for (const JobId& id : ended) world_.answer(id, outcome);
+    queue_head_ = queued_count_ = 0;
+    running_count_ = 0;
+    for (const JobId& id : ended) environment_.send_answer(id, outcome);
 }
 
 }    // namespace shaletray::testbed
--- a/src/simulator/server.h
+++ b/src/simulator/server.h
@@ -21,50 +21,50 @@
     bool operator==(const JobId&) const = default;
 };
 
-class ServerWorld {
+class ServerEnvironment {
 public:
-    virtual ~ServerWorld() = default;
-    virtual TimePoint now() const = 0;
+    virtual ~ServerEnvironment() = default;
+    virtual TimePoint current_time() const = 0;
     // Calls Server::woken with that number then.
-    virtual void wake(TimePoint at, std::uint64_t number) = 0;
-    virtual void answer(const JobId& job, decision::Outcome outcome) = 0;
+    virtual void schedule_wakeup(TimePoint at, std::uint64_t number) = 0;
+    virtual void send_answer(const JobId& job, decision::Outcome outcome) = 0;
 };
 
 class EmulatedServer {
 public:
-    EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start, ServerWorld& world);
+    EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start, ServerEnvironment& world);
 
     // `fresh`: the first on its connection, which costs work of its own. `cls`: of the request.
-    void arrived(const JobId& job, int cls, bool fresh);
-    void called_off(const JobId& job);
-    void woken(std::uint64_t number);
+    void on_request(const JobId& job, int cls, bool fresh);
+    void on_cancel(const JobId& job);
+    void on_wakeup(std::uint64_t number);
     // A trouble begins or ends. Crash and RoomLost: what it holds is answered Reset.
-    void trouble(const Fault& fault, bool begins);
+    void apply_fault(const Fault& fault, bool begins);
 
     // When the scenario begins, where that was not known.
-    void begins_at(TimePoint start) { start_ = start; }
+    void set_start(TimePoint start) { started_at_ = start; }
 
     // What it says of itself: as it was a while ago, and not exactly so, where the model wants that.
-    struct Load {
+    struct ReportedLoad {
         double outstanding = 0.0, backlog = 0.0;
     };
-    Load load();
-    bool down() const { return down_; }
-    bool hung() const { return hung_until_ > world_.now(); }
+    ReportedLoad reported_load();
+    bool is_down() const { return is_down_; }
+    bool is_hung() const { return hung_until_ > environment_.current_time(); }
     // What comes is swallowed on the way: nobody answers.
-    bool swallows() { return lost_ > 0.0 && real() < lost_; }
+    bool drops_request() { return loss_probability_ > 0.0 && draw_fraction() < loss_probability_; }
     // Work, its waste, both by second; the rule on cold servers.
-    Figures figures;
+    RunStatistics statistics;
 
 private:
     struct Job {
         JobId id;
-        int cls = 0;
-        TimePoint began{};
-        Duration takes{0};
-        bool running = false, for_nobody = false, fresh = false;
+        int class_index = 0;
+        TimePoint started_at{};
+        Duration work_time{0};
+        bool is_running = false, is_abandoned = false, new_connection = false;
     };
-    struct Hash {
+    struct JobIdHash {
         std::size_t operator()(const JobId& j) const {
             return static_cast<std::size_t>(
                 (j.sender * 0x9e3779b97f4a7c15ULL) ^
@@ -72,32 +72,32 @@
         }
     };
     using Jobs = std::unordered_map<std::uint64_t, Job>;
-    double real() { return std::uniform_real_distribution<>(0.0, 1.0)(random_); }
-    void start();
-    Duration work_of(const Job& job);
-    void finish(Jobs::iterator it, Duration wasted);
-    void end_all(decision::Outcome outcome);
-    double speed() const;
-    void pressed_while_cold();
+    double draw_fraction() { return std::uniform_real_distribution<>(0.0, 1.0)(random_); }
+    void start_next_jobs();
+    Duration draw_work(const Job& job);
+    void finish_job(Jobs::iterator it, Duration wasted);
+    void end_all_jobs(decision::Outcome outcome);
+    double current_speed() const;
+    void check_warm_up_load();
 
-    const ServerModel& m_;
+    const ServerModel& model_;
     std::mt19937_64 random_;
-    ServerWorld& world_;
+    ServerEnvironment& environment_;
     Jobs jobs_;
-    std::unordered_map<JobId, std::uint64_t, Hash> by_id_;
+    std::unordered_map<JobId, std::uint64_t, JobIdHash> jobs_by_id_;
     std::vector<std::uint64_t> queue_;    // from head_ on; some may be called off
-    std::size_t head_ = 0, waiting_ = 0;
-    int running_ = 0;
-    std::uint64_t last_ = 0;
-    double slow_ = 1.0, errors_ = 0.0, lost_ = 0.0;
-    double heavy_part_ = 0.0, heavy_by_ = 1.0;
+    std::size_t queue_head_ = 0, queued_count_ = 0;
+    int running_count_ = 0;
+    std::uint64_t last_job_ = 0;
+    double slowdown_ = 1.0, error_probability_ = 0.0, loss_probability_ = 0.0;
+    double heavy_fraction_ = 0.0, heavy_factor_ = 1.0;
     int heavy_class_ = -1;
-    bool down_ = false, fell_ = false, was_cold_ = false;
-    std::deque<std::pair<TimePoint, double>> offered_;    // seconds of work sent to it while cold
-    double offered_sum_ = 0.0;
-    TimePoint start_;
-    TimePoint hung_until_{}, up_since_{}, told_at_{};
-    Load told_;
+    bool is_down_ = false, has_collapsed_ = false, was_warming_up_ = false;
+    std::deque<std::pair<TimePoint, double>> offered_work_;    // seconds of work sent to it while cold
+    double offered_work_total_ = 0.0;
+    TimePoint started_at_;
+    TimePoint hung_until_{}, up_since_{}, reported_at_{};
+    ReportedLoad last_report_;
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/cost_series.cpp
+++ b/testbed/cost_series.cpp
@@ -12,13 +12,13 @@
 
 namespace shaletray::testbed {
 
-double thread_cpu() {
+double thread_cpu_seconds() {
     timespec t{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
     return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_nsec) * 1e-9;
 }
 
-double heap_in_use() {
+double heap_bytes_in_use() {
     const struct mallinfo2 info = mallinfo2();
     return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
@@ -36,7 +36,7 @@
 
 }    // namespace
 
-double peak_of(const std::function<void()>& what) {
+double peak_memory_of(const std::function<void()>& what) {
     malloc_trim(0);
     std::ofstream("/proc/self/clear_refs") << 5;    // the high-water mark begins anew
     const double before = status_figure("VmRSS");
@@ -62,7 +62,7 @@
     return spread == 0.0 ? 0.0 : (n * xy - x * y) / spread;
 }
 
-double Series::at_none() const {
+double Series::intercept() const {
     double x = 0.0, y = 0.0;
     for (std::size_t i = 0; i < sizes_.size(); ++i) {
         x += sizes_[i];
@@ -72,35 +72,34 @@
     return (y - slope() * x) / n;
 }
 
-double Series::at(double size) const {
+double Series::value_at(double size) const {
     const auto it = std::find(sizes_.begin(), sizes_.end(), size);
     if (it != sizes_.end()) return values_[static_cast<std::size_t>(it - sizes_.begin())];
-    return std::max(0.0, at_none() + slope() * size);
+    return std::max(0.0, intercept() + slope() * size);
 }
 
-double Series::most() const { return *std::max_element(values_.begin(), values_.end()); }
+double Series::max_value() const { return *std::max_element(values_.begin(), values_.end()); }
 
 double Series::residual() const {
     double worst = 0.0, most = 0.0;
     for (std::size_t i = 0; i < sizes_.size(); ++i) {
-        worst = std::max(worst, std::abs(values_[i] - (at_none() + slope() * sizes_[i])));
+        worst = std::max(worst, std::abs(values_[i] - (intercept() + slope() * sizes_[i])));
         most = std::max(most, std::abs(values_[i]));
     }
     return most == 0.0 ? 0.0 : worst / most;
 }
 
-nlohmann::json Series::json() const {
-    return {{"unit", unit_},         {"of", of_},        {"sizes", sizes_},
-            {"values", values_},     {"slope", slope()}, {"at_none", at_none()},
-            {"residual", residual()}};
+nlohmann::json Series::to_json() const {
+    return {{"unit", unit_},    {"of", size_name_},       {"sizes", sizes_},       {"values", values_},
+            {"slope", slope()}, {"at_none", intercept()}, {"residual", residual()}};
 }
 
-std::string Series::line() const {
+std::string Series::summary_line() const {
     std::vector<std::string> points;
     for (std::size_t i = 0; i < sizes_.size(); ++i)
         points.push_back(fmt::format("{:g}: {:.4g}", sizes_[i], values_[i]));
     return fmt::format("{:34} {:.3g} {} a {} (from {:.3g}, off by {:.0f}% at most)  {}", name_, slope(),
-                       unit_, of_, at_none(), 100.0 * residual(), fmt::join(points, ", "));
+                       unit_, size_name_, intercept(), 100.0 * residual(), fmt::join(points, ", "));
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/experiments/capacity.cpp
+++ b/testbed/experiments/capacity.cpp
@@ -34,23 +34,23 @@
 constexpr double kKeepsUp = 0.99, kKeepsUpMs = 50.0;
 
 struct Run {
-    LoadFigures f;
+    LoadStatistics f;
     double tool_cpu = 0.0;    // seconds, of the tool's thread
     std::uint64_t ok() const { return f.by_status.contains(200) ? f.by_status.at(200) : 0; }
     double rate() const { return static_cast<double>(ok()) / std::max(1e-9, f.seconds); }
-    double q(double at) const { return quantile_of(f.latency, at); }
+    double q(double at) const { return histogram_quantile(f.latency, at); }
 };
 
 Run load(const std::string& address, double rate, double seconds, std::size_t connections, bool ahead,
          std::uint64_t seed, const std::function<void()>& midway = {}, const std::string& plan = "wide") {
     LoadSettings s;
     s.address = address;
-    s.time = from_secs(seconds);
-    s.connections = connections;
-    s.ahead = ahead;
+    s.duration = from_secs(seconds);
+    s.max_connections = connections;
+    s.open_in_advance = ahead;
     s.seed = seed;
-    s.plan = plan;
-    s.customers = 1000;
+    s.plan_name = plan;
+    s.customer_count = 1000;
     Run out;
     Poco::Thread thread;
     // POCO lets a reactor without sockets sleep on threads of its own only.
@@ -58,14 +58,14 @@
         SystemClock clock;
         Timers timers;
         Reactor reactor(clock, timers);
-        Load load(reactor, s, poisson_arrivals(rate, seed), [&] { reactor.stop(); });
-        if (midway) reactor.after(from_secs(seconds / 2 + (ahead ? 1.0 : 0.0)), midway);
-        load.start();
+        LoadGenerator load(reactor, s, poisson_arrivals(rate, seed), [&] { reactor.stop(); });
+        if (midway) reactor.schedule_after(from_secs(seconds / 2 + (ahead ? 1.0 : 0.0)), midway);
+        load.start_load();
         reactor.run();
         timespec spent{};
         clock_gettime(CLOCK_THREAD_CPUTIME_ID, &spent);
         out.tool_cpu = static_cast<double>(spent.tv_sec) + 1e-9 * static_cast<double>(spent.tv_nsec);
-        out.f = load.figures();
+        out.f = load.statistics();
     });
     thread.join();
     return out;
@@ -96,7 +96,7 @@
         most(out);
         over(out);
         added(out);
-        return bounds_.report(out);
+        return bounds_.print_report(out);
     }
 
 private:
@@ -112,22 +112,22 @@
             "load tool: {:.0f} of {:.0f} requests a second, {:.2f} cores, p99 {:.2f} ms of {:.2f} ms "
             "({:+.1f}%), own lag p99 {:.2f} ms\n",
             r.rate(), kToolRate, r.tool_cpu / r.f.seconds, r.q(0.99), truth, 100.0 * error,
-            quantile_of(r.f.lag, 0.99));
+            histogram_quantile(r.f.scheduling_lag, 0.99));
         out["tool"] = {{"rate", r.rate()},
                        {"cores", r.tool_cpu / r.f.seconds},
                        {"p99_error", error},
-                       {"lag_p99_ms", quantile_of(r.f.lag, 0.99)}};
+                       {"lag_p99_ms", histogram_quantile(r.f.scheduling_lag, 0.99)}};
     }
     void start_gateway() {
         echo_ = std::make_unique<StandInEcho>(kServers, 2);
         Scenario s;
-        s.gateways = 1;
-        s.servers = kServers;
+        s.gateway_count = 1;
+        s.server_count = kServers;
         s.plans = {{"wide", 1e6, 1e6, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0},
                    {"narrow", kNarrow, 2.0, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0}};
         std::vector<std::string> servers;
         for (int i = 0; i < kServers; ++i) servers.push_back(echo_->address(i));
-        address_ = fmt::format("127.0.0.1:{}", free_port());
+        address_ = fmt::format("127.0.0.1:{}", find_free_port());
         const auto path = folder_ / "n0.json";
         std::ofstream(path) << lone_config(s, servers, address_, files_, 192);
         gateway_ =
@@ -142,11 +142,12 @@
     void most(Json& out) {
         double best = 0.0, cpu = 0.0;
         for (double rate = 2000.0; rate < 200'000.0; rate *= 1.2) {
-            const double before = gateway_->cpu();
+            const double before = gateway_->cpu_seconds();
             const Run r = load(address_, rate, std::min(1.5, seconds_), 200, false, seed_);
-            const double spent = gateway_->cpu() - before;
-            const bool keeps_up = static_cast<double>(r.ok()) >= kKeepsUp * static_cast<double>(r.f.due) &&
-                                  r.q(0.99) <= kKeepsUpMs;
+            const double spent = gateway_->cpu_seconds() - before;
+            const bool keeps_up =
+                static_cast<double>(r.ok()) >= kKeepsUp * static_cast<double>(r.f.due_count) &&
+                r.q(0.99) <= kKeepsUpMs;
             fmt::print(
                 "  asked {:>8.0f}/s  served {:>8.0f}/s  p50 {:>7.2f} ms  p99 {:>7.2f} ms  gateway {:.2f} "
                 "cores, "
@@ -166,13 +167,13 @@
                    cpu);
         out["gateway"] = {{"requests_per_s", best}, {"cpu_us_per_request", cpu}};
         best_ = best;
-        bounds_.hold(best > 0.0, "the gateway keeps up with no rate at all");
+        bounds_.expect(best > 0.0, "the gateway keeps up with no rate at all");
     }
     // With customers over their quotas, requests are held for units that come.
     void over(Json& out) {
-        const double before = gateway_->cpu();
+        const double before = gateway_->cpu_seconds();
         const Run r = load(address_, kOverRate, seconds_, 4000, false, seed_, {}, "narrow");
-        const double spent = gateway_->cpu() - before;
+        const double spent = gateway_->cpu_seconds() - before;
         std::uint64_t answered = 0;
         for (const auto& [status, n] : r.f.by_status) answered += n;
         const double each = 1e6 * spent / static_cast<double>(std::max<std::uint64_t>(1, answered));
@@ -181,7 +182,8 @@
             kOverRate, r.rate(), each, spent / r.f.seconds);
         out["over_quotas"] = {
             {"cpu_us_per_request", each}, {"served_per_s", r.rate()}, {"asked_per_s", kOverRate}};
-        bounds_.hold(r.f.unanswered + r.f.broken == 0, "requests over quotas were not answered");
+        bounds_.expect(r.f.unanswered_count + r.f.broken_count == 0,
+                       "requests over quotas were not answered");
     }
     double resident() const {
         // Of the child: the second figure of statm, in pages.
@@ -218,10 +220,10 @@
                                                       {"p99_added_ms", through.q(0.99) - direct.q(0.99)},
                                                       {"p999_added_ms", through.q(0.999) - direct.q(0.999)},
                                                       {"bytes_per_connection", bytes},
-                                                      {"opened", through.f.opened}};
-            bounds_.hold(through.f.unanswered + through.f.broken == 0,
-                         fmt::format("{} requests were not answered over {} connections",
-                                     through.f.unanswered + through.f.broken, connections));
+                                                      {"opened", through.f.connections_opened}};
+            bounds_.expect(through.f.unanswered_count + through.f.broken_count == 0,
+                           fmt::format("{} requests were not answered over {} connections",
+                                       through.f.unanswered_count + through.f.broken_count, connections));
         }
     }
 
@@ -234,7 +236,7 @@
     std::unique_ptr<Process> gateway_;
     std::string address_;
     double best_ = 0.0;
-    Bounds bounds_;
+    Expectations bounds_;
 };
 
 }    // namespace
--- a/testbed/experiments/machine_replacement.cpp
+++ b/testbed/experiments/machine_replacement.cpp
@@ -23,184 +23,198 @@
 using Json = nlohmann::json;
 using Operation = history::Operation;
 
-constexpr int kMachines = 5, kLighthouses = 3;
-constexpr double kAck = 4.0, kContact = 3.0, kCatchUp = 4.0;    // as in the rig's settings
-constexpr double kTimeForTroubles = 38.0;                       // no further one begins after that
-constexpr double kFrozenFor = 7.0;    // longer than any process waits for another to be heard
-constexpr double kServedAtLeast = 0.5;
-
-class Harbour {
+constexpr int kMachineCount = 5, kControllerCount = 3;
+constexpr double kAcknowledgeTimeout = 4.0, kContactTimeout = 3.0,
+                 kCatchUpTime = 4.0;       // as in the rig's settings
+constexpr double kFaultPeriod = 38.0;      // no further one begins after that
+constexpr double kFreezeDuration = 7.0;    // longer than any process waits for another to be heard
+constexpr double kMinServedFraction = 0.5;
+
+class FaultExperiment {
 public:
-    Harbour(const std::string& programs, std::uint64_t seed)
+    FaultExperiment(const std::string& programs, std::uint64_t seed)
         : seed_(seed),
           random_(seed * 31 + 7),
-          rig_(small_system("harbour", programs, seed, kMachines, kLighthouses)) {}
+          fixture_(make_small_system("harbour", programs, seed, kMachineCount, kControllerCount)) {}
 
-    int run() {
-        if (const std::string why = begin(); !why.empty()) {
-            fmt::print("{}\n{}\n", why, Json{{"experiment", "harbour"}, {"error", why}}.dump());
+    int run_faults() {
+        if (const std::string failure_reason = start_system(); !failure_reason.empty()) {
+            fmt::print("{}\n{}\n", failure_reason,
+                       Json{{"experiment", "harbour"}, {"error", failure_reason}}.dump());
             return 2;
         }
         struct Named {
             const char* name;
-            std::function<void()> play;
+            std::function<void()> inject;
         };
-        std::vector<Named> troubles = {
-            {"lost for good", [this] { lose(); }}, {"replaced as planned", [this] { replace(); }},
-            {"lost for good", [this] { lose(); }}, {"disk wiped", [this] { wipe(); }},
-            {"frozen", [this] { freeze(); }},      {"all that vote killed", [this] { kill_all(); }}};
-        std::shuffle(troubles.begin(), troubles.end(), random_);
-        began_ = clock_.now();
-        Json played = Json::array(), left_out = Json::array();
-        for (const Named& trouble : troubles) {
+        std::vector<Named> faults = {{"lost for good", [this] { lose_machine(); }},
+                                     {"replaced as planned", [this] { replace_machine(); }},
+                                     {"lost for good", [this] { lose_machine(); }},
+                                     {"disk wiped", [this] { wipe_machine(); }},
+                                     {"frozen", [this] { freeze_machine(); }},
+                                     {"all that vote killed", [this] { kill_all_controllers(); }}};
+        std::shuffle(faults.begin(), faults.end(), random_);
+        faults_started_at_ = clock_.now();
+        Json injected_faults = Json::array(), skipped_faults = Json::array();
+        for (const Named& fault : faults) {
             // With the majority gone no rule holds any more.
-            if (lost_majority_ || elapsed() > kTimeForTroubles) {
-                left_out.push_back(trouble.name);
+            if (majority_lost_ || elapsed_seconds() > kFaultPeriod) {
+                skipped_faults.push_back(fault.name);
                 continue;
             }
-            trouble.play();
-            const TimePoint over = clock_.now();
-            const double took = rig_.acknowledged_after(kContact + kAck);
-            say(took < 0.0 ? fmt::format("no change acknowledged within {:.0f} s", kContact + kAck)
-                           : fmt::format("a change is acknowledged after {:.2f} s", took));
-            played.push_back({{"trouble", trouble.name}, {"acknowledged_after_s", took}});
-            lost_majority_ = took < 0.0;
-            bounds_.hold(took >= 0.0, fmt::format("{}: no change was acknowledged within contact and ack "
-                                                  "after it",
-                                                  trouble.name));
-            if (!lost_majority_) rig_.run_for(std::max(0.0, kCatchUp - secs(clock_.now() - over)));
+            fault.inject();
+            const TimePoint fault_ended_at = clock_.now();
+            const double seconds_taken =
+                fixture_.measure_acknowledgement(kContactTimeout + kAcknowledgeTimeout);
+            print_progress(seconds_taken < 0.0
+                               ? fmt::format("no change acknowledged within {:.0f} s",
+                                             kContactTimeout + kAcknowledgeTimeout)
+                               : fmt::format("a change is acknowledged after {:.2f} s", seconds_taken));
+            injected_faults.push_back({{"trouble", fault.name}, {"acknowledged_after_s", seconds_taken}});
+            majority_lost_ = seconds_taken < 0.0;
+            expectations_.expect(seconds_taken >= 0.0,
+                                 fmt::format("{}: no change was acknowledged within contact and ack "
+                                             "after it",
+                                             fault.name));
+            if (!majority_lost_)
+                fixture_.run_for(std::max(0.0, kCatchUpTime - secs(clock_.now() - fault_ended_at)));
         }
-        return end(std::move(played), std::move(left_out));
+        return finish_run(std::move(injected_faults), std::move(skipped_faults));
     }
 
 private:
-    std::string begin() {
-        rig_.begin();
+    std::string start_system() {
+        fixture_.start_all();
         for (const auto& [service, count] :
              {std::pair("lookups", 8), {"approvals", 6}, {"payouts", 6}, {"archive", 9}})
-            for (int i = 0; i < count; ++i) rig_.add_server(service);
-        const int operators = 2 + static_cast<int>(seed_ % 3);
-        rig_.begin_operators(operators);
-        if (rig_.acknowledged_after(10.0) < 0.0) return "the first configuration was not acknowledged";
-        if (!rig_.wait_servers_known(10.0)) return "not every server's heartbeat was acknowledged";
-        if (!rig_.wait_ready(10.0)) return "not every pilot says that it is ready";
-        rig_.begin_load(environment_number("LOAD", 0.5, 0.01, 20.0));
-        fmt::print("seed {}: {} machines, {} of them vote; {} operators\n", seed_, kMachines, kLighthouses,
-                   operators);
+            for (int i = 0; i < count; ++i) fixture_.add_server(service);
+        const int operator_count = 2 + static_cast<int>(seed_ % 3);
+        fixture_.start_operators(operator_count);
+        if (fixture_.measure_acknowledgement(10.0) < 0.0)
+            return "the first configuration was not acknowledged";
+        if (!fixture_.wait_servers_registered(10.0)) return "not every server's heartbeat was acknowledged";
+        if (!fixture_.wait_ready(10.0)) return "not every pilot says that it is ready";
+        fixture_.start_load(number_from_environment("LOAD", 0.5, 0.01, 20.0));
+        fmt::print("seed {}: {} machines, {} of them vote; {} operators\n", seed_, kMachineCount,
+                   kControllerCount, operator_count);
         return {};
     }
 
     // ---- troubles; each returns when it is over ----
 
-    void lose() {
+    void lose_machine() {
         const std::string victim = draw_voter();
-        say(fmt::format("{} is lost for good", victim));
-        for (const std::string& node : rig_.nodes_of(victim)) rig_.kill(node);
-        rig_.remove_machine(victim);
-        rig_.run_for(0.5 + draw());
-        start(zone_of(victim));
+        print_progress(fmt::format("{} is lost for good", victim));
+        for (const std::string& node : fixture_.nodes_of(victim)) fixture_.kill_node(node);
+        fixture_.remove_machine(victim);
+        fixture_.run_for(0.5 + draw_fraction());
+        start_machine(zone_of(victim));
     }
-    void replace() {
+    void replace_machine() {
         const std::string victim = draw_voter();
-        say(fmt::format("{} is to be replaced", victim));
-        start(zone_of(victim));
-        rig_.run_for(1.0 + 2.0 * draw());
-        for (const std::string& node : rig_.nodes_of(victim)) {
-            const int status = rig_.stop(node);
-            bounds_.hold(status == 0, fmt::format("{} ended with {} at SIGTERM", node, status));
+        print_progress(fmt::format("{} is to be replaced", victim));
+        start_machine(zone_of(victim));
+        fixture_.run_for(1.0 + 2.0 * draw_fraction());
+        for (const std::string& node : fixture_.nodes_of(victim)) {
+            const int status = fixture_.stop_node(node);
+            expectations_.expect(status == 0, fmt::format("{} ended with {} at SIGTERM", node, status));
         }
-        rig_.remove_machine(victim);
-        say(fmt::format("{} has ended", victim));
+        fixture_.remove_machine(victim);
+        print_progress(fmt::format("{} has ended", victim));
     }
-    void wipe() {
+    void wipe_machine() {
         const std::string victim = draw_voter();
-        rig_.acknowledged_after(kAck);    // right after an acknowledgement
-        say(fmt::format("{} loses its disks", victim));
-        for (const std::string& node : rig_.nodes_of(victim)) rig_.kill(node);
-        for (const std::string& node : rig_.nodes_of(victim)) rig_.wipe(node);
-        rig_.run_for(0.3 + draw());
-        for (const std::string& node : rig_.nodes_of(victim)) rig_.start(node);
+        fixture_.measure_acknowledgement(kAcknowledgeTimeout);    // right after an acknowledgement
+        print_progress(fmt::format("{} loses its disks", victim));
+        for (const std::string& node : fixture_.nodes_of(victim)) fixture_.kill_node(node);
+        for (const std::string& node : fixture_.nodes_of(victim)) fixture_.wipe_disk(node);
+        fixture_.run_for(0.3 + draw_fraction());
+        for (const std::string& node : fixture_.nodes_of(victim)) fixture_.start_node(node);
     }
-    void freeze() {
+    void freeze_machine() {
         const std::string victim = draw_voter();
-        say(fmt::format("{} stands still for {:.0f} s", victim, kFrozenFor));
-        for (const std::string& node : rig_.nodes_of(victim)) rig_.freeze(node);
-        rig_.run_for(kFrozenFor);
-        for (const std::string& node : rig_.nodes_of(victim)) rig_.thaw(node);
+        print_progress(fmt::format("{} stands still for {:.0f} s", victim, kFreezeDuration));
+        for (const std::string& node : fixture_.nodes_of(victim)) fixture_.freeze_node(node);
+        fixture_.run_for(kFreezeDuration);
+        for (const std::string& node : fixture_.nodes_of(victim)) fixture_.unfreeze_node(node);
     }
-    void kill_all() {
-        rig_.acknowledged_after(kAck);
-        say("all lighthouses are killed");
+    void kill_all_controllers() {
+        fixture_.measure_acknowledgement(kAcknowledgeTimeout);
+        print_progress("all lighthouses are killed");
         std::vector<std::string> all;
-        for (const std::string& machine : voters()) all.push_back(machine + "/controller");
-        for (const std::string& node : all) rig_.kill(node);
-        rig_.run_for(0.3 + draw());
-        for (const std::string& node : all) rig_.start(node);
+        for (const std::string& machine : voter_machines()) all.push_back(machine + "/controller");
+        for (const std::string& node : all) fixture_.kill_node(node);
+        fixture_.run_for(0.3 + draw_fraction());
+        for (const std::string& node : all) fixture_.start_node(node);
     }
 
     // ---- the rest ----
 
-    int end(Json played, Json left_out) {
-        rig_.end_load(3.0);
-        const bool read = rig_.read_by_operator(lost_majority_ ? 1.0 : kContact + kAck);
-        bounds_.hold(read, "no configuration could be read back in the end");
-        rig_.end_operators();
-        const auto ended = rig_.ended_by_themselves();
+    int finish_run(Json injected_faults, Json skipped_faults) {
+        fixture_.stop_load(3.0);
+        const bool read =
+            fixture_.verify_operator_read(majority_lost_ ? 1.0 : kContactTimeout + kAcknowledgeTimeout);
+        expectations_.expect(read, "no configuration could be read back in the end");
+        fixture_.stop_operators();
+        const auto ended = fixture_.unexpectedly_ended();
         for (const std::string& node : ended) {
-            bounds_.hold(false, node + " ended by itself");
-            print_tail(rig_.log_text(node));
+            expectations_.expect(false, node + " ended by itself");
+            print_tail(fixture_.log_text(node));
         }
-        Json out = rig_.report();
-        rig_.end();
-        const std::vector<Operation> history = rig_.history();
-        const auto fault = history::fault(history);
-        bounds_.hold(!fault, fmt::format("the operators' history: {}", fault.value_or("")));
-        for (const auto& [rule, count] : out["rules"].items())
-            bounds_.hold(count == 0, fmt::format("{}: {}", rule, count.get<std::uint64_t>()));
-        const double due = out["due"], served = out["served"];
-        bounds_.hold(due > 0.0 && served >= kServedAtLeast * due,
-                     fmt::format("{:.1f}% was served", due > 0.0 ? served / due * 100.0 : 0.0));
-        const Operators::Figures f = rig_.operator_figures();
-        bounds_.hold(f.acknowledged > 0 && f.answers_left > 0 && f.resets > 0,
-                     "the operators had too little to do for a verdict");
-        out["experiment"] = "harbour";
-        out["seed"] = seed_;
-        out["troubles"] = std::move(played);
-        out["left_out"] = std::move(left_out);
-        out["operations"] = history.size();
-        out["took_s"] = secs(clock_.now() - begun_);
-        out["operators"] = {
-            {"orders", f.orders},   {"acknowledged", f.acknowledged}, {"conflicts", f.conflicts},
-            {"refused", f.refused}, {"unclear", f.unclear},           {"reads", f.reads},
-            {"tries", f.tries},     {"answers_left", f.answers_left}, {"resets", f.resets}};
-        out.erase("nodes");
-        out.erase("routes");
+        Json report_json = fixture_.make_report();
+        fixture_.stop_all();
+        const std::vector<Operation> history = fixture_.operation_history();
+        const auto fault = history::find_violation(history);
+        expectations_.expect(!fault, fmt::format("the operators' history: {}", fault.value_or("")));
+        for (const auto& [rule, count] : report_json["rules"].items())
+            expectations_.expect(count == 0, fmt::format("{}: {}", rule, count.get<std::uint64_t>()));
+        const double due = report_json["due"], served = report_json["served"];
+        expectations_.expect(due > 0.0 && served >= kMinServedFraction * due,
+                             fmt::format("{:.1f}% was served", due > 0.0 ? served / due * 100.0 : 0.0));
+        const OperatorGroup::Statistics statistics = fixture_.operator_statistics();
+        expectations_.expect(
+            statistics.acknowledged > 0 && statistics.abandoned_replies > 0 && statistics.resets > 0,
+            "the operators had too little to do for a verdict");
+        report_json["experiment"] = "harbour";
+        report_json["seed"] = seed_;
+        report_json["troubles"] = std::move(injected_faults);
+        report_json["left_out"] = std::move(skipped_faults);
+        report_json["operations"] = history.size();
+        report_json["took_s"] = secs(clock_.now() - run_started_at_);
+        report_json["operators"] = {
+            {"orders", statistics.changes},        {"acknowledged", statistics.acknowledged},
+            {"conflicts", statistics.conflicts},   {"refused", statistics.rejected},
+            {"unclear", statistics.indeterminate}, {"reads", statistics.reads},
+            {"tries", statistics.attempts},        {"answers_left", statistics.abandoned_replies},
+            {"resets", statistics.resets}};
+        report_json.erase("nodes");
+        report_json.erase("routes");
         fmt::print("{} of {} requests served; {} operations of the operators in the history\n", served, due,
                    history.size());
-        return bounds_.report(out);
+        return expectations_.print_report(report_json);
     }
-    std::string start(const std::string& zone) {
-        const std::string name = rig_.add_machine({zone, true, true, true});
-        for (const std::string& node : rig_.nodes_of(name)) rig_.start(node);
-        say(fmt::format("{} starts, empty, at another address", name));
+    std::string start_machine(const std::string& zone) {
+        const std::string name = fixture_.add_machine({zone, true, true, true});
+        for (const std::string& node : fixture_.nodes_of(name)) fixture_.start_node(node);
+        print_progress(fmt::format("{} starts, empty, at another address", name));
         return name;
     }
-    std::vector<std::string> voters() const {
+    std::vector<std::string> voter_machines() const {
         std::vector<std::string> names;
-        for (const std::string& machine : rig_.machines())
-            for (const std::string& node : rig_.nodes_of(machine))
+        for (const std::string& machine : fixture_.machine_names())
+            for (const std::string& node : fixture_.nodes_of(machine))
                 if (node.ends_with("/controller")) names.push_back(machine);
         return names;
     }
     std::string draw_voter() {
-        const std::vector<std::string> from = voters();
+        const std::vector<std::string> from = voter_machines();
         return from[random_() % from.size()];
     }
     static std::string zone_of(const std::string& machine) { return machine.substr(0, machine.find('-')); }
-    double draw() { return std::uniform_real_distribution<double>(0.0, 1.0)(random_); }
-    double elapsed() const { return secs(clock_.now() - began_); }
-    void say(const std::string& what) const {
-        fmt::print("{:>5.1f} s  {}\n", elapsed(), what);
+    double draw_fraction() { return std::uniform_real_distribution<double>(0.0, 1.0)(random_); }
+    double elapsed_seconds() const { return secs(clock_.now() - faults_started_at_); }
+    void print_progress(const std::string& what) const {
+        fmt::print("{:>5.1f} s  {}\n", elapsed_seconds(), what);
         std::fflush(stdout);
     }
     static void print_tail(const std::string& text) {
@@ -211,20 +225,21 @@
     std::uint64_t seed_;
     std::mt19937_64 random_;
     SystemClock clock_;
-    TimePoint begun_ = clock_.now(), began_ = begun_;    // of the run, of the troubles
-    bool lost_majority_ = false;
-    SystemRig rig_;
-    Bounds bounds_;
+    TimePoint run_started_at_ = clock_.now(),
+              faults_started_at_ = run_started_at_;    // of the run, of the troubles
+    bool majority_lost_ = false;
+    SystemFixture fixture_;
+    Expectations expectations_;
 };
 
-int run(const std::string& programs, std::uint64_t seed, double) {
-    catch_signals();
-    return Harbour(programs, seed).run();
+int run_experiment(const std::string& programs, std::uint64_t seed, double) {
+    install_signal_handlers();
+    return FaultExperiment(programs, seed).run_faults();
 }
 
 }    // namespace
 }    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::testbed::experiment_main(argv, 20.0, shaletray::testbed::run);
+    return shaletray::testbed::experiment_main(argv, 20.0, shaletray::testbed::run_experiment);
 }
--- a/testbed/experiments/operations.cpp
+++ b/testbed/experiments/operations.cpp
@@ -114,8 +114,8 @@
         : programs_(std::move(programs)),
           seed_(seed),
           seconds_(seconds),
-          rate_(environment_number("RATE", 500, 1, 20'000)),
-          long_bytes_(static_cast<std::size_t>(environment_number("LONG_MB", 32, 1, 60) * 1024 * 1024)) {
+          rate_(number_from_environment("RATE", 500, 1, 20'000)),
+          long_bytes_(static_cast<std::size_t>(number_from_environment("LONG_MB", 32, 1, 60) * 1024 * 1024)) {
         folder_ = std::filesystem::temp_directory_path() / fmt::format("shaletray-operations-{}", seed);
         std::filesystem::create_directories(folder_);
     }
@@ -129,7 +129,7 @@
         Json out = {{"experiment", "operations"}, {"seed", seed_}};
         const bool late = service(out);
         size(out);
-        const int status = bounds_.report(out);
+        const int status = bounds_.print_report(out);
         return status == 0 && late ? 3 : status;
     }
 
@@ -169,12 +169,12 @@
     }
     std::unique_ptr<Process> start(double memory_mb, const std::vector<std::string>& servers) {
         Scenario s;
-        s.gateways = 1;
-        s.servers = static_cast<int>(servers.size());
+        s.gateway_count = 1;
+        s.server_count = static_cast<int>(servers.size());
         s.plans = {{"wide", 1e6, 1e6, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0}};
         config_ = Json::parse(lone_config(s, servers, address_, 512, memory_mb));
         write(config_);
-        admin_ = fmt::format("127.0.0.1:{}", free_port());
+        admin_ = fmt::format("127.0.0.1:{}", find_free_port());
         auto environment = gateway_environment(path());
         environment["EDGE_ADMIN_ADDR"] = admin_;
         environment["TMPDIR"] = folder_.string();
@@ -189,10 +189,10 @@
         const StandInEcho echo(kServers, 2);
         std::vector<std::string> servers;
         for (int i = 0; i < kServers; ++i) servers.push_back(echo.address(i));
-        address_ = fmt::format("127.0.0.1:{}", free_port());
+        address_ = fmt::format("127.0.0.1:{}", find_free_port());
         gateway_ = start(kMemoryMb, servers);
         until_ready(true, kReadyMs);
-        LoadFigures figures;
+        LoadStatistics figures;
         std::atomic<bool> over{false};
         Poco::Thread load;    // POCO lets a reactor without sockets sleep on threads of its own only
         load.startFunc([&] {
@@ -201,14 +201,14 @@
             Reactor reactor(clock, timers);
             LoadSettings s;
             s.address = address_;
-            s.time = from_secs(seconds_ * (kUpgrades + 2));
-            s.connections = 100;
+            s.duration = from_secs(seconds_ * (kUpgrades + 2));
+            s.max_connections = 100;
             s.seed = seed_;
-            s.plan = "wide";
-            Load tool(reactor, s, poisson_arrivals(rate_, seed_), [&] { reactor.stop(); });
-            tool.start();
+            s.plan_name = "wide";
+            LoadGenerator tool(reactor, s, poisson_arrivals(rate_, seed_), [&] { reactor.stop(); });
+            tool.start_load();
             reactor.run();
-            figures = tool.figures();
+            figures = tool.statistics();
             over = true;
         });
         std::vector<double> ready;
@@ -217,7 +217,8 @@
             auto next = start(kMemoryMb, servers);
             ready.push_back(until_ready(true, kReadyMs));
             std::this_thread::sleep_for(100ms);
-            bounds_.hold(gateway_->end() == 0, "a process did not end in order after the next one took over");
+            bounds_.expect(gateway_->terminate() == 0,
+                           "a process did not end in order after the next one took over");
             gateway_ = std::move(next);
         }
         std::vector<Poco::Net::StreamSocket> holders;    // say nothing, and are not to be waited for
@@ -226,14 +227,14 @@
         changed["settings"]["classes"].push_back(config_["settings"]["classes"][0]);
         changed["settings"]["classes"].back()["name"] = "added";
         write(changed);
-        gateway_->signal(SIGHUP);
+        gateway_->send_signal(SIGHUP);
         std::this_thread::sleep_for(200ms);
         std::ofstream(path()) << config_.dump().substr(0, 300);    // cut off
-        gateway_->signal(SIGHUP);
+        gateway_->send_signal(SIGHUP);
         std::this_thread::sleep_for(200ms);
         const double loads = figure("edge_loads_total"), bad = figure("edge_load_errors_total");
-        bounds_.hold(loads == 1.0 && bad == 1.0,
-                     fmt::format("files taken {}, turned down {}: not 1 and 1", loads, bad));
+        bounds_.expect(loads == 1.0 && bad == 1.0,
+                       fmt::format("files taken {}, turned down {}: not 1 and 1", loads, bad));
         call("PUT", "/ops/drain/start");
         const double no = until_ready(false, kCallMs);
         std::this_thread::sleep_for(300ms);
@@ -246,37 +247,42 @@
         load.join();
         std::uint64_t served = figures.by_status[200], others = 0;
         for (const auto& [status, count] : figures.by_status) others += status == 200 ? 0 : count;
-        const std::uint64_t lost = figures.due - served - others;
+        const std::uint64_t lost = figures.due_count - served - others;
         std::sort(calls_ms_.begin(), calls_ms_.end());
         const double slowest = calls_ms_.back(), longest = *std::max_element(ready.begin(), ready.end());
         fmt::print(
             "{:.0f} requests a second over {:.0f} s, {} upgrades: {} due, {} served, {} other answers, "
             "{} unanswered, {} sent again over a close\n",
-            rate_, figures.seconds, kUpgrades, figures.due, served, others, lost, figures.resent);
+            rate_, figures.seconds, kUpgrades, figures.due_count, served, others, lost, figures.resent_count);
         fmt::print(
             "a new process says yes after {:.0f} ms at most; drain: no after {:.0f} ms, yes after {:.0f}\n",
             longest, no, yes);
         fmt::print("{} calls beside {} silent callers: median {:.2f} ms, slowest {:.1f} ms\n",
                    calls_ms_.size(), kHolders, calls_ms_[calls_ms_.size() / 2], slowest);
-        out["service"] = {{"due", figures.due},         {"served", served},
-                          {"others", others},           {"unanswered", lost},
-                          {"resent", figures.resent},   {"ready_ms", longest},
-                          {"drain_no_ms", no},          {"drain_yes_ms", yes},
-                          {"call_slowest_ms", slowest}, {"p99_ms", quantile_of(figures.latency, 0.99)}};
-        bounds_.hold(
+        out["service"] = {{"due", figures.due_count},
+                          {"served", served},
+                          {"others", others},
+                          {"unanswered", lost},
+                          {"resent", figures.resent_count},
+                          {"ready_ms", longest},
+                          {"drain_no_ms", no},
+                          {"drain_yes_ms", yes},
+                          {"call_slowest_ms", slowest},
+                          {"p99_ms", histogram_quantile(figures.latency, 0.99)}};
+        bounds_.expect(
             lost + others <= kTurnedBack * kUpgrades,
             fmt::format("{} requests without a good answer, over {} upgrades", lost + others, kUpgrades));
-        bounds_.hold(longest < kReadyMs, "a new process was not ready in time");
-        bounds_.hold(slowest <= kCallMs, fmt::format("a call took {:.0f} ms", slowest));
-        bounds_.hold(no < kCallMs && yes < 2 * kCallMs, "a drain was not acted on in time");
-        gateway_->end();
+        bounds_.expect(longest < kReadyMs, "a new process was not ready in time");
+        bounds_.expect(slowest <= kCallMs, fmt::format("a call took {:.0f} ms", slowest));
+        bounds_.expect(no < kCallMs && yes < 2 * kCallMs, "a drain was not acted on in time");
+        gateway_->terminate();
         return figures.ran_late();
     }
 
     // Long bodies up and long answers down, at once, by clients of which half read and write slowly.
     void size(Json& out) {
         SlowServer a(long_bytes_), b(long_bytes_);
-        address_ = fmt::format("127.0.0.1:{}", free_port());
+        address_ = fmt::format("127.0.0.1:{}", find_free_port());
         gateway_ = start(kMemoryMb, {a.address(), b.address()});
         until_ready(true, kReadyMs);
         std::atomic<int> whole{0}, running{2 * kLong};
@@ -304,10 +310,10 @@
             "{:.1f} s, {:.0f} MB at most of {:.0f}\n",
             2 * kLong, mb, whole.load(), seconds, peak, kMemoryMb);
         out["size"] = {{"whole", whole.load()}, {"of", 2 * kLong}, {"peak_mb", peak}, {"seconds", seconds}};
-        bounds_.hold(whole == 2 * kLong,
-                     fmt::format("{} of {} long exchanges came whole", whole.load(), 2 * kLong));
-        bounds_.hold(a.taken + b.taken == kLong * long_bytes_, "bodies did not come whole to the servers");
-        bounds_.hold(peak <= kMemoryMb, fmt::format("{:.0f} MB of memory", peak));
+        bounds_.expect(whole == 2 * kLong,
+                       fmt::format("{} of {} long exchanges came whole", whole.load(), 2 * kLong));
+        bounds_.expect(a.taken + b.taken == kLong * long_bytes_, "bodies did not come whole to the servers");
+        bounds_.expect(peak <= kMemoryMb, fmt::format("{:.0f} MB of memory", peak));
     }
     // One request and its answer. True where the answer came whole.
     bool exchange(int number, bool has_body) {
@@ -353,7 +359,7 @@
     std::string address_, admin_;
     int starts_ = 0;
     std::vector<double> calls_ms_;
-    Bounds bounds_;
+    Expectations bounds_;
 };
 
 }    // namespace
--- a/testbed/experiments/plans.cpp
+++ b/testbed/experiments/plans.cpp
@@ -38,8 +38,8 @@
 constexpr double kSlackSeconds = 0.15;
 
 // Ceilings as high as the quotas, so that customers who ask for more than those are always at them.
-const std::vector<RigPlan> kPlans = {{"equipo", 8.0, 24.0, 9.0, 27.0, 2.7},
-                                     {"empresa", 20.0, 60.0, 22.0, 66.0, 6.6}};
+const std::vector<FixturePlan> kPlans = {{"equipo", 8.0, 24.0, 9.0, 27.0, 2.7},
+                                         {"empresa", 20.0, 60.0, 22.0, 66.0, 6.6}};
 
 struct Try {
     int customer = 0, units = 0;
@@ -53,24 +53,24 @@
     std::uint64_t asked = 0, answered = 0, broken = 0, changes = 0, refused = 0, kills = 0;
 };
 
-class Experiment : Rig {
+class Experiment : GatewayFixture {
 public:
     Experiment(std::string programs, std::uint64_t seed, double seconds)
-        : Rig({"plans", std::move(programs), seed, kGateways, 4, kMostUnits, kPlans},
-              [this](int, std::string_view target, TimePoint at) { record(target, at); }),
+        : GatewayFixture({"plans", std::move(programs), seed, kGateways, 4, kMostUnits, kPlans},
+                         [this](int, std::string_view target, TimePoint at) { record(target, at); }),
           seconds_(seconds),
           random_(seed),
           billing_(seed) {
-        std::filesystem::create_directories(folder_ / "journal");
+        std::filesystem::create_directories(directory_ / "journal");
     }
     ~Experiment() override { stop_thread(); }
 
     int run() {
-        store_port_ = free_port();
-        store_ =
-            std::make_unique<Process>(std::vector<std::string>{s_.programs + "/counter_stand_in", "--port",
-                                                               std::to_string(store_port_)},
-                                      std::map<std::string, std::string>{}, (folder_ / "store.log").string());
+        store_port_ = find_free_port();
+        store_ = std::make_unique<Process>(
+            std::vector<std::string>{settings_.program_directory + "/counter_stand_in", "--port",
+                                     std::to_string(store_port_)},
+            std::map<std::string, std::string>{}, (directory_ / "store.log").string());
         for (int g = 0; g < kGateways; ++g) start_gateway(g, cue(g, false));
         start_thread();
         phase("shared counter only", seconds_);
@@ -85,14 +85,14 @@
             kill_gateway();
             kill_exporter();
         });
-        sync_do([this] { loaded_ = changing_ = killing_ = false; });
-        wait(2.6);    // the last answers
-        sync_do([this] {
-            for (auto& g : gateways_) g->signal(SIGTERM);
+        run_task_on_reactor([this] { loaded_ = changing_ = killing_ = false; });
+        sleep_for(2.6);    // the last answers
+        run_task_on_reactor([this] {
+            for (auto& g : gateways_) g->send_signal(SIGTERM);
         });
-        wait(1.2);
-        sync_do([this] {
-            for (auto& g : gateways_) orderly_ = g->end() == 0 && orderly_;
+        sleep_for(1.2);
+        run_task_on_reactor([this] {
+            for (auto& g : gateways_) orderly_ = g->terminate() == 0 && orderly_;
         });
         exporter_.reset();
         billing_.faults({});
@@ -111,7 +111,7 @@
             "plans: {{\n\tbook: \"{0}/book{1}\"\n\tkeeper: {2}\n\tprecedence: \"book\"\n\tcontrol: "
             "\"{0}/c{1}\"\n"
             "\tlead: \"1500ms\"\n}}\n",
-            folder_.string(), g, g == 0);
+            directory_.string(), g, g == 0);
         return text + usage_cue();
     }
     std::string usage_cue() const {
@@ -121,12 +121,12 @@
             "\tendpoint: \"{1}\"\n\tevery: \"100ms\"\n\tcheck_every: \"300ms\"\n\ttimeout: "
             "\"300ms\"\n\tlines: 20\n"
             "\tplans: [\"equipo\", \"empresa\"]\n\tclasses: [\"claim-read\"]\n}}\n",
-            folder_.string(), billing_.url());
+            directory_.string(), billing_.url());
     }
     void restart_all(bool all) {
-        sync_do([this] { loaded_ = false; });
-        wait(2.4);
-        sync_do([&] {
+        run_task_on_reactor([this] { loaded_ = false; });
+        sleep_for(2.4);
+        run_task_on_reactor([&] {
             for (int g = 0; g < kGateways; ++g) {
                 start_gateway(g, cue(g, all));
             }
@@ -134,19 +134,19 @@
         });
     }
     void start_exporter() {
-        const auto file = folder_ / "usage.cue";
+        const auto file = directory_ / "usage.cue";
         std::ofstream(file) << usage_cue();
         exporter_ = std::make_unique<Process>(
-            std::vector<std::string>{s_.programs + "/shaletray", "usage", "--settings", file.string(), "run",
-                                     "--all"},
+            std::vector<std::string>{settings_.program_directory + "/shaletray", "usage", "--settings",
+                                     file.string(), "run", "--all"},
             std::map<std::string, std::string>{{"SHALETRAY_SETTINGS", file.string()}},
-            (folder_ / fmt::format("exporter.{}.log", ++exporters_)).string());
+            (directory_ / fmt::format("exporter.{}.log", ++exporters_)).string());
     }
     int tool(const std::vector<std::string>& words) {
-        std::string line =
-            fmt::format("SHALETRAY_SETTINGS='{}/usage.cue' '{}/shaletray'", folder_.string(), s_.programs);
+        std::string line = fmt::format("SHALETRAY_SETTINGS='{}/usage.cue' '{}/shaletray'",
+                                       directory_.string(), settings_.program_directory);
         for (const std::string& word : words) line += " " + word;
-        return std::system((line + " > '" + (folder_ / "tool.log").string() + "' 2>&1").c_str());
+        return std::system((line + " > '" + (directory_ / "tool.log").string() + "' 2>&1").c_str());
     }
     bool export_all() {
         for (int i = 0; i < 20; ++i)
@@ -158,9 +158,9 @@
     void kill_gateway() {
         if (!killing_) return;
         const int g = static_cast<int>(random_() % kGateways);
-        after(real(0.8, 2.0), [this] { kill_gateway(); });
-        if (!callers_[g]) return;    // it is just starting
-        leaving_.push_back(std::exchange(callers_[g], nullptr));
+        schedule_after(real(0.8, 2.0), [this] { kill_gateway(); });
+        if (!load_clients_[g]) return;    // it is just starting
+        leaving_.push_back(std::exchange(load_clients_[g], nullptr));
         gateways_[static_cast<std::size_t>(g)]->kill();
         ++phases_.back().kills;
         start_gateway(g, cue(g, true));
@@ -172,14 +172,14 @@
         start_exporter();
         if (random_() % 4 == 0) billing_.copy();
         if (random_() % 6 == 0) billing_.replace();
-        after(real(0.3, 1.2), [this] { kill_exporter(); });
+        schedule_after(real(0.3, 1.2), [this] { kill_exporter(); });
     }
     // From this thread, as an operator does it. Nothing where the gateway does not answer.
     Json ask(int g, const Json& what) {
         try {
             Poco::Net::StreamSocket socket;
             socket.connect(Poco::Net::SocketAddress(Poco::Net::SocketAddress::UNIX_LOCAL,
-                                                    (folder_ / fmt::format("c{}", g)).string()),
+                                                    (directory_ / fmt::format("c{}", g)).string()),
                            Poco::Timespan(0, 300000));
             socket.setReceiveTimeout(Poco::Timespan(1, 0));
             const std::string line = what.dump() + "\n";
@@ -209,7 +209,7 @@
         };
         std::string subject;
         if (pick(6) == 0) {
-            const RigPlan& p = kPlans[static_cast<std::size_t>(pick(2))];
+            const FixturePlan& p = kPlans[static_cast<std::size_t>(pick(2))];
             const double by = 0.7 + 0.1 * pick(7);
             subject = "plan:" + p.name;
             c.update({{"kind", "define"},
@@ -217,9 +217,9 @@
                       {"like", p.name},
                       {"rate", p.rate * by},
                       {"burst", p.burst * by},
-                      {"ceiling_rate", p.ceiling_rate * by},
-                      {"ceiling_burst", p.ceiling_burst * by},
-                      {"ceiling_slack", p.ceiling_slack}});
+                      {"ceiling_rate", p.rate_limit * by},
+                      {"ceiling_burst", p.rate_limit_burst * by},
+                      {"ceiling_slack", p.rate_limit_slack}});
         } else if (pick(6) == 0) {
             const std::string id = fmt::format("batch{}", requests_made_);
             const std::int64_t now = clock_.now().time_since_epoch().count();
@@ -228,14 +228,14 @@
             c.update({{"kind", "reserve"},
                       {"id", id},
                       {"customer",
-                       plans::customer_text(plans::CustomerId{static_cast<std::uint64_t>(customer + 1)})},
+                       plans::format_customer(plans::CustomerId{static_cast<std::uint64_t>(customer + 1)})},
                       {"units", 4.0},
                       {"from", now + 2'500'000},
                       {"until", now + 6'000'000},
                       {"plan", "equipo"}});
         } else {
             const std::string id =
-                plans::customer_text(plans::CustomerId{static_cast<std::uint64_t>(pick(kCustomers) + 1)});
+                plans::format_customer(plans::CustomerId{static_cast<std::uint64_t>(pick(kCustomers) + 1)});
             subject = "customer:" + id;
             c.update({{"kind", "assign"}, {"customer", id}, {"plan", pick(2) ? "empresa" : "equipo"}});
         }
@@ -248,13 +248,13 @@
         else if (answer.is_object() && answer.contains("newest")) newest_[subject] = answer["newest"];
         if (made && c["kind"] == "reserve") {
             const int customer =
-                static_cast<int>(*plans::read_customer(c["customer"].get<std::string>())) - 1;
-            sync_do([&] {
+                static_cast<int>(*plans::parse_customer(c["customer"].get<std::string>())) - 1;
+            run_task_on_reactor([&] {
                 reservations_[customer] = {c["id"].get<std::string>(),
                                            TimePoint(Duration(c["from"].get<std::int64_t>()))};
             });
         }
-        sync_do([&] { ++(made ? phases_.back().changes : phases_.back().refused); });
+        run_task_on_reactor([&] { ++(made ? phases_.back().changes : phases_.back().refused); });
     }
 
     // ---- load ----
@@ -263,10 +263,11 @@
         if (!loaded_ || load != load_) return;
         // Each asks for about as much as the larger plan gives; a third of them far more.
         const double rate = customer % 3 == 0 ? 36.0 : customer % 3 == 1 ? 12.0 : 4.0;
-        after(-std::log(real(1e-9, 1.0)) * 1.5 / rate, [this, customer, load] { arrive(customer, load); });
+        schedule_after(-std::log(real(1e-9, 1.0)) * 1.5 / rate,
+                       [this, customer, load] { arrive(customer, load); });
         int g = static_cast<int>(random_() % kGateways);
-        for (int k = 0; k < kGateways && !callers_[g]; ++k) g = (g + 1) % kGateways;
-        if (!callers_[g]) return;
+        for (int k = 0; k < kGateways && !load_clients_[g]; ++k) g = (g + 1) % kGateways;
+        if (!load_clients_[g]) return;
         const std::size_t number = tries_.size();
         Try t;
         t.customer = customer;
@@ -284,7 +285,7 @@
             "Cookie: customer={:016x}\r\nX-Call-Terms: units={},spread={},first=0\r\nX-Time-Left: "
             "2000m\r\n{}\r\n",
             number, number + 1, customer + 1, t.units, kGateways, reservation);
-        callers_[g]->ask(request, [this, at, number](int status, Duration) {
+        load_clients_[g]->send_request(request, [this, at, number](int status, Duration) {
             ++phases_[at].answered;
             if (status == 200 || status == 429) tries_[number].answered = true;
             else ++phases_[at].broken;
@@ -305,13 +306,13 @@
     }
     void phase(
         const std::string& name, double seconds, const std::function<void()>& what = [] {}) {
-        if (!wait_for([this] { return all_ready(); }, 6.0))
+        if (!wait_until([this] { return all_ready(); }, 6.0))
             throw std::runtime_error("the gateways do not come up");
         double before = 0.0;
-        sync_do([&] {
+        run_task_on_reactor([&] {
             phases_.push_back({});
             phases_.back().name = name;
-            before = cpu();
+            before = gateway_cpu_seconds();
             what();
             if (!std::exchange(loaded_, true)) {
                 ++load_;
@@ -321,12 +322,12 @@
         const TimePoint from = clock_.now();
         while (secs(clock_.now() - from) < seconds) {
             if (changing_) change();
-            wait(changing_ ? 0.12 : 0.05);
+            sleep_for(changing_ ? 0.12 : 0.05);
         }
-        sync_do([&] {
+        run_task_on_reactor([&] {
             Phase& p = phases_.back();
             p.seconds = secs(clock_.now() - from);
-            p.cpu = cpu() - before;
+            p.cpu = gateway_cpu_seconds() - before;
         });
     }
 
@@ -338,7 +339,8 @@
         bool operator==(const Sum&) const = default;
     };
     static void add_line(const Json& line, std::map<Key, Sum>& to, std::uint64_t& redeemed) {
-        const int customer = static_cast<int>(*plans::read_customer(line["customer"].get<std::string>())) - 1;
+        const int customer =
+            static_cast<int>(*plans::parse_customer(line["customer"].get<std::string>())) - 1;
         Sum& sum = to[{customer, line["plan_version"].get<std::uint64_t>()}];
         sum.rows += line["rows"].get<std::uint64_t>();
         sum.units += std::llround(line["units"].get<double>() * 1e6);
@@ -350,7 +352,7 @@
         std::map<Key, Sum> filed, received;
         std::set<std::pair<std::uint64_t, std::uint64_t>> lines;
         std::uint64_t duplicates = 0, redeemed = 0, ignored = 0;
-        for (const auto& entry : std::filesystem::directory_iterator(folder_ / "out")) {
+        for (const auto& entry : std::filesystem::directory_iterator(directory_ / "out")) {
             if (entry.path().extension() != ".jsonl") continue;
             std::ifstream in(entry.path());
             for (std::string text; std::getline(in, text);) {
@@ -367,20 +369,20 @@
             }
         }
         // What the servers saw, by the plan versions that may have been in force when it was taken.
-        plans::BookSettings b;
-        for (const RigPlan& p : kPlans) {
+        plans::PlanTableSettings b;
+        for (const FixturePlan& p : kPlans) {
             decision::PlanSettings platform;
             platform.name = p.name;
             platform.rate = p.rate;
             platform.burst = p.burst;
-            platform.ceiling_rate = p.ceiling_rate;
-            platform.ceiling_burst = p.ceiling_burst;
-            b.platform.push_back(platform);
+            platform.ceiling_rate = p.rate_limit;
+            platform.ceiling_burst = p.rate_limit_burst;
+            b.platform_plans.push_back(platform);
         }
-        b.book_wins = true;
-        plans::Book book(b);
-        std::ifstream in(folder_ / "book0");
-        for (std::string line; std::getline(in, line);) book.apply(plans::read_change(line));
+        b.table_overrides_request = true;
+        plans::PlanTable book(b);
+        std::ifstream in(directory_ / "book0");
+        for (std::string line; std::getline(in, line);) book.append(plans::parse_change(line));
         std::map<Key, Sum> certain;
         std::map<int, std::vector<std::pair<std::set<std::uint64_t>, std::int64_t>>> unsure;
         std::map<int, Sum> saw, billed;
@@ -389,9 +391,9 @@
             std::set<std::uint64_t> versions;
             for (TimePoint at = t.sent - kApart;
                  at <= std::max(t.sent, std::min(t.seen, t.sent + kHeld)) + kApart; at += 50ms)
-                versions.insert(
-                    book.in_force(plans::CustomerId{static_cast<std::uint64_t>(t.customer + 1)}, 0, at)
-                        .version);
+                versions.insert(book.effective_plan_for(
+                                        plans::CustomerId{static_cast<std::uint64_t>(t.customer + 1)}, 0, at)
+                                    .terms_version);
             saw[t.customer].rows += 1;
             saw[t.customer].units += t.units * 1'000'000LL;
             if (versions.size() == 1) {
@@ -492,7 +494,7 @@
         for (const std::string& what : broken) fmt::print("BROKEN: {}\n", what);
         const Json out = {
             {"experiment", "plans"},
-            {"seed", s_.seed},
+            {"seed", settings_.seed},
             {"rows", rows},
             {"units", static_cast<double>(units) / 1e6},
             {"seen_by_servers", seen_.size()},
@@ -510,7 +512,7 @@
             {"cpu_us_per_request_on", 1e6 * cpu_on},
             {"added_cpu", cpu_on / cpu_plain - 1.0},
             {"requests_per_s_per_gateway", static_cast<double>(on.asked) / on.seconds / kGateways},
-            {"bytes_per_row", usage_log::kSlot},
+            {"bytes_per_row", usage_log::kSlotSize},
             {"export_rows_per_s", speed},
             {"open_s", opening},
             {"broken", broken}};
@@ -518,7 +520,7 @@
         return broken.empty() ? 0 : 1;
     }
     // Against a bucket by the largest ceiling that any gateway may have gone by.
-    double worst_overshoot(const plans::Book& book) {
+    double worst_overshoot(const plans::PlanTable& book) {
         double worst = 0.0;
         std::vector<std::size_t> order = seen_;
         std::sort(order.begin(), order.end(),
@@ -532,7 +534,8 @@
                 double rate = 0.0, cap = 0.0;
                 for (TimePoint at = t.seen - kApart; at <= t.seen + kApart; at += 50ms) {
                     const auto f =
-                        book.in_force(plans::CustomerId{static_cast<std::uint64_t>(c + 1)}, 0, at).figures;
+                        book.effective_plan_for(plans::CustomerId{static_cast<std::uint64_t>(c + 1)}, 0, at)
+                            .terms;
                     rate = std::max(rate, f.ceiling_rate);
                     cap = std::max(cap, f.ceiling_burst);
                 }
@@ -549,50 +552,54 @@
     // ---- the exporter by itself ----
     static std::uint64_t store_rows() {
         static const auto rows =
-            static_cast<std::uint64_t>(environment_number("STORE_ROWS", 400'000, 1000, 2e7));
+            static_cast<std::uint64_t>(number_from_environment("STORE_ROWS", 400'000, 1000, 2e7));
         return rows;
     }
     usage::CollectorSettings bulk() const {
         usage::CollectorSettings c;
-        c.journal = (folder_ / "bulk").string();
-        c.store = (folder_ / "bulk.db").string();
-        c.lines = 20'000;
+        c.journal_directory = (directory_ / "bulk").string();
+        c.store_path = (directory_ / "bulk.db").string();
+        c.max_batch_lines = 20'000;
         return c;
     }
     // As many rows as lines: the case in which nothing can be added up.
     double export_speed() {
-        usage_log::Files& files = usage_log::real_files();
+        usage_log::FileSystem& files = usage_log::real_file_system();
         const auto c = bulk();
-        std::filesystem::create_directories(c.journal);
-        std::filesystem::create_directories(folder_ / "bulk-out");
+        std::filesystem::create_directories(c.journal_directory);
+        std::filesystem::create_directories(directory_ / "bulk-out");
         const std::uint32_t slots = 65536;
-        usage_log::Writer writer({c.journal, 1, 1, slots, 1000},
-                                 std::make_unique<usage_log::Segment>(
-                                     files, c.journal, usage_log::SegmentHead{1, slots, 1, 0, 1}));
-        usage_log::Use use;
+        usage_log::SegmentWriter writer(
+            {c.journal_directory, 1, 1, slots, 1000},
+            std::make_unique<usage_log::Segment>(files, c.journal_directory,
+                                                 usage_log::SegmentHeader{1, slots, 1, 0, 1}));
+        usage_log::UsageRecord use;
         for (std::uint64_t i = 0; i < store_rows(); ++i) {
-            if (writer.wants_next())
-                writer.take_next(std::make_unique<usage_log::Segment>(files, c.journal, writer.next_head()));
+            if (writer.needs_next_segment())
+                writer.set_next_segment(std::make_unique<usage_log::Segment>(files, c.journal_directory,
+                                                                             writer.next_segment_header()));
             use.customer = usage_log::CustomerId{(i * 7919) % 100'003};
-            use.at = TimePoint(Duration(static_cast<std::int64_t>(1'700'000'000'000'000ULL + i * 6000)));
-            use.units = 1'500'000;
+            use.admitted_at =
+                TimePoint(Duration(static_cast<std::int64_t>(1'700'000'000'000'000ULL + i * 6000)));
+            use.unit_millionths = 1'500'000;
             writer.append(use);
         }
-        writer.close(files);
+        writer.close_segments(files);
         const auto began = std::chrono::steady_clock::now();
-        usage::Collector collector(c, files);
-        collector.ingest();
-        collector.seal(clock_.now(), true);
-        usage::FileExport(collector, files, (folder_ / "bulk-out").string(), usage::Form::JsonLines, {})
-            .run();
+        usage::UsageCollector collector(c, files);
+        collector.ingest_records();
+        collector.seal_batches(clock_.now(), true);
+        usage::FileExport(collector, files, (directory_ / "bulk-out").string(),
+                          usage::ExportFormat::JsonLines, {})
+            .export_batches();
         const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
         // The last segment's writer is this process still; its rows count once it lets go.
-        return static_cast<double>(collector.exported().rows) / took;
+        return static_cast<double>(collector.exported_totals().record_count) / took;
     }
     double opening_time() const {
         const auto began = std::chrono::steady_clock::now();
-        usage::Collector collector(bulk(), usage_log::real_files());
-        const std::uint64_t sealed = collector.sealed();
+        usage::UsageCollector collector(bulk(), usage_log::real_file_system());
+        const std::uint64_t sealed = collector.last_sealed_batch();
         const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
         return sealed > 0 ? took : 1e9;
     }
@@ -607,7 +614,7 @@
         seen_;                        // tries, in the order in which workers saw them, since records are kept
     std::set<std::size_t> before_;    // those of the time before
     std::vector<Phase> phases_;
-    std::vector<std::shared_ptr<Caller>> leaving_;
+    std::vector<std::shared_ptr<HttpLoadClient>> leaving_;
     std::map<std::string, std::uint64_t> newest_;
     std::map<int, std::pair<std::string, TimePoint>> reservations_;    // by customer
     int load_ = 0, exporters_ = 0, reconciled_ = 1;
--- a/testbed/experiments/quota_state.cpp
+++ b/testbed/experiments/quota_state.cpp
@@ -21,17 +21,17 @@
 using namespace std::chrono_literals;
 using limits::CustomerId;
 using limits::Duration;
-using limits::Ledger;
+using limits::QuotaStateTable;
 using limits::TimePoint;
-using shared_counter::Exchange;
-using shared_counter::Replies;
+using shared_counter::RespReader;
+using shared_counter::StoreExchange;
 
 constexpr int kGateways = 3;
 
 struct Gateway {
-    std::unique_ptr<Ledger> ledger;
-    shared_counter::CounterStats stats;
-    std::unique_ptr<Exchange> exchange;
+    std::unique_ptr<QuotaStateTable> ledger;
+    shared_counter::SharedCounterStatistics stats;
+    std::unique_ptr<StoreExchange> exchange;
     std::uint64_t requests = 0;
 };
 
@@ -53,7 +53,7 @@
         }
         const std::size_t full = mallinfo2().uordblks;
         std::size_t tracked = 0;
-        for (const Gateway& g : gateways_) tracked += g.ledger->stats(now_).customers;
+        for (const Gateway& g : gateways_) tracked += g.ledger->statistics(now_).tracked_customers;
         const double bytes =
             static_cast<double>(full - empty) / static_cast<double>(std::max<std::size_t>(1, tracked));
         // Then some of them only, at a hundred requests a second a gateway.
@@ -66,16 +66,18 @@
         for (const Gateway& g : gateways_) {
             requests += g.requests;
             calls += g.stats.calls;
-            live += g.ledger->stats(now_).live;
-            alone += g.ledger->stats(now_).alone;
-            left += g.ledger->stats(now_).customers;
+            live += g.ledger->statistics(now_).exchanging_customers;
+            alone += g.ledger->statistics(now_).isolated_customers;
+            left += g.ledger->statistics(now_).tracked_customers;
         }
         const double per_request = 1e6 * took / static_cast<double>(requests);
         // A gateway starts anew: until half of what is in use is shared with it again.
-        const std::size_t before = gateways_[0].ledger->stats(now_).live;
+        const std::size_t before = gateways_[0].ledger->statistics(now_).exchanging_customers;
         start(0);
         const TimePoint restarted = now_;
-        while (gateways_[0].ledger->stats(now_).live < before / 2 && now_ - restarted < 60s) serve(100ms);
+        while (gateways_[0].ledger->statistics(now_).exchanging_customers < before / 2 &&
+               now_ - restarted < 60s)
+            serve(100ms);
         const double back = std::chrono::duration<double>(now_ - restarted).count();
         const double calls_per_request = static_cast<double>(calls) / static_cast<double>(requests);
         fmt::print("customers seen          {:>12}\nin use                  {:>12}\n", customers_, active_);
@@ -110,9 +112,9 @@
 private:
     void start(int i) {
         Gateway& g = gateways_[static_cast<std::size_t>(i)];
-        limits::LedgerSettings s;
-        s.me = i;
-        s.gateways = kGateways;
+        limits::QuotaTableSettings s;
+        s.own_index = i;
+        s.gateway_count = kGateways;
         // One that its customers hardly use, and one so narrow that shares have to go where they ask.
         s.plans.resize(2);
         for (const std::size_t narrow : {0, 1}) {
@@ -121,41 +123,42 @@
             s.plans[narrow].ceiling_rate = 2 * s.plans[narrow].rate;
             s.plans[narrow].ceiling_burst = 2 * s.plans[narrow].burst;
         }
-        s.most_units = 4.0;
+        s.max_request_units = 4.0;
         s.incarnation =
             static_cast<std::uint64_t>(now_.time_since_epoch().count()) + static_cast<std::uint64_t>(i);
-        s.most_customers = customers_;
+        s.max_customers = customers_;
         g.exchange.reset();
-        g.ledger = std::make_unique<Ledger>(s, now_);
-        shared_counter::ExchangeSettings e;
-        shared_counter::SessionSettings one;
-        one.prefix = "x";
-        one.me = i;
-        one.gateways = kGateways;
+        g.ledger = std::make_unique<QuotaStateTable>(s, now_);
+        shared_counter::StoreExchangeSettings e;
+        shared_counter::StoreSessionSettings one;
+        one.key_prefix = "x";
+        one.own_index = i;
+        one.gateway_count = kGateways;
         e.stores = {one};
-        g.exchange = std::make_unique<Exchange>(e, *g.ledger, g.stats);
+        g.exchange = std::make_unique<StoreExchange>(e, *g.ledger, g.stats);
     }
     static int narrow(std::size_t id) { return id % 4 == 0; }
     void ask(int i, std::size_t id) {
         Gateway& g = gateways_[static_cast<std::size_t>(i)];
         ++g.requests;
-        if (g.ledger->asked(CustomerId{id + 1}, narrow(id), 0, kGateways, 1.0, now_))
-            g.ledger->admitted(CustomerId{id + 1}, 1.0, now_);
+        if (g.ledger->on_request(CustomerId{id + 1}, narrow(id), 0, kGateways, 1.0, now_))
+            g.ledger->record_admission(CustomerId{id + 1}, 1.0, now_);
     }
     void tick() {
         next_tick_ = now_ + 25ms;
         for (Gateway& g : gateways_) {
             std::vector<limits::Allowance> changed;
             g.ledger->tick(now_, changed);
-            shared_counter::Session& session = g.exchange->at(0);
+            shared_counter::StoreSession& session = g.exchange->session_at(0);
             if (session.wants_connection(now_)) {
-                session.dialling(now_);
-                session.connected(now_);
+                session.on_dialling(now_);
+                session.on_connected(now_);
             }
             g.exchange->tick(now_);
-            Replies commands;
+            RespReader commands;
             commands.feed(session.take_output());
-            while (const auto command = commands.next()) session.received(board_.answer(*command), now_);
+            while (const auto command = commands.next_reply())
+                session.on_received(board_.answer(*command), now_);
         }
     }
     void serve(Duration time) {
--- a/testbed/experiments/shared_counter.cpp
+++ b/testbed/experiments/shared_counter.cpp
@@ -36,11 +36,11 @@
 constexpr const char* kWays[] = {"even", "one", "flood", "small"};
 
 constexpr double slack_of(double ceiling_burst) { return std::max(kMostUnits, 0.1 * ceiling_burst); }
-const std::vector<RigPlan> kPlans = {{"equipo", 8.0, 24.0, 0.0, 0.0, 0.0},
-                                     {"empresa", 8.0, 24.0, 16.0, 48.0, slack_of(48.0)},
-                                     {"tight", 8.0, 24.0, 10.0, 30.0, slack_of(30.0)},
-                                     {"small", 2.0, 6.0, 3.4, 5.0, slack_of(5.0)}};
-using Plan = RigPlan;
+const std::vector<FixturePlan> kPlans = {{"equipo", 8.0, 24.0, 0.0, 0.0, 0.0},
+                                         {"empresa", 8.0, 24.0, 16.0, 48.0, slack_of(48.0)},
+                                         {"tight", 8.0, 24.0, 10.0, 30.0, slack_of(30.0)},
+                                         {"small", 2.0, 6.0, 3.4, 5.0, slack_of(5.0)}};
+using Plan = FixturePlan;
 
 struct Bucket {
     double rate = 0.0, burst = 0.0, level = 0.0, lowest = 1e300;
@@ -58,7 +58,7 @@
     Way way{};
     int plan = 0, home = 0;
     double load = 0.0;    // units a second
-    Bucket ceiling, quota;
+    Bucket ceiling, quota_rate;
     bool seen = false;
 };
 
@@ -76,11 +76,11 @@
     double calls_per_s = 0.0;
 };
 
-class Experiment : Rig {
+class Experiment : GatewayFixture {
 public:
     Experiment(std::string programs, std::uint64_t seed, double seconds)
-        : Rig({"counter", std::move(programs), seed, kGateways, 4, kMostUnits, kPlans},
-              [this](int, std::string_view target, TimePoint at) { record(target, at); }),
+        : GatewayFixture({"counter", std::move(programs), seed, kGateways, 4, kMostUnits, kPlans},
+                         [this](int, std::string_view target, TimePoint at) { record(target, at); }),
           seconds_(seconds),
           random_(seed) {
         customers();
@@ -88,26 +88,27 @@
     ~Experiment() override { stop_thread(); }
 
     int run() {
-        for (int i = 0; i < 2; ++i) ports_.push_back(free_port());
+        for (int i = 0; i < 2; ++i) ports_.push_back(find_free_port());
         stores_.resize(2);
         for (std::size_t i = 0; i < 2; ++i) start_store(i);
         for (int g = 0; g < kGateways; ++g)
             for (std::size_t i = 0; i < 2; ++i)
-                relays_[{g, i}] = std::make_unique<Relay>(reactor_, fmt::format("127.0.0.1:{}", ports_[i]));
+                relays_[{g, i}] =
+                    std::make_unique<FaultProxy>(reactor_, fmt::format("127.0.0.1:{}", ports_[i]));
         // Without a counter first: what it costs is against this.
         for (int g = 0; g < kGateways; ++g) start_gateway(g, false);
         start_thread();
         phase("calm, no counter", [this] { calm_ = true; });
-        sync_do([this] { loaded_ = loading_ = false; });
-        wait(2.2);    // the last answers
-        sync_do([this] {
+        run_task_on_reactor([this] { loaded_ = loading_ = false; });
+        sleep_for(2.2);    // the last answers
+        run_task_on_reactor([this] {
             for (int g = 0; g < kGateways; ++g) start_gateway(g, true);
             counted_ = true;
         });
         phase(
             "they meet", [this] { calm_ = true; }, 1.5);
         phase("calm", [] {});
-        sync_do([this] { calm_ = false; });
+        run_task_on_reactor([this] { calm_ = false; });
         phase("healthy", [] {});
         phase("all killed", [this] {
             for (auto& store : stores_) store->kill();
@@ -118,15 +119,15 @@
         });
         phase("fell back", [this] {
             tell_stores({"FAULT", "KEEP"});
-            after(seconds_ * 0.4, [this] { tell_stores({"FAULT", "FALLBACK"}); });
-            after(seconds_ * 0.7, [this] { tell_stores({"FAULT", "FALLBACK"}); });
+            schedule_after(seconds_ * 0.4, [this] { tell_stores({"FAULT", "FALLBACK"}); });
+            schedule_after(seconds_ * 0.7, [this] { tell_stores({"FAULT", "FALLBACK"}); });
         });
         phase("split", [this] {
-            relays_[{0, 1}]->cut(true);
-            for (int g = 1; g < kGateways; ++g) relays_[{g, 0}]->cut(true);
+            relays_[{0, 1}]->set_partitioned(true);
+            for (int g = 1; g < kGateways; ++g) relays_[{g, 0}]->set_partitioned(true);
         });
         phase("healed", [this] {
-            for (auto& [at, relay] : relays_) relay->cut(false);
+            for (auto& [at, relay] : relays_) relay->set_partitioned(false);
         });
         phase("2 s slow, flapping", [this] {
             tell_store(0, {"FAULT", "SLOW", "2000"});
@@ -134,20 +135,20 @@
         });
         phase("gateway killed", [this] {
             tell_stores({"FAULT", "SLOW", "0"});
-            leaving_ = std::exchange(callers_[2], nullptr);    // those it had still hear that it broke
-            excused_ = leaving_ ? leaving_->open() : 0;
+            leaving_ = std::exchange(load_clients_[2], nullptr);    // those it had still hear that it broke
+            excused_ = leaving_ ? leaving_->open_requests() : 0;
             gateways_[2]->kill();
-            after(1.0, [this] { start_gateway(2, true); });
+            schedule_after(1.0, [this] { start_gateway(2, true); });
         });
         phase("wiped", [this] { tell_stores({"FAULT", "WIPE"}); });
-        sync_do([this] { loaded_ = false; });
-        wait(2.5);    // the last answers
-        sync_do([this] {
-            for (auto& gateway : gateways_) gateway->signal(SIGTERM);
+        run_task_on_reactor([this] { loaded_ = false; });
+        sleep_for(2.5);    // the last answers
+        run_task_on_reactor([this] {
+            for (auto& gateway_index : gateways_) gateway_index->send_signal(SIGTERM);
         });
-        wait(1.0);
-        sync_do([this] {
-            for (auto& gateway : gateways_) orderly_ = orderly_ && gateway->end() == 0;
+        sleep_for(1.0);
+        run_task_on_reactor([this] {
+            for (auto& gateway_index : gateways_) orderly_ = orderly_ && gateway_index->terminate() == 0;
         });
         stop_thread();
         return report();
@@ -167,19 +168,21 @@
             const Plan& p = kPlans[static_cast<std::size_t>(c.plan)];
             c.load = p.rate * (c.way == Way::Flood ? 4.0 : c.way == Way::Small ? 2.0 : real(0.75, 0.9));
             // Requests that the ledger has let go may be recorded a little later than they were sent.
-            c.ceiling = {p.ceiling_rate, p.ceiling_burst, 0.0, 1e300, {}};
-            limits::LedgerSettings bounds;
+            c.ceiling = {p.rate_limit, p.rate_limit_burst, 0.0, 1e300, {}};
+            limits::QuotaTableSettings bounds;
             bounds.plans.resize(1);
             bounds.plans[0].rate = p.rate;
             bounds.plans[0].burst = p.burst;
-            bounds.alone_share = kAloneShare;
-            bounds.most_units = kMostUnits;
+            bounds.isolated_quota_share = kAloneShare;
+            bounds.max_request_units = kMostUnits;
             const double starts = p.burst;    // one gateway starts again
             const double burst =
-                limits::Ledger::quota_bound(bounds, 0, kGateways, Duration(0)).apart + starts;
+                limits::QuotaStateTable::admission_bound(bounds, 0, kGateways, Duration(0)).partitioned +
+                starts;
             const double rate =
-                (limits::Ledger::quota_bound(bounds, 0, kGateways, 1s).apart + starts - burst);
-            c.quota = {rate, burst, 0.0, 1e300, {}};
+                (limits::QuotaStateTable::admission_bound(bounds, 0, kGateways, 1s).partitioned + starts -
+                 burst);
+            c.quota_rate = {rate, burst, 0.0, 1e300, {}};
             customers_.push_back(c);
         }
     }
@@ -187,8 +190,9 @@
 
     void start_store(std::size_t i) {
         stores_[i] = std::make_unique<Process>(
-            std::vector<std::string>{s_.programs + "/counter_stand_in", "--port", std::to_string(ports_[i])},
-            std::map<std::string, std::string>{}, (folder_ / fmt::format("store{}.log", i)).string());
+            std::vector<std::string>{settings_.program_directory + "/counter_stand_in", "--port",
+                                     std::to_string(ports_[i])},
+            std::map<std::string, std::string>{}, (directory_ / fmt::format("store{}.log", i)).string());
     }
     void tell_stores(const std::vector<std::string>& words) {
         for (std::size_t i = 0; i < ports_.size(); ++i) tell_store(i, words);
@@ -197,7 +201,7 @@
         try {
             Poco::Net::StreamSocket socket(
                 Poco::Net::SocketAddress("127.0.0.1", static_cast<Poco::UInt16>(ports_[i])));
-            const std::string bytes = shared_counter::write_command(words);
+            const std::string bytes = shared_counter::serialize_command(words);
             socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
             char answer[64];
             socket.receiveBytes(answer, sizeof answer);
@@ -208,11 +212,11 @@
     void flap() {
         if (phases_.back().name != "2 s slow, flapping") return;
         tell_store(1, {"FAULT", "DROP"});
-        after(0.3, [this] { flap(); });
+        schedule_after(0.3, [this] { flap(); });
     }
 
     void start_gateway(int g, bool with_counter) {
-        Rig::start_gateway(
+        GatewayFixture::start_gateway(
             g, with_counter
                    ? fmt::format("counter: {{\n\tstores: [{{address: \"{}\"}}, {{address: \"{}\"}}]\n"
                                  "\tlease: \"{}s\"\n\talone_share: {}\n}}\n",
@@ -220,19 +224,20 @@
                    : std::string());
     }
 
-    static double slack(const Plan& p) { return slack_of(p.ceiling_burst); }
+    static double slack(const Plan& p) { return slack_of(p.rate_limit_burst); }
 
     // ---- load ----
     void arrive(std::size_t id, int load) {
         if (!loaded_ || load != load_) return;
         Customer& c = customers_[id];
         const int units = static_cast<int>(random_() % 2) + 1;
-        after(-std::log(real(1e-9, 1.0)) * 1.5 / c.load, [this, id, load] { arrive(id, load); });
+        schedule_after(-std::log(real(1e-9, 1.0)) * 1.5 / c.load, [this, id, load] { arrive(id, load); });
         // What the counter costs is measured where as much is served with it as without.
         if (calm_ && (c.way == Way::Flood || c.way == Way::Small)) return;
         int g = c.way == Way::OneGateway && !calm_ ? c.home : static_cast<int>(random_() % kGateways);
-        for (int k = 0; k < kGateways && !callers_[g]; ++k) g = (g + 1) % kGateways;    // the front passes on
-        if (!callers_[g]) return;
+        for (int k = 0; k < kGateways && !load_clients_[g]; ++k)
+            g = (g + 1) % kGateways;    // the front passes on
+        if (!load_clients_[g]) return;
         Phase& p = phases_.back();
         p.tallies[c.way].offered += units;
         if (c.way == Way::OneGateway) skewed_.push_back({clock_.now(), static_cast<double>(units), 0.0});
@@ -243,7 +248,7 @@
             "2000m\r\n\r\n",
             id, units, ++requests_, kPlans[static_cast<std::size_t>(c.plan)].name, id + 1, units, kGateways);
         const std::size_t at = phases_.size() - 1;
-        callers_[g]->ask(request, [this, at](int status, Duration) {
+        load_clients_[g]->send_request(request, [this, at](int status, Duration) {
             Phase& of = phases_[at];
             ++of.answered;
             if (status != 200 && status != 429) ++of.none;
@@ -263,13 +268,13 @@
         if (c.way == Way::OneGateway) skewed_.push_back({now, 0.0, static_cast<double>(units)});
         if (!counted_) return;
         if (c.ceiling.rate > 0.0) c.ceiling.take(units, now);
-        c.quota.take(units, now);
+        c.quota_rate.take(units, now);
     }
     std::uint64_t calls() {
-        sync_do([this] {
-            for (auto& g : gateways_) g->signal(SIGUSR1);
+        run_task_on_reactor([this] {
+            for (auto& g : gateways_) g->send_signal(SIGUSR1);
         });
-        wait(0.25);
+        sleep_for(0.25);
         std::uint64_t all = 0;
         for (auto& g : gateways_) {
             const std::string text = g->log_text();
@@ -279,16 +284,16 @@
         return all;
     }
     void phase(const std::string& name, const std::function<void()>& what, double seconds = 0.0) {
-        wait_for([this] { return all_ready(); }, 6.0);
+        wait_until([this] { return all_ready(); }, 6.0);
         const bool healthy = name == "healthy";
         const std::uint64_t calls_before = healthy ? calls() : 0;
         const TimePoint calls_at = clock_.now();
         double cpu_before = 0.0;
-        sync_do([&] {
+        run_task_on_reactor([&] {
             phases_.push_back({});
             phases_.back().name = name;
             phases_.back().from = clock_.now();
-            cpu_before = cpu();
+            cpu_before = gateway_cpu_seconds();
             what();
             loaded_ = true;
             if (!std::exchange(loading_, true)) {
@@ -296,17 +301,17 @@
                 for (std::size_t i = 0; i < customers_.size(); ++i) arrive(i, load_);
             }
         });
-        wait(seconds > 0.0 ? seconds : seconds_);
-        sync_do([&] {
+        sleep_for(seconds > 0.0 ? seconds : seconds_);
+        run_task_on_reactor([&] {
             Phase& p = phases_.back();
             p.to = clock_.now();
             p.seconds = secs(p.to - p.from);
-            p.cpu = cpu() - cpu_before;
+            p.cpu = gateway_cpu_seconds() - cpu_before;
         });
         if (healthy) {
             const double all = static_cast<double>(calls() - calls_before);
             const double time = secs(clock_.now() - calls_at);
-            sync_do([&] { phases_.back().calls_per_s = all / time; });
+            run_task_on_reactor([&] { phases_.back().calls_per_s = all / time; });
         }
     }
 
@@ -336,7 +341,7 @@
     }
 
     int report() {
-        Json out = {{"experiment", "counter"}, {"seed", s_.seed}};
+        Json out = {{"experiment", "counter"}, {"seed", settings_.seed}};
         fmt::print("{:<20} {:>7} {:>7} {:>7} {:>7} {:>8} {:>9} {:>8}\n", "phase", "even", "one", "flood",
                    "small", "requests", "unserved", "cpu us");
         std::uint64_t asked = 0, answered = 0, none = 0;
@@ -356,17 +361,17 @@
             }
             out["admission_of_healthy"][p.name] = admitted;
         }
-        double overshoot = 0.0, quota = 0.0, pressed = 0.0;
+        double overshoot = 0.0, quota_rate = 0.0, pressed = 0.0;
         std::uint64_t lost = 0;
         for (const Phase& p : phases_) lost += p.none;
         for (const Customer& c : customers_) {
             const Plan& p = kPlans[static_cast<std::size_t>(c.plan)];
-            if (p.ceiling_rate > 0.0) {
-                const double allowed = slack(p) + kSlackSeconds * p.ceiling_rate;
+            if (p.rate_limit > 0.0) {
+                const double allowed = slack(p) + kSlackSeconds * p.rate_limit;
                 overshoot = std::max(overshoot, -c.ceiling.lowest / allowed);
                 pressed = std::max(pressed, 1.0 - c.ceiling.lowest / c.ceiling.burst);
             }
-            quota = std::max(quota, 1.0 - c.quota.lowest / c.quota.burst);
+            quota_rate = std::max(quota_rate, 1.0 - c.quota_rate.lowest / c.quota_rate.burst);
         }
         const Phase& plain = named("calm, no counter");
         const Phase& healthy = named("healthy");
@@ -381,7 +386,7 @@
             if (!kept) broken.push_back(what);
         };
         bound(overshoot <= 1.0, "a ceiling was passed beyond its slack");
-        bound(quota <= 1.0, "a quota was passed beyond the stated bound");
+        bound(quota_rate <= 1.0, "a quota was passed beyond the stated bound");
         bound(asked == answered, "a request was left without an answer");
         bound(lost <= excused_, "a request failed at a gateway that was running");
         bound(pressed > 0.5, "no ceiling was ever half used: the load shows nothing");
@@ -394,7 +399,7 @@
         out.update(
             {{"worst_overshoot_of_slack", overshoot},
              {"ceiling_used", pressed},
-             {"quota_of_stated_bound", quota},
+             {"quota_of_stated_bound", quota_rate},
              {"requests", asked},
              {"answered", answered},
              {"unserved", none},
@@ -408,7 +413,7 @@
             "\novershoot {:.2f} of the slack, ceilings used up to {:.2f}; quota {:.2f} of the stated bound; "
             "{:.3f} calls a request; "
             "{:+.1f}% CPU a request; recovery {:.1f} s\n",
-            overshoot, pressed, quota, calls, 100.0 * added, back);
+            overshoot, pressed, quota_rate, calls, 100.0 * added, back);
         for (const std::string& what : broken) fmt::print("BROKEN: {}\n", what);
         fmt::print("{}\n", out.dump());
         return broken.empty() ? 0 : 1;
@@ -418,8 +423,8 @@
     std::mt19937_64 random_;
     std::vector<int> ports_;
     std::vector<std::unique_ptr<Process>> stores_;
-    std::map<std::pair<int, std::size_t>, std::unique_ptr<Relay>> relays_;
-    std::shared_ptr<Caller> leaving_;
+    std::map<std::pair<int, std::size_t>, std::unique_ptr<FaultProxy>> relays_;
+    std::shared_ptr<HttpLoadClient> leaving_;
     std::uint64_t excused_ = 0;    // were open at the gateway that was killed
     std::vector<Customer> customers_;
     std::vector<Phase> phases_;
--- a/testbed/experiments/simulator_reality.cpp
+++ b/testbed/experiments/simulator_reality.cpp
@@ -19,7 +19,7 @@
 
 struct Case {
     ScenarioFile file;
-    Figures model;
+    RunStatistics model;
     LiveFigures live;
     std::string error;
 };
@@ -50,7 +50,7 @@
         cases.push_back(std::move(c));
     }
     const auto at_once = static_cast<std::size_t>(
-        environment_number("AT_ONCE", std::max(1.0, std::thread::hardware_concurrency() / 2.0), 1, 64));
+        number_from_environment("AT_ONCE", std::max(1.0, std::thread::hardware_concurrency() / 2.0), 1, 64));
     std::atomic<std::size_t> next{0};
     std::vector<std::thread> threads;
     for (std::size_t i = 0; i < std::min(at_once, cases.size()); ++i)
@@ -63,9 +63,11 @@
     fmt::print("{:<20} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9} {:>9} {:>9}  {}\n", "scenario", "served",
                "sockets", "refused", "sockets", "p50 ms", "sockets", "p99 ms", "sockets", "");
     for (Case& c : cases) {
-        c.model = run(c.file.scenario, 1);
-        const auto of = [](const Figures& f, const char* name) { return figure_of(f, name).value_or(0.0); };
-        const Figures& live = c.live.figures;
+        c.model = run_scenario(c.file.scenario, 1);
+        const auto of = [](const RunStatistics& f, const char* name) {
+            return statistic_of(f, name).value_or(0.0);
+        };
+        const RunStatistics& live = c.live.figures;
         std::string verdict;
         if (!c.error.empty()) verdict = "BROKEN: " + c.error;
         else if (c.live.ran_late()) verdict = "RAN LATE, not judged";
@@ -73,17 +75,18 @@
             if (verdict.empty() && std::abs(of(c.model, name) - of(live, name)) > kWithin)
                 verdict = fmt::format("BROKEN: {} apart", name);
         for (const auto& [name, rule] : live.rules)
-            if (verdict.empty() && rule.broken > 0) verdict = fmt::format("BROKEN: {}: {}", name, rule.first);
+            if (verdict.empty() && rule.violation_count > 0)
+                verdict = fmt::format("BROKEN: {}: {}", name, rule.first_violation);
         broken = broken || verdict.starts_with("BROKEN");
         late = late || c.live.ran_late();
         fmt::print("{:<20} {:>8.4f} {:>8.4f} {:>8.4f} {:>8.4f} {:>9.1f} {:>9.1f} {:>9.1f} {:>9.1f}  {}\n",
                    c.file.scenario.name, of(c.model, "served"), of(live, "served"), of(c.model, "refused"),
                    of(live, "refused"), c.model.p50_ms, live.p50_ms, c.model.p99_ms, live.p99_ms, verdict);
         nlohmann::json one = {{"scenario", c.file.scenario.name}, {"verdict", verdict}};
-        for (const std::string& name : figure_names())
+        for (const std::string& name : statistic_names())
             one[name] = {of(c.model, name.c_str()), of(live, name.c_str())};
         one["cpu_us_per_request"] =
-            live.tries == 0 ? 0.0 : 1e6 * c.live.cpu_s / static_cast<double>(live.tries);
+            live.client_attempts == 0 ? 0.0 : 1e6 * c.live.cpu_s / static_cast<double>(live.client_attempts);
         out["scenarios"].push_back(one);
     }
     out["broken"] = broken;
--- a/testbed/experiments/simulator_scale.cpp
+++ b/testbed/experiments/simulator_scale.cpp
@@ -31,7 +31,7 @@
                            {"large, calm", 100, 1000, 1'000'000, 100'000.0, true}};
 
 int experiment(std::uint64_t seed) {
-    const double simulated = environment_number("SIM_SECONDS", 2.0, 1.0, 3600.0);
+    const double simulated = number_from_environment("SIM_SECONDS", 2.0, 1.0, 3600.0);
     const std::size_t cores = std::clamp<std::size_t>(std::thread::hardware_concurrency(), 1, 4);
     nlohmann::json out = {{"experiment", "lab-scale"}, {"seed", seed}, {"threads", cores}};
     std::vector<std::string> broken;
@@ -42,55 +42,57 @@
         Scenario s;
         s.name = size.name;
         s.seed = seed;
-        s.gateways = size.gateways;
-        s.servers = size.servers;
-        s.customers = size.customers;
-        s.rate = size.rate;
-        s.fronts = std::max(4, size.gateways);
-        s.rooms = 3;
-        s.model.cores = 8;
+        s.gateway_count = size.gateways;
+        s.server_count = size.servers;
+        s.customer_count = size.customers;
+        s.request_rate = size.rate;
+        s.frontend_count = std::max(4, size.gateways);
+        s.room_count = 3;
+        s.server_model.cores = 8;
         s.plans = {{"equipo", 20.0, 80.0, 0, 0.0, 0.0, 0.0, 1.0, 0.5, 0.2},
                    {"empresa", 60.0, 240.0, 0, 90.0, 360.0, 36.0, 3.0, 0.0, 0.0}};
         if (size.calm) s.plans.clear();
-        s.zipf = 0.6;
+        s.zipf_exponent = 0.6;
         // About the same number of requests in each: what they cost is compared.
-        s.time = Duration(static_cast<std::int64_t>(std::max(2.0, simulated * 50'000.0 / size.rate) * 1e6));
+        s.duration =
+            Duration(static_cast<std::int64_t>(std::max(2.0, simulated * 50'000.0 / size.rate) * 1e6));
         if (size.rate >= 100'000.0)
-            s.time = std::max<Duration>(Duration(static_cast<std::int64_t>(simulated * 1e6 / 2)), 1s);
+            s.duration = std::max<Duration>(Duration(static_cast<std::int64_t>(simulated * 1e6 / 2)), 1s);
         s.faults = {{Fault::Kind::Crash, 500ms, 800ms, 2, -1, 1.0},
-                    {Fault::Kind::Slow, 500ms, 1s, 1, -1, 4.0}};
+                    {Fault::Kind::Slowdown, 500ms, 1s, 1, -1, 4.0}};
         const std::size_t before = mallinfo2().uordblks;
         const auto began = std::chrono::steady_clock::now();
-        const std::size_t threads = fitting_threads(s, cores);
-        const Figures f = run(s, threads);
+        const std::size_t threads = useful_thread_count(s, cores);
+        const RunStatistics f = run_scenario(s, threads);
         const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
         const double mb = static_cast<double>(mallinfo2().arena + mallinfo2().hblkhd - before) / 1e6;
-        const double cost = 1e6 * took * static_cast<double>(threads) / static_cast<double>(f.tries);
+        const double cost =
+            1e6 * took * static_cast<double>(threads) / static_cast<double>(f.client_attempts);
         if (first_cost == 0.0) first_cost = cost;
         if (!size.calm) last_cost = cost;
-        best = std::max(best, static_cast<double>(f.tries) / took);
+        best = std::max(best, static_cast<double>(f.client_attempts) / took);
         fmt::print("{:<8} {:>8} {:>8} {:>10} {:>10} {:>12.0f} {:>12.0f} {:>10.2f} {:>8.3f} {:>7.0f}\n",
-                   size.name, size.gateways, size.servers, size.customers, f.tries,
-                   static_cast<double>(f.tries) / took, static_cast<double>(f.events) / took, cost,
+                   size.name, size.gateways, size.servers, size.customers, f.client_attempts,
+                   static_cast<double>(f.client_attempts) / took, static_cast<double>(f.events) / took, cost,
                    static_cast<double>(f.served) / static_cast<double>(f.requests), mb);
         for (const auto& [name, rule] : f.rules) {
-            if (rule.broken > 0)
-                broken.push_back(
-                    fmt::format("{}: {} of {} broke: {}", name, rule.broken, rule.checked, rule.first));
-            else if (rule.checked == 0) fmt::print("  {}: not checked, as nothing called for it\n", name);
+            if (rule.violation_count > 0)
+                broken.push_back(fmt::format("{}: {} of {} broke: {}", name, rule.violation_count,
+                                             rule.check_count, rule.first_violation));
+            else if (rule.check_count == 0) fmt::print("  {}: not checked, as nothing called for it\n", name);
         }
-        out["sizes"].push_back(
-            {{"name", size.name},
-             {"requests", f.tries},
-             {"requests_per_s", static_cast<double>(f.tries) / took},
-             {"requests_per_s_per_core", static_cast<double>(f.tries) / took / static_cast<double>(threads)},
-             {"events_per_s", static_cast<double>(f.events) / took},
-             {"core_us_per_request", cost},
-             {"customers_seen", f.customers_seen},
-             {"megabytes", mb}});
+        out["sizes"].push_back({{"name", size.name},
+                                {"requests", f.client_attempts},
+                                {"requests_per_s", static_cast<double>(f.client_attempts) / took},
+                                {"requests_per_s_per_core", static_cast<double>(f.client_attempts) / took /
+                                                                static_cast<double>(threads)},
+                                {"events_per_s", static_cast<double>(f.events) / took},
+                                {"core_us_per_request", cost},
+                                {"customers_seen", f.distinct_customers},
+                                {"megabytes", mb}});
         if (size.gateways == 3) {
-            s.time = std::min<Duration>(s.time, 3s);
-            if (run(s, 1).digest != run(s, 4).digest)
+            s.duration = std::min<Duration>(s.duration, 3s);
+            if (run_scenario(s, 1).digest != run_scenario(s, 4).digest)
                 broken.push_back("one thread and four give another result");
         }
     }
--- a/testbed/live_run.cpp
+++ b/testbed/live_run.cpp
@@ -52,22 +52,22 @@
 
 // ---- servers ----
 
-class LiveServer : public ServerWorld {
+class LiveServer : public ServerEnvironment {
 public:
     LiveServer(Live& of, int number);
     ~LiveServer() override { cut(); }
 
     void trouble(const Fault& fault, bool begins);
     std::string address() const { return fmt::format("127.0.0.1:{}", port_); }
-    Figures& figures() { return server_.figures; }
-    void begins_at(TimePoint start) { server_.begins_at(start); }
+    RunStatistics& figures() { return server_.statistics; }
+    void begins_at(TimePoint start) { server_.set_start(start); }
 
 private:
     class Connection : public StreamOwner {
     public:
         Connection(LiveServer& of, std::uint64_t number);
         void on_input() override { server.serve(*this); }
-        void on_broken() override { server.forget(*this); }
+        void on_disconnected() override { server.forget(*this); }
 
         LiveServer& server;
         std::uint64_t number;
@@ -82,14 +82,14 @@
     void forget(Connection& c);
     void reply(Connection& c, std::string bytes);
 
-    TimePoint now() const override;
-    void wake(TimePoint at, std::uint64_t number) override;
-    void answer(const JobId& job, Outcome outcome) override;
+    TimePoint current_time() const override;
+    void schedule_wakeup(TimePoint at, std::uint64_t number) override;
+    void send_answer(const JobId& job, Outcome outcome) override;
 
     Live& live_;
     int number_;
     int port_ = 0;
-    std::unique_ptr<Acceptor> acceptor_;
+    std::unique_ptr<TestListener> acceptor_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Connection>> connections_;
     std::uint64_t last_ = 0;
     std::uint64_t life_ = 0;    // timers of an earlier one are void
@@ -101,13 +101,13 @@
 class LiveDiscovery {
 public:
     LiveDiscovery(Live& of, Reactor& reactor) : live_(of), reactor_(reactor) {
-        acceptor_ = std::make_unique<Acceptor>(reactor, 0, [this](const auto& socket) {
+        acceptor_ = std::make_unique<TestListener>(reactor, 0, [this](const auto& socket) {
             watchers_.push_back(std::make_unique<Watcher>(*this, reactor_));
-            watchers_.back()->stream.adopt(socket);
+            watchers_.back()->stream.attach(socket);
         });
     }
     ~LiveDiscovery() {
-        for (const auto& w : watchers_) reactor_.cancel(w->beat);
+        for (const auto& w : watchers_) reactor_.cancel_timer(w->beat);
     }
     std::string address() const { return acceptor_->address(); }
     void change(int server, decision::HostState state, std::int64_t up_since_ms);
@@ -118,7 +118,7 @@
         Watcher(LiveDiscovery& of, Reactor& reactor)
             : owner(of), stream(reactor, *this), parser(http::Parser::Kind::Request) {}
         void on_input() override { owner.serve(*this); }
-        void on_broken() override { owner.forget(*this); }
+        void on_disconnected() override { owner.forget(*this); }
         LiveDiscovery& owner;
         Stream stream;
         http::Parser parser;
@@ -139,7 +139,7 @@
 
     Live& live_;
     Reactor& reactor_;
-    std::unique_ptr<Acceptor> acceptor_;
+    std::unique_ptr<TestListener> acceptor_;
     std::list<std::unique_ptr<Watcher>> watchers_;
     std::map<int, State> changed_;
     std::uint64_t revision_ = 1;
@@ -185,20 +185,20 @@
 
 // ---- fronts ----
 
-class LiveFront : public FrontWorld {
+class LiveFront : public FrontendEnvironment {
 public:
     LiveFront(Live& of, int number);
     Clients& clients() { return *clients_; }
     void begin();
 
 private:
-    TimePoint now() const override;
-    void wake(TimePoint at, std::uint64_t what) override;
-    void ask(const Asked& asked) override;
-    void leave(std::uint64_t request, int gateway) override;
+    TimePoint current_time() const override;
+    void schedule_wakeup(TimePoint at, std::uint64_t what) override;
+    void send_request(const ClientRequest& asked) override;
+    void abandon_request(std::uint64_t request, int gateway_index) override;
 
     struct Out {
-        int gateway = 0, attempt = 0;
+        int gateway_index = 0, attempt = 0;
         std::uint64_t ticket = 0;
     };
     Live& live_;
@@ -222,9 +222,11 @@
         const auto it = asked_.find(id);
         return it != asked_.end() && it->second.reached;
     }
-    void asked(const std::string& id, const Asked& a) { asked_[id] = {a.customer, a.units, a.request}; }
+    void asked(const std::string& id, const ClientRequest& a) {
+        asked_[id] = {a.customer, a.units, a.request_number};
+    }
     void new_for_drained(int server, const std::string& id);
-    double mail_loss() const { return std::max(s_.mail_loss, mail_loss_); }
+    double mail_loss() const { return std::max(s_.peer_message_loss, mail_loss_); }
     void count_mail();
 
     // NOLINTBEGIN(readability-identifier-naming): public to the helpers of this file only; to be renamed
@@ -235,9 +237,9 @@
     Reactor reactor_{clock_, timers_};
     std::mt19937_64 random_;
     TimePoint start_{};
-    Figures figures_;
+    RunStatistics figures_;
     std::vector<std::unique_ptr<LiveServer>> servers_;
-    std::vector<std::unique_ptr<Caller>> callers_;
+    std::vector<std::unique_ptr<HttpLoadClient>> callers_;
     std::vector<double> shares_;
     // NOLINTEND(readability-identifier-naming)
 
@@ -250,7 +252,7 @@
     };
     struct Gateway {
         std::unique_ptr<LiveDiscovery> discovery;
-        std::unique_ptr<Relay> counter;
+        std::unique_ptr<FaultProxy> counter;
         std::unique_ptr<Process> process;
         std::string address, mail;
         double cpu_s = 0.0;
@@ -265,7 +267,7 @@
     void stop();
     std::size_t second() const {
         return std::min(static_cast<std::size_t>(std::max(0.0, secs(clock_.now() - start_))),
-                        figures_.mail_by_second.size() - 1);
+                        figures_.peer_messages_by_second.size() - 1);
     }
 
     bool own_folder_ = false;
@@ -276,7 +278,7 @@
     std::vector<std::unique_ptr<LiveFront>> fronts_;
     std::unordered_map<std::string, Known> asked_;
     std::map<int, TimePoint> drained_;    // when the last gateway was told
-    std::vector<Sent> sent_;
+    std::vector<AdmittedRequestUnits> sent_;
     double mail_loss_ = 0.0;
     int ready_ = 0;
     bool running_ = false;
@@ -291,14 +293,14 @@
 LiveServer::LiveServer(Live& of, int number)
     : live_(of),
       number_(number),
-      server_(of.s_, mix(of.s_.seed, static_cast<std::uint64_t>(number) + 5'000'000), of.start_, *this) {
+      server_(of.s_, mix_hash(of.s_.seed, static_cast<std::uint64_t>(number) + 5'000'000), of.start_, *this) {
     listen();
 }
 
 void LiveServer::listen() {
-    acceptor_ = std::make_unique<Acceptor>(live_.reactor_, port_, [this](const auto& socket) {
+    acceptor_ = std::make_unique<TestListener>(live_.reactor_, port_, [this](const auto& socket) {
         auto connection = std::make_unique<Connection>(*this, ++last_);
-        connection->stream.adopt(socket);
+        connection->stream.attach(socket);
         connections_[last_] = std::move(connection);
     });
     port_ = acceptor_->port();
@@ -313,60 +315,60 @@
 }
 
 void LiveServer::forget(Connection& c) {
-    struct Gone : Retired {    // it may be on the call stack
+    struct Gone : RetiredObject {    // it may be on the call stack
         explicit Gone(std::unique_ptr<Connection> of) : held(std::move(of)) {}
         std::unique_ptr<Connection> held;
     };
-    if (std::exchange(c.busy, false)) server_.called_off({c.number, 0, 0});
+    if (std::exchange(c.busy, false)) server_.on_cancel({c.number, 0, 0});
     const auto it = connections_.find(c.number);
     if (it == connections_.end()) return;
     c.stream.close();
     auto held = std::move(it->second);
     connections_.erase(it);
-    live_.reactor_.retire(std::make_unique<Gone>(std::move(held)));
+    live_.reactor_.destroy_later(std::make_unique<Gone>(std::move(held)));
 }
 
 void LiveServer::serve(Connection& c) {
     if (c.busy) return;
-    const http::Status status = c.parser.parse(c.stream.input());
-    if (status == http::Status::Bad) return forget(c);
-    if (status != http::Status::Done) return;
-    const http::Buffer& in = c.stream.input();
+    const http::ParseStatus status = c.parser.parse(c.stream.input_buffer());
+    if (status == http::ParseStatus::Malformed) return forget(c);
+    if (status != http::ParseStatus::Complete) return;
+    const http::Buffer& in = c.stream.input_buffer();
     std::string_view target = c.parser.target(in);
     if (target.starts_with("/health/live")) {
-        if (server_.hung()) return;
+        if (server_.is_hung()) return;
         return reply(c, write_answer(200, "", "", true));
     }
     c.id = std::string(c.parser.header(in, "X-Correlation-Id"));
     target = target.substr(1, target.find('/', 1) - 1);
     int cls = -1;
-    for (std::size_t i = 0; i < lab_classes().size(); ++i)
-        if (lab_classes()[i].name == target) cls = static_cast<int>(i);
+    for (std::size_t i = 0; i < simulated_classes().size(); ++i)
+        if (simulated_classes()[i].name == target) cls = static_cast<int>(i);
     if (cls < 0 || c.id.empty()) return reply(c, write_answer(404, "", "", true));
-    if (server_.swallows()) return;
+    if (server_.drops_request()) return;
     live_.arrived(c.id, cls);
     live_.new_for_drained(number_, c.id);
     c.busy = true;
-    server_.arrived({c.number, 0, 0}, cls, std::exchange(c.fresh, false));
+    server_.on_request({c.number, 0, 0}, cls, std::exchange(c.fresh, false));
 }
 
 void LiveServer::reply(Connection& c, std::string bytes) {
-    c.stream.input().consume(c.parser.size());
+    c.stream.input_buffer().consume(c.parser.message_size());
     c.parser.reset();
     c.busy = false;
-    if (!c.stream.send(std::move(bytes))) return forget(c);
-    if (!c.stream.input().empty()) serve(c);
+    if (!c.stream.write_bytes(std::move(bytes))) return forget(c);
+    if (!c.stream.input_buffer().empty()) serve(c);
 }
 
-TimePoint LiveServer::now() const { return live_.clock_.now(); }
+TimePoint LiveServer::current_time() const { return live_.clock_.now(); }
 
-void LiveServer::wake(TimePoint at, std::uint64_t number) {
-    live_.reactor_.at(at, [this, number, life = life_] {
-        if (life == life_) server_.woken(number);
+void LiveServer::schedule_wakeup(TimePoint at, std::uint64_t number) {
+    live_.reactor_.schedule_at(at, [this, number, life = life_] {
+        if (life == life_) server_.on_wakeup(number);
     });
 }
 
-void LiveServer::answer(const JobId& job, Outcome outcome) {
+void LiveServer::send_answer(const JobId& job, Outcome outcome) {
     const auto it = connections_.find(job.sender);
     if (it == connections_.end()) return;
     Connection& c = *it->second;
@@ -374,7 +376,7 @@
         c.busy = false;
         return forget(c);
     }
-    const EmulatedServer::Load load = server_.load();
+    const EmulatedServer::ReportedLoad load = server_.reported_load();
     std::string headers =
         fmt::format("X-Backend-Load: inflight={},queue={}\r\n", load.outstanding, load.backlog);
     if (outcome == Outcome::Full) {
@@ -386,11 +388,11 @@
 }
 
 void LiveServer::trouble(const Fault& fault, bool begins) {
-    server_.trouble(fault, begins);
+    server_.apply_fault(fault, begins);
     if (fault.kind != Fault::Kind::Crash && fault.kind != Fault::Kind::RoomLost) return;
     ++life_;
     if (begins) cut();
-    else if (!server_.down()) listen();
+    else if (!server_.is_down()) listen();
 }
 
 // ---- discovery ----
@@ -401,7 +403,7 @@
                                                                          : "terminated";
     return Json{{"id", fmt::format("s-{:08x}", server)},
                 {"host_port", live_.servers_[static_cast<std::size_t>(server)]->address()},
-                {"locality", fmt::format("room-{}", server % live_.s_.rooms)},
+                {"locality", fmt::format("room-{}", server % live_.s_.room_count)},
                 {"flavor", "std"},
                 {"cell", server % 4},
                 {"phase", phase},
@@ -412,7 +414,7 @@
 
 std::string LiveDiscovery::all() const {
     std::string members;
-    for (int i = 0; i < live_.s_.servers; ++i) {
+    for (int i = 0; i < live_.s_.server_count; ++i) {
         const auto it = changed_.find(i);
         const State state = it == changed_.end() ? State{} : it->second;
         if (state.state == decision::HostState::Gone) continue;
@@ -443,49 +445,49 @@
 
 void LiveDiscovery::serve(Watcher& w) {
     if (w.watches) return;
-    const http::Status status = w.parser.parse(w.stream.input());
-    if (status == http::Status::Bad) return forget(w);
-    if (status != http::Status::Done) return;
-    const std::string target(w.parser.target(w.stream.input()));
-    w.stream.input().consume(w.parser.size());
+    const http::ParseStatus status = w.parser.parse(w.stream.input_buffer());
+    if (status == http::ParseStatus::Malformed) return forget(w);
+    if (status != http::ParseStatus::Complete) return;
+    const std::string target(w.parser.target(w.stream.input_buffer()));
+    w.stream.input_buffer().consume(w.parser.message_size());
     w.parser.reset();
     if (target.find("stream=1") == std::string::npos) {
-        if (!w.stream.send(write_answer(200, "", all(), true))) forget(w);
+        if (!w.stream.write_bytes(write_answer(200, "", all(), true))) forget(w);
         return;
     }
     std::uint64_t index = 0;
     if (const auto at = target.find("index="); at != std::string::npos)
         index = std::strtoull(target.c_str() + at + 6, nullptr, 10);
     w.watches = true;
-    if (!w.stream.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) return forget(w);
+    if (!w.stream.write_bytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) return forget(w);
     write(w, since(index));
     beat(w);
 }
 
 void LiveDiscovery::write(Watcher& w, const std::string& line) {
-    if (!w.stream.send(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line))) forget(w);
+    if (!w.stream.write_bytes(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line))) forget(w);
 }
 
 void LiveDiscovery::beat(Watcher& w) {
-    w.beat = reactor_.after(2s, [this, &w] {
-        if (!w.stream.send("1\r\n\n\r\n")) return forget(w);
+    w.beat = reactor_.schedule_after(2s, [this, &w] {
+        if (!w.stream.write_bytes("1\r\n\n\r\n")) return forget(w);
         beat(w);
     });
 }
 
 void LiveDiscovery::forget(Watcher& w) {
-    struct Gone : Retired {
+    struct Gone : RetiredObject {
         explicit Gone(std::unique_ptr<Watcher> of) : held(std::move(of)) {}
         std::unique_ptr<Watcher> held;
     };
-    reactor_.cancel(w.beat);
+    reactor_.cancel_timer(w.beat);
     w.stream.close();
     const auto it =
         std::find_if(watchers_.begin(), watchers_.end(), [&](const auto& one) { return one.get() == &w; });
     if (it == watchers_.end()) return;
     auto held = std::move(*it);
     watchers_.erase(it);
-    reactor_.retire(std::make_unique<Gone>(std::move(held)));
+    reactor_.destroy_later(std::make_unique<Gone>(std::move(held)));
 }
 
 // ---- the network between gateways ----
@@ -504,10 +506,12 @@
         live_.count_mail();
         if (std::uniform_real_distribution<>(0.0, 1.0)(live_.random_) < live_.mail_loss()) continue;
         std::string mail(bytes.data(), static_cast<std::size_t>(length));
-        if (live_.s_.delay < 1ms) pass_on(mail);
-        else reactor_.after(live_.s_.delay, [this, mail = std::move(mail)] { pass_on(mail); });
+        if (live_.s_.network_delay < 1ms) pass_on(mail);
+        else
+            reactor_.schedule_after(live_.s_.network_delay,
+                                    [this, mail = std::move(mail)] { pass_on(mail); });
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
 // ---- fronts ----
@@ -516,92 +520,97 @@
 
 void LiveFront::begin() {
     clients_ = std::make_unique<Clients>(live_.s_, number_, live_.shares_, live_.start_, kSlack, *this);
-    clients_->begin();
+    clients_->start_arrivals();
 }
 
-TimePoint LiveFront::now() const { return live_.clock_.now(); }
+TimePoint LiveFront::current_time() const { return live_.clock_.now(); }
 
-void LiveFront::wake(TimePoint at, std::uint64_t what) {
-    live_.reactor_.at(at, [this, what] { clients_->woken(what); });
+void LiveFront::schedule_wakeup(TimePoint at, std::uint64_t what) {
+    live_.reactor_.schedule_at(at, [this, what] { clients_->on_wakeup(what); });
 }
 
-void LiveFront::ask(const Asked& a) {
-    const std::string id = fmt::format("{:x}-{}", a.request, a.attempt);
+void LiveFront::send_request(const ClientRequest& a) {
+    const std::string id = fmt::format("{:x}-{}", a.request_number, a.attempt_number);
     live_.asked(id, a);
-    const auto& cls = lab_classes()[static_cast<std::size_t>(a.cls)];
+    const auto& cls = simulated_classes()[static_cast<std::size_t>(a.class_index)];
     const bool get = cls.repeat == decision::Repeat::Safe;
-    const int width = set_width(live_.s_);
+    const int width = gateway_set_size(live_.s_);
     const std::string text = fmt::format(
         "{} /{}/{} HTTP/1.1\r\nHost: lab\r\nX-Correlation-Id: {}\r\nX-Tier: {}\r\nCookie: "
         "customer={:016x}\r\n"
         "X-Call-Terms: units={},spread={},first={}\r\nX-Time-Left: {}u\r\n{}\r\n",
-        get ? "GET" : "POST", cls.name, a.request, id, live_.s_.plans[static_cast<std::size_t>(a.plan)].name,
-        static_cast<std::uint64_t>(a.customer), a.units, width, first_of(live_.s_, a.customer),
-        a.left.count(),
+        get ? "GET" : "POST", cls.name, a.request_number, id,
+        live_.s_.plans[static_cast<std::size_t>(a.plan_index)].name, static_cast<std::uint64_t>(a.customer),
+        a.units, width, first_gateway_of(live_.s_, a.customer), a.time_left.count(),
         get ? ""
         : cls.repeat == decision::Repeat::Keyed
-            ? fmt::format("Idempotency-Key: {:032x}\r\nContent-Length: 0\r\n", a.request)
+            ? fmt::format("Idempotency-Key: {:032x}\r\nContent-Length: 0\r\n", a.request_number)
             : "Content-Length: 0\r\n");
-    const TimePoint sent = now();
-    Out& out = out_[a.request];
-    out.gateway = a.gateway;
-    out.attempt = a.attempt;
-    const std::uint64_t ticket = live_.callers_[static_cast<std::size_t>(a.gateway)]->ask(
-        text, [this, request = a.request, attempt = a.attempt, id, sent, left = a.left, cls_name = cls.name](
-                  int status, Duration after) {
+    const TimePoint sent = current_time();
+    Out& out = out_[a.request_number];
+    out.gateway_index = a.gateway_index;
+    out.attempt = a.attempt_number;
+    const std::uint64_t ticket = live_.callers_[static_cast<std::size_t>(a.gateway_index)]->send_request(
+        text, [this, request = a.request_number, attempt = a.attempt_number, id, sent, left = a.time_left,
+               cls_name = cls.name](int status, Duration after) {
             const auto it = out_.find(request);
             if (it != out_.end() && it->second.attempt == attempt) out_.erase(it);
             const bool refused = status == 429 || status == 503;
             if (refused && !live_.reached(id))
-                count(
-                    clients_->figures.rules["held-back refusals"], now() - sent <= left / 2 + kSlack,
+                record_rule_check(
+                    clients_->statistics.rules["held-back refusals"],
+                    current_time() - sent <= left / 2 + kSlack,
                     [&] {
                         return fmt::format(
                             "request {} ({}, at {:.3f}) was refused {:.3f} s after it was sent, of {:.3f}",
-                            id, cls_name, secs(sent - live_.start_), secs(now() - sent), secs(left));
+                            id, cls_name, secs(sent - live_.start_), secs(current_time() - sent), secs(left));
                     },
                     request);
-            clients_->answered(request,
-                               status == 200 ? End::Served
-                               : refused     ? End::Refused
-                                             : End::Failed,
-                               after);
+            clients_->on_answer(request,
+                                status == 200 ? RequestEnd::Served
+                                : refused     ? RequestEnd::Rejected
+                                              : RequestEnd::Failed,
+                                after);
         });
     // It may have ended already, where the connection was refused.
-    if (const auto it = out_.find(a.request); it != out_.end() && it->second.attempt == a.attempt)
+    if (const auto it = out_.find(a.request_number);
+        it != out_.end() && it->second.attempt == a.attempt_number)
         it->second.ticket = ticket;
 }
 
-void LiveFront::leave(std::uint64_t request, int gateway) {
+void LiveFront::abandon_request(std::uint64_t request, int gateway_index) {
     const auto it = out_.find(request);
     if (it == out_.end()) return;
-    live_.callers_[static_cast<std::size_t>(gateway)]->leave(it->second.ticket);
+    live_.callers_[static_cast<std::size_t>(gateway_index)]->abandon_request(it->second.ticket);
     out_.erase(it);
 }
 
 // ---- the whole ----
 
 Live::Live(const Scenario& scenario, LiveSettings settings)
-    : s_(scenario.drawn()), settings_(std::move(settings)), random_(mix(scenario.seed, 555)) {
+    : s_(scenario.with_drawn_faults()),
+      settings_(std::move(settings)),
+      random_(mix_hash(scenario.seed, 555)) {
     if (s_.plans.empty()) s_.plans = {{"wide", 1e6, 1e6, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 0.0}};
-    if (s_.gateways > kMostLiveGateways || s_.servers > kMostLiveServers || s_.rate > kMostLiveRate)
+    if (s_.gateway_count > kMostLiveGateways || s_.server_count > kMostLiveServers ||
+        s_.request_rate > kMostLiveRate)
         throw std::invalid_argument(
             fmt::format("on sockets: at most {} gateways, {} servers and {} requests a second",
                         kMostLiveGateways, kMostLiveServers, kMostLiveRate));
-    if (!s_.changes.empty())
+    if (!s_.plan_changes.empty())
         throw std::invalid_argument("on sockets plans do not change; `make experiment NAME=plans` has that");
     own_folder_ = settings_.folder.empty();
     folder_ = own_folder_ ? std::filesystem::temp_directory_path() /
                                 fmt::format("shaletray-live-{}-{}-{}", s_.name, s_.seed, getpid())
                           : std::filesystem::path(settings_.folder);
     std::filesystem::create_directories(folder_);
-    shares_ = activity(s_);
-    const auto seconds = static_cast<std::size_t>(std::ceil(secs(s_.time))) + 4;
-    figures_.mail_by_second.resize(seconds);
-    figures_.units_by_second.resize(seconds);
+    shares_ = customer_activity(s_);
+    const auto seconds = static_cast<std::size_t>(std::ceil(secs(s_.duration))) + 4;
+    figures_.peer_messages_by_second.resize(seconds);
+    figures_.admitted_units_by_second.resize(seconds);
     // The gateways' start is not part of the scenario.
     start_ = clock_.now() + kUp;
-    gateways_.resize(static_cast<std::size_t>(s_.gateways));
+    gateways_.resize(static_cast<std::size_t>(s_.gateway_count));
 }
 
 Live::~Live() {
@@ -611,62 +620,62 @@
 }
 
 void Live::start_gateway(int g) {
-    Gateway& gateway = gateways_[static_cast<std::size_t>(g)];
+    Gateway& gateway_index = gateways_[static_cast<std::size_t>(g)];
     Json peers = Json::array();
-    for (int h = 0; h < s_.gateways; ++h)
-        peers.push_back(h == g ? gateway.mail : wires_.at({g, h})->address());
+    for (int h = 0; h < s_.gateway_count; ++h)
+        peers.push_back(h == g ? gateway_index.mail : wires_.at({g, h})->address());
     Json config = {{"name", fmt::format("n{}", g)},
-                   {"listen", gateway.address},
-                   {"discovery", gateway.discovery->address()},
-                   {"seed", fmt::format("{:x}", mix(s_.seed, static_cast<std::uint64_t>(g)))},
+                   {"listen", gateway_index.address},
+                   {"discovery", gateway_index.discovery->address()},
+                   {"seed", fmt::format("{:x}", mix_hash(s_.seed, static_cast<std::uint64_t>(g)))},
                    {"limits", {{"memory_mb", 192}, {"sockets", 1024}}},
                    {"settings", Json::parse(settings_json(s_, g))}};
-    if (s_.sharing == Scenario::Sharing::Mail && s_.gateways > 1) {
+    if (s_.quota_sharing == Scenario::QuotaSharing::PeerMessages && s_.gateway_count > 1) {
         config["peers"] = peers;
-        config["peer_listen"] = gateway.mail;
+        config["peer_listen"] = gateway_index.mail;
     }
     const auto path = folder_ / fmt::format("n{}.json", g);
     std::ofstream(path) << config;
     std::map<std::string, std::string> environment = gateway_environment(path.string());
-    if (gateway.counter) {
+    if (gateway_index.counter) {
         const auto file = folder_ / fmt::format("n{}.cue", g);
         std::ofstream(file) << fmt::format("counter: stores: [{{address: \"{}\"}}]\n",
-                                           gateway.counter->address());
+                                           gateway_index.counter->address());
         environment["SHALETRAY_SETTINGS"] = file.string();
     }
-    gateway.process =
+    gateway_index.process =
         std::make_unique<Process>(std::vector<std::string>{settings_.programs + "/shaletray"}, environment,
-                                  (folder_ / fmt::format("n{}.{}.log", g, ++gateway.life)).string());
-    poll_ready(g, gateway.life);
+                                  (folder_ / fmt::format("n{}.{}.log", g, ++gateway_index.life)).string());
+    poll_ready(g, gateway_index.life);
 }
 
 void Live::end_gateway(int g) {
-    Gateway& gateway = gateways_[static_cast<std::size_t>(g)];
-    if (!gateway.process) return;
-    gateway.cpu_s += gateway.process->cpu();
-    gateway.process->kill();
-    gateway.process.reset();
-    ++gateway.life;
+    Gateway& gateway_index = gateways_[static_cast<std::size_t>(g)];
+    if (!gateway_index.process) return;
+    gateway_index.cpu_s += gateway_index.process->cpu_seconds();
+    gateway_index.process->kill();
+    gateway_index.process.reset();
+    ++gateway_index.life;
 }
 
 void Live::poll_ready(int g, int life) {
     if (life != gateways_[static_cast<std::size_t>(g)].life) return;
-    auto caller = std::make_shared<Caller>(reactor_, gateways_[static_cast<std::size_t>(g)].address);
-    caller->ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n",
-                [this, g, life, caller](int status, Duration) {
-                    // Whatever the answer: the connection is closed once this is off the call stack.
-                    reactor_.after(0ms, [caller] {});
-                    if (life != gateways_[static_cast<std::size_t>(g)].life) return;
-                    if (status != 200) {
-                        reactor_.after(30ms, [this, g, life] { poll_ready(g, life); });
-                        return;
-                    }
-                    if (running_) {
-                        for (const auto& front : fronts_) front->clients().gateway_seen(g, true);
-                    } else if (++ready_ == s_.gateways) {
-                        all_ready();
-                    }
-                });
+    auto caller = std::make_shared<HttpLoadClient>(reactor_, gateways_[static_cast<std::size_t>(g)].address);
+    caller->send_request("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n",
+                         [this, g, life, caller](int status, Duration) {
+                             // Whatever the answer: the connection is closed once this is off the call stack.
+                             reactor_.schedule_after(0ms, [caller] {});
+                             if (life != gateways_[static_cast<std::size_t>(g)].life) return;
+                             if (status != 200) {
+                                 reactor_.schedule_after(30ms, [this, g, life] { poll_ready(g, life); });
+                                 return;
+                             }
+                             if (running_) {
+                                 for (const auto& front : fronts_) front->clients().on_gateway_state(g, true);
+                             } else if (++ready_ == s_.gateway_count) {
+                                 all_ready();
+                             }
+                         });
 }
 
 // All stand: the scenario begins.
@@ -676,29 +685,29 @@
     for (const auto& server : servers_) server->begins_at(start_);
     for (const auto& front : fronts_) front->begin();
     for (const Fault& f : s_.faults) {
-        reactor_.at(start_ + f.at, [this, &f] { begin(f, true); });
-        reactor_.at(start_ + f.at + f.lasts, [this, &f] { begin(f, false); });
+        reactor_.schedule_at(start_ + f.starts_at, [this, &f] { begin(f, true); });
+        reactor_.schedule_at(start_ + f.starts_at + f.duration, [this, &f] { begin(f, false); });
     }
-    for (const Listing& told : listings(s_)) {
-        const std::int64_t born = told.born < Duration(0)
+    for (const HostListChange& told : host_list_changes(s_)) {
+        const std::int64_t born = told.started_at < Duration(0)
                                       ? -1
                                       : std::chrono::duration_cast<std::chrono::milliseconds>(
-                                            (start_ + told.born).time_since_epoch())
+                                            (start_ + told.started_at).time_since_epoch())
                                             .count();
         for (std::size_t g = 0; g < gateways_.size(); ++g) {
-            const Duration heard = told.at + s_.list_delay +
+            const Duration heard = told.known_at + s_.list_delay +
                                    Duration(static_cast<std::int64_t>(
                                        random_() % static_cast<std::uint64_t>(s_.list_delay.count() + 1)));
-            reactor_.at(start_ + heard, [this, g, told, born] {
-                gateways_[g].discovery->change(told.server, told.state, born);
-                if (told.state == decision::HostState::Healthy) drained_.erase(told.server);
-                else drained_[told.server] = std::max(drained_[told.server], clock_.now());
+            reactor_.schedule_at(start_ + heard, [this, g, told, born] {
+                gateways_[g].discovery->change(told.server_index, told.state, born);
+                if (told.state == decision::HostState::Healthy) drained_.erase(told.server_index);
+                else drained_[told.server_index] = std::max(drained_[told.server_index], clock_.now());
             });
         }
     }
     const auto beat = [this](const auto& self) -> void {
         beat_due_ = clock_.now() + 10ms;
-        reactor_.at(beat_due_, [this, self] {
+        reactor_.schedule_at(beat_due_, [this, self] {
             ++turns_;
             late_ += clock_.now() - beat_due_ > kLate;
             self(self);
@@ -706,13 +715,13 @@
     };
     beat(beat);
     if (settings_.progress) tell_progress();
-    reactor_.at(start_ + s_.time + s_.patience + 1s, [this] { stop(); });
+    reactor_.schedule_at(start_ + s_.duration + s_.request_timeout + 1s, [this] { stop(); });
 }
 
 void Live::tell_progress() {
-    reactor_.after(1s, [this] {
-        Figures sum;
-        for (const auto& front : fronts_) add_figures(sum, front->clients().figures);
+    reactor_.schedule_after(1s, [this] {
+        RunStatistics sum;
+        for (const auto& front : fronts_) merge_statistics(sum, front->clients().statistics);
         sum.attempts = figures_.attempts;
         settings_.progress(secs(clock_.now() - start_), sum);
         tell_progress();
@@ -721,31 +730,31 @@
 
 void Live::begin(const Fault& f, bool begins) {
     switch (f.kind) {
-        case Fault::Kind::MailLoss: mail_loss_ = begins ? f.by : 0.0; return;
-        case Fault::Kind::DiscoverySilent: return;
-        case Fault::Kind::StoreLost:
-            for (Gateway& g : gateways_) g.counter->cut(begins);
+        case Fault::Kind::PeerMessageLoss: mail_loss_ = begins ? f.magnitude : 0.0; return;
+        case Fault::Kind::DiscoveryOutage: return;
+        case Fault::Kind::StoreOutage:
+            for (Gateway& g : gateways_) g.counter->set_partitioned(begins);
             return;
-        case Fault::Kind::GatewayLost:
-            if (!begins) return start_gateway(f.gateway);
-            end_gateway(f.gateway);
-            if (f.lasts > kDeathNoticed)
-                reactor_.after(kDeathNoticed, [this, g = f.gateway] {
-                    for (const auto& front : fronts_) front->clients().gateway_seen(g, false);
+        case Fault::Kind::GatewayCrash:
+            if (!begins) return start_gateway(f.gateway_index);
+            end_gateway(f.gateway_index);
+            if (f.duration > kDeathNoticed)
+                reactor_.schedule_after(kDeathNoticed, [this, g = f.gateway_index] {
+                    for (const auto& front : fronts_) front->clients().on_gateway_state(g, false);
                 });
             return;
         default: break;
     }
-    for (int i = 0; i < s_.servers; ++i) {
-        if (touches(s_, f, i)) servers_[static_cast<std::size_t>(i)]->trouble(f, begins);
+    for (int i = 0; i < s_.server_count; ++i) {
+        if (fault_affects_server(s_, f, i)) servers_[static_cast<std::size_t>(i)]->trouble(f, begins);
     }
 }
 
 void Live::stop() {
     for (Gateway& g : gateways_) {
-        if (g.process) g.cpu_s += g.process->cpu();
+        if (g.process) g.cpu_s += g.process->cpu_seconds();
         if (g.process && running_) {
-            const int status = g.process->end();
+            const int status = g.process->terminate();
             if (status != 0) trouble_ = fmt::format("a gateway ended with {}", status);
         }
         g.process.reset();
@@ -759,13 +768,13 @@
     if (it == asked_.end()) return;
     Known& k = it->second;
     if (cls == ClaimSubmit && k.reached)
-        count(
+        record_rule_check(
             figures_.rules["unasked repeats"], !k.may_have_run,
             [&] { return fmt::format("request {} reached a server once more, and may have run", id); },
             k.request);
     k.may_have_run = true;
     if (std::exchange(k.reached, true)) return;
-    figures_.units_by_second[second()] += k.units;
+    figures_.admitted_units_by_second[second()] += k.units;
     const auto plan = static_cast<std::size_t>(static_cast<std::uint64_t>(k.customer) % s_.plans.size());
     if (s_.plans[plan].ceiling_rate > 0.0)
         sent_.push_back({clock_.now(), k.customer, static_cast<float>(k.units)});
@@ -775,7 +784,7 @@
     ++figures_.attempts;
     const auto it = drained_.find(server);
     if (it == drained_.end()) return;
-    count(figures_.rules["drains"], clock_.now() - it->second <= kDrainSlack, [&] {
+    record_rule_check(figures_.rules["drains"], clock_.now() - it->second <= kDrainSlack, [&] {
         return fmt::format("request {} reached server {} {:.3f} s after the last gateway was told", id,
                            server, secs(clock_.now() - it->second));
     });
@@ -783,7 +792,7 @@
 
 void Live::count_mail() {
     ++figures_.messages;
-    if (running_) ++figures_.mail_by_second[second()];
+    if (running_) ++figures_.peer_messages_by_second[second()];
 }
 
 LiveFigures Live::run() {
@@ -792,25 +801,28 @@
     // POCO lets a reactor without sockets sleep on threads of its own only.
     thread.startFunc([&] {
         try {
-            for (int i = 0; i < s_.servers; ++i) servers_.push_back(std::make_unique<LiveServer>(*this, i));
-            if (s_.sharing == Scenario::Sharing::Counter) counter_ = std::make_unique<StandInCounter>();
+            for (int i = 0; i < s_.server_count; ++i)
+                servers_.push_back(std::make_unique<LiveServer>(*this, i));
+            if (s_.quota_sharing == Scenario::QuotaSharing::SharedCounter)
+                counter_ = std::make_unique<StandInCounter>();
             for (Gateway& g : gateways_) {
                 g.discovery = std::make_unique<LiveDiscovery>(*this, reactor_);
-                g.address = fmt::format("127.0.0.1:{}", free_port());
+                g.address = fmt::format("127.0.0.1:{}", find_free_port());
                 Poco::Net::DatagramSocket probe(Poco::Net::SocketAddress("127.0.0.1", 0), true);
                 g.mail = probe.address().toString();
-                if (counter_) g.counter = std::make_unique<Relay>(reactor_, counter_->address());
-                callers_.push_back(std::make_unique<Caller>(reactor_, g.address));
+                if (counter_) g.counter = std::make_unique<FaultProxy>(reactor_, counter_->address());
+                callers_.push_back(std::make_unique<HttpLoadClient>(reactor_, g.address));
             }
-            for (int g = 0; g < s_.gateways; ++g)
-                for (int h = 0; h < s_.gateways; ++h)
+            for (int g = 0; g < s_.gateway_count; ++g)
+                for (int h = 0; h < s_.gateway_count; ++h)
                     if (g != h) wires_[{g, h}] = std::make_unique<Wire>(*this, reactor_);
             for (auto& [pair, wire] : wires_)
                 wire->lead_to(*wires_.at({pair.second, pair.first}),
                               gateways_[static_cast<std::size_t>(pair.second)].mail);
-            for (int i = 0; i < s_.fronts; ++i) fronts_.push_back(std::make_unique<LiveFront>(*this, i));
-            for (int g = 0; g < s_.gateways; ++g) start_gateway(g);
-            reactor_.after(kUp, [this] {
+            for (int i = 0; i < s_.frontend_count; ++i)
+                fronts_.push_back(std::make_unique<LiveFront>(*this, i));
+            for (int g = 0; g < s_.gateway_count; ++g) start_gateway(g);
+            reactor_.schedule_after(kUp, [this] {
                 if (running_) return;
                 trouble_ = "the gateways did not come up";
                 stop();
@@ -824,29 +836,29 @@
     if (error) std::rethrow_exception(error);
     if (!running_) throw std::runtime_error(trouble_);
     LiveFigures out;
-    name_rules(out.figures);
-    Latency latency = no_latency();
+    register_rules(out.figures);
+    FineLatencyHistogram latency = make_latency_histogram();
     for (const auto& front : fronts_) {
         Clients& c = front->clients();
-        c.close();
-        latency += c.latency();
-        c.figures.customers_seen = c.customers_seen();
-        add_figures(out.figures, c.figures);
+        c.finish_run();
+        latency += c.latency_histogram();
+        c.statistics.distinct_customers = c.distinct_customers();
+        merge_statistics(out.figures, c.statistics);
     }
-    for (const auto& server : servers_) add_figures(out.figures, server->figures());
-    add_figures(out.figures, figures_);
-    check_ceilings(s_, std::move(sent_), {}, start_, kCeilingLate, out.figures);
-    out.figures.p50_ms = quantile_ms(latency, 0.5);
-    out.figures.p99_ms = quantile_ms(latency, 0.99);
-    out.figures.p999_ms = quantile_ms(latency, 0.999);
+    for (const auto& server : servers_) merge_statistics(out.figures, server->figures());
+    merge_statistics(out.figures, figures_);
+    check_rate_limits(s_, std::move(sent_), {}, start_, kCeilingLate, out.figures);
+    out.figures.p50_ms = latency_quantile_ms(latency, 0.5);
+    out.figures.p99_ms = latency_quantile_ms(latency, 0.99);
+    out.figures.p999_ms = latency_quantile_ms(latency, 0.999);
     for (const Gateway& g : gateways_) out.cpu_s += g.cpu_s;
     out.late =
         turns_ == 0 || static_cast<double>(late_) > kLateShare * static_cast<double>(turns_) ? late_ : 0;
     if (!trouble_.empty()) {
-        Figures::Rule& rule = out.figures.rules["gateways end in order"];
-        ++rule.checked;
-        ++rule.broken;
-        rule.first = trouble_;
+        RunStatistics::Rule& rule = out.figures.rules["gateways end in order"];
+        ++rule.check_count;
+        ++rule.violation_count;
+        rule.first_violation = trouble_;
     }
     return out;
 }
@@ -858,7 +870,7 @@
 std::string settings_json(const Scenario& s, int me) {
     const decision::Settings v = gateway_settings(s, me);
     Json rooms = Json::array();
-    for (int i = 0; i < s.rooms; ++i) rooms.push_back(fmt::format("room-{}", i));
+    for (int i = 0; i < s.room_count; ++i) rooms.push_back(fmt::format("room-{}", i));
     Json out = {{"me", v.me},
                 {"replicasOfMe", v.gateways},
                 {"zone", v.zone},
@@ -920,7 +932,7 @@
                            {"up_since_ms", 0}});
     return Json{{"name", "n0"},
                 {"listen", listen},
-                {"discovery", fmt::format("127.0.0.1:{}", free_port())},
+                {"discovery", fmt::format("127.0.0.1:{}", find_free_port())},
                 {"seed", "1f"},
                 {"limits", {{"memory_mb", memory_mb}, {"sockets", sockets}}},
                 {"known", {{"revision", 1}, {"complete", true}, {"members", members}}},
@@ -929,7 +941,7 @@
 }
 
 LiveFigures run_live(const Scenario& scenario, const LiveSettings& settings) {
-    scenario.check();
+    scenario.validate();
     signal(SIGPIPE, SIG_IGN);
     Live live(scenario, settings);
     return live.run();
--- a/testbed/live_run.h
+++ b/testbed/live_run.h
@@ -15,11 +15,11 @@
     std::string programs;    // the folder of the program under test
     std::string folder;      // for its files and logs; empty: one of its own, which is removed
     // Once a second while it runs, on the reactor's thread: seconds since the start, and what came by then.
-    std::function<void(double, const Figures&)> progress{};
+    std::function<void(double, const RunStatistics&)> progress{};
 };
 
 struct LiveFigures {
-    Figures figures;
+    RunStatistics figures;
     double cpu_s = 0.0;        // of the gateways
     std::uint64_t late = 0;    // turns of this program that were later than kLate: the machine was too slow
     bool ran_late() const;
--- a/testbed/operation_history.h
+++ b/testbed/operation_history.h
@@ -28,106 +28,118 @@
 
 struct Operation {
     enum class Kind { Replace, Read };
-    enum class Answer { Ok, Conflict, Refused, Unclear };
+    enum class Outcome { Succeeded, Conflict, Rejected, Indeterminate };
     Kind kind = Kind::Replace;
-    std::uint64_t version = 0;    // of a replace: as sent; of a read: as it came back
-    std::uint64_t body = 0;       // a digest, likewise
+    std::uint64_t version = 0;        // of a replace: as sent; of a read: as it came back
+    std::uint64_t body_digest = 0;    // a digest, likewise
     // Of one clock, in any unit. What returns when another is invoked counts as overlapping it.
-    std::int64_t invoked = 0, returned = 0;    // the latter has no meaning where the answer is unclear
-    Answer answer = Answer::Unclear;
+    std::int64_t invoked_at = 0, returned_at = 0;    // the latter has no meaning where the answer is unclear
+    Outcome outcome = Outcome::Indeterminate;
 };
 
 // Why there is no such order; none: there is one. Takes time with the square of the number of versions.
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split
-inline std::optional<std::string> fault(const std::vector<Operation>& history) {
+inline std::optional<std::string> find_violation(const std::vector<Operation>& history) {
     using Kind = Operation::Kind;
-    using Answer = Operation::Answer;
+    using Outcome = Operation::Outcome;
     constexpr std::int64_t kNever = std::numeric_limits<std::int64_t>::max();
     constexpr std::int64_t kBefore = std::numeric_limits<std::int64_t>::min();
-    const auto name = [](std::uint64_t version) { return "r" + std::to_string(version); };
+    const auto version_name = [](std::uint64_t version) { return "r" + std::to_string(version); };
 
     struct Version {
-        std::map<std::uint64_t, std::int64_t> sent;    // body: when first
-        std::set<std::uint64_t> taken;                 // bodies that were acknowledged
-        std::set<std::uint64_t> read, conflicted, refused;
-        std::int64_t known = kNever;         // by when it, or a later one, was held
-        std::int64_t last_read = kBefore;    // the latest invocation of a read of it
-        std::int64_t earliest = kNever;      // it can have been held; never: it cannot
-        std::int64_t held_at = kNever;       // the earliest in any order of effects that leads up to it
-        bool required() const { return !read.empty() || !conflicted.empty(); }
+        std::map<std::uint64_t, std::int64_t> first_sent_at;    // body: when first
+        std::set<std::uint64_t> acknowledged_bodies;            // bodies that were acknowledged
+        std::set<std::uint64_t> read_bodies, conflicting_bodies, rejected_bodies;
+        std::int64_t known_held_by = kNever;    // by when it, or a later one, was held
+        std::int64_t last_read_at = kBefore;    // the latest invocation of a read of it
+        std::int64_t earliest_held = kNever;    // it can have been held; never: it cannot
+        std::int64_t earliest_in_order =
+            kNever;    // the earliest in any order of effects that leads up to it
+        bool was_held() const { return !read_bodies.empty() || !conflicting_bodies.empty(); }
     };
     std::map<std::uint64_t, Version> versions;
-    versions[0].sent[0] = kBefore;
-    for (const Operation& o : history) {
-        const bool read = o.kind == Kind::Read;
-        if (read && o.answer != Answer::Ok) continue;
-        if (!read && o.version == 0) return "a replace with version 0";
-        Version& v = versions[o.version];
-        const std::uint64_t body = o.version == 0 ? 0 : o.body;
-        if (read) {
-            v.read.insert(body);
-            v.last_read = std::max(v.last_read, o.invoked);
+    versions[0].first_sent_at[0] = kBefore;
+    for (const Operation& operation : history) {
+        const bool is_read = operation.kind == Kind::Read;
+        if (is_read && operation.outcome != Outcome::Succeeded) continue;
+        if (!is_read && operation.version == 0) return "a replace with version 0";
+        Version& version_record = versions[operation.version];
+        const std::uint64_t body = operation.version == 0 ? 0 : operation.body_digest;
+        if (is_read) {
+            version_record.read_bodies.insert(body);
+            version_record.last_read_at = std::max(version_record.last_read_at, operation.invoked_at);
         } else {
-            const auto [first, added] = v.sent.try_emplace(body, o.invoked);
-            if (!added) first->second = std::min(first->second, o.invoked);
-            if (o.answer == Answer::Ok) v.taken.insert(body);
-            if (o.answer == Answer::Conflict) v.conflicted.insert(body);
-            if (o.answer == Answer::Refused) v.refused.insert(body);
+            const auto [entry, inserted] =
+                version_record.first_sent_at.try_emplace(body, operation.invoked_at);
+            if (!inserted) entry->second = std::min(entry->second, operation.invoked_at);
+            if (operation.outcome == Outcome::Succeeded) version_record.acknowledged_bodies.insert(body);
+            if (operation.outcome == Outcome::Conflict) version_record.conflicting_bodies.insert(body);
+            if (operation.outcome == Outcome::Rejected) version_record.rejected_bodies.insert(body);
         }
-        if (o.answer == Answer::Ok || o.answer == Answer::Conflict) v.known = std::min(v.known, o.returned);
+        if (operation.outcome == Outcome::Succeeded || operation.outcome == Outcome::Conflict)
+            version_record.known_held_by = std::min(version_record.known_held_by, operation.returned_at);
     }
 
     // Which body a version can have had, and from when on.
     std::int64_t read_before = kBefore;    // a lower version: this one came later
-    for (auto& [number, v] : versions) {
-        for (const std::uint64_t body : v.taken)
-            if (v.refused.contains(body)) return name(number) + ": one body acknowledged and refused";
-        if (v.read.size() > 1) return name(number) + ": read with two bodies";
-        for (const auto& [body, sent] : v.sent) {
-            const bool other_read = !v.read.empty() && !v.read.contains(body);
-            const bool other_taken = v.taken.size() > 1 || (v.taken.size() == 1 && !v.taken.contains(body));
-            if (other_read || other_taken || v.conflicted.contains(body) || v.refused.contains(body))
+    for (auto& [number, version_record] : versions) {
+        for (const std::uint64_t body : version_record.acknowledged_bodies)
+            if (version_record.rejected_bodies.contains(body))
+                return version_name(number) + ": one body acknowledged and refused";
+        if (version_record.read_bodies.size() > 1) return version_name(number) + ": read with two bodies";
+        for (const auto& [body, sent] : version_record.first_sent_at) {
+            const bool other_read =
+                !version_record.read_bodies.empty() && !version_record.read_bodies.contains(body);
+            const bool other_taken = version_record.acknowledged_bodies.size() > 1 ||
+                                     (version_record.acknowledged_bodies.size() == 1 &&
+                                      !version_record.acknowledged_bodies.contains(body));
+            if (other_read || other_taken || version_record.conflicting_bodies.contains(body) ||
+                version_record.rejected_bodies.contains(body))
                 continue;
-            v.earliest = std::min(v.earliest, std::max(sent, read_before));
+            version_record.earliest_held =
+                std::min(version_record.earliest_held, std::max(sent, read_before));
         }
-        if (v.required() && v.earliest == kNever) {
-            if (!v.read.empty() && !v.sent.contains(*v.read.begin()))
-                return name(number) + ": read with a body that nobody sent";
-            return name(number) + (v.taken.empty() ? ": held, but every body sent under it was turned away"
-                                                   : ": two bodies, of which one was held, got an answer as "
-                                                     "if theirs had been");
+        if (version_record.was_held() && version_record.earliest_held == kNever) {
+            if (!version_record.read_bodies.empty() &&
+                !version_record.first_sent_at.contains(*version_record.read_bodies.begin()))
+                return version_name(number) + ": read with a body that nobody sent";
+            return version_name(number) + (version_record.acknowledged_bodies.empty()
+                                               ? ": held, but every body sent under it was turned away"
+                                               : ": two bodies, of which one was held, got an answer as "
+                                                 "if theirs had been");
         }
-        read_before = std::max(read_before, v.last_read);
+        read_before = std::max(read_before, version_record.last_read_at);
     }
 
     // The earliest moment at which each version can have been held, over all choices of those held before.
     // By `due` a version over the one held before must have been.
     std::int64_t due = kNever;
     std::map<std::uint64_t, std::int64_t> due_over;    // by version: of all later ones
-    for (auto v = versions.rbegin(); v != versions.rend(); ++v) {
-        due_over[v->first] = due;
-        due = std::min(due, v->second.known);
+    for (auto version_record = versions.rbegin(); version_record != versions.rend(); ++version_record) {
+        due_over[version_record->first] = due;
+        due = std::min(due, version_record->second.known_held_by);
     }
-    versions[0].held_at = kBefore;
+    versions[0].earliest_in_order = kBefore;
     std::uint64_t reached = 0;
     for (auto to = std::next(versions.begin()); to != versions.end(); ++to) {
-        if (to->second.earliest == kNever) continue;
+        if (to->second.earliest_held == kNever) continue;
         for (auto from = to; from != versions.begin();) {
             --from;
-            if (from->second.held_at != kNever) {
-                const std::int64_t at = std::max(from->second.held_at, to->second.earliest);
-                if (at <= due_over[from->first]) to->second.held_at = std::min(to->second.held_at, at);
+            if (from->second.earliest_in_order != kNever) {
+                const std::int64_t at = std::max(from->second.earliest_in_order, to->second.earliest_held);
+                if (at <= due_over[from->first])
+                    to->second.earliest_in_order = std::min(to->second.earliest_in_order, at);
             }
-            if (from->second.required()) break;    // it was held, so none before it is the last one before
+            if (from->second.was_held()) break;    // it was held, so none before it is the last one before
         }
-        if (to->second.held_at != kNever) reached = to->first;
-        else if (to->second.required()) break;
+        if (to->second.earliest_in_order != kNever) reached = to->first;
+        else if (to->second.was_held()) break;
     }
     for (auto last = versions.rbegin(); last != versions.rend(); ++last) {
-        if (last->second.held_at != kNever && due_over[last->first] == kNever) return std::nullopt;
-        if (last->second.required()) break;
+        if (last->second.earliest_in_order != kNever && due_over[last->first] == kNever) return std::nullopt;
+        if (last->second.was_held()) break;
     }
-    return "no order of effects: held up to " + name(reached) + ", then a later version was answered for " +
+    return "no order of effects: held up to " + version_name(reached) +
+           ", then a later version was answered for " +
            "before it can have been held, or an earlier one read after it was";
 }
 
