--- a/testbed/simulated_membership.h
+++ b/testbed/simulated_membership.h
@@ -16,53 +16,53 @@
 
 namespace shaletray::testbed {
 
-class Crowd {
+class SimulatedMembership {
 public:
     // `real` of `members` processes are convoys, the first `lighthouses` of the crowd lighthouses. Where
     // `real` is all, nothing is stood in for.
-    Crowd(int members, int real, int lighthouses, std::uint64_t seed);
-    void run(Duration span);
-    struct Figures {                                                      // of one real process, on average
-        double sent = 0.0, bytes_out = 0.0, bytes_in = 0.0, cpu = 0.0;    // a second
+    SimulatedMembership(int member_count, int real, int controller_count, std::uint64_t seed);
+    void run_for(Duration span);
+    struct TrafficFigures {    // of one real process, on average
+        double packets_sent = 0.0, bytes_out = 0.0, bytes_in = 0.0, cpu_seconds = 0.0;    // a second
     };
-    Figures measure(Duration span);
-    bool complete() const;     // every real one has joined, and knows all
-    void replace(int real);    // that one ends without a word, and starts anew at once
-    std::size_t real() const { return real_.size(); }
+    TrafficFigures measure_traffic(Duration span);
+    bool is_complete() const;               // every real one has joined, and knows all
+    void replace_member(int real_index);    // that one ends without a word, and starts anew at once
+    std::size_t real_count() const { return real_members_.size(); }
 
 private:
     struct Event {
-        TimePoint at;
+        TimePoint due_at;
         std::uint64_t order = 0;
-        int to = 0;                 // of the members
-        std::string from, bytes;    // none: time passes for a real one
+        int recipient = 0;            // of the members
+        std::string sender, bytes;    // none: time passes for a real one
         bool operator<(const Event& other) const {
-            return std::tie(at, order) > std::tie(other.at, other.order);
+            return std::tie(due_at, order) > std::tie(other.due_at, other.order);
         }
     };
-    bool is_real(int member) const { return member >= first_real_; }
-    membership::Facts facts(int member) const;
-    std::uint64_t digest() const;
-    membership::Packet head(int member, membership::Kind kind, std::uint32_t number) const;
-    void start(int member);
-    void post(int from, const std::string& to, std::string bytes);
-    void carry(int member, const membership::Actions& out);
-    void stand_in(int member, const std::string& from, const std::string& bytes);
-    void crowd_pings();
+    bool is_real_member(int member) const { return member >= first_real_; }
+    membership::MemberInfo member_info(int member) const;
+    std::uint64_t table_digest() const;
+    membership::Packet packet_header(int member, membership::PacketKind kind, std::uint32_t number) const;
+    void start_member(int member);
+    void enqueue_packet(int from, const std::string& to, std::string bytes);
+    void execute_actions(int member, const membership::Actions& actions);
+    void answer_as_simulated(int member, const std::string& from, const std::string& bytes);
+    void send_simulated_pings();
 
     std::mt19937_64 random_;
-    TimePoint now_{std::chrono::hours(1)}, next_ping_{};
-    int members_, first_real_;
-    int lighthouses_;
-    std::uint64_t order_ = 0;
-    double cpu_ = 0.0;    // of the real ones
+    TimePoint current_time_{std::chrono::hours(1)}, next_ping_{};
+    int member_count_, first_real_;
+    int controller_count_;
+    std::uint64_t last_event_order_ = 0;
+    double cpu_seconds_ = 0.0;    // of the real ones
     std::priority_queue<Event> events_;
     std::vector<std::string> addresses_;
-    std::vector<std::uint64_t> lives_;
-    std::unordered_map<std::string, int> by_address_;
-    std::vector<std::unique_ptr<membership::Convoy>> real_;
-    std::vector<TimePoint> armed_;
-    std::uint64_t crowd_sum_ = 0;
+    std::vector<std::uint64_t> incarnations_;
+    std::unordered_map<std::string, int> member_by_address_;
+    std::vector<std::unique_ptr<membership::Membership>> real_members_;
+    std::vector<TimePoint> armed_deadlines_;
+    std::uint64_t simulated_digest_sum_ = 0;
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/stand_ins/counter.cpp
+++ b/testbed/stand_ins/counter.cpp
@@ -128,7 +128,7 @@
         }
         try {
             c.commands.feed({bytes.data(), static_cast<std::size_t>(n)});
-            while (const auto command = c.commands.next()) {
+            while (const auto command = c.commands.next_reply()) {
                 std::vector<std::string> words;
                 for (const auto& item : command->items) words.push_back(item.text);
                 std::string reply = answer(c, words);
@@ -137,7 +137,7 @@
                 if (babble_ && !control) reply = "HTTP/1.1 200 OK\r\n\r\n";
                 c.waiting.emplace_back(Clock::now() + (control ? 0ms : slow_), std::move(reply));
             }
-        } catch (const shared_counter::NotResp&) {
+        } catch (const shared_counter::RespProtocolError&) {
             c.dead = true;
         }
     }
@@ -272,7 +272,7 @@
             replica_ = -1;
             return error("ERR the replica cannot be reached");
         }
-        const std::string hello = shared_counter::write_command({"REPLICAOF", "me"});
+        const std::string hello = shared_counter::serialize_command({"REPLICAOF", "me"});
         ::send(replica_, hello.data(), hello.size(), MSG_NOSIGNAL);
     } else {
         return error(fmt::format("ERR no fault called {}", name));
@@ -282,7 +282,7 @@
 
 void StandInCounter::pass_on(const std::vector<std::string>& words) {
     if (replica_ < 0) return;
-    const std::string bytes = shared_counter::write_command(words);
+    const std::string bytes = shared_counter::serialize_command(words);
     ::send(replica_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     std::array<char, 4096> ignored{};
     while (::recv(replica_, ignored.data(), ignored.size(), MSG_DONTWAIT) > 0) {
--- a/testbed/stand_ins/counter.h
+++ b/testbed/stand_ins/counter.h
@@ -53,7 +53,7 @@
     };
     struct Connection {
         int fd = -1;
-        shared_counter::Replies commands;
+        shared_counter::RespReader commands;
         bool trusted = false, replica_link = false;
         std::string out;
         std::deque<std::pair<Clock::time_point, std::string>> waiting;    // answers that are held back
--- a/testbed/system/clients.cpp
+++ b/testbed/system/clients.cpp
@@ -32,39 +32,42 @@
 
 // ---- the platform ----
 
-Front::Front(Calls& calls, std::vector<Gate> gates) : calls_(calls) {
-    for (Gate& gate : gates) gates_.push_back({std::move(gate)});
-    poll();
+GatewaySelector::GatewaySelector(HttpCalls& calls, std::vector<GatewayEndpoint> endpoints) : calls_(calls) {
+    for (GatewayEndpoint& gate : endpoints) gateways_.push_back({std::move(gate)});
+    poll_readiness();
 }
 
-Front::~Front() { calls_.reactor().cancel(timer_); }
+GatewaySelector::~GatewaySelector() { calls_.reactor().cancel_timer(poll_timer_); }
 
-void Front::poll() {
-    for (Kept& kept : gates_) {
-        if (kept.removed) continue;
-        calls_.ask(kept.gate.readiness, "GET", "/readiness", "", kPollPatience,
-                   [&kept](const CallAnswer& a) { kept.misses = a.status == 200 ? 0 : kept.misses + 1; });
+void GatewaySelector::poll_readiness() {
+    for (GatewayRecord& kept : gateways_) {
+        if (kept.is_removed) continue;
+        calls_.send_request(kept.endpoint.readiness_address, "GET", "/readiness", "", kPollPatience,
+                            [&kept](const HttpReply& a) {
+                                kept.missed_polls = a.status_code == 200 ? 0 : kept.missed_polls + 1;
+                            });
     }
-    timer_ = calls_.reactor().after(kPollEvery, [this] { poll(); });
+    poll_timer_ = calls_.reactor().schedule_after(kPollEvery, [this] { poll_readiness(); });
 }
 
-bool Front::all_ready() const {
-    return std::all_of(gates_.begin(), gates_.end(),
-                       [](const Kept& k) { return k.removed || k.misses == 0; });
+bool GatewaySelector::all_ready() const {
+    return std::all_of(gateways_.begin(), gateways_.end(),
+                       [](const GatewayRecord& k) { return k.is_removed || k.missed_polls == 0; });
 }
 
-void Front::remove(const std::string& frontend) {
-    for (Kept& kept : gates_) kept.removed = kept.removed || kept.gate.frontend == frontend;
+void GatewaySelector::remove_gateway(const std::string& frontend) {
+    for (GatewayRecord& kept : gateways_)
+        kept.is_removed = kept.is_removed || kept.endpoint.frontend_address == frontend;
 }
 
 // With fewer than half of the zone's gateways in, all of them count; with none, those of other zones.
-std::vector<int> Front::candidates(const std::string& zone) const {
+std::vector<int> GatewaySelector::ready_gateways(const std::string& zone) const {
     std::vector<int> in, here, anywhere;
-    for (std::size_t i = 0; i < gates_.size(); ++i) {
-        if (gates_[i].removed) continue;
-        const bool ready = gates_[i].misses < kMisses;
+    for (std::size_t i = 0; i < gateways_.size(); ++i) {
+        if (gateways_[i].is_removed) continue;
+        const bool ready = gateways_[i].missed_polls < kMaxMissedPolls;
         if (ready) anywhere.push_back(static_cast<int>(i));
-        if (gates_[i].gate.zone != zone) continue;
+        if (gateways_[i].endpoint.zone != zone) continue;
         here.push_back(static_cast<int>(i));
         if (ready) in.push_back(static_cast<int>(i));
     }
@@ -72,61 +75,63 @@
     return in.size() * 2 < here.size() ? here : in;
 }
 
-int Front::choose(const std::string& zone, int not_this, double draw) const {
-    std::vector<int> from = candidates(zone);
-    if (from.size() > 1) std::erase(from, not_this);
+int GatewaySelector::choose_gateway(const std::string& zone, int excluded, double random_value) const {
+    std::vector<int> from = ready_gateways(zone);
+    if (from.size() > 1) std::erase(from, excluded);
     if (from.empty()) return -1;
     // By the hash of a client: uneven.
-    return from[std::min(from.size() - 1,
-                         static_cast<std::size_t>(std::pow(draw, 1.3) * static_cast<double>(from.size())))];
+    return from[std::min(from.size() - 1, static_cast<std::size_t>(std::pow(random_value, 1.3) *
+                                                                   static_cast<double>(from.size())))];
 }
 
 // ---- figures ----
 
-ClientFigures::OfRoute ClientFigures::all() const {
-    OfRoute sum;
-    for (const OfRoute& r : routes) {
+ClientStatistics::RouteCounters ClientStatistics::totals() const {
+    RouteCounters sum;
+    for (const RouteCounters& r : by_route) {
         sum.due += r.due;
         sum.served += r.served;
-        sum.in_aim += r.in_aim;
-        sum.refused += r.refused;
+        sum.within_target += r.within_target;
+        sum.rejected += r.rejected;
         sum.failed += r.failed;
-        sum.tries += r.tries;
+        sum.attempts += r.attempts;
         sum.latency_ms.insert(sum.latency_ms.end(), r.latency_ms.begin(), r.latency_ms.end());
     }
     return sum;
 }
 
-double latency_quantile(std::vector<float> of, double q) {
-    if (of.empty()) return 0.0;
-    const auto at = of.begin() + static_cast<std::ptrdiff_t>(q * static_cast<double>(of.size() - 1));
-    std::nth_element(of.begin(), at, of.end());
+double latency_quantile(std::vector<float> latencies, double quantile) {
+    if (latencies.empty()) return 0.0;
+    const auto at =
+        latencies.begin() + static_cast<std::ptrdiff_t>(quantile * static_cast<double>(latencies.size() - 1));
+    std::nth_element(latencies.begin(), at, latencies.end());
     return static_cast<double>(*at);
 }
 
 // ---- clients ----
 
-class Clients::Line : public StreamOwner {
+class Clients::Connection : public StreamOwner {
 public:
-    Line(Clients& of, Reactor& reactor) : stream(reactor, *this), owner_(of) {}
-    ~Line() override { owner_.reactor_.cancel(dial_timer); }
-    void on_connected() override { owner_.reactor_.cancel(dial_timer); }
+    Connection(Clients& of, Reactor& reactor) : stream(reactor, *this), owner_(of) {}
+    ~Connection() override { owner_.reactor_.cancel_timer(dial_timer); }
+    void on_connected() override { owner_.reactor_.cancel_timer(dial_timer); }
     void on_input() override {
-        const http::Status status = parser.parse(stream.input());
-        if (status == http::Status::Bad || ask == nullptr) return owner_.broken(*this);
-        if (status == http::Status::Done) owner_.answered(*this);
+        const http::ParseStatus status = parser.parse(stream.input_buffer());
+        if (status == http::ParseStatus::Malformed || ask == nullptr) return owner_.on_disconnected(*this);
+        if (status == http::ParseStatus::Complete) owner_.on_answer(*this);
     }
-    void on_broken() override {
-        if (ask != nullptr && stream.ended() && parser.head_done() && parser.end() == http::Status::Done)
-            owner_.answered(*this);
-        else owner_.broken(*this);
+    void on_disconnected() override {
+        if (ask != nullptr && stream.is_ended() && parser.head_complete() &&
+            parser.finish() == http::ParseStatus::Complete)
+            owner_.on_answer(*this);
+        else owner_.on_disconnected(*this);
     }
 
     Stream stream;
     http::Parser parser{http::Parser::Kind::Response, {64 * 1024, 16 * 1024 * 1024, 200}};
     std::string zone;
     int gate = -1;
-    Ask* ask = nullptr;    // none: idle
+    PendingRequest* ask = nullptr;    // none: idle
     TimePoint used{};
     Timers::Id dial_timer = 0;
 
@@ -134,217 +139,227 @@
     Clients& owner_;
 };
 
-Clients::Clients(Reactor& reactor, Board& board, const Front& front, Settings settings)
-    : reactor_(reactor), board_(board), front_(front), s_(std::move(settings)), random_(s_.seed) {
-    forget_figures();
+Clients::Clients(Reactor& reactor, Board& board, const GatewaySelector& front, Settings settings)
+    : reactor_(reactor),
+      board_(board),
+      front_(front),
+      settings_(std::move(settings)),
+      random_(settings_.seed) {
+    reset_statistics();
 }
 
 Clients::~Clients() {
-    stop();
-    for (const auto& ask : asks_) {
-        reactor_.cancel(ask->timer);
-        reactor_.cancel(ask->end);
+    stop_load();
+    for (const auto& ask : pending_requests_) {
+        reactor_.cancel_timer(ask->retry_timer);
+        reactor_.cancel_timer(ask->deadline_timer);
     }
-    lines_.clear();
-    reactor_.reap();
+    connections_.clear();
+    reactor_.destroy_retired();
 }
 
-void Clients::forget_figures() {
-    figures_ = {};
-    figures_.routes.resize(s_.routes.size());
-    began_ = reactor_.clock().now();
+void Clients::reset_statistics() {
+    statistics_ = {};
+    statistics_.by_route.resize(settings_.routes.size());
+    started_at_ = reactor_.clock().now();
 }
 
-void Clients::start(double times) {
-    stop();
-    times_ = times;
-    arrivals_.resize(s_.routes.size());
-    for (std::size_t r = 0; r < s_.routes.size(); ++r) due(r);
+void Clients::start_load(double load_factor) {
+    stop_load();
+    load_factor_ = load_factor;
+    arrival_timers_.resize(settings_.routes.size());
+    for (std::size_t r = 0; r < settings_.routes.size(); ++r) on_request_due(r);
 }
 
-void Clients::stop() {
-    for (Timers::Id& timer : arrivals_) reactor_.cancel(timer);
-    arrivals_.clear();
+void Clients::stop_load() {
+    for (Timers::Id& timer : arrival_timers_) reactor_.cancel_timer(timer);
+    arrival_timers_.clear();
 }
 
-std::string Clients::new_id() { return fmt::format("{:016x}", random_()); }
+std::string Clients::make_request_id() { return fmt::format("{:016x}", random_()); }
 
 // Begins with a wait: the first one is not due at once either.
-void Clients::due(std::size_t r) {
-    const double wait = std::exponential_distribution<double>(s_.routes[r].rate * times_)(random_);
-    arrivals_[r] = reactor_.after(from_secs(wait), [this, r] {
-        const RoutePlan& route = s_.routes[r];
-        asks_.push_back(std::make_unique<Ask>());
-        Ask& ask = *asks_.back();
+void Clients::on_request_due(std::size_t r) {
+    const double wait =
+        std::exponential_distribution<double>(settings_.routes[r].rate * load_factor_)(random_);
+    arrival_timers_[r] = reactor_.schedule_after(from_secs(wait), [this, r] {
+        const RoutePlan& route = settings_.routes[r];
+        pending_requests_.push_back(std::make_unique<PendingRequest>());
+        PendingRequest& ask = *pending_requests_.back();
         std::vector<double> weights;
-        for (const TenantPlan& tenant : s_.tenants) weights.push_back(tenant.weight);
+        for (const TenantPlan& tenant : settings_.tenants) weights.push_back(tenant.weight);
         ask.route = r;
         ask.tenant = std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random_);
-        ask.zone = s_.zones[random_() % s_.zones.size()];
-        ask.target = fmt::format("{}{:x}?n={}", route.prefix, random_() % 100000, ++numbers_);
-        ask.body.assign(route.body, static_cast<char>('A' + random_() % 26));
-        ask.due = reactor_.clock().now();
-        ask.deadline = ask.due + route.deadline;
-        ask.second = static_cast<std::size_t>(secs(ask.due - began_));
-        if (figures_.seconds.size() <= ask.second) figures_.seconds.resize(ask.second + 1);
-        ++figures_.seconds[ask.second].due;
-        ++figures_.routes[r].due;
-        ask.end = reactor_.at(ask.deadline, [this, &ask] { done(ask, false); });
-        const bool fresh = std::uniform_real_distribution<double>()(random_) < s_.new_connections;
-        due(r);
-        attempt(ask, fresh);
+        ask.zone = settings_.zones[random_() % settings_.zones.size()];
+        ask.target = fmt::format("{}{:x}?n={}", route.prefix, random_() % 100000, ++last_request_number_);
+        ask.body.assign(route.body_size, static_cast<char>('A' + random_() % 26));
+        ask.due_at = reactor_.clock().now();
+        ask.deadline = ask.due_at + route.deadline;
+        ask.second_index = static_cast<std::size_t>(secs(ask.due_at - started_at_));
+        if (statistics_.by_second.size() <= ask.second_index)
+            statistics_.by_second.resize(ask.second_index + 1);
+        ++statistics_.by_second[ask.second_index].due;
+        ++statistics_.by_route[r].due;
+        ask.deadline_timer = reactor_.schedule_at(ask.deadline, [this, &ask] { finish_request(ask, false); });
+        const bool fresh =
+            std::uniform_real_distribution<double>()(random_) < settings_.new_connection_fraction;
+        on_request_due(r);
+        send_attempt(ask, fresh);
     });
 }
 
-Clients::Line* Clients::idle_line(const std::string& zone) {
+Clients::Connection* Clients::find_idle_connection(const std::string& zone) {
     const TimePoint now = reactor_.clock().now();
-    std::vector<Line*> old;
-    Line* found = nullptr;
-    for (const auto& line : lines_) {
+    std::vector<Connection*> old;
+    Connection* found = nullptr;
+    for (const auto& line : connections_) {
         if (line->ask != nullptr) continue;
-        if (now - line->used > kKept || !line->stream.quiet()) old.push_back(line.get());
+        if (now - line->used > kKept || !line->stream.is_quiet()) old.push_back(line.get());
         else if (line->zone == zone) found = line.get();
     }
-    for (Line* line : old) drop(*line);
+    for (Connection* line : old) remove_connection(*line);
     return found;
 }
 
-Clients::Line* Clients::new_line(Ask& ask) {
+Clients::Connection* Clients::open_connection(PendingRequest& request) {
     const double draw = std::uniform_real_distribution<double>()(random_);
-    const int gate = front_.choose(ask.zone, ask.gate, draw);
+    const int gate = front_.choose_gateway(request.zone, request.gateway_index, draw);
     if (gate < 0) return nullptr;
-    lines_.push_back(std::make_unique<Line>(*this, reactor_));
-    Line& line = *lines_.back();
-    line.zone = ask.zone;
+    connections_.push_back(std::make_unique<Connection>(*this, reactor_));
+    Connection& line = *connections_.back();
+    line.zone = request.zone;
     line.gate = gate;
-    ++figures_.connections;
-    if (!line.stream.dial(front_.gate(gate).frontend)) {
-        drop(line);
+    ++statistics_.connections_opened;
+    if (!line.stream.connect(front_.endpoint_at(gate).frontend_address)) {
+        remove_connection(line);
         return nullptr;
     }
-    line.dial_timer = reactor_.after(kDial, [this, &line] { broken(line); });
+    line.dial_timer = reactor_.schedule_after(kDial, [this, &line] { on_disconnected(line); });
     return &line;
 }
 
-void Clients::attempt(Ask& ask, bool fresh) {
-    ++ask.tries;
-    ++figures_.routes[ask.route].tries;
-    ask.refused = false;
-    Line* line = fresh ? nullptr : idle_line(ask.zone);
-    if (line == nullptr) line = new_line(ask);
-    if (line == nullptr) return again(ask, kPause * 5, true);    // nothing was sent
-    ask.gate = line->gate;
-    line->ask = &ask;
-    ask.line = line;
-    write(ask, *line);
+void Clients::send_attempt(PendingRequest& request, bool new_connection) {
+    ++request.attempts;
+    ++statistics_.by_route[request.route].attempts;
+    request.was_rejected = false;
+    Connection* line = new_connection ? nullptr : find_idle_connection(request.zone);
+    if (line == nullptr) line = open_connection(request);
+    if (line == nullptr) return retry_later(request, kPause * 5, true);    // nothing was sent
+    request.gateway_index = line->gate;
+    line->ask = &request;
+    request.connection = line;
+    write_request(request, *line);
 }
 
-void Clients::write(Ask& ask, Line& line) {
-    const RoutePlan& route = s_.routes[ask.route];
-    const TenantPlan* tenant = route.open || s_.tenants.empty() ? nullptr : &s_.tenants[ask.tenant];
-    const char* const method = ask.body.empty() ? "GET" : "POST";
-    ask.id = new_id();
-    board_.sent(ask.id,
-                {route.service, tenant ? tenant->name : "", method, ask.target, ask.body, route.repeatable});
+void Clients::write_request(PendingRequest& request, Connection& connection) {
+    const RoutePlan& route = settings_.routes[request.route];
+    const TenantPlan* tenant =
+        route.is_public || settings_.tenants.empty() ? nullptr : &settings_.tenants[request.tenant];
+    const char* const method = request.body.empty() ? "GET" : "POST";
+    request.id = make_request_id();
+    board_.sent(request.id, {route.service, tenant ? tenant->name : "", method, request.target, request.body,
+                             route.is_repeatable});
     const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds>(ask.deadline - reactor_.clock().now());
+        std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - reactor_.clock().now());
     std::string out =
         fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\nX-Attempt-Id: {}\r\nX-Deadline-Remaining: {}\r\n", method,
-                    ask.target, route.host, ask.id, left.count());
+                    request.target, route.host, request.id, left.count());
     if (tenant) out += fmt::format("Authorization: Bearer {}\r\n", tenant->key);
-    if (ask.body.empty()) {
+    if (request.body.empty()) {
         out += "\r\n";
     } else if (random_() % 4 != 0) {
-        out += fmt::format("Content-Length: {}\r\n\r\n{}", ask.body.size(), ask.body);
+        out += fmt::format("Content-Length: {}\r\n\r\n{}", request.body.size(), request.body);
     } else {
-        const std::size_t half = (ask.body.size() + 1) / 2;
-        out +=
-            fmt::format("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n", half, ask.body.substr(0, half));
-        if (half < ask.body.size())
-            out += fmt::format("{:x}\r\n{}\r\n", ask.body.size() - half, ask.body.substr(half));
+        const std::size_t half = (request.body.size() + 1) / 2;
+        out += fmt::format("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n", half,
+                           request.body.substr(0, half));
+        if (half < request.body.size())
+            out += fmt::format("{:x}\r\n{}\r\n", request.body.size() - half, request.body.substr(half));
         out += "0\r\n\r\n";
     }
-    if (!line.stream.send(std::move(out))) broken(line);
+    if (!connection.stream.write_bytes(std::move(out))) on_disconnected(connection);
 }
 
-void Clients::answered(Line& line) {
-    Ask& ask = *line.ask;
-    const http::Buffer& in = line.stream.input();
-    const int status = line.parser.status();
-    const bool good =
-        board_.heard(ask.id, status, line.parser.header(in, "X-Server-Seal"), line.parser.body(in));
-    const double told = std::strtod(std::string(line.parser.header(in, "Retry-After")).c_str(), nullptr);
-    const bool keep = line.parser.keep_alive() && line.parser.size() == in.size();
-    line.stream.input().consume(line.parser.size());
-    line.parser.reset();
-    line.ask = nullptr;
-    ask.line = nullptr;
-    line.used = reactor_.clock().now();
-    const auto it =
-        std::find_if(lines_.begin(), lines_.end(), [&](const auto& l) { return l.get() == &line; });
-    lines_.splice(lines_.end(), lines_, it);
-    if (!keep) drop(line);
-    ask.refused = is_promise(status);
-    if (is_last(status)) return done(ask, good);
+void Clients::on_answer(Connection& connection) {
+    PendingRequest& ask = *connection.ask;
+    const http::Buffer& in = connection.stream.input_buffer();
+    const int status = connection.parser.status_code();
+    const bool good = board_.heard(ask.id, status, connection.parser.header(in, "X-Server-Seal"),
+                                   connection.parser.body(in));
+    const double told =
+        std::strtod(std::string(connection.parser.header(in, "Retry-After")).c_str(), nullptr);
+    const bool keep = connection.parser.keep_alive() && connection.parser.message_size() == in.size();
+    connection.stream.input_buffer().consume(connection.parser.message_size());
+    connection.parser.reset();
+    connection.ask = nullptr;
+    ask.connection = nullptr;
+    connection.used = reactor_.clock().now();
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](const auto& l) { return l.get() == &connection; });
+    connections_.splice(connections_.end(), connections_, it);
+    if (!keep) remove_connection(connection);
+    ask.was_rejected = is_promise(status);
+    if (is_last(status)) return finish_request(ask, good);
     const Duration third = (ask.deadline - reactor_.clock().now()) / 3;
-    again(ask, std::max(kPause, std::min(from_secs(told), third)),
-          is_promise(status) || s_.routes[ask.route].repeatable);
+    retry_later(ask, std::max(kPause, std::min(from_secs(told), third)),
+                is_promise(status) || settings_.routes[ask.route].is_repeatable);
 }
 
-void Clients::broken(Line& line) {
-    Ask* const ask = std::exchange(line.ask, nullptr);
-    drop(line);
+void Clients::on_disconnected(Connection& connection) {
+    PendingRequest* const ask = std::exchange(connection.ask, nullptr);
+    remove_connection(connection);
     if (ask == nullptr) return;
-    ask->line = nullptr;
-    again(*ask, kPause, s_.routes[ask->route].repeatable);
+    ask->connection = nullptr;
+    retry_later(*ask, kPause, settings_.routes[ask->route].is_repeatable);
 }
 
-void Clients::again(Ask& ask, Duration wait, bool allowed) {
-    if (!allowed || ask.tries >= kMostTries || reactor_.clock().now() + wait + kLeast > ask.deadline)
-        return done(ask, false);
-    reactor_.cancel(ask.timer);
-    ask.timer = reactor_.after(wait, [this, &ask] {
-        ask.timer = 0;
-        attempt(ask, true);
+void Clients::retry_later(PendingRequest& request, Duration delay, bool may_retry) {
+    if (!may_retry || request.attempts >= kMostTries ||
+        reactor_.clock().now() + delay + kLeast > request.deadline)
+        return finish_request(request, false);
+    reactor_.cancel_timer(request.retry_timer);
+    request.retry_timer = reactor_.schedule_after(delay, [this, &request] {
+        request.retry_timer = 0;
+        send_attempt(request, true);
     });
 }
 
-void Clients::done(Ask& ask, bool served) {
-    reactor_.cancel(ask.timer);
-    reactor_.cancel(ask.end);
-    if (ask.line != nullptr) {
-        ask.line->ask = nullptr;
-        drop(*ask.line);
+void Clients::finish_request(PendingRequest& request, bool was_served) {
+    reactor_.cancel_timer(request.retry_timer);
+    reactor_.cancel_timer(request.deadline_timer);
+    if (request.connection != nullptr) {
+        request.connection->ask = nullptr;
+        remove_connection(*request.connection);
     }
-    ClientFigures::OfRoute& r = figures_.routes[ask.route];
-    if (ask.due >= began_) {
-        ClientFigures::Second& second = figures_.seconds[ask.second];
-        const Duration took = reactor_.clock().now() - ask.due;
-        if (served) {
+    ClientStatistics::RouteCounters& r = statistics_.by_route[request.route];
+    if (request.due_at >= started_at_) {
+        ClientStatistics::SecondCounters& second = statistics_.by_second[request.second_index];
+        const Duration took = reactor_.clock().now() - request.due_at;
+        if (was_served) {
             ++r.served;
             ++second.served;
-            r.in_aim += took <= s_.routes[ask.route].aim;
+            r.within_target += took <= settings_.routes[request.route].latency_target;
             r.latency_ms.push_back(static_cast<float>(secs(took) * 1e3));
         } else {
-            ++(ask.refused ? r.refused : r.failed);
-            ++(ask.refused ? second.refused : second.failed);
+            ++(request.was_rejected ? r.rejected : r.failed);
+            ++(request.was_rejected ? second.rejected : second.failed);
         }
     }
-    std::erase_if(asks_, [&](const auto& a) { return a.get() == &ask; });
+    std::erase_if(pending_requests_, [&](const auto& a) { return a.get() == &request; });
 }
 
-void Clients::drop(Line& line) {
-    struct Gone : Retired {    // it may be on the call stack
-        explicit Gone(std::unique_ptr<Line> of) : line(std::move(of)) {}
-        std::unique_ptr<Line> line;
+void Clients::remove_connection(Connection& connection) {
+    struct Gone : RetiredObject {    // it may be on the call stack
+        explicit Gone(std::unique_ptr<Connection> of) : line(std::move(of)) {}
+        std::unique_ptr<Connection> line;
     };
-    line.stream.close();
-    reactor_.cancel(line.dial_timer);
-    const auto it =
-        std::find_if(lines_.begin(), lines_.end(), [&](const auto& l) { return l.get() == &line; });
-    if (it == lines_.end()) return;
-    reactor_.retire(std::make_unique<Gone>(std::move(*it)));
-    lines_.erase(it);
+    connection.stream.close();
+    reactor_.cancel_timer(connection.dial_timer);
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](const auto& l) { return l.get() == &connection; });
+    if (it == connections_.end()) return;
+    reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+    connections_.erase(it);
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/system/clients.h
+++ b/testbed/system/clients.h
@@ -18,43 +18,47 @@
 namespace shaletray::testbed {
 
 // Asks every gateway each second whether it is ready, and chooses one for each new connection.
-class Front {
+class GatewaySelector {
 public:
-    struct Gate {
-        std::string zone, frontend, readiness;
+    struct GatewayEndpoint {
+        std::string zone, frontend_address, readiness_address;
     };
-    Front(Calls& calls, std::vector<Gate> gates);
-    ~Front();
-    void add(Gate gate) { gates_.push_back({std::move(gate)}); }
-    void remove(const std::string& frontend);    // it is not chosen or asked any more
+    GatewaySelector(HttpCalls& calls, std::vector<GatewayEndpoint> endpoints);
+    ~GatewaySelector();
+    void add_gateway(GatewayEndpoint endpoint) { gateways_.push_back({std::move(endpoint)}); }
+    void remove_gateway(const std::string& frontend);    // it is not chosen or asked any more
     // Below 0: there is none. Another one than `not_this`, where there is one. `draw` in 0 to 1.
-    int choose(const std::string& zone, int not_this, double draw) const;
-    const Gate& gate(int number) const { return gates_[static_cast<std::size_t>(number)].gate; }
+    int choose_gateway(const std::string& zone, int excluded, double random_value) const;
+    const GatewayEndpoint& endpoint_at(int number) const {
+        return gateways_[static_cast<std::size_t>(number)].endpoint;
+    }
     bool all_ready() const;
-    bool is_ready(int number) const { return gates_[static_cast<std::size_t>(number)].misses < kMisses; }
+    bool is_ready(int number) const {
+        return gateways_[static_cast<std::size_t>(number)].missed_polls < kMaxMissedPolls;
+    }
 
 private:
-    static constexpr int kMisses = 2;
-    struct Kept {
-        Gate gate;
-        int misses = kMisses;    // out until it says that it is ready
-        bool removed = false;
+    static constexpr int kMaxMissedPolls = 2;
+    struct GatewayRecord {
+        GatewayEndpoint endpoint;
+        int missed_polls = kMaxMissedPolls;    // out until it says that it is ready
+        bool is_removed = false;
     };
-    void poll();
-    std::vector<int> candidates(const std::string& zone) const;
+    void poll_readiness();
+    std::vector<int> ready_gateways(const std::string& zone) const;
 
-    Calls& calls_;
-    std::deque<Kept> gates_;    // polls hold on to theirs
-    Timers::Id timer_ = 0;
+    HttpCalls& calls_;
+    std::deque<GatewayRecord> gateways_;    // polls hold on to theirs
+    Timers::Id poll_timer_ = 0;
 };
 
 struct RoutePlan {
     std::string name, host, prefix, service;
-    bool repeatable = true, open = false;    // open: needs no key
-    double rate = 10.0;                      // a second
-    Duration work{0}, aim{0}, deadline{0}, timeout{0};
-    int priority = 1, attempts = 2;
-    std::size_t body = 0;    // bytes that its requests carry
+    bool is_repeatable = true, is_public = false;    // open: needs no key
+    double rate = 10.0;                              // a second
+    Duration service_time{0}, latency_target{0}, deadline{0}, attempt_timeout{0};
+    int priority = 1, max_attempts = 2;
+    std::size_t body_size = 0;    // bytes that its requests carry
 };
 struct TenantPlan {
     std::string name, key;
@@ -62,21 +66,21 @@
     int priority = 1;
 };
 
-struct ClientFigures {
-    struct OfRoute {
-        std::uint64_t due = 0, served = 0, in_aim = 0, refused = 0, failed = 0, tries = 0;
+struct ClientStatistics {
+    struct RouteCounters {
+        std::uint64_t due = 0, served = 0, within_target = 0, rejected = 0, failed = 0, attempts = 0;
         std::vector<float> latency_ms;    // of what was served, from when it was due
     };
-    std::vector<OfRoute> routes;
-    struct Second {
-        std::uint64_t due = 0, served = 0, refused = 0, failed = 0;
+    std::vector<RouteCounters> by_route;
+    struct SecondCounters {
+        std::uint64_t due = 0, served = 0, rejected = 0, failed = 0;
     };
-    std::vector<Second> seconds;    // by when they were due
-    std::uint64_t connections = 0;
-    OfRoute all() const;
+    std::vector<SecondCounters> by_second;    // by when they were due
+    std::uint64_t connections_opened = 0;
+    RouteCounters totals() const;
 };
 // 0 where there is none.
-double latency_quantile(std::vector<float> of, double q);
+double latency_quantile(std::vector<float> latencies, double quantile);
 
 class Clients {
 public:
@@ -84,53 +88,53 @@
         std::vector<RoutePlan> routes;
         std::vector<TenantPlan> tenants;
         std::vector<std::string> zones;
-        double new_connections = 0.2;    // the share of requests that come on one of their own
+        double new_connection_fraction = 0.2;    // the share of requests that come on one of their own
         std::uint64_t seed = 1;
     };
-    Clients(Reactor& reactor, Board& board, const Front& front, Settings settings);
+    Clients(Reactor& reactor, Board& board, const GatewaySelector& front, Settings settings);
     ~Clients();
-    void start(double times = 1.0);    // as many requests
-    void stop();                       // no more are due; those under way go on
-    std::size_t open() const { return asks_.size(); }
-    const ClientFigures& figures() const { return figures_; }
-    void forget_figures();
+    void start_load(double load_factor = 1.0);    // as many requests
+    void stop_load();                             // no more are due; those under way go on
+    std::size_t open_requests() const { return pending_requests_.size(); }
+    const ClientStatistics& statistics() const { return statistics_; }
+    void reset_statistics();
 
 private:
-    class Line;
-    struct Ask {
+    class Connection;
+    struct PendingRequest {
         std::size_t route = 0, tenant = 0;
         std::string zone, target, body, id;
-        TimePoint due{}, deadline{};
-        std::size_t second = 0;
-        int tries = 0, gate = -1;
-        bool refused = false;    // by the last try
-        Line* line = nullptr;
-        Timers::Id timer = 0, end = 0;
+        TimePoint due_at{}, deadline{};
+        std::size_t second_index = 0;
+        int attempts = 0, gateway_index = -1;
+        bool was_rejected = false;    // by the last try
+        Connection* connection = nullptr;
+        Timers::Id retry_timer = 0, deadline_timer = 0;
     };
-    void due(std::size_t route);
-    void attempt(Ask& ask, bool fresh);
-    Line* idle_line(const std::string& zone);
-    Line* new_line(Ask& ask);
-    void write(Ask& ask, Line& line);
-    void answered(Line& line);
-    void broken(Line& line);
-    void again(Ask& ask, Duration wait, bool allowed);
-    void done(Ask& ask, bool served);
-    void drop(Line& line);
-    std::string new_id();
+    void on_request_due(std::size_t route);
+    void send_attempt(PendingRequest& request, bool new_connection);
+    Connection* find_idle_connection(const std::string& zone);
+    Connection* open_connection(PendingRequest& request);
+    void write_request(PendingRequest& request, Connection& connection);
+    void on_answer(Connection& connection);
+    void on_disconnected(Connection& connection);
+    void retry_later(PendingRequest& request, Duration delay, bool may_retry);
+    void finish_request(PendingRequest& request, bool was_served);
+    void remove_connection(Connection& connection);
+    std::string make_request_id();
 
     Reactor& reactor_;
     Board& board_;
-    const Front& front_;
-    Settings s_;
+    const GatewaySelector& front_;
+    Settings settings_;
     std::mt19937_64 random_;
-    std::list<std::unique_ptr<Line>> lines_;    // the last used at the end
-    std::list<std::unique_ptr<Ask>> asks_;
-    std::vector<Timers::Id> arrivals_;
-    double times_ = 1.0;
-    TimePoint began_{};
-    std::uint64_t numbers_ = 0;
-    ClientFigures figures_;
+    std::list<std::unique_ptr<Connection>> connections_;    // the last used at the end
+    std::list<std::unique_ptr<PendingRequest>> pending_requests_;
+    std::vector<Timers::Id> arrival_timers_;
+    double load_factor_ = 1.0;
+    TimePoint started_at_{};
+    std::uint64_t last_request_number_ = 0;
+    ClientStatistics statistics_;
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/system/demo.cpp
+++ b/testbed/system/demo.cpp
@@ -14,17 +14,17 @@
 
 using Json = nlohmann::json;
 
-constexpr int kMachines = 3;
-constexpr double kServedAtLeast = 0.99;
+constexpr int kMachineCount = 3;
+constexpr double kMinServedFraction = 0.99;
 
 void print_tail(const std::string& text) {
     const std::size_t from = text.size() > 2000 ? text.find('\n', text.size() - 2000) + 1 : 0;
     std::fputs(text.substr(from).c_str(), stdout);
 }
 
-int fail(SystemRig& rig, const std::string& why) {
+int report_failure(SystemFixture& rig, const std::string& why) {
     fmt::print("{}\n", why);
-    for (const std::string& name : rig.nodes()) {
+    for (const std::string& name : rig.node_names()) {
         fmt::print("---- {} ----\n", name);
         print_tail(rig.log_text(name));
     }
@@ -49,57 +49,59 @@
                    n["peak_mb"].get<double>());
 }
 
-int run(const std::string& programs, std::uint64_t seed, double seconds) {
-    catch_signals();
-    const int lighthouses = static_cast<int>(environment_number("LIGHTHOUSES", 3, 1, kMachines));
-    const SystemPlan plan = small_system("demo", programs, seed, kMachines, lighthouses);
-    SystemRig rig(plan);
-    fmt::print("starting {} pilots and {} lighthouses\n", kMachines, lighthouses);
-    rig.begin();
+int run_demo(const std::string& programs, std::uint64_t seed, double seconds) {
+    install_signal_handlers();
+    const int lighthouses = static_cast<int>(number_from_environment("LIGHTHOUSES", 3, 1, kMachineCount));
+    const SystemPlan plan = make_small_system("demo", programs, seed, kMachineCount, lighthouses);
+    SystemFixture rig(plan);
+    fmt::print("starting {} pilots and {} lighthouses\n", kMachineCount, lighthouses);
+    rig.start_all();
     for (const ServicePlan& service : plan.services)
-        for (int i = 0; i < service.servers; ++i) rig.add_server(service.name);
-    const Json configuration = rig.configuration(1);
-    const SystemRig::Order order = rig.send(configuration, 20.0);
-    if (order.status != 200) return fail(rig, fmt::format("configuration r1 got status {}", order.status));
-    fmt::print("configuration r1 was acknowledged after {:.2f} s\n", order.took_s);
-    if (!rig.wait_servers_known(20.0)) return fail(rig, "not every server's beat was acknowledged");
-    if (!rig.wait_ready(20.0)) return fail(rig, "not every pilot says that it is ready");
+        for (int i = 0; i < service.server_count; ++i) rig.add_server(service.name);
+    const Json first_configuration = rig.make_configuration(1);
+    const SystemFixture::CommandResult order = rig.replace_configuration(first_configuration, 20.0);
+    if (order.status_code != 200)
+        return report_failure(rig, fmt::format("configuration r1 got status {}", order.status_code));
+    fmt::print("configuration r1 was acknowledged after {:.2f} s\n", order.seconds_taken);
+    if (!rig.wait_servers_registered(20.0))
+        return report_failure(rig, "not every server's beat was acknowledged");
+    if (!rig.wait_ready(20.0)) return report_failure(rig, "not every pilot says that it is ready");
     rig.run_for(1.0);    // for news of the last servers to arrive
     fmt::print("all are ready; clients come for {:.0f} s\n", seconds);
     std::fflush(stdout);
-    rig.begin_load(environment_number("LOAD", 1.0, 0.01, 20.0));
+    rig.start_load(number_from_environment("LOAD", 1.0, 0.01, 20.0));
     for (double t = 0.0; t < seconds; t += 5.0) {
         rig.run_for(std::min(5.0, seconds - t));
-        const ClientFigures::OfRoute all = rig.figures().all();
+        const ClientStatistics::RouteCounters all = rig.client_statistics().totals();
         fmt::print("{:>4.0f} s: {} due, {} served, {} refused, {} failed\n", std::min(t + 5.0, seconds),
-                   all.due, all.served, all.refused, all.failed);
+                   all.due, all.served, all.rejected, all.failed);
         std::fflush(stdout);
     }
-    rig.end_load();
-    const SystemRig::Order read = rig.read();
-    Json figures = rig.report();
-    const std::vector<std::string> ended = rig.ended_by_themselves();
+    rig.stop_load();
+    const SystemFixture::CommandResult read = rig.read_configuration();
+    Json figures = rig.make_report();
+    const std::vector<std::string> ended = rig.unexpectedly_ended();
     print_table(figures);
-    rig.end();
+    rig.stop_all();
 
-    Bounds bounds;
+    Expectations bounds;
     const double due = figures["due"], served = figures["served"];
-    bounds.hold(due > 0.0 && served >= kServedAtLeast * due,
-                fmt::format("{:.2f}% was served", due > 0.0 ? served / due * 100.0 : 0.0));
+    bounds.expect(due > 0.0 && served >= kMinServedFraction * due,
+                  fmt::format("{:.2f}% was served", due > 0.0 ? served / due * 100.0 : 0.0));
     for (const auto& [rule, count] : figures["rules"].items())
-        bounds.hold(count == 0, fmt::format("{}: {}", rule, count.get<std::uint64_t>()));
-    bounds.hold(read.status == 200 && Json::parse(read.body, nullptr, false) == configuration,
-                fmt::format("what was read back (status {}) is not what was sent", read.status));
+        bounds.expect(count == 0, fmt::format("{}: {}", rule, count.get<std::uint64_t>()));
+    bounds.expect(read.status_code == 200 && Json::parse(read.body, nullptr, false) == first_configuration,
+                  fmt::format("what was read back (status {}) is not what was sent", read.status_code));
     for (const std::string& name : ended) {
-        bounds.hold(false, name + " ended by itself");
+        bounds.expect(false, name + " ended by itself");
         print_tail(rig.log_text(name));
     }
-    return bounds.report(figures);
+    return bounds.print_report(figures);
 }
 
 }    // namespace
 }    // namespace shaletray::testbed
 
 int main(int, char** argv) {
-    return shaletray::testbed::experiment_main(argv, 20.0, shaletray::testbed::run);
+    return shaletray::testbed::experiment_main(argv, 20.0, shaletray::testbed::run_demo);
 }
--- a/testbed/system/fixture.cpp
+++ b/testbed/system/fixture.cpp
@@ -15,38 +15,41 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-constexpr int kFrontend = 8045, kReadiness = 8048, kControl = 8042, kFirstPort = 7100, kLastPort = 7115;
-constexpr int kServers = 8080;
-constexpr double kStep = 0.05, kSeedLag = 3.0;
+constexpr int kFrontendPort = 8045, kReadinessPort = 8048, kControlPort = 8042, kFirstPort = 7100,
+              kLastPort = 7115;
+constexpr int kServerPort = 8080;
+constexpr double kPollInterval = 0.05, kSeedUpdateDelay = 3.0;
 
-std::atomic<bool> asked_to_end{false};
+std::atomic<bool> stop_requested{false};
 
-std::string ms(Duration d) {
+std::string format_milliseconds(Duration d) {
     return fmt::format("{}ms", std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
 
-std::string joined(const std::vector<std::string>& words) { return fmt::format("{}", fmt::join(words, ",")); }
+std::string join_with_commas(const std::vector<std::string>& words) {
+    return fmt::format("{}", fmt::join(words, ","));
+}
 
 }    // namespace
 
-void catch_signals() {
+void install_signal_handlers() {
     std::signal(SIGPIPE, SIG_IGN);
-    for (const int number : {SIGINT, SIGTERM}) std::signal(number, [](int) { asked_to_end = true; });
+    for (const int number : {SIGINT, SIGTERM}) std::signal(number, [](int) { stop_requested = true; });
 }
 
-SystemPlan small_system(const std::string& name, const std::string& programs, std::uint64_t seed,
-                        int machines, int lighthouses) {
+SystemPlan make_small_system(const std::string& name, const std::string& program_directory,
+                             std::uint64_t seed, int machine_count, int controller_count) {
     SystemPlan plan{.name = name,
-                    .programs = programs,
+                    .program_directory = program_directory,
                     .seed = seed,
                     .machines = {},
                     .services = {},
                     .routes = {},
                     .tenants = {}};
     const std::vector<std::string> zones = {"north", "south", "west"};
-    for (int m = 0; m < machines; ++m)
-        plan.machines.push_back(
-            {zones[static_cast<std::size_t>(m) % zones.size()], true, m < lighthouses, m < lighthouses});
+    for (int m = 0; m < machine_count; ++m)
+        plan.machines.push_back({zones[static_cast<std::size_t>(m) % zones.size()], true,
+                                 m < controller_count, m < controller_count});
     plan.services = {{"lookups", 8, 6, 130, 220ms},
                      {"approvals", 6, 6, 130, 290ms},
                      {"payouts", 6, 6, 130, 150ms},
@@ -58,12 +61,12 @@
         r.host = fmt::format("{}.example", of);
         r.prefix = fmt::format("/{}/", of);
         r.service = service;
-        r.repeatable = repeatable;
+        r.is_repeatable = repeatable;
         r.rate = rate;
-        r.aim = aim;
+        r.latency_target = aim;
         r.deadline = deadline;
-        r.timeout = deadline * 2;
-        r.body = body;
+        r.attempt_timeout = deadline * 2;
+        r.body_size = body;
         return r;
     };
     plan.routes = {route("read", "lookups", true, 97, 600ms, 2500ms, 0),
@@ -76,150 +79,154 @@
     return plan;
 }
 
-SystemRig::SystemRig(SystemPlan plan)
-    : Ground(fmt::format("{}-{}", plan.name, plan.seed)), plan_(std::move(plan)), net_(10 + getpid() % 200) {
-    std::vector<Front::Gate> gates;
+SystemFixture::SystemFixture(SystemPlan plan)
+    : ExperimentHost(fmt::format("{}-{}", plan.name, plan.seed)),
+      plan_(std::move(plan)),
+      address_prefix_(10 + getpid() % 200) {
+    std::vector<GatewaySelector::GatewayEndpoint> gates;
     for (const MachinePlan& of : plan_.machines) {
-        const Machine& machine = place(of);
-        if (of.pilot) gates.push_back(gate(machine));
+        const Machine& machine = place_machine(of);
+        if (of.has_gateway) gates.push_back(endpoint_of(machine));
     }
     if (control_addresses().empty()) throw std::runtime_error("no machine has a lighthouse");
     std::vector<std::string> zones;
     for (const Machine& machine : machines_)
-        if (machine.plan.pilot && std::find(zones.begin(), zones.end(), machine.plan.zone) == zones.end())
+        if (machine.plan.has_gateway &&
+            std::find(zones.begin(), zones.end(), machine.plan.zone) == zones.end())
             zones.push_back(machine.plan.zone);
-    operator_ = std::make_unique<ControlCaller>(calls_, control_addresses(), plan_.seed + 1);
-    front_ = std::make_unique<Front>(calls_, std::move(gates));
+    control_client_ = std::make_unique<ControlClient>(calls_, control_addresses(), plan_.seed + 1);
+    gateway_selector_ = std::make_unique<GatewaySelector>(calls_, std::move(gates));
     clients_ = std::make_unique<Clients>(
-        reactor_, board_, *front_,
-        Clients::Settings{plan_.routes, plan_.tenants, zones, plan_.new_connections, plan_.seed + 2});
+        reactor_, scoreboard_, *gateway_selector_,
+        Clients::Settings{plan_.routes, plan_.tenants, zones, plan_.new_connection_fraction, plan_.seed + 2});
     start_thread();
 }
 
-SystemRig::~SystemRig() {
-    end();
+SystemFixture::~SystemFixture() {
+    stop_all();
     stop_thread();
     clients_.reset();
     servers_.clear();
-    front_.reset();
+    gateway_selector_.reset();
     operators_.reset();
-    operator_.reset();
+    control_client_.reset();
 }
 
 // ---- machines ----
 
-SystemRig::Machine& SystemRig::place(const MachinePlan& of) {
+SystemFixture::Machine& SystemFixture::place_machine(const MachinePlan& of) {
     const std::size_t m = machines_.size();
-    machines_.push_back(
-        {of, fmt::format("{}-{}", of.zone, ++in_zone_[of.zone]), fmt::format("127.{}.1.{}", net_, m + 1)});
+    machines_.push_back({of, fmt::format("{}-{}", of.zone, ++machines_by_zone_[of.zone]),
+                         fmt::format("127.{}.1.{}", address_prefix_, m + 1)});
     const Machine& machine = machines_.back();
     for (const char* role : {"controller", "gateway"}) {
-        if (!(role == std::string_view("gateway") ? of.pilot : of.lighthouse)) continue;
+        if (!(role == std::string_view("gateway") ? of.has_gateway : of.has_controller)) continue;
         Node node;
         node.role = role;
         node.zone = of.zone;
         node.ip = machine.ip;
-        node.machine = m;
-        if (of.disk) node.folder = (folder_ / machine.name / role).string();
-        node.log = (folder_ / fmt::format("{}.{}.log", machine.name, role)).string();
+        node.machine_index = m;
+        if (of.has_disk) node.directory = (directory_ / machine.name / role).string();
+        node.log_path = (directory_ / fmt::format("{}.{}.log", machine.name, role)).string();
         nodes_.emplace(fmt::format("{}/{}", machine.name, role), std::move(node));
     }
     return machines_.back();
 }
 
-Front::Gate SystemRig::gate(const Machine& machine) const {
-    return {machine.plan.zone, fmt::format("{}:{}", machine.ip, kFrontend),
-            fmt::format("{}:{}", machine.ip, kReadiness)};
+GatewaySelector::GatewayEndpoint SystemFixture::endpoint_of(const Machine& machine) const {
+    return {machine.plan.zone, fmt::format("{}:{}", machine.ip, kFrontendPort),
+            fmt::format("{}:{}", machine.ip, kReadinessPort)};
 }
 
-std::string SystemRig::add_machine(const MachinePlan& plan) {
-    return sync([&] {
-        const Machine& machine = place(plan);
-        if (plan.pilot) front_->add(gate(machine));
-        tell_callers();
+std::string SystemFixture::add_machine(const MachinePlan& plan) {
+    return run_on_reactor([&] {
+        const Machine& machine = place_machine(plan);
+        if (plan.has_gateway) gateway_selector_->add_gateway(endpoint_of(machine));
+        update_control_addresses();
         return machine.name;
     });
 }
 
-void SystemRig::remove_machine(const std::string& name) {
+void SystemFixture::remove_machine(const std::string& name) {
     for (const std::string& node : nodes_of(name))
-        if (runs(node)) throw std::runtime_error(node + " runs: its machine cannot be removed");
-    sync_do([&] {
+        if (is_running(node)) throw std::runtime_error(node + " runs: its machine cannot be removed");
+    run_task_on_reactor([&] {
         for (Machine& machine : machines_) {
             if (machine.name != name) continue;
-            machine.removed = true;
-            if (machine.plan.pilot) front_->remove(gate(machine).frontend);
+            machine.is_removed = true;
+            if (machine.plan.has_gateway)
+                gateway_selector_->remove_gateway(endpoint_of(machine).frontend_address);
         }
-        tell_callers();
+        update_control_addresses();
     });
 }
 
-std::vector<std::string> SystemRig::machines() const {
+std::vector<std::string> SystemFixture::machine_names() const {
     std::vector<std::string> names;
     for (const Machine& machine : machines_)
-        if (!machine.removed) names.push_back(machine.name);
+        if (!machine.is_removed) names.push_back(machine.name);
     return names;
 }
 
-std::vector<std::string> SystemRig::nodes_of(const std::string& machine) const {
+std::vector<std::string> SystemFixture::nodes_of(const std::string& machine) const {
     std::vector<std::string> names;
     for (const auto& [name, node] : nodes_)
-        if (machines_[node.machine].name == machine) names.push_back(name);
+        if (machines_[node.machine_index].name == machine) names.push_back(name);
     return names;
 }
 
-void SystemRig::tell_callers() {
-    after(kSeedLag, [this] {
+void SystemFixture::update_control_addresses() {
+    schedule_after(kSeedUpdateDelay, [this] {
         const std::vector<std::string> now = control_addresses();
-        operator_->gateways(now);
-        if (operators_) operators_->gateways(now);
-        for (const auto& server : servers_) server->control(now);
+        control_client_->set_gateways(now);
+        if (operators_) operators_->set_gateways(now);
+        for (const auto& server : servers_) server->set_control_addresses(now);
     });
 }
 
 // ---- processes ----
 
-SystemRig::Node& SystemRig::node(const std::string& name) {
+SystemFixture::Node& SystemFixture::node(const std::string& name) {
     const auto it = nodes_.find(name);
     if (it == nodes_.end()) throw std::runtime_error(name + ": there is no such node");
     return it->second;
 }
 
-const SystemRig::Node& SystemRig::node(const std::string& name) const {
-    return const_cast<SystemRig*>(this)->node(name);
+const SystemFixture::Node& SystemFixture::node(const std::string& name) const {
+    return const_cast<SystemFixture*>(this)->node(name);
 }
 
-std::vector<std::string> SystemRig::nodes(const std::string& role) const {
+std::vector<std::string> SystemFixture::node_names(const std::string& role) const {
     std::vector<std::string> names;
     for (const auto& [name, node] : nodes_)
         if (role.empty() || node.role == role) names.push_back(name);
     return names;
 }
 
-std::vector<std::string> SystemRig::control_addresses() const {
+std::vector<std::string> SystemFixture::control_addresses() const {
     std::vector<std::string> all;
     for (const Machine& machine : machines_)
-        if (machine.plan.lighthouse && !machine.removed)
-            all.push_back(fmt::format("{}:{}", machine.ip, kControl));
+        if (machine.plan.has_controller && !machine.is_removed)
+            all.push_back(fmt::format("{}:{}", machine.ip, kControlPort));
     return all;
 }
 
-std::string SystemRig::settings_text(const Node& of) const {
-    const Machine& machine = machines_[of.machine];
+std::string SystemFixture::settings_text(const Node& target_node) const {
+    const Machine& machine = machines_[target_node.machine_index];
     std::vector<std::string> seeds = control_addresses();
     if (seeds.size() > 3) seeds.resize(3);
     std::map<std::string, std::string> lines = {
         {"node_name", machine.name},
-        {"role", of.role},
+        {"role", target_node.role},
         {"machine_class", "edge"},
-        {"serves", of.role == "gateway" ? "edge" : "control_plane"},
-        {"ip", of.ip},
-        {"zone", of.zone},
+        {"serves", target_node.role == "gateway" ? "edge" : "control_plane"},
+        {"ip", target_node.ip},
+        {"zone", target_node.zone},
         {"region", "coast"},
         {"internal_port_range", fmt::format("{},{}", kFirstPort, kLastPort)},
-        {"seed_nodes", joined(seeds)},
-        {"bootstrap", bootstrap_ ? "true" : "false"},
-        {"quorum_member", machine.plan.disk ? "true" : "false"},
+        {"seed_nodes", join_with_commas(seeds)},
+        {"bootstrap", needs_bootstrap_ ? "true" : "false"},
+        {"quorum_member", machine.plan.has_disk ? "true" : "false"},
         {"limits.cpu_share", "0.35"},
         {"limits.cpu_cores", "1"},
         {"limits.memory_mb", "260"},
@@ -232,7 +239,7 @@
         {"fault_tolerance.machines", "1"},
         {"fault_tolerance.zones", "0"},
         {"fault_tolerance.regions", "0"},
-        {"bounds.seed_lag", fmt::format("{}s", kSeedLag)},
+        {"bounds.seed_lag", fmt::format("{}s", kSeedUpdateDelay)},
         {"bounds.address_reuse", "2s"},
         {"bounds.contact", "3000ms"},
         {"bounds.ack", "4000ms"},
@@ -254,175 +261,180 @@
         {"bounds.recovery", "15s"},
         {"config_mode", "highest"}};
     for (const Machine& other : machines_) lines["zones." + other.plan.zone] = "coast";
-    if (of.role == "gateway") {
-        lines["bind_addresses.frontend"] = fmt::format("{}:{}", of.ip, kFrontend);
-        lines["bind_addresses.readiness"] = fmt::format("{}:{}", of.ip, kReadiness);
+    if (target_node.role == "gateway") {
+        lines["bind_addresses.frontend"] = fmt::format("{}:{}", target_node.ip, kFrontendPort);
+        lines["bind_addresses.readiness"] = fmt::format("{}:{}", target_node.ip, kReadinessPort);
     } else {
-        lines["bind_addresses.control"] = fmt::format("{}:{}", of.ip, kControl);
+        lines["bind_addresses.control"] = fmt::format("{}:{}", target_node.ip, kControlPort);
     }
-    if (!of.folder.empty()) {
+    if (!target_node.directory.empty()) {
         lines["limits.disk_mb"] = "64";
-        lines["data_directory"] = of.folder;
+        lines["data_directory"] = target_node.directory;
     }
-    for (const auto& [key, value] : plan_.more_settings) lines[key] = value;
+    for (const auto& [key, value] : plan_.extra_settings) lines[key] = value;
     std::string text;
     for (const auto& [key, value] : lines) text += fmt::format("{}={}\n", key, value);
     return text;
 }
 
-void SystemRig::launch(Node& of) {
-    if (!of.folder.empty()) std::filesystem::create_directories(of.folder);
-    const auto file = folder_ / fmt::format("{}.{}.conf", machines_[of.machine].name, of.role);
-    std::ofstream(file) << settings_text(of);
+void SystemFixture::launch_process(Node& target_node) {
+    if (!target_node.directory.empty()) std::filesystem::create_directories(target_node.directory);
+    const auto file =
+        directory_ / fmt::format("{}.{}.conf", machines_[target_node.machine_index].name, target_node.role);
+    std::ofstream(file) << settings_text(target_node);
     // The build leaves a package's program in the package's folder, or beside us.
-    std::filesystem::path program = std::filesystem::path(plan_.programs) / of.role;
+    std::filesystem::path program = std::filesystem::path(plan_.program_directory) / target_node.role;
     if (!std::filesystem::is_regular_file(program))
-        program = std::filesystem::path(plan_.programs) / "system" / of.role / of.role;
-    of.process = std::make_unique<Process>(
+        program =
+            std::filesystem::path(plan_.program_directory) / "system" / target_node.role / target_node.role;
+    target_node.process = std::make_unique<Process>(
         std::vector<std::string>{program.string()},
-        std::map<std::string, std::string>{{"SHALETRAY_BOOT", file.string()}}, of.log);
-    ++of.starts;
-    of.wanted = true;
-    of.frozen = false;
+        std::map<std::string, std::string>{{"SHALETRAY_BOOT", file.string()}}, target_node.log_path);
+    ++target_node.start_count;
+    target_node.should_run = true;
+    target_node.is_frozen = false;
 }
 
-void SystemRig::begin() {
-    for (auto& [name, of] : nodes_) launch(of);
-    bootstrap_ = false;
+void SystemFixture::start_all() {
+    for (auto& [name, of] : nodes_) launch_process(of);
+    needs_bootstrap_ = false;
 }
 
-bool SystemRig::wait_ready(double most) {
-    for (double t = 0.0; t < most; t += kStep) {
-        if (sync([this] { return front_->all_ready(); })) return true;
-        run_for(kStep);
+bool SystemFixture::wait_ready(double timeout_seconds) {
+    for (double t = 0.0; t < timeout_seconds; t += kPollInterval) {
+        if (run_on_reactor([this] { return gateway_selector_->all_ready(); })) return true;
+        run_for(kPollInterval);
     }
     return false;
 }
 
-bool SystemRig::is_ready(const std::string& pilot) {
+bool SystemFixture::is_gateway_ready(const std::string& gateway_name) {
     int number = 0;
     for (const auto& machine : machines_) {
-        if (!machine.plan.pilot) continue;
-        if (machine.name + "/gateway" == pilot) return sync([&] { return front_->is_ready(number); });
+        if (!machine.plan.has_gateway) continue;
+        if (machine.name + "/gateway" == gateway_name)
+            return run_on_reactor([&] { return gateway_selector_->is_ready(number); });
         ++number;
     }
-    throw std::runtime_error(pilot + ": there is no such pilot");
+    throw std::runtime_error(gateway_name + ": there is no such pilot");
 }
 
-SystemRig::Use SystemRig::use(const std::string& name) const {
+SystemFixture::ResourceUsage SystemFixture::resource_usage(const std::string& name) const {
     const Node& of = node(name);
-    if (!of.process || of.process->pid() <= 0) return of.before;
-    return {of.before.cpu_s + of.process->cpu(), std::max(of.before.peak_mb, of.process->peak_mb())};
+    if (!of.process || of.process->pid() <= 0) return of.earlier_usage;
+    return {of.earlier_usage.cpu_seconds + of.process->cpu_seconds(),
+            std::max(of.earlier_usage.peak_mb, of.process->peak_mb())};
 }
 
-void SystemRig::start(const std::string& name) {
+void SystemFixture::start_node(const std::string& name) {
     Node& of = node(name);
-    if (runs(name)) throw std::runtime_error(name + " runs already");
-    launch(of);
+    if (is_running(name)) throw std::runtime_error(name + " runs already");
+    launch_process(of);
 }
 
-void SystemRig::kill(const std::string& name) {
+void SystemFixture::kill_node(const std::string& name) {
     Node& of = node(name);
-    of.before = use(name);
-    of.wanted = false;
+    of.earlier_usage = resource_usage(name);
+    of.should_run = false;
     if (of.process) of.process->kill();
 }
 
-int SystemRig::stop(const std::string& name) {
+int SystemFixture::stop_node(const std::string& name) {
     Node& of = node(name);
     if (!of.process || of.process->pid() <= 0) return -1;
-    if (of.frozen) thaw(name);
-    of.before = use(name);
-    of.wanted = false;
-    return of.process->end();
+    if (of.is_frozen) unfreeze_node(name);
+    of.earlier_usage = resource_usage(name);
+    of.should_run = false;
+    return of.process->terminate();
 }
 
-void SystemRig::freeze(const std::string& name) {
+void SystemFixture::freeze_node(const std::string& name) {
     Node& of = node(name);
-    of.frozen = true;
-    if (of.process) of.process->signal(SIGSTOP);
+    of.is_frozen = true;
+    if (of.process) of.process->send_signal(SIGSTOP);
 }
 
-void SystemRig::thaw(const std::string& name) {
+void SystemFixture::unfreeze_node(const std::string& name) {
     Node& of = node(name);
-    of.frozen = false;
-    if (of.process) of.process->signal(SIGCONT);
+    of.is_frozen = false;
+    if (of.process) of.process->send_signal(SIGCONT);
 }
 
-void SystemRig::wipe(const std::string& name) {
+void SystemFixture::wipe_disk(const std::string& name) {
     Node& of = node(name);
-    if (runs(name)) throw std::runtime_error(name + " runs: its disk cannot be emptied");
-    if (!of.folder.empty()) std::filesystem::remove_all(of.folder);
+    if (is_running(name)) throw std::runtime_error(name + " runs: its disk cannot be emptied");
+    if (!of.directory.empty()) std::filesystem::remove_all(of.directory);
 }
 
-bool SystemRig::runs(const std::string& name) {
+bool SystemFixture::is_running(const std::string& name) {
     const Node& of = node(name);
-    return of.process && of.process->alive();
+    return of.process && of.process->is_alive();
 }
 
-std::vector<std::string> SystemRig::ended_by_themselves() {
+std::vector<std::string> SystemFixture::unexpectedly_ended() {
     std::vector<std::string> names;
     for (const auto& [name, of] : nodes_)
-        if (of.wanted && !runs(name)) names.push_back(name);
+        if (of.should_run && !is_running(name)) names.push_back(name);
     return names;
 }
 
-std::string SystemRig::log_text(const std::string& name) const {
-    std::ifstream in(node(name).log, std::ios::binary);
+std::string SystemFixture::log_text(const std::string& name) const {
+    std::ifstream in(node(name).log_path, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-void SystemRig::end() {
+void SystemFixture::stop_all() {
     // All at once, so that the waits do not add up.
     for (auto& [name, of] : nodes_) {
         if (!of.process || of.process->pid() <= 0) continue;
-        if (of.frozen) thaw(name);
-        of.before = use(name);
-        of.process->signal(SIGTERM);
+        if (of.is_frozen) unfreeze_node(name);
+        of.earlier_usage = resource_usage(name);
+        of.process->send_signal(SIGTERM);
     }
     for (auto& [name, of] : nodes_) {
-        if (of.process && of.process->pid() > 0) of.process->end();
-        of.wanted = false;
+        if (of.process && of.process->pid() > 0) of.process->terminate();
+        of.should_run = false;
     }
 }
 
 // ---- servers ----
 
-std::size_t SystemRig::add_server(const std::string& service) {
+std::size_t SystemFixture::add_server(const std::string& service) {
     const auto of = std::find_if(plan_.services.begin(), plan_.services.end(),
                                  [&](const ServicePlan& s) { return s.name == service; });
     if (of == plan_.services.end()) throw std::runtime_error(service + ": there is no such service");
-    return sync([&] {
+    return run_on_reactor([&] {
         const std::size_t number = servers_.size();
         ServerPlan plan;
         plan.service = service;
-        plan.address = fmt::format("127.{}.{}.{}:{}", net_, 100 + number / 200, 1 + number % 200, kServers);
+        plan.address = fmt::format("127.{}.{}.{}:{}", address_prefix_, 100 + number / 200, 1 + number % 200,
+                                   kServerPort);
         plan.zone = machines_[number % machines_.size()].plan.zone;
-        plan.slots = of->slots;
-        plan.connections = of->connections;
-        plan.work = of->work;
+        plan.concurrency_limit = of->concurrency_limit;
+        plan.max_connections = of->max_connections;
+        plan.mean_service_time = of->mean_service_time;
         plan.seed = plan_.seed * 1000 + number;
         plan.speed = 0.8 + 0.1 * static_cast<double>(number % 5);
-        plan.control = control_addresses();
-        servers_.push_back(std::make_unique<AppServer>(reactor_, calls_, board_, plan));
+        plan.control_addresses = control_addresses();
+        servers_.push_back(std::make_unique<ApplicationServer>(reactor_, calls_, scoreboard_, plan));
         return number;
     });
 }
 
-void SystemRig::crash_server(std::size_t number) {
-    sync_do([&] { servers_.at(number)->crash(); });
+void SystemFixture::crash_server(std::size_t number) {
+    run_task_on_reactor([&] { servers_.at(number)->crash_now(); });
 }
 
-void SystemRig::drain_server(std::size_t number) {
-    sync_do([&] { servers_.at(number)->drain(); });
+void SystemFixture::drain_server(std::size_t number) {
+    run_task_on_reactor([&] { servers_.at(number)->start_drain(); });
 }
 
-void SystemRig::freeze_server(std::size_t number, bool is) {
-    sync_do([&] { servers_.at(number)->freeze(is); });
+void SystemFixture::set_server_frozen(std::size_t number, bool frozen) {
+    run_task_on_reactor([&] { servers_.at(number)->set_frozen(frozen); });
 }
 
-std::vector<std::size_t> SystemRig::servers_of(const std::string& service) {
-    return sync([&] {
+std::vector<std::size_t> SystemFixture::live_servers_of(const std::string& service) {
+    return run_on_reactor([&] {
         std::vector<std::size_t> numbers;
         for (std::size_t i = 0; i < servers_.size(); ++i)
             if (servers_[i]->plan().service == service && !servers_[i]->is_ended()) numbers.push_back(i);
@@ -430,27 +442,28 @@
     });
 }
 
-bool SystemRig::wait_servers_known(double most) {
-    for (double t = 0.0; t < most; t += kStep) {
-        if (sync([this] {
+bool SystemFixture::wait_servers_registered(double timeout_seconds) {
+    for (double t = 0.0; t < timeout_seconds; t += kPollInterval) {
+        if (run_on_reactor([this] {
                 return std::all_of(servers_.begin(), servers_.end(),
-                                   [](const auto& s) { return s->is_known() || s->is_ended(); });
+                                   [](const auto& s) { return s->is_registered() || s->is_ended(); });
             }))
             return true;
-        run_for(kStep);
+        run_for(kPollInterval);
     }
     return false;
 }
 
 // ---- the operator ----
 
-Json SystemRig::configuration(int revision) const {
+Json SystemFixture::make_configuration(int revision) const {
     Json routes = Json::array(), services = Json::array(), tenants = Json::array();
     for (const RoutePlan& r : plan_.routes)
-        routes.push_back({r.name, r.host, r.prefix, r.repeatable ? "idempotent" : "non_idempotent",
-                          ms(r.timeout), ms(r.aim), r.priority, nullptr, r.attempts, r.open, r.service});
+        routes.push_back({r.name, r.host, r.prefix, r.is_repeatable ? "idempotent" : "non_idempotent",
+                          format_milliseconds(r.attempt_timeout), format_milliseconds(r.latency_target),
+                          r.priority, nullptr, r.max_attempts, r.is_public, r.service});
     for (const ServicePlan& s : plan_.services)
-        services.push_back({s.name, "/health", s.connections, "h1", false});
+        services.push_back({s.name, "/health", s.max_connections, "h1", false});
     for (const TenantPlan& t : plan_.tenants)
         tenants.push_back({t.name, Json::array({t.key}), t.priority, t.rate, t.burst});
     return {
@@ -471,143 +484,153 @@
          {{"columns", {"name", "api_keys", "priority", "rate_per_s", "burst"}}, {"rows", tenants}}}};
 }
 
-SystemRig::Order SystemRig::ask(const std::string& method, const std::string& path, const std::string& body,
-                                double most) {
+SystemFixture::CommandResult SystemFixture::call_control_api(const std::string& method,
+                                                             const std::string& path, const std::string& body,
+                                                             double timeout_seconds) {
     struct Shared {
         bool done = false;
-        Order order;
+        CommandResult order;
     };
     const auto shared = std::make_shared<Shared>();
     const TimePoint began = clock_.now();
-    sync_do([&] {
-        operator_->call(
-            method, path, [body] { return body; }, from_secs(most),
-            [this, shared, began](const CallAnswer& a) {
-                shared->order = {a.status, secs(clock_.now() - began), a.body};
+    run_task_on_reactor([&] {
+        control_client_->start_call(
+            method, path, [body] { return body; }, from_secs(timeout_seconds),
+            [this, shared, began](const HttpReply& a) {
+                shared->order = {a.status_code, secs(clock_.now() - began), a.body};
                 shared->done = true;
             });
     });
-    while (!sync([&] { return shared->done; })) run_for(0.005);
+    while (!run_on_reactor([&] { return shared->done; })) run_for(0.005);
     return shared->order;
 }
 
-SystemRig::Order SystemRig::send(const Json& configuration, double most) {
-    return ask("POST", "/configuration/replace", configuration.dump(), most);
+SystemFixture::CommandResult SystemFixture::replace_configuration(const Json& new_configuration,
+                                                                  double timeout_seconds) {
+    return call_control_api("POST", "/configuration/replace", new_configuration.dump(), timeout_seconds);
 }
 
-SystemRig::Order SystemRig::read(double most) { return ask("GET", "/configuration/read", "", most); }
+SystemFixture::CommandResult SystemFixture::read_configuration(double timeout_seconds) {
+    return call_control_api("GET", "/configuration/read", "", timeout_seconds);
+}
 
-void SystemRig::begin_operators(int count) {
-    sync_do([&] {
-        operators_ = std::make_unique<Operators>(
+void SystemFixture::start_operators(int count) {
+    run_task_on_reactor([&] {
+        operators_ = std::make_unique<OperatorGroup>(
             calls_,
-            Operators::Settings{count, plan_.seed + 3, [this](std::uint64_t version, std::uint64_t body) {
-                                    Json text = configuration(static_cast<int>(version));
-                                    // Bodies differ by a burst that nobody reaches.
-                                    text["tenants"]["rows"].back().back() = 1'000'000 + body;
-                                    return text.dump();
-                                }});
-        operators_->gateways(control_addresses());
-        operators_->start();
+            OperatorGroup::Settings{count, plan_.seed + 3, [this](std::uint64_t version, std::uint64_t body) {
+                                        Json text = make_configuration(static_cast<int>(version));
+                                        // Bodies differ by a burst that nobody reaches.
+                                        text["tenants"]["rows"].back().back() = 1'000'000 + body;
+                                        return text.dump();
+                                    }});
+        operators_->set_gateways(control_addresses());
+        operators_->start_operators();
     });
 }
 
-void SystemRig::end_operators() {
-    sync_do([this] { operators_->stop(); });
-    while (!sync([this] { return operators_->is_quiet(); })) run_for(kStep);
+void SystemFixture::stop_operators() {
+    run_task_on_reactor([this] { operators_->stop_operators(); });
+    while (!run_on_reactor([this] { return operators_->is_quiet(); })) run_for(kPollInterval);
 }
 
-double SystemRig::until(const std::function<void(std::function<void(bool)>)>& begin) {
+double SystemFixture::run_until_done(const std::function<void(std::function<void(bool)>)>& begin) {
     struct Shared {
         bool done = false, good = false;
     };
     const auto shared = std::make_shared<Shared>();
     const TimePoint began = clock_.now();
-    sync_do([&] {
+    run_task_on_reactor([&] {
         begin([shared](bool good) {
             shared->good = good;
             shared->done = true;
         });
     });
-    while (!sync([&] { return shared->done; })) run_for(0.005);
+    while (!run_on_reactor([&] { return shared->done; })) run_for(0.005);
     return shared->good ? secs(clock_.now() - began) : -1.0;
 }
 
-double SystemRig::acknowledged_after(double most) {
-    return until([&](auto done) { operators_->order(from_secs(most), std::move(done)); });
+double SystemFixture::measure_acknowledgement(double timeout_seconds) {
+    return run_until_done(
+        [&](auto done) { operators_->submit_change(from_secs(timeout_seconds), std::move(done)); });
 }
 
-bool SystemRig::read_by_operator(double most) {
-    return until([&](auto done) { operators_->read(from_secs(most), std::move(done)); }) >= 0.0;
+bool SystemFixture::verify_operator_read(double timeout_seconds) {
+    return run_until_done([&](auto done) {
+               operators_->read_configuration(from_secs(timeout_seconds), std::move(done));
+           }) >= 0.0;
 }
 
-Operators::Figures SystemRig::operator_figures() {
-    return sync([this] { return operators_->figures(); });
+OperatorGroup::Statistics SystemFixture::operator_statistics() {
+    return run_on_reactor([this] { return operators_->statistics(); });
 }
 
-std::vector<history::Operation> SystemRig::history() {
-    return sync([this] { return operators_->history(); });
+std::vector<history::Operation> SystemFixture::operation_history() {
+    return run_on_reactor([this] { return operators_->history(); });
 }
 
 // ---- clients ----
 
-void SystemRig::begin_load(double times) {
-    sync_do([&] {
-        clients_->forget_figures();
-        clients_->start(times);
+void SystemFixture::start_load(double load_factor) {
+    run_task_on_reactor([&] {
+        clients_->reset_statistics();
+        clients_->start_load(load_factor);
     });
 }
 
-void SystemRig::end_load(double most) {
-    sync_do([&] { clients_->stop(); });
-    for (double t = 0.0; t < most && sync([this] { return clients_->open(); }) > 0; t += kStep)
-        run_for(kStep);
+void SystemFixture::stop_load(double timeout_seconds) {
+    run_task_on_reactor([&] { clients_->stop_load(); });
+    for (double t = 0.0;
+         t < timeout_seconds && run_on_reactor([this] { return clients_->open_requests(); }) > 0;
+         t += kPollInterval)
+        run_for(kPollInterval);
 }
 
-ClientFigures SystemRig::figures() {
-    return sync([this] { return clients_->figures(); });
+ClientStatistics SystemFixture::client_statistics() {
+    return run_on_reactor([this] { return clients_->statistics(); });
 }
 
-Board::Breaches SystemRig::breaches() {
-    return sync([this] { return board_.breaches(); });
+Board::Breaches SystemFixture::violations() {
+    return run_on_reactor([this] { return scoreboard_.breaches(); });
 }
 
-Json SystemRig::report() {
-    const ClientFigures f = figures();
-    const auto part = [](const ClientFigures::OfRoute& r) {
+Json SystemFixture::make_report() {
+    const ClientStatistics f = client_statistics();
+    const auto part = [](const ClientStatistics::RouteCounters& r) {
         return Json{{"due", r.due},
                     {"served", r.served},
-                    {"in_aim", r.in_aim},
-                    {"refused", r.refused},
+                    {"in_aim", r.within_target},
+                    {"refused", r.rejected},
                     {"failed", r.failed},
-                    {"tries", r.tries},
+                    {"tries", r.attempts},
                     {"p50_ms", latency_quantile(r.latency_ms, 0.5)},
                     {"p90_ms", latency_quantile(r.latency_ms, 0.9)},
                     {"p99_ms", latency_quantile(r.latency_ms, 0.99)}};
     };
-    Json out = part(f.all());
-    for (std::size_t i = 0; i < f.routes.size(); ++i) out["routes"][plan_.routes[i].name] = part(f.routes[i]);
-    out["connections"] = f.connections;
-    out["rules"] = to_json(breaches());
+    Json out = part(f.totals());
+    for (std::size_t i = 0; i < f.by_route.size(); ++i)
+        out["routes"][plan_.routes[i].name] = part(f.by_route[i]);
+    out["connections"] = f.connections_opened;
+    out["rules"] = to_json(violations());
     out["run_twice"] = out["rules"]["run_twice"];
-    sync_do([&] {
-        out["runs"] = board_.runs();
-        out["repeats"] = board_.repeats();
+    run_task_on_reactor([&] {
+        out["runs"] = scoreboard_.runs();
+        out["repeats"] = scoreboard_.repeats();
     });
     for (const auto& [name, of] : nodes_) {
-        const Use u = use(name);
-        out["nodes"][name] = {{"starts", of.starts}, {"cpu_s", u.cpu_s}, {"peak_mb", u.peak_mb}};
+        const ResourceUsage u = resource_usage(name);
+        out["nodes"][name] = {{"starts", of.start_count}, {"cpu_s", u.cpu_seconds}, {"peak_mb", u.peak_mb}};
     }
     return out;
 }
 
-void SystemRig::run_for(double s) {
-    const TimePoint until = clock_.now() + from_secs(s);
+void SystemFixture::run_for(double seconds) {
+    const TimePoint until = clock_.now() + from_secs(seconds);
     while (true) {
-        if (asked_to_end) throw std::runtime_error("asked to end");
+        if (stop_requested) throw std::runtime_error("asked to end");
         const double left = secs(until - clock_.now());
         if (left <= 0.0) return;
-        wait(std::min(left, kStep));
+        sleep_for(std::min(left, kPollInterval));
     }
 }
 
--- a/testbed/system/http_calls.cpp
+++ b/testbed/system/http_calls.cpp
@@ -10,151 +10,155 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kPatience = 1s, kFirstPause = 50ms, kLongestPause = 1s;
-constexpr int kMostRedirects = 2, kMostDenials = 3;
-constexpr std::size_t kLongestAnswer = 80 * 1024 * 1024, kBytesPerMs = 4096;
+constexpr Duration kAttemptTimeout = 1s, kInitialRetryDelay = 50ms, kMaxRetryDelay = 1s;
+constexpr int kMaxRedirects = 2, kMaxDenials = 3;
+constexpr std::size_t kMaxReplySize = 80 * 1024 * 1024, kMinBytesPerMillisecond = 4096;
 
 }    // namespace
 
-class Calls::Call : public StreamOwner {
+class HttpCalls::Call : public StreamOwner {
 public:
-    Call(Calls& of, Reactor& reactor) : stream(reactor, *this), of_(of) {}
-    ~Call() override { of_.reactor_.cancel(timer); }
+    Call(HttpCalls& of, Reactor& reactor) : stream(reactor, *this), calls_(of) {}
+    ~Call() override { calls_.reactor_.cancel_timer(timer); }
     void on_input() override {
-        const http::Status status = parser.parse(stream.input());
-        if (status == http::Status::Bad) return of_.ended(*this, {});
-        if (status == http::Status::Done) finish();
+        const http::ParseStatus status = parser.parse(stream.input_buffer());
+        if (status == http::ParseStatus::Malformed) return calls_.on_call_ended(*this, {});
+        if (status == http::ParseStatus::Complete) finish_call();
     }
-    void on_broken() override {
-        if (stream.ended() && parser.head_done() && parser.end() == http::Status::Done) finish();
-        else of_.ended(*this, {});
+    void on_disconnected() override {
+        if (stream.is_ended() && parser.head_complete() && parser.finish() == http::ParseStatus::Complete)
+            finish_call();
+        else calls_.on_call_ended(*this, {});
     }
 
     Stream stream;
-    http::Parser parser{http::Parser::Kind::Response, {16 * 1024, kLongestAnswer, 100}};
+    http::Parser parser{http::Parser::Kind::Response, {16 * 1024, kMaxReplySize, 100}};
     std::string method, path, body;
-    TimePoint until{};
+    TimePoint deadline{};
     int redirects = 0;
-    Done done;
+    ReplyCallback on_reply;
     Timers::Id timer = 0;
 
 private:
-    void finish() {
-        const http::Buffer& in = stream.input();
-        of_.ended(*this, {parser.status(), std::string(parser.header(in, "Location")),
-                          std::string(parser.body(in))});
+    void finish_call() {
+        const http::Buffer& in = stream.input_buffer();
+        calls_.on_call_ended(*this, {parser.status_code(), std::string(parser.header(in, "Location")),
+                                     std::string(parser.body(in))});
     }
-    Calls& of_;
+    HttpCalls& calls_;
 };
 
-Calls::Calls(Reactor& reactor) : reactor_(reactor) {}
+HttpCalls::HttpCalls(Reactor& reactor) : reactor_(reactor) {}
 
-Calls::~Calls() {
-    calls_.clear();
-    reactor_.reap();
+HttpCalls::~HttpCalls() {
+    active_calls_.clear();
+    reactor_.destroy_retired();
 }
 
-void Calls::ask(const std::string& address, const std::string& method, const std::string& path,
-                const std::string& body, Duration patience, Done done) {
-    begin(address, method, path, body, patience, kMostRedirects, std::move(done));
+void HttpCalls::send_request(const std::string& address, const std::string& method, const std::string& path,
+                             const std::string& body, Duration timeout, ReplyCallback on_reply) {
+    start_call(address, method, path, body, timeout, kMaxRedirects, std::move(on_reply));
 }
 
-void Calls::begin(const std::string& address, const std::string& method, const std::string& path,
-                  const std::string& body, Duration patience, int redirects, Done done) {
-    calls_.push_back(std::make_unique<Call>(*this, reactor_));
-    Call& call = *calls_.back();
+void HttpCalls::start_call(const std::string& address, const std::string& method, const std::string& path,
+                           const std::string& body, Duration timeout, int redirects, ReplyCallback on_reply) {
+    active_calls_.push_back(std::make_unique<Call>(*this, reactor_));
+    Call& call = *active_calls_.back();
     call.method = method;
     call.path = path;
     call.body = body;
     call.redirects = redirects;
-    call.done = std::move(done);
-    call.until = reactor_.clock().now() + patience;
-    call.timer = reactor_.after(patience, [this, &call] { ended(call, {}); });
+    call.on_reply = std::move(on_reply);
+    call.deadline = reactor_.clock().now() + timeout;
+    call.timer = reactor_.schedule_after(timeout, [this, &call] { on_call_ended(call, {}); });
     std::string out =
         fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n", method, path, address);
     if (!body.empty())
         out += fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", body.size());
-    if (call.stream.dial(address) && call.stream.send(out + "\r\n" + body)) return;
-    reactor_.cancel(call.timer);
-    call.timer = reactor_.after(Duration(0), [this, &call] { ended(call, {}); });
+    if (call.stream.connect(address) && call.stream.write_bytes(out + "\r\n" + body)) return;
+    reactor_.cancel_timer(call.timer);
+    call.timer = reactor_.schedule_after(Duration(0), [this, &call] { on_call_ended(call, {}); });
 }
 
-void Calls::ended(Call& call, const CallAnswer& answer) {
-    struct Gone : Retired {    // it may be on the call stack
+void HttpCalls::on_call_ended(Call& call, const HttpReply& answer) {
+    struct Gone : RetiredObject {    // it may be on the call stack
         explicit Gone(std::unique_ptr<Call> of) : call(std::move(of)) {}
         std::unique_ptr<Call> call;
     };
     call.stream.close();
-    reactor_.cancel(call.timer);
-    const auto it =
-        std::find_if(calls_.begin(), calls_.end(), [&](const auto& c) { return c.get() == &call; });
-    reactor_.retire(std::make_unique<Gone>(std::move(*it)));
-    calls_.erase(it);
+    reactor_.cancel_timer(call.timer);
+    const auto it = std::find_if(active_calls_.begin(), active_calls_.end(),
+                                 [&](const auto& c) { return c.get() == &call; });
+    reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+    active_calls_.erase(it);
     constexpr std::string_view kScheme = "http://";
     const std::string_view to = answer.location;
-    if (answer.status == 307 && call.redirects > 0 && to.starts_with(kScheme)) {
+    if (answer.status_code == 307 && call.redirects > 0 && to.starts_with(kScheme)) {
         const std::size_t slash = to.find('/', kScheme.size());
         const std::string address(to.substr(kScheme.size(), slash - kScheme.size()));
-        return begin(address, call.method, slash == to.npos ? "/" : std::string(to.substr(slash)), call.body,
-                     call.until - reactor_.clock().now(), call.redirects - 1, std::move(call.done));
+        return start_call(address, call.method, slash == to.npos ? "/" : std::string(to.substr(slash)),
+                          call.body, call.deadline - reactor_.clock().now(), call.redirects - 1,
+                          std::move(call.on_reply));
     }
-    call.done(answer);
+    call.on_reply(answer);
 }
 
-ControlCaller::ControlCaller(Calls& calls, std::vector<std::string> gateways, std::uint64_t seed)
+ControlClient::ControlClient(HttpCalls& calls, std::vector<std::string> gateways, std::uint64_t seed)
     : calls_(calls), gateways_(std::move(gateways)), random_(seed) {
     std::shuffle(gateways_.begin(), gateways_.end(), random_);
 }
 
-ControlCaller::~ControlCaller() { stop(); }
+ControlClient::~ControlClient() { cancel_call(); }
 
-void ControlCaller::stop() {
-    calls_.reactor().cancel(timer_);
-    current_.reset();
+void ControlClient::cancel_call() {
+    calls_.reactor().cancel_timer(retry_timer_);
+    current_call_.reset();
 }
 
-void ControlCaller::call(const std::string& method, const std::string& path,
-                         std::function<std::string()> body, Duration most, Done done) {
-    stop();
+void ControlClient::start_call(const std::string& method, const std::string& path,
+                               std::function<std::string()> make_body, Duration timeout,
+                               ReplyCallback on_done) {
+    cancel_call();
     method_ = method;
     path_ = path;
-    body_ = std::move(body);
-    done_ = std::move(done);
-    end_ = calls_.reactor().clock().now() + most;
-    pause_ = kFirstPause;
-    denials_ = 0;
-    next_ = random_() % gateways_.size();
-    attempt();
+    make_body_ = std::move(make_body);
+    on_done_ = std::move(on_done);
+    deadline_ = calls_.reactor().clock().now() + timeout;
+    retry_delay_ = kInitialRetryDelay;
+    denial_count_ = 0;
+    next_gateway_ = random_() % gateways_.size();
+    start_attempt();
 }
 
-void ControlCaller::attempt() {
-    asked_ = preferred_.empty() ? gateways_[next_++ % gateways_.size()] : preferred_;
-    const std::string body = body_();
-    const Duration patience = kPatience + std::chrono::milliseconds(body.size() / kBytesPerMs);
-    current_ = std::make_shared<int>(0);
-    calls_.ask(asked_, method_, path_, body, patience,
-               [this, mine = std::weak_ptr<int>(current_)](const CallAnswer& answer) {
-                   if (!mine.expired()) answered(answer);
-               });
+void ControlClient::start_attempt() {
+    attempted_address_ = preferred_.empty() ? gateways_[next_gateway_++ % gateways_.size()] : preferred_;
+    const std::string body = make_body_();
+    const Duration patience =
+        kAttemptTimeout + std::chrono::milliseconds(body.size() / kMinBytesPerMillisecond);
+    current_call_ = std::make_shared<int>(0);
+    calls_.send_request(attempted_address_, method_, path_, body, patience,
+                        [this, mine = std::weak_ptr<int>(current_call_)](const HttpReply& answer) {
+                            if (!mine.expired()) on_reply(answer);
+                        });
 }
 
-void ControlCaller::answered(const CallAnswer& answer) {
-    const int s = answer.status;
+void ControlClient::on_reply(const HttpReply& answer) {
+    const int s = answer.status_code;
     const bool denied = s >= 400 && s < 500 && s != 408 && s != 429;
     const bool clear = (s >= 200 && s < 300) || s == 400 || s == 409 || s == 412 || s == 413 || s == 422 ||
-                       (denied && ++denials_ >= kMostDenials);
-    if (!clear && asked_ == preferred_) preferred_.clear();
+                       (denied && ++denial_count_ >= kMaxDenials);
+    if (!clear && attempted_address_ == preferred_) preferred_.clear();
     Reactor& reactor = calls_.reactor();
-    if (clear || reactor.clock().now() + pause_ >= end_) {
-        current_.reset();
-        const Done done = done_;    // it may call again
+    if (clear || reactor.clock().now() + retry_delay_ >= deadline_) {
+        current_call_.reset();
+        const ReplyCallback done = on_done_;    // it may call again
         return done(answer);
     }
-    timer_ = reactor.after(pause_, [this] {
-        timer_ = 0;
-        attempt();
+    retry_timer_ = reactor.schedule_after(retry_delay_, [this] {
+        retry_timer_ = 0;
+        start_attempt();
     });
-    pause_ = std::min(pause_ * 2, kLongestPause);
+    retry_delay_ = std::min(retry_delay_ * 2, kMaxRetryDelay);
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/system/operators.h
+++ b/testbed/system/operators.h
@@ -19,62 +19,63 @@
 
 namespace shaletray::testbed {
 
-class Operators {
+class OperatorGroup {
 public:
     struct Settings {
-        int count = 3;
+        int operator_count = 3;
         std::uint64_t seed = 1;
         // The text of a configuration; two bodies under one version differ.
-        std::function<std::string(std::uint64_t version, std::uint64_t body)> text;
+        std::function<std::string(std::uint64_t version, std::uint64_t body)> make_configuration_text;
     };
-    struct Figures {
-        std::uint64_t orders = 0, acknowledged = 0, conflicts = 0, refused = 0, unclear = 0;
-        std::uint64_t reads = 0, tries = 0, answers_left = 0, resets = 0;
+    struct Statistics {
+        std::uint64_t changes = 0, acknowledged = 0, conflicts = 0, rejected = 0, indeterminate = 0;
+        std::uint64_t reads = 0, attempts = 0, abandoned_replies = 0, resets = 0;
     };
-    Operators(Calls& calls, Settings settings);
-    ~Operators();
-    Operators(const Operators&) = delete;
-    Operators& operator=(const Operators&) = delete;
+    OperatorGroup(HttpCalls& calls, Settings settings);
+    ~OperatorGroup();
+    OperatorGroup(const OperatorGroup&) = delete;
+    OperatorGroup& operator=(const OperatorGroup&) = delete;
 
     // Whom they call from now on; calls under way go on.
-    void gateways(const std::vector<std::string>& control);
-    void start();
-    void stop();    // no further calls; those under way go on
-    bool is_quiet() const { return under_way_ == 0; }
+    void set_gateways(const std::vector<std::string>& addresses);
+    void start_operators();
+    void stop_operators();    // no further calls; those under way go on
+    bool is_quiet() const { return active_calls_ == 0; }
     // One more order, over all numbers so far and under one that no other uses, by a caller who waits for
     // each answer. `done` is told whether it was acknowledged within `most`.
-    void order(Duration most, std::function<void(bool)> done);
-    void read(Duration most, std::function<void(bool)> done);
-    const Figures& figures() const { return figures_; }
+    void submit_change(Duration timeout, std::function<void(bool)> on_done);
+    void read_configuration(Duration timeout, std::function<void(bool)> on_done);
+    const Statistics& statistics() const { return statistics_; }
     const std::vector<history::Operation>& history() const { return history_; }
 
 private:
     struct Call;
-    using Ended = std::function<void(history::Operation::Answer)>;
-    void next(int who);
-    void begin(history::Operation what, std::string text, Duration most, bool leaves, Ended ended);
-    void attempt(const std::shared_ptr<Call>& call);
-    void answered(const std::shared_ptr<Call>& call, const CallAnswer& answer);
-    void finish(Call& call, history::Operation::Answer answer);
-    void trouble();
-    history::Operation draw_order();
-    std::int64_t now() const;
-    std::size_t draw(std::size_t below) { return random_() % below; }
+    using OutcomeCallback = std::function<void(history::Operation::Outcome)>;
+    void start_next_call(int operator_index);
+    void start_call(history::Operation operation, std::string text, Duration timeout, bool abandons_reply,
+                    OutcomeCallback on_outcome);
+    void send_attempt(const std::shared_ptr<Call>& call);
+    void on_reply(const std::shared_ptr<Call>& call, const HttpReply& reply);
+    void finish_call(Call& call, history::Operation::Outcome outcome);
+    void inject_fault();
+    history::Operation draw_change();
+    std::int64_t elapsed_time() const;
+    std::size_t draw_index(std::size_t upper_bound) { return random_() % upper_bound; }
 
-    Calls& calls_;
-    Settings s_;
+    HttpCalls& calls_;
+    Settings settings_;
     std::mt19937_64 random_;
-    std::map<std::string, std::unique_ptr<Relay>> relays_;    // by the gateway's address
+    std::map<std::string, std::unique_ptr<FaultProxy>> proxies_;    // by the gateway's address
     std::vector<std::string> gateways_;
     std::vector<history::Operation> history_;
     std::uint64_t last_version_ = 0, last_body_ = 0;
-    std::set<std::uint64_t> alone_;    // versions that no other order races with
-    Figures figures_;
-    int under_way_ = 0;
-    bool on_ = false;
-    std::vector<Timers::Id> turns_;
-    Timers::Id trouble_ = 0;
-    std::shared_ptr<int> alive_ = std::make_shared<int>(0);
+    std::set<std::uint64_t> uncontested_versions_;    // versions that no other order races with
+    Statistics statistics_;
+    int active_calls_ = 0;
+    bool is_running_ = false;
+    std::vector<Timers::Id> call_timers_;
+    Timers::Id fault_timer_ = 0;
+    std::shared_ptr<int> lifetime_token_ = std::make_shared<int>(0);
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/system/scoreboard.cpp
+++ b/testbed/system/scoreboard.cpp
@@ -59,14 +59,14 @@
     return all;
 }
 
-nlohmann::json to_json(const Board::Breaches& b) {
-    return {{"run_twice", b.twice},
-            {"refused_yet_run", b.refused_ran},
-            {"unasked", b.unasked},
-            {"wrong_service", b.wrong_service},
-            {"wrong_tenant", b.wrong_tenant},
-            {"mixed", b.mixed},
-            {"denied", b.denied}};
+nlohmann::json to_json(const Board::Breaches& violations) {
+    return {{"run_twice", violations.twice},
+            {"refused_yet_run", violations.refused_ran},
+            {"unasked", violations.unasked},
+            {"wrong_service", violations.wrong_service},
+            {"wrong_tenant", violations.wrong_tenant},
+            {"mixed", violations.mixed},
+            {"denied", violations.denied}};
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/system/scoreboard.h
+++ b/testbed/system/scoreboard.h
@@ -66,6 +66,6 @@
     std::uint64_t runs_ = 0;
 };
 
-nlohmann::json to_json(const Board::Breaches& b);
+nlohmann::json to_json(const Board::Breaches& violations);
 
 }    // namespace shaletray::testbed
--- a/testbed/system/server.cpp
+++ b/testbed/system/server.cpp
@@ -16,295 +16,309 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-constexpr Duration kIdle = 10s, kLinger = 1s, kSweepEvery = 500ms, kLongestWork = 20s;
-constexpr Duration kUnacknowledged = 6s;    // then it ends all the same
-constexpr Duration kLonger = 300ms;         // beyond `drain`
-constexpr double kRampSpeed = 0.4;
-constexpr int kClosesOneIn = 200;
-constexpr std::size_t kShortestBody = 100, kLongestBody = 3000, kLongestAck = 4096;
-
-std::string time_text(Duration d) {
+constexpr Duration kIdleTimeout = 10s, kLingerTimeout = 1s, kSweepInterval = 500ms, kMaxServiceTime = 20s;
+constexpr Duration kUnacknowledgedTimeout = 6s;    // then it ends all the same
+constexpr Duration kDrainMargin = 300ms;           // beyond `drain`
+constexpr double kSlowStartSpeed = 0.4;
+constexpr int kAnswersPerClose = 200;
+constexpr std::size_t kMinBodySize = 100, kMaxBodySize = 3000, kMaxAcknowledgementSize = 4096;
+
+std::string format_duration(Duration d) {
     return fmt::format("{}ms", std::chrono::duration_cast<std::chrono::milliseconds>(d).count());
 }
 
 }    // namespace
 
-class AppServer::Peer : public StreamOwner {
+class ApplicationServer::Connection : public StreamOwner {
 public:
-    Peer(AppServer& of, Reactor& reactor) : stream(reactor, *this), owner_(of) {}
-    ~Peer() override { owner_.reactor_.cancel(timer); }
-    void on_input() override { owner_.take_in(*this); }
-    void on_broken() override { owner_.forget(*this); }
+    Connection(ApplicationServer& of, Reactor& reactor) : stream(reactor, *this), owner_(of) {}
+    ~Connection() override { owner_.reactor_.cancel_timer(work_timer); }
+    void on_input() override { owner_.read_request(*this); }
+    void on_disconnected() override { owner_.remove_connection(*this); }
 
     enum class State { Idle, Queued, Running };
     Stream stream;
     http::Parser parser{http::Parser::Kind::Request, {64 * 1024, 80 * 1024 * 1024, 200}};
     State state = State::Idle;
-    std::string id;
-    bool health = false, cut = false, closing = false;
-    TimePoint deadline{}, used{};
-    Timers::Id timer = 0;
+    std::string request_id;
+    bool is_health_check = false, closes_early = false, is_closing = false;
+    TimePoint deadline{}, last_used_at{};
+    Timers::Id work_timer = 0;
 
 private:
-    AppServer& owner_;
+    ApplicationServer& owner_;
 };
 
-AppServer::AppServer(Reactor& reactor, Calls& calls, Board& board, ServerPlan plan)
+ApplicationServer::ApplicationServer(Reactor& reactor, HttpCalls& calls, Board& board, ServerPlan plan)
     : reactor_(reactor),
       board_(board),
       plan_(std::move(plan)),
       random_(plan_.seed),
       id_(fmt::format("i-{:08x}", random_() & 0xffffffff)),
-      began_(reactor.clock().now()),
-      acceptor_(std::make_unique<Acceptor>(reactor, plan_.address, [this](const auto& s) { accept(s); })),
-      caller_(calls, plan_.control, random_()) {
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
-    beat();
+      started_at_(reactor.clock().now()),
+      listener_(std::make_unique<TestListener>(reactor, plan_.address,
+                                               [this](const auto& s) { accept_connection(s); })),
+      control_client_(calls, plan_.control_addresses, random_()) {
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_idle_connections(); });
+    send_heartbeat();
 }
 
-AppServer::~AppServer() {
-    crash();
-    reactor_.reap();
+ApplicationServer::~ApplicationServer() {
+    crash_now();
+    reactor_.destroy_retired();
 }
 
-void AppServer::crash() { end(); }
+void ApplicationServer::crash_now() { stop_server(); }
 
-void AppServer::end() {
-    if (std::exchange(ended_, true)) return;
-    caller_.stop();
-    for (Timers::Id* timer : {&beat_timer_, &end_timer_, &sweep_timer_}) reactor_.cancel(*timer);
-    acceptor_.reset();
+void ApplicationServer::stop_server() {
+    if (std::exchange(is_ended_, true)) return;
+    control_client_.cancel_call();
+    for (Timers::Id* timer : {&heartbeat_timer_, &end_timer_, &sweep_timer_}) reactor_.cancel_timer(*timer);
+    listener_.reset();
     queue_.clear();
-    while (!peers_.empty()) forget(*peers_.front());
+    while (!connections_.empty()) remove_connection(*connections_.front());
 }
 
-void AppServer::freeze(bool is) {
-    frozen_ = is;
-    if (is || ended_) return;
-    std::vector<Peer*> all;
-    for (const auto& peer : peers_) all.push_back(peer.get());
-    for (Peer* peer : all) {
-        if (peer->state == Peer::State::Running && peer->timer == 0) finish(*peer);
-        else if (peer->state == Peer::State::Idle) take_in(*peer);
+void ApplicationServer::set_frozen(bool frozen) {
+    is_frozen_ = frozen;
+    if (frozen || is_ended_) return;
+    std::vector<Connection*> all;
+    for (const auto& peer : connections_) all.push_back(peer.get());
+    for (Connection* peer : all) {
+        if (peer->state == Connection::State::Running && peer->work_timer == 0) finish_request(*peer);
+        else if (peer->state == Connection::State::Idle) read_request(*peer);
     }
 }
 
-void AppServer::control(std::vector<std::string> gateways) {
-    plan_.control = gateways;
-    caller_.gateways(std::move(gateways));
+void ApplicationServer::set_control_addresses(std::vector<std::string> addresses) {
+    plan_.control_addresses = addresses;
+    control_client_.set_gateways(std::move(addresses));
 }
 
 // ---- beats ----
 
-std::string AppServer::beat_body() {
-    const Duration left = std::max(Duration(0), began_ + plan_.ramp - reactor_.clock().now());
+std::string ApplicationServer::heartbeat_body() {
+    const Duration left = std::max(Duration(0), started_at_ + plan_.slow_start - reactor_.clock().now());
     return Json{{"address", plan_.address},
                 {"system_info",
                  {{"service", plan_.service},
                   {"revision", plan_.revision},
                   {"zone", plan_.zone},
-                  {"capacity", plan_.slots}}},
+                  {"capacity", plan_.concurrency_limit}}},
                 {"status",
-                 {{"state", leaving_ ? "draining" : "in_service"},
-                  {"call_count", ++calls_made_},
-                  {"ramp_left", time_text(left)}}}}
+                 {{"state", is_draining_ ? "draining" : "in_service"},
+                  {"call_count", ++heartbeats_sent_},
+                  {"ramp_left", format_duration(left)}}}}
         .dump();
 }
 
-void AppServer::beat() {
-    reactor_.cancel(beat_timer_);
-    if (frozen_) {
-        beat_timer_ = reactor_.after(plan_.heartbeat, [this] { beat(); });
+void ApplicationServer::send_heartbeat() {
+    reactor_.cancel_timer(heartbeat_timer_);
+    if (is_frozen_) {
+        heartbeat_timer_ = reactor_.schedule_after(plan_.heartbeat_interval, [this] { send_heartbeat(); });
         return;
     }
-    caller_.call(
-        "POST", fmt::format("/members/{}/heartbeat", id_), [this] { return beat_body(); },
-        plan_.heartbeat * 2, [this](const CallAnswer& answer) { beaten(answer); });
+    control_client_.start_call(
+        "POST", fmt::format("/members/{}/heartbeat", id_), [this] { return heartbeat_body(); },
+        plan_.heartbeat_interval * 2, [this](const HttpReply& answer) { on_heartbeat_reply(answer); });
 }
 
-void AppServer::beaten(const CallAnswer& answer) {
-    const bool good = answer.status >= 200 && answer.status < 300 && answer.body.size() <= kLongestAck;
+void ApplicationServer::on_heartbeat_reply(const HttpReply& answer) {
+    const bool good = answer.status_code >= 200 && answer.status_code < 300 &&
+                      answer.body.size() <= kMaxAcknowledgementSize;
     if (good) {
-        known_ = true;
+        is_registered_ = true;
         const Json body = Json::parse(answer.body, nullptr, false);
         if (body.is_object() && body.contains("heartbeat_target") && body["heartbeat_target"].is_string())
-            caller_.prefer(body["heartbeat_target"]);
-        if (leaving_ && !std::exchange(left_, true)) {
-            reactor_.cancel(end_timer_);
-            end_timer_ = reactor_.after(plan_.drain + kLonger, [this] { deregister(); });
+            control_client_.set_preferred(body["heartbeat_target"]);
+        if (is_draining_ && !std::exchange(is_deregistered_, true)) {
+            reactor_.cancel_timer(end_timer_);
+            end_timer_ =
+                reactor_.schedule_after(plan_.drain_time + kDrainMargin, [this] { send_deregistration(); });
         }
     }
     // A little apart, so that not all beat at once for ever.
     const auto spread = static_cast<Duration::rep>(random_() % 100) - 50;
-    beat_timer_ = reactor_.after(plan_.heartbeat + plan_.heartbeat * spread / 1000, [this] { beat(); });
+    heartbeat_timer_ = reactor_.schedule_after(
+        plan_.heartbeat_interval + plan_.heartbeat_interval * spread / 1000, [this] { send_heartbeat(); });
 }
 
-void AppServer::drain() {
-    if (ended_ || std::exchange(leaving_, true)) return;
-    end_timer_ = reactor_.after(kUnacknowledged, [this] { end(); });
-    beat();
+void ApplicationServer::start_drain() {
+    if (is_ended_ || std::exchange(is_draining_, true)) return;
+    end_timer_ = reactor_.schedule_after(kUnacknowledgedTimeout, [this] { stop_server(); });
+    send_heartbeat();
 }
 
-void AppServer::deregister() {
-    reactor_.cancel(beat_timer_);
-    end_timer_ = reactor_.after(kUnacknowledged, [this] { end(); });
-    caller_.call(
-        "POST", fmt::format("/members/{}/deregister", id_), [this] { return beat_body(); }, kUnacknowledged,
-        [this](const CallAnswer&) { end(); });
+void ApplicationServer::send_deregistration() {
+    reactor_.cancel_timer(heartbeat_timer_);
+    end_timer_ = reactor_.schedule_after(kUnacknowledgedTimeout, [this] { stop_server(); });
+    control_client_.start_call(
+        "POST", fmt::format("/members/{}/deregister", id_), [this] { return heartbeat_body(); },
+        kUnacknowledgedTimeout, [this](const HttpReply&) { stop_server(); });
 }
 
 // ---- requests ----
 
-void AppServer::accept(const Poco::Net::StreamSocket& socket) {
-    if (peers_.size() >= plan_.connections) {
+void ApplicationServer::accept_connection(const Poco::Net::StreamSocket& socket) {
+    if (connections_.size() >= plan_.max_connections) {
         Poco::Net::StreamSocket beyond = socket;
         beyond.setLinger(true, 0);
         beyond.close();
         return;
     }
-    peers_.push_back(std::make_unique<Peer>(*this, reactor_));
-    peers_.back()->used = reactor_.clock().now();
-    peers_.back()->stream.adopt(socket);
+    connections_.push_back(std::make_unique<Connection>(*this, reactor_));
+    connections_.back()->last_used_at = reactor_.clock().now();
+    connections_.back()->stream.attach(socket);
 }
 
-void AppServer::forget(Peer& peer) {
-    struct Gone : Retired {    // it may be on the call stack
-        explicit Gone(std::unique_ptr<Peer> of) : peer(std::move(of)) {}
-        std::unique_ptr<Peer> peer;
+void ApplicationServer::remove_connection(Connection& connection) {
+    struct Gone : RetiredObject {    // it may be on the call stack
+        explicit Gone(std::unique_ptr<Connection> of) : peer(std::move(of)) {}
+        std::unique_ptr<Connection> peer;
     };
-    peer.stream.close();
-    reactor_.cancel(peer.timer);
-    const bool ran = peer.state == Peer::State::Running;
-    if (peer.state == Peer::State::Queued) std::erase(queue_, &peer);
-    peer.state = Peer::State::Idle;
-    const auto it =
-        std::find_if(peers_.begin(), peers_.end(), [&](const auto& p) { return p.get() == &peer; });
-    if (it == peers_.end()) return;
-    reactor_.retire(std::make_unique<Gone>(std::move(*it)));
-    peers_.erase(it);
+    connection.stream.close();
+    reactor_.cancel_timer(connection.work_timer);
+    const bool ran = connection.state == Connection::State::Running;
+    if (connection.state == Connection::State::Queued) std::erase(queue_, &connection);
+    connection.state = Connection::State::Idle;
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](const auto& p) { return p.get() == &connection; });
+    if (it == connections_.end()) return;
+    reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+    connections_.erase(it);
     if (!ran) return;
-    --running_;
-    next();
+    --running_requests_;
+    start_next_queued();
 }
 
-void AppServer::take_in(Peer& peer) {
-    if (peer.closing) return peer.stream.input().consume(peer.stream.input().size());
-    peer.used = reactor_.clock().now();
-    if (frozen_ || peer.state != Peer::State::Idle || peer.stream.input().empty()) return;
-    const http::Status status = peer.parser.parse(peer.stream.input());
-    if (status == http::Status::Bad) return forget(peer);
-    if (status == http::Status::Done) serve(peer);
+void ApplicationServer::read_request(Connection& connection) {
+    if (connection.is_closing)
+        return connection.stream.input_buffer().consume(connection.stream.input_buffer().size());
+    connection.last_used_at = reactor_.clock().now();
+    if (is_frozen_ || connection.state != Connection::State::Idle || connection.stream.input_buffer().empty())
+        return;
+    const http::ParseStatus status = connection.parser.parse(connection.stream.input_buffer());
+    if (status == http::ParseStatus::Malformed) return remove_connection(connection);
+    if (status == http::ParseStatus::Complete) process_input(connection);
 }
 
-void AppServer::serve(Peer& peer) {
-    const http::Buffer& in = peer.stream.input();
+void ApplicationServer::process_input(Connection& connection) {
+    const http::Buffer& in = connection.stream.input_buffer();
     const TimePoint now = reactor_.clock().now();
-    peer.health = peer.parser.method(in) == "GET" && peer.parser.target(in) == "/health";
-    peer.id = peer.parser.header(in, "X-Attempt-Id");
-    peer.deadline = now + kLongestWork;
-    const std::string_view left = peer.parser.header(in, "X-Deadline-Remaining");
+    connection.is_health_check =
+        connection.parser.method(in) == "GET" && connection.parser.target(in) == "/health";
+    connection.request_id = connection.parser.header(in, "X-Attempt-Id");
+    connection.deadline = now + kMaxServiceTime;
+    const std::string_view left = connection.parser.header(in, "X-Deadline-Remaining");
     double ms = 0.0;
     if (const auto [end, error] = std::from_chars(left.data(), left.data() + left.size(), ms);
         error == std::errc{} && end != left.data())
-        peer.deadline = now + from_secs(ms / 1e3);
-    if (!peer.health) {
-        if (peer.id.empty()) return refuse(peer, 400);
-        board_.arrived(peer.id);
-        const std::string_view target = peer.parser.header(in, "X-Target-Instance");
-        if (!target.empty() && target != id_) return refuse(peer, 421);
+        connection.deadline = now + from_secs(ms / 1e3);
+    if (!connection.is_health_check) {
+        if (connection.request_id.empty()) return reject_request(connection, 400);
+        board_.arrived(connection.request_id);
+        const std::string_view target = connection.parser.header(in, "X-Target-Instance");
+        if (!target.empty() && target != id_) return reject_request(connection, 421);
     }
-    if (running_ < plan_.slots) return begin(peer);
-    if (queue_.size() >= static_cast<std::size_t>(plan_.slots)) return refuse(peer, 503);
-    peer.state = Peer::State::Queued;
-    queue_.push_back(&peer);
+    if (running_requests_ < plan_.concurrency_limit) return start_request(connection);
+    if (queue_.size() >= static_cast<std::size_t>(plan_.concurrency_limit))
+        return reject_request(connection, 503);
+    connection.state = Connection::State::Queued;
+    queue_.push_back(&connection);
 }
 
-Duration AppServer::draw_work() {
-    const bool slow = reactor_.clock().now() < began_ + plan_.ramp;
+Duration ApplicationServer::draw_service_time() {
+    const bool slow = reactor_.clock().now() < started_at_ + plan_.slow_start;
     const double factor = std::lognormal_distribution<double>(-0.08, 0.4)(random_);
-    return from_secs(secs(plan_.work) * factor / plan_.speed / (slow ? kRampSpeed : 1.0));
+    return from_secs(secs(plan_.mean_service_time) * factor / plan_.speed / (slow ? kSlowStartSpeed : 1.0));
 }
 
-void AppServer::begin(Peer& peer) {
+void ApplicationServer::start_request(Connection& connection) {
     const TimePoint now = reactor_.clock().now();
-    const http::Buffer& in = peer.stream.input();
+    const http::Buffer& in = connection.stream.input_buffer();
     Duration work(0);
-    if (!peer.health) {
-        if (now >= peer.deadline) return refuse(peer, 503);
-        board_.ran(peer.id, plan_.service, peer.parser.header(in, "X-Tenant"), peer.parser.method(in),
-                   peer.parser.target(in), peer.parser.body(in));
-        work = draw_work();
-        peer.cut = now + work > peer.deadline;
-        if (peer.cut) work = peer.deadline - now;
+    if (!connection.is_health_check) {
+        if (now >= connection.deadline) return reject_request(connection, 503);
+        board_.ran(connection.request_id, plan_.service, connection.parser.header(in, "X-Tenant"),
+                   connection.parser.method(in), connection.parser.target(in), connection.parser.body(in));
+        work = draw_service_time();
+        connection.closes_early = now + work > connection.deadline;
+        if (connection.closes_early) work = connection.deadline - now;
     }
-    peer.state = Peer::State::Running;
-    ++running_;
-    peer.timer = reactor_.after(work, [this, &peer] {
-        peer.timer = 0;
-        if (!frozen_) finish(peer);
+    connection.state = Connection::State::Running;
+    ++running_requests_;
+    connection.work_timer = reactor_.schedule_after(work, [this, &connection] {
+        connection.work_timer = 0;
+        if (!is_frozen_) finish_request(connection);
     });
 }
 
-void AppServer::finish(Peer& peer) {
-    --running_;
-    peer.state = Peer::State::Idle;
-    if (peer.health) {
-        answer(peer, leaving_ ? 503 : 200, fmt::format("X-Instance-Id: {}\r\n", id_), "well");
-    } else if (peer.cut) {
-        answer(peer, 504, fmt::format("X-Attempt-Id: {}\r\n", peer.id), "");
+void ApplicationServer::finish_request(Connection& connection) {
+    --running_requests_;
+    connection.state = Connection::State::Idle;
+    if (connection.is_health_check) {
+        send_answer(connection, is_draining_ ? 503 : 200, fmt::format("X-Instance-Id: {}\r\n", id_), "well");
+    } else if (connection.closes_early) {
+        send_answer(connection, 504, fmt::format("X-Attempt-Id: {}\r\n", connection.request_id), "");
     } else {
-        const std::size_t size = kShortestBody + random_() % (kLongestBody - kShortestBody);
+        const std::size_t size = kMinBodySize + random_() % (kMaxBodySize - kMinBodySize);
         std::string body(size, static_cast<char>('a' + random_() % 26));
-        body += peer.id;
-        const std::string seal = fmt::format("{}.{:x}.{:x}", id_.substr(2), ++answers_, random_() & 0xffffff);
-        board_.answered(peer.id, seal, body);
-        answer(peer, 200, fmt::format("X-Attempt-Id: {}\r\nX-Server-Seal: {}\r\n", peer.id, seal), body);
+        body += connection.request_id;
+        const std::string seal =
+            fmt::format("{}.{:x}.{:x}", id_.substr(2), ++answers_sent_, random_() & 0xffffff);
+        board_.answered(connection.request_id, seal, body);
+        send_answer(connection, 200,
+                    fmt::format("X-Attempt-Id: {}\r\nX-Server-Seal: {}\r\n", connection.request_id, seal),
+                    body);
     }
-    next();
+    start_next_queued();
 }
 
-void AppServer::next() {
-    while (!ended_ && running_ < plan_.slots && !queue_.empty()) {
-        Peer* const peer = queue_.front();
+void ApplicationServer::start_next_queued() {
+    while (!is_ended_ && running_requests_ < plan_.concurrency_limit && !queue_.empty()) {
+        Connection* const peer = queue_.front();
         queue_.pop_front();
-        peer->state = Peer::State::Idle;
-        begin(*peer);
+        peer->state = Connection::State::Idle;
+        start_request(*peer);
     }
 }
 
-void AppServer::refuse(Peer& peer, int status) {
-    answer(peer, status, fmt::format("X-Attempt-Id: {}\r\nX-Not-Executed: 1\r\n", peer.id), "");
+void ApplicationServer::reject_request(Connection& connection, int status) {
+    send_answer(connection, status,
+                fmt::format("X-Attempt-Id: {}\r\nX-Not-Executed: 1\r\n", connection.request_id), "");
 }
 
-void AppServer::answer(Peer& peer, int status, const std::string& headers, const std::string& body) {
-    const bool closes = leaving_ || !peer.parser.keep_alive() || random_() % kClosesOneIn == 0;
-    peer.stream.input().consume(peer.parser.size());
-    peer.parser.reset();
-    const std::string out =
-        fmt::format("HTTP/1.1 {} {}\r\nContent-Length: {}\r\n{}{}\r\n{}", status, status == 200 ? "OK" : "No",
-                    body.size(), headers,
-                    closes ? std::string("Connection: close\r\n")
-                           : fmt::format("Keep-Alive: timeout={}\r\n",
-                                         std::chrono::duration_cast<std::chrono::seconds>(kIdle).count()),
-                    body);
-    if (!peer.stream.send(out)) return forget(peer);
+void ApplicationServer::send_answer(Connection& connection, int status, const std::string& headers,
+                                    const std::string& body) {
+    const bool closes = is_draining_ || !connection.parser.keep_alive() || random_() % kAnswersPerClose == 0;
+    connection.stream.input_buffer().consume(connection.parser.message_size());
+    connection.parser.reset();
+    const std::string out = fmt::format(
+        "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n{}{}\r\n{}", status, status == 200 ? "OK" : "No",
+        body.size(), headers,
+        closes ? std::string("Connection: close\r\n")
+               : fmt::format("Keep-Alive: timeout={}\r\n",
+                             std::chrono::duration_cast<std::chrono::seconds>(kIdleTimeout).count()),
+        body);
+    if (!connection.stream.write_bytes(out)) return remove_connection(connection);
     if (closes) {
-        peer.closing = true;
-        peer.used = reactor_.clock().now() + kLinger - kIdle;    // closed by a sweep, should the caller not
-        peer.stream.end_sending();
+        connection.is_closing = true;
+        connection.last_used_at = reactor_.clock().now() + kLingerTimeout -
+                                  kIdleTimeout;    // closed by a sweep, should the caller not
+        connection.stream.shutdown_sending();
         return;
     }
-    take_in(peer);
+    read_request(connection);
 }
 
-void AppServer::sweep() {
+void ApplicationServer::close_idle_connections() {
     const TimePoint now = reactor_.clock().now();
-    std::vector<Peer*> old;
-    for (const auto& peer : peers_)
-        if (!frozen_ && peer->state == Peer::State::Idle && now - peer->used > kIdle)
+    std::vector<Connection*> old;
+    for (const auto& peer : connections_)
+        if (!is_frozen_ && peer->state == Connection::State::Idle && now - peer->last_used_at > kIdleTimeout)
             old.push_back(peer.get());
-    for (Peer* peer : old) forget(*peer);
-    sweep_timer_ = reactor_.after(kSweepEvery, [this] { sweep(); });
+    for (Connection* peer : old) remove_connection(*peer);
+    sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_idle_connections(); });
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/system/server.h
+++ b/testbed/system/server.h
@@ -18,71 +18,72 @@
 
 struct ServerPlan {
     std::string service, address, zone, revision = "v1";
-    int slots = 6;                    // requests at once; as many wait
-    std::size_t connections = 130;    // from all callers; those beyond are reset
-    Duration work{0};                 // mean
-    double speed = 1.0;               // of this one: its work takes work / speed
-    Duration ramp{0};                 // slow for so long from its start
-    Duration heartbeat{1'500'000};
-    Duration drain{2'000'000};           // how long it goes on after its end was acknowledged
-    std::vector<std::string> control;    // who takes its beats
+    int concurrency_limit = 6;            // requests at once; as many wait
+    std::size_t max_connections = 130;    // from all callers; those beyond are reset
+    Duration mean_service_time{0};        // mean
+    double speed = 1.0;                   // of this one: its work takes work / speed
+    Duration slow_start{0};               // slow for so long from its start
+    Duration heartbeat_interval{1'500'000};
+    Duration drain_time{2'000'000};                // how long it goes on after its end was acknowledged
+    std::vector<std::string> control_addresses;    // who takes its beats
     std::uint64_t seed = 1;
 };
 
-class AppServer {
+class ApplicationServer {
 public:
-    AppServer(Reactor& reactor, Calls& calls, Board& board, ServerPlan plan);
-    ~AppServer();
-    AppServer(const AppServer&) = delete;
-    AppServer& operator=(const AppServer&) = delete;
+    ApplicationServer(Reactor& reactor, HttpCalls& calls, Board& board, ServerPlan plan);
+    ~ApplicationServer();
+    ApplicationServer(const ApplicationServer&) = delete;
+    ApplicationServer& operator=(const ApplicationServer&) = delete;
 
     const std::string& id() const { return id_; }
     const ServerPlan& plan() const { return plan_; }
     // Leaves in order: says so, serves on for a while, deregisters, ends.
-    void drain();
+    void start_drain();
     // Ends at once; nothing is said.
-    void crash();
+    void crash_now();
     // Takes connections and answers nothing, as a machine that is frozen.
-    void freeze(bool is);
-    void slow_down(double speed) { plan_.speed = speed; }
-    void control(std::vector<std::string> gateways);
-    bool is_known() const { return known_; }    // its first beat was acknowledged
-    bool is_ended() const { return ended_; }
-    int running() const { return running_; }
+    void set_frozen(bool frozen);
+    void set_speed(double speed) { plan_.speed = speed; }
+    void set_control_addresses(std::vector<std::string> addresses);
+    bool is_registered() const { return is_registered_; }    // its first beat was acknowledged
+    bool is_ended() const { return is_ended_; }
+    int running_requests() const { return running_requests_; }
 
 private:
-    class Peer;
-    void accept(const Poco::Net::StreamSocket& socket);
-    void take_in(Peer& peer);
-    void serve(Peer& peer);
-    void begin(Peer& peer);
-    void finish(Peer& peer);
-    void next();
-    void refuse(Peer& peer, int status);
-    void answer(Peer& peer, int status, const std::string& headers, const std::string& body);
-    void forget(Peer& peer);
-    void sweep();
-    std::string beat_body();
-    void beat();
-    void beaten(const CallAnswer& answer);
-    void deregister();
-    void end();
-    Duration draw_work();
+    class Connection;
+    void accept_connection(const Poco::Net::StreamSocket& socket);
+    void read_request(Connection& connection);
+    void process_input(Connection& connection);
+    void start_request(Connection& connection);
+    void finish_request(Connection& connection);
+    void start_next_queued();
+    void reject_request(Connection& connection, int status);
+    void send_answer(Connection& connection, int status, const std::string& headers, const std::string& body);
+    void remove_connection(Connection& connection);
+    void close_idle_connections();
+    std::string heartbeat_body();
+    void send_heartbeat();
+    void on_heartbeat_reply(const HttpReply& answer);
+    void send_deregistration();
+    void stop_server();
+    Duration draw_service_time();
 
     Reactor& reactor_;
     Board& board_;
     ServerPlan plan_;
     std::mt19937_64 random_;
     std::string id_;
-    TimePoint began_{};
-    std::unique_ptr<Acceptor> acceptor_;
-    std::list<std::unique_ptr<Peer>> peers_;
-    std::deque<Peer*> queue_;
-    int running_ = 0;
-    std::uint64_t calls_made_ = 0, answers_ = 0;
-    bool known_ = false, leaving_ = false, left_ = false, ended_ = false, frozen_ = false;
-    ControlCaller caller_;
-    Timers::Id beat_timer_ = 0, end_timer_ = 0, sweep_timer_ = 0;
+    TimePoint started_at_{};
+    std::unique_ptr<TestListener> listener_;
+    std::list<std::unique_ptr<Connection>> connections_;
+    std::deque<Connection*> queue_;
+    int running_requests_ = 0;
+    std::uint64_t heartbeats_sent_ = 0, answers_sent_ = 0;
+    bool is_registered_ = false, is_draining_ = false, is_deregistered_ = false, is_ended_ = false,
+         is_frozen_ = false;
+    ControlClient control_client_;
+    Timers::Id heartbeat_timer_ = 0, end_timer_ = 0, sweep_timer_ = 0;
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/test_processes.cpp
+++ b/testbed/test_processes.cpp
@@ -26,7 +26,7 @@
 Duration from_seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
 
 template <class T>
-struct Later : Retired {
+struct Later : RetiredObject {
     explicit Later(std::unique_ptr<T> of) : held(std::move(of)) {}
     std::unique_ptr<T> held;
 };
@@ -36,7 +36,7 @@
 void put_off(Reactor& reactor, std::list<std::unique_ptr<T>>& list, T& object) {
     const auto it = std::find_if(list.begin(), list.end(), [&](const auto& p) { return p.get() == &object; });
     if (it == list.end()) return;
-    reactor.retire(std::make_unique<Later<T>>(std::move(*it)));
+    reactor.destroy_later(std::make_unique<Later<T>>(std::move(*it)));
     list.erase(it);
 }
 
@@ -44,9 +44,9 @@
 
 // ---- processes ----
 
-Process::Process(std::vector<std::string> words, std::map<std::string, std::string> environment,
-                 std::string log)
-    : log_(std::move(log)) {
+Process::Process(std::vector<std::string> arguments, std::map<std::string, std::string> environment,
+                 std::string log_path)
+    : log_path_(std::move(log_path)) {
     for (char** entry = environ; *entry != nullptr; ++entry) {
         const std::string text = *entry;
         const std::string name = text.substr(0, text.find('='));
@@ -55,13 +55,13 @@
     std::vector<std::string> settings;
     for (const auto& [name, value] : environment) settings.push_back(fmt::format("{}={}", name, value));
     std::vector<char*> argv, envp;
-    for (std::string& word : words) argv.push_back(word.data());
+    for (std::string& word : arguments) argv.push_back(word.data());
     for (std::string& setting : settings) envp.push_back(setting.data());
     argv.push_back(nullptr);
     envp.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_addopen(&actions, 1, log_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    posix_spawn_file_actions_addopen(&actions, 1, log_path_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     posix_spawn_file_actions_adddup2(&actions, 1, 2);
     // A child that held our listening sockets would keep a server reachable that has ended.
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
@@ -72,19 +72,20 @@
     sigemptyset(&none);
     posix_spawnattr_setsigmask(&attributes, &none);
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
-    const int failed = posix_spawn(&pid_, words[0].c_str(), &actions, &attributes, argv.data(), envp.data());
+    const int failed =
+        posix_spawn(&pid_, arguments[0].c_str(), &actions, &attributes, argv.data(), envp.data());
     posix_spawnattr_destroy(&attributes);
     posix_spawn_file_actions_destroy(&actions);
-    if (failed != 0) throw std::runtime_error(fmt::format("{} cannot be started", words[0]));
+    if (failed != 0) throw std::runtime_error(fmt::format("{} cannot be started", arguments[0]));
 }
 
 Process::~Process() { kill(); }
 
-void Process::signal(int number) {
-    if (pid_ > 0) ::kill(pid_, number);
+void Process::send_signal(int signal_number) {
+    if (pid_ > 0) ::kill(pid_, signal_number);
 }
 
-int Process::reap() {
+int Process::reap_child() {
     int status = 0;
     if (pid_ > 0 && waitpid(pid_, &status, 0) != pid_) status = -1;
     pid_ = 0;
@@ -93,13 +94,13 @@
 
 void Process::kill() {
     if (pid_ <= 0) return;
-    signal(SIGKILL);
-    reap();
+    send_signal(SIGKILL);
+    reap_child();
 }
 
-int Process::end() {
+int Process::terminate() {
     constexpr auto kPatience = 15s;
-    signal(SIGTERM);
+    send_signal(SIGTERM);
     const auto until = std::chrono::steady_clock::now() + kPatience;
     for (int status = 0; pid_ > 0 && std::chrono::steady_clock::now() < until;) {
         if (waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -112,7 +113,7 @@
     return -1;
 }
 
-double Process::cpu() const {
+double Process::cpu_seconds() const {
     std::ifstream in(fmt::format("/proc/{}/schedstat", pid_));
     double nanoseconds = 0.0;
     in >> nanoseconds;
@@ -126,13 +127,13 @@
     return 0.0;
 }
 
-bool Process::alive() {
+bool Process::is_alive() {
     if (pid_ > 0 && waitpid(pid_, nullptr, WNOHANG) == pid_) pid_ = 0;
     return pid_ > 0;
 }
 
 std::string Process::log_text() const {
-    std::ifstream in(log_, std::ios::binary);
+    std::ifstream in(log_path_, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -145,56 +146,56 @@
             {"SHALETRAY_SETTINGS", settings}};
 }
 
-int free_port() {
+int find_free_port() {
     const Poco::Net::ServerSocket socket(Poco::Net::SocketAddress("127.0.0.1", 0));
     return socket.address().port();
 }
 
 // ---- accepting ----
 
-Acceptor::Acceptor(Reactor& reactor, int port, Take take)
-    : Acceptor(reactor, fmt::format("127.0.0.1:{}", port), std::move(take)) {}
+TestListener::TestListener(Reactor& reactor, int port, ConnectionHandler handle_connection)
+    : TestListener(reactor, fmt::format("127.0.0.1:{}", port), std::move(handle_connection)) {}
 
-Acceptor::Acceptor(Reactor& reactor, const std::string& address, Take take)
-    : reactor_(reactor), take_(std::move(take)) {
+TestListener::TestListener(Reactor& reactor, const std::string& address, ConnectionHandler handle_connection)
+    : reactor_(reactor), handle_connection_(std::move(handle_connection)) {
     socket_.bind(Poco::Net::SocketAddress(address), true);
     socket_.listen(256);
     socket_.setBlocking(false);
-    reactor_.addEventHandler(
-        socket_, Poco::NObserver<Acceptor, Poco::Net::ReadableNotification>(*this, &Acceptor::on_readable));
+    reactor_.addEventHandler(socket_, Poco::NObserver<TestListener, Poco::Net::ReadableNotification>(
+                                          *this, &TestListener::on_readable));
 }
 
-Acceptor::~Acceptor() {
-    reactor_.removeEventHandler(
-        socket_, Poco::NObserver<Acceptor, Poco::Net::ReadableNotification>(*this, &Acceptor::on_readable));
+TestListener::~TestListener() {
+    reactor_.removeEventHandler(socket_, Poco::NObserver<TestListener, Poco::Net::ReadableNotification>(
+                                             *this, &TestListener::on_readable));
     // The reactor may hold it a while longer, and the system would go on taking connections for nobody.
     socket_.close();
 }
 
-void Acceptor::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void TestListener::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     try {
-        take_(socket_.acceptConnection());
+        handle_connection_(socket_.acceptConnection());
     } catch (const Poco::Exception&) {
         // It went away before it was taken.
     }
-    reactor_.reckon_timeout();
+    reactor_.update_poll_timeout();
 }
 
 // ---- workers ----
 
-class HttpPeer : public StreamOwner {
+class HttpServerConnection : public StreamOwner {
 public:
-    HttpPeer(Workers& of, Reactor& reactor, int number)
+    HttpServerConnection(StandInWorkers& of, Reactor& reactor, int number)
         : owner(of), worker(number), stream(reactor, *this), parser(http::Parser::Kind::Request) {}
-    ~HttpPeer() override { stop(); }
-    void on_input() override { owner.serve(*this); }
-    void on_broken() override { owner.forget(*this); }
+    ~HttpServerConnection() override { stop(); }
+    void on_input() override { owner.process_input(*this); }
+    void on_disconnected() override { owner.remove_connection(*this); }
     void stop() {
-        if (reactor != nullptr) reactor->cancel(timer);
+        if (reactor != nullptr) reactor->cancel_timer(timer);
         stream.close();
     }
 
-    Workers& owner;
+    StandInWorkers& owner;
     int worker;    // below 0: discovery
     Stream stream;
     http::Parser parser;
@@ -203,17 +204,18 @@
     bool busy = false;
 };
 
-Workers::Workers(Reactor& reactor, int count, Duration work, Seen seen)
-    : reactor_(reactor), work_(work), seen_(std::move(seen)) {
+StandInWorkers::StandInWorkers(Reactor& reactor, int count, Duration service_time, RequestObserver on_request)
+    : reactor_(reactor), service_time_(service_time), on_request_(std::move(on_request)) {
     for (int i = 0; i < count; ++i)
-        workers_.push_back(
-            std::make_unique<Acceptor>(reactor, 0, [this, i](const auto& s) { accept(i, s); }));
-    discovery_ = std::make_unique<Acceptor>(reactor, 0, [this](const auto& s) { accept(-1, s); });
+        workers_.push_back(std::make_unique<TestListener>(
+            reactor, 0, [this, i](const auto& s) { accept_connection(i, s); }));
+    discovery_ =
+        std::make_unique<TestListener>(reactor, 0, [this](const auto& s) { accept_connection(-1, s); });
 }
 
-Workers::~Workers() = default;
+StandInWorkers::~StandInWorkers() = default;
 
-std::string Workers::list() const {
+std::string StandInWorkers::host_list() const {
     std::string members;
     for (std::size_t i = 0; i < workers_.size(); ++i)
         members += fmt::format(
@@ -223,64 +225,65 @@
     return fmt::format(R"({{"revision":1,"complete":true,"members":[{}]}})", members);
 }
 
-void Workers::accept(int worker, const Poco::Net::StreamSocket& socket) {
-    peers_.push_back(std::make_unique<HttpPeer>(*this, reactor_, worker));
-    peers_.back()->reactor = &reactor_;
-    peers_.back()->stream.adopt(socket);
+void StandInWorkers::accept_connection(int worker, const Poco::Net::StreamSocket& socket) {
+    connections_.push_back(std::make_unique<HttpServerConnection>(*this, reactor_, worker));
+    connections_.back()->reactor = &reactor_;
+    connections_.back()->stream.attach(socket);
 }
 
-void Workers::forget(HttpPeer& peer) {
-    peer.stop();
-    put_off(reactor_, peers_, peer);
+void StandInWorkers::remove_connection(HttpServerConnection& connection) {
+    connection.stop();
+    put_off(reactor_, connections_, connection);
 }
 
-void Workers::serve(HttpPeer& peer) {
-    if (peer.busy) return;
-    const http::Status status = peer.parser.parse(peer.stream.input());
-    if (status == http::Status::Bad) return forget(peer);
-    if (status != http::Status::Done) return;
-    const http::Buffer& in = peer.stream.input();
+void StandInWorkers::process_input(HttpServerConnection& connection) {
+    if (connection.busy) return;
+    const http::ParseStatus status = connection.parser.parse(connection.stream.input_buffer());
+    if (status == http::ParseStatus::Malformed) return remove_connection(connection);
+    if (status != http::ParseStatus::Complete) return;
+    const http::Buffer& in = connection.stream.input_buffer();
     std::string answer;
-    if (peer.worker < 0) {
-        const std::string line = list() + "\n";
-        peer.stream.send(fmt::format("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n",
-                                     line.size(), line));
-        peer.busy = true;
+    if (connection.worker < 0) {
+        const std::string line = host_list() + "\n";
+        connection.stream.write_bytes(fmt::format(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n", line.size(), line));
+        connection.busy = true;
         // Empty lines show that it is there.
-        const auto beat = [this, &peer](const auto& self) -> void {
-            peer.timer = reactor_.after(1s, [&peer, self] {
-                if (peer.stream.send("1\r\n\n\r\n")) self(self);
+        const auto beat = [this, &connection](const auto& self) -> void {
+            connection.timer = reactor_.schedule_after(1s, [&connection, self] {
+                if (connection.stream.write_bytes("1\r\n\n\r\n")) self(self);
             });
         };
         return beat(beat);
     }
-    const bool live = peer.parser.target(in).starts_with("/health");
-    if (!live) seen_(peer.worker, peer.parser.target(in), reactor_.clock().now());
-    answer = write_answer(200, "", peer.parser.header(in, "X-Correlation-Id"), true);
-    peer.stream.input().consume(peer.parser.size());
-    peer.parser.reset();
-    peer.busy = true;
-    peer.timer = reactor_.after(live ? Duration(0) : work_, [this, &peer, answer] {
-        peer.busy = false;
-        if (!peer.stream.send(answer)) return forget(peer);
-        if (!peer.stream.input().empty()) serve(peer);
-    });
+    const bool live = connection.parser.target(in).starts_with("/health");
+    if (!live) on_request_(connection.worker, connection.parser.target(in), reactor_.clock().now());
+    answer = write_answer(200, "", connection.parser.header(in, "X-Correlation-Id"), true);
+    connection.stream.input_buffer().consume(connection.parser.message_size());
+    connection.parser.reset();
+    connection.busy = true;
+    connection.timer =
+        reactor_.schedule_after(live ? Duration(0) : service_time_, [this, &connection, answer] {
+            connection.busy = false;
+            if (!connection.stream.write_bytes(answer)) return remove_connection(connection);
+            if (!connection.stream.input_buffer().empty()) process_input(connection);
+        });
 }
 
 // ---- relays ----
 
-class Relay::Pair {
+class FaultProxy::ConnectionPair {
 public:
-    Pair(Relay& of, Reactor& reactor, const Poco::Net::StreamSocket& socket)
+    ConnectionPair(FaultProxy& of, Reactor& reactor, const Poco::Net::StreamSocket& socket)
         : owner_(of), near_(*this), far_(*this), near_stream_(reactor, near_), far_stream_(reactor, far_) {
         near_.to = &far_stream_;
         far_.to = &near_stream_;
         near_.from = &near_stream_;
         far_.from = &far_stream_;
-        near_stream_.adopt(socket);
-        if (!owner_.cut_) dialled_ = far_stream_.dial(owner_.to_);
+        near_stream_.attach(socket);
+        if (!owner_.partitioned_) dialled_ = far_stream_.connect(owner_.target_address_);
     }
-    bool useful() const { return dialled_ || owner_.cut_; }
+    bool useful() const { return dialled_ || owner_.partitioned_; }
     void stop() {
         near_stream_.close();
         far_stream_.close();
@@ -288,118 +291,122 @@
 
 private:
     struct Side : StreamOwner {
-        explicit Side(Pair& of) : pair(of) {}
+        explicit Side(ConnectionPair& of) : pair(of) {}
         void on_input() override {
-            std::string bytes(from->input().unread());
-            from->input().consume(bytes.size());
-            if (!pair.owner_.cut_ && !to->send(std::move(bytes))) on_broken();
+            std::string bytes(from->input_buffer().unread());
+            from->input_buffer().consume(bytes.size());
+            if (!pair.owner_.partitioned_ && !to->write_bytes(std::move(bytes))) on_disconnected();
         }
-        void on_broken() override {
+        void on_disconnected() override {
             pair.stop();
-            pair.owner_.forget(pair);
+            pair.owner_.remove_pair(pair);
         }
-        Pair& pair;
+        ConnectionPair& pair;
         Stream *from = nullptr, *to = nullptr;
     };
-    Relay& owner_;
+    FaultProxy& owner_;
     Side near_, far_;
     Stream near_stream_, far_stream_;
     bool dialled_ = false;
 };
 
-Relay::Relay(Reactor& reactor, std::string to) : reactor_(reactor), to_(std::move(to)) {
-    acceptor_ = std::make_unique<Acceptor>(reactor, 0, [this](const auto& s) { accept(s); });
+FaultProxy::FaultProxy(Reactor& reactor, std::string target_address)
+    : reactor_(reactor), target_address_(std::move(target_address)) {
+    acceptor_ = std::make_unique<TestListener>(reactor, 0, [this](const auto& s) { accept_connection(s); });
 }
 
-Relay::~Relay() = default;
+FaultProxy::~FaultProxy() = default;
 
-void Relay::accept(const Poco::Net::StreamSocket& socket) {
-    auto pair = std::make_unique<Pair>(*this, reactor_, socket);
+void FaultProxy::accept_connection(const Poco::Net::StreamSocket& socket) {
+    auto pair = std::make_unique<ConnectionPair>(*this, reactor_, socket);
     if (pair->useful()) pairs_.push_back(std::move(pair));
 }
 
-void Relay::forget(Pair& pair) { put_off(reactor_, pairs_, pair); }
+void FaultProxy::remove_pair(ConnectionPair& pair) { put_off(reactor_, pairs_, pair); }
 
-void Relay::cut(bool is) {
-    if (cut_ == is) return;
-    cut_ = is;
+void FaultProxy::set_partitioned(bool partitioned) {
+    if (partitioned_ == partitioned) return;
+    partitioned_ = partitioned;
     // Cut: what stands stays open and silent. Joined: it was lost, and is found to be.
-    if (cut_) return;
+    if (partitioned_) return;
     while (!pairs_.empty()) {
-        Pair& pair = *pairs_.front();
+        ConnectionPair& pair = *pairs_.front();
         pair.stop();
-        forget(pair);
+        remove_pair(pair);
     }
 }
 
 // ---- callers ----
 
-class Caller::Line : public StreamOwner {
+class HttpLoadClient::Connection : public StreamOwner {
 public:
-    Line(Caller& of, Reactor& reactor)
+    Connection(HttpLoadClient& of, Reactor& reactor)
         : stream(reactor, *this), parser(http::Parser::Kind::Response), owner_(of) {}
     void on_input() override {
-        const http::Status status = parser.parse(stream.input());
-        if (status == http::Status::Bad) return owner_.ended(*this, 0, {}, false);
-        if (status != http::Status::Done) return;
-        const int answer = parser.status();
+        const http::ParseStatus status = parser.parse(stream.input_buffer());
+        if (status == http::ParseStatus::Malformed) return owner_.on_request_ended(*this, 0, {}, false);
+        if (status != http::ParseStatus::Complete) return;
+        const int answer = parser.status_code();
         const bool keep = parser.keep_alive();
-        const std::string after(parser.header(stream.input(), "Retry-After"));
-        stream.input().consume(parser.size());
+        const std::string after(parser.header(stream.input_buffer(), "Retry-After"));
+        stream.input_buffer().consume(parser.message_size());
         parser.reset();
-        owner_.ended(*this, answer, from_seconds(std::strtod(after.c_str(), nullptr)), keep);
+        owner_.on_request_ended(*this, answer, from_seconds(std::strtod(after.c_str(), nullptr)), keep);
     }
-    void on_broken() override { owner_.ended(*this, 0, {}, false); }
+    void on_disconnected() override { owner_.on_request_ended(*this, 0, {}, false); }
 
     Stream stream;
     http::Parser parser;
-    Answered answered;    // none: idle
+    AnswerCallback answered;    // none: idle
     std::uint64_t ticket = 0;
 
 private:
-    Caller& owner_;
+    HttpLoadClient& owner_;
 };
 
-Caller::Caller(Reactor& reactor, std::string address) : reactor_(reactor), address_(std::move(address)) {}
-Caller::~Caller() = default;
+HttpLoadClient::HttpLoadClient(Reactor& reactor, std::string address)
+    : reactor_(reactor), address_(std::move(address)) {}
+HttpLoadClient::~HttpLoadClient() = default;
 
-std::uint64_t Caller::ask(const std::string& request, Answered answered) {
-    ++busy_;
-    const std::uint64_t ticket = ++last_;
-    for (const auto& line : lines_) {
-        if (line->answered || !line->stream.quiet()) continue;
-        line->answered = std::move(answered);
+std::uint64_t HttpLoadClient::send_request(const std::string& request, AnswerCallback on_answer) {
+    ++busy_connections_;
+    const std::uint64_t ticket = ++last_ticket_;
+    for (const auto& line : connections_) {
+        if (line->answered || !line->stream.is_quiet()) continue;
+        line->answered = std::move(on_answer);
         line->ticket = ticket;
-        if (!line->stream.send(request)) ended(*line, 0, {}, false);
+        if (!line->stream.write_bytes(request)) on_request_ended(*line, 0, {}, false);
         return ticket;
     }
-    lines_.push_back(std::make_unique<Line>(*this, reactor_));
-    Line& line = *lines_.back();
-    line.answered = std::move(answered);
+    connections_.push_back(std::make_unique<Connection>(*this, reactor_));
+    Connection& line = *connections_.back();
+    line.answered = std::move(on_answer);
     line.ticket = ticket;
-    if (!line.stream.dial(address_) || !line.stream.send(request)) ended(line, 0, {}, false);
+    if (!line.stream.connect(address_) || !line.stream.write_bytes(request))
+        on_request_ended(line, 0, {}, false);
     return ticket;
 }
 
-void Caller::leave(std::uint64_t ticket) {
-    for (const auto& line : lines_) {
+void HttpLoadClient::abandon_request(std::uint64_t ticket) {
+    for (const auto& line : connections_) {
         if (!line->answered || line->ticket != ticket) continue;
         line->answered = nullptr;
-        --busy_;
+        --busy_connections_;
         line->stream.close();
-        put_off(reactor_, lines_, *line);
+        put_off(reactor_, connections_, *line);
         return;
     }
 }
 
-void Caller::ended(Line& line, int status, Duration retry_after, bool keep) {
-    const Answered answered = std::exchange(line.answered, nullptr);
-    if (!keep) {
-        line.stream.close();
-        put_off(reactor_, lines_, line);
+void HttpLoadClient::on_request_ended(Connection& connection, int status, Duration retry_after,
+                                      bool keep_alive) {
+    const AnswerCallback answered = std::exchange(connection.answered, nullptr);
+    if (!keep_alive) {
+        connection.stream.close();
+        put_off(reactor_, connections_, connection);
     }
     if (!answered) return;
-    --busy_;
+    --busy_connections_;
     answered(status, retry_after);
 }
 
--- a/tests/balancer/command/command_test.cpp
+++ b/tests/balancer/command/command_test.cpp
@@ -19,7 +19,7 @@
     run->add_option("--out", out);
     run->add_option("scenario", out);
     const auto has = [&](const std::vector<std::string>& words, const std::string& wanted) {
-        const std::vector<std::string> all = candidates(app, words);
+        const std::vector<std::string> all = completion_candidates(app, words);
         return std::find(all.begin(), all.end(), wanted) != all.end();
     };
     EXPECT_TRUE(has({}, "lab"));
--- a/tests/balancer/operations/operations_test.cpp
+++ b/tests/balancer/operations/operations_test.cpp
@@ -10,17 +10,17 @@
 namespace shaletray::test {
 namespace {
 
-struct Desk : operations::Operations {
-    bool ready() const override { return is_ready; }
-    std::string figures() const override { return "edge_in_progress 0\n"; }
-    bool take_out(const std::string& id) override { return done("out " + id); }
-    bool bring_back(const std::string& id) override { return done("back " + id); }
-    void drain(bool wanted) override { done(wanted ? "drain" : "serve"); }
+struct Desk : operations::AdminOperations {
+    bool is_ready() const override { return ready; }
+    std::string metrics_text() const override { return "edge_in_progress 0\n"; }
+    bool eject_server(const std::string& id) override { return done("out " + id); }
+    bool reinstate_server(const std::string& id) override { return done("back " + id); }
+    void set_draining(bool wanted) override { done(wanted ? "drain" : "serve"); }
     bool done(const std::string& what) {
         calls.push_back(what);
         return what.find("nobody") == std::string::npos;
     }
-    bool is_ready = true;
+    bool ready = true;
     std::vector<std::string> calls;
 };
 
@@ -43,12 +43,13 @@
                  {"GET", "/ops", "", 404, ""}};
     for (const auto& c : cases) {
         Desk desk;
-        EXPECT_EQ(operations::answer(desk, c.method, c.target, c.body).status, c.status) << c.target;
+        EXPECT_EQ(operations::answer_call(desk, c.method, c.target, c.body).status_code, c.status)
+            << c.target;
         EXPECT_EQ(desk.calls.empty() ? "" : desk.calls.front(), c.call) << c.target;
     }
     Desk desk;
-    desk.is_ready = false;
-    EXPECT_EQ(operations::answer(desk, "GET", "/ops/readiness", "").status, 503);
+    desk.ready = false;
+    EXPECT_EQ(operations::answer_call(desk, "GET", "/ops/readiness", "").status_code, 503);
 }
 
 std::string call(const Gateway& gateway, const std::string& what, const std::string& body = "") {
@@ -129,7 +130,7 @@
     Discovery discovery(member("a", server.stub.address()));
     const std::string known = member("a", server.stub.address()),
                       good = config_text(discovery.address(), known);
-    Service service(parse_config(good));
+    GatewayService service(parse_config(good));
     const auto changed = [&](const std::string& from, const std::string& to) {
         std::string text = good;
         return text.replace(text.find(from), from.size(), to);
@@ -140,31 +141,31 @@
           changed(R"("slo":1000000,)", ""), changed(R"("hardLimit":2000000)", R"("hardLimit":0)"),
           changed(R"("hardLimit":2000000)", R"("hardLimit":-1)"), changed(R"("sendCap":5)", R"("sendCap":0)"),
           changed(R"("name":"pay")", R"("name":"read")")})
-        EXPECT_THROW(service.reload(parse_config(broken)), std::exception) << broken.substr(0, 80);
-    EXPECT_FALSE(service.reload(parse_config(good)));
+        EXPECT_THROW(service.apply_reload(parse_config(broken)), std::exception) << broken.substr(0, 80);
+    EXPECT_FALSE(service.apply_reload(parse_config(good)));
 
     std::atomic<int> step{0};
     std::thread runs([&] {
         service.run([&] {
             if (step == 1) {    // "read" goes while a request of it is under way
-                service.reload(parse_config(changed(R"({"name":"read","idempotency":"safe")",
-                                                    R"({"name":"fresh","idempotency":"safe")")));
+                service.apply_reload(parse_config(changed(R"({"name":"read","idempotency":"safe")",
+                                                          R"({"name":"fresh","idempotency":"safe")")));
                 step = 2;
             }
-            if (step == 3) service.stop();
+            if (step == 3) service.request_stop();
         });
     });
     Answer under_way;
-    std::thread waits([&] { under_way = Client(service.address()).ask("/read"); });
+    std::thread waits([&] { under_way = Client(service.client_address()).ask("/read"); });
     while (server.requests == 0) std::this_thread::sleep_for(1ms);
-    EXPECT_EQ(Client(service.address()).ask("/fresh").status, 404);
+    EXPECT_EQ(Client(service.client_address()).ask("/fresh").status, 404);
     step = 1;
     while (step != 2) std::this_thread::sleep_for(1ms);
-    EXPECT_EQ(Client(service.address()).ask("/read").status, 404);
+    EXPECT_EQ(Client(service.client_address()).ask("/read").status, 404);
     waits.join();
     EXPECT_EQ(under_way.status, 200);
-    EXPECT_EQ(Client(service.address()).ask("/submit").status, 200);
-    EXPECT_EQ(Talk(service.address(),
+    EXPECT_EQ(Client(service.client_address()).ask("/submit").status, 200);
+    EXPECT_EQ(Talk(service.client_address(),
                    "GET /fresh HTTP/1.1\r\nX-Correlation-Id: f\r\nX-Tier: open\r\nConnection: close\r\n"
                    "Cookie: customer=00000000b4d65521\r\nX-Call-Terms: units=2,spread=1,first=0\r\n\r\n")
                   .rest()
@@ -172,8 +173,8 @@
               "200");
     step = 3;
     runs.join();
-    EXPECT_EQ(service.counters().classes.at("read").passed, 1U);
-    EXPECT_EQ(service.counters().classes.at("fresh").passed, 1U);
+    EXPECT_EQ(service.counters().classes.at("read").answered, 1U);
+    EXPECT_EQ(service.counters().classes.at("fresh").answered, 1U);
 }
 
 TEST(Operations, ADrainSaysNoServesWhatComesAndEndsEachConnection) {
@@ -198,17 +199,17 @@
 }
 
 TEST(Handover, IsReadAsItWasWrittenAndAnythingElseIsRefused) {
-    const handover::Handover h{true, {{"s-1", TimePoint(5s)}}, "module 1\nout x\n"};
-    const std::string text = handover::write(h);
-    const handover::Handover read = handover::read(text);
-    EXPECT_TRUE(read.draining);
-    ASSERT_EQ(read.out.size(), 1U);
-    EXPECT_EQ(read.out[0].id, "s-1");
-    EXPECT_EQ(read.out[0].since, TimePoint(5s));
-    EXPECT_EQ(read.module, h.module);
+    const handover::HandoverState h{true, {{"s-1", TimePoint(5s)}}, "module 1\nout x\n"};
+    const std::string text = handover::serialize_state(h);
+    const handover::HandoverState read = handover::parse_state(text);
+    EXPECT_TRUE(read.is_draining);
+    ASSERT_EQ(read.ejected_hosts.size(), 1U);
+    EXPECT_EQ(read.ejected_hosts[0].id, "s-1");
+    EXPECT_EQ(read.ejected_hosts[0].ejected_at, TimePoint(5s));
+    EXPECT_EQ(read.module_state, h.module_state);
     for (std::size_t length = 0; length < text.size(); ++length)
-        EXPECT_THROW(handover::read(text.substr(0, length)), std::invalid_argument) << length;
-    EXPECT_THROW(handover::read("shaletray-handover 2 0\n"), std::invalid_argument);
+        EXPECT_THROW(handover::parse_state(text.substr(0, length)), std::invalid_argument) << length;
+    EXPECT_THROW(handover::parse_state("shaletray-handover 2 0\n"), std::invalid_argument);
 }
 
 TEST(Operations, ANewProcessTakesOverWithoutTurningAnyoneAway) {
@@ -261,7 +262,7 @@
     EXPECT_EQ(a.requests, before);    // still out
     EXPECT_EQ(Client(address).ask("/submit", "metered").status, 200);
     EXPECT_EQ(Client(address).ask("/submit", "metered").status, 429);    // the units were used before
-    EXPECT_GT(next.end().taken, 0U);
+    EXPECT_GT(next.end().requests_accepted, 0U);
 }
 
 // Between the old process's last client and the state it would have been given.
@@ -283,7 +284,7 @@
     EXPECT_EQ(Client(address).ask("/read").status, 200);
     for (int i = 0; i < 2; ++i) {    // as often as it happens
         Poco::Net::StreamSocket successor;
-        successor.connect(unix_address(handover::place_for(address)));
+        successor.connect(unix_address(handover::socket_path_for(address)));
         successor.sendBytes("release\n", 8);
         char bytes[16] = {};
         EXPECT_EQ(successor.receiveBytes(bytes, sizeof bytes), 9);
--- a/tests/balancer/platform/platform_test.cpp
+++ b/tests/balancer/platform/platform_test.cpp
@@ -14,20 +14,20 @@
 using test::config_text;
 using test::member;
 
-const Config& site() {
-    static const Config config = parse_config(config_text("127.0.0.1:1"));
+const GatewayConfig& site() {
+    static const GatewayConfig config = parse_config(config_text("127.0.0.1:1"));
     return config;
 }
 
 // The status that the request is rejected with, or 0.
-int status_of(const std::string& start, const std::string& headers, Arrival* arrival = nullptr) {
+int status_of(const std::string& start, const std::string& headers, IncomingRequest* arrival = nullptr) {
     http::Parser parser(http::Parser::Kind::Request);
     http::Buffer buffer;
     buffer.append(start + " HTTP/1.1\r\n" + headers + "\r\nab");
-    if (parser.parse(buffer) != http::Status::Done) return -1;
+    if (parser.parse(buffer) != http::ParseStatus::Complete) return -1;
     auto read = read_request(parser, buffer, site());
-    if (const auto* rejection = std::get_if<Rejection>(&read)) return rejection->status;
-    if (arrival != nullptr) *arrival = std::get<Arrival>(std::move(read));
+    if (const auto* rejection = std::get_if<ImmediateRejection>(&read)) return rejection->status_code;
+    if (arrival != nullptr) *arrival = std::get<IncomingRequest>(std::move(read));
     return 0;
 }
 
@@ -82,14 +82,14 @@
 }
 
 TEST(Requests, PassOnWhatTheServerNeeds) {
-    Arrival arrival;
+    IncomingRequest arrival;
     ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &arrival), 0);
     EXPECT_EQ(arrival.customer, decision::CustomerId{0xb4d65521});
     EXPECT_EQ(arrival.plan_index, 1);
     EXPECT_EQ(arrival.units, 2.0);
-    EXPECT_EQ(arrival.budget, 480ms);
+    EXPECT_EQ(arrival.time_budget, 480ms);
     ASSERT_EQ(status_of("GET /read", kId + kPlan + kCookie + kTerms + "X-Time-Left: 9000m\r\n", &arrival), 0);
-    EXPECT_EQ(arrival.budget, 2000ms);    // what its class waits at most
+    EXPECT_EQ(arrival.time_budget, 2000ms);    // what its class waits at most
     ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &arrival), 0);
     EXPECT_EQ(write_request(arrival.payload, 100us),
               "GET /read/x?y=1 HTTP/1.1\r\nX-Correlation-Id: 9b\r\nX-Time-Left: 100u\r\n\r\n");
@@ -134,16 +134,16 @@
         http::Parser parser(http::Parser::Kind::Response);
         http::Buffer buffer;
         buffer.append(std::string("HTTP/1.1 ") + c.status + "\r\nContent-Length: 0\r\n" + c.headers + "\r\n");
-        ASSERT_EQ(parser.parse(buffer), http::Status::Done);
+        ASSERT_EQ(parser.parse(buffer), http::ParseStatus::Complete);
         EXPECT_EQ(outcome_of(parser, buffer), c.outcome) << c.status << " " << c.headers;
     }
-    EXPECT_EQ(retry_after(250ms), "Retry-After: 0.250\r\n");
-    EXPECT_EQ(retry_after(0ms), "");
+    EXPECT_EQ(format_retry_after(250ms), "Retry-After: 0.250\r\n");
+    EXPECT_EQ(format_retry_after(0ms), "");
 }
 
 TEST(Answers, TrueUnitsAreReadOrTheGuessStands) {
     const std::pair<const char*, double> cases[] = {
-        {"", kUnitsUntold},
+        {"", kUnitsUnreported},
         {"X-Cost-Units: 3\r\n", 3.0},
         {"x-cost-units: 2.5\r\n", 2.5},
         {"X-Cost-Units: 0\r\n", kUnitsMalformed},
@@ -154,7 +154,7 @@
         http::Parser parser(http::Parser::Kind::Response);
         http::Buffer buffer;
         buffer.append(std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n") + headers + "\r\n");
-        ASSERT_EQ(parser.parse(buffer), http::Status::Done);
+        ASSERT_EQ(parser.parse(buffer), http::ParseStatus::Complete);
         EXPECT_EQ(settled_units_of(parser, buffer), units) << headers;
     }
 }
@@ -178,36 +178,36 @@
         try {
             parse_config(text);
             ADD_FAILURE() << c.from;
-        } catch (const BadConfig& error) {
+        } catch (const ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(c.expected), std::string::npos) << error.what();
         }
     }
     EXPECT_EQ(parse_config(good).seed, 0x8c1fU);
 }
 
-MemberList list_of(const std::string& members, bool complete = true) {
-    MemberList list;
+HostMemberList list_of(const std::string& members, bool complete = true) {
+    HostMemberList list;
     std::string error;
     const std::string text = std::string(R"({"revision":4,"complete":)") + (complete ? "true" : "false") +
                              R"(,"members":[)" + members + "]}";
-    EXPECT_TRUE(parse_member_list(text, site().places, list, error)) << error;
+    EXPECT_TRUE(parse_member_list(text, site().locations, list, error)) << error;
     return list;
 }
 
 TEST(Lists, AreReadAndWhatCannotBeIsSkipped) {
-    const MemberList list = list_of(member("a", "127.0.0.1:1", "in_service", 1234) + R"(,{"id":"b"},7,)" +
-                                    member("c", "name:1") + "," + member("d", "127.0.0.1:0"));
+    const HostMemberList list = list_of(member("a", "127.0.0.1:1", "in_service", 1234) + R"(,{"id":"b"},7,)" +
+                                        member("c", "name:1") + "," + member("d", "127.0.0.1:0"));
     ASSERT_EQ(list.members.size(), 1U);
     EXPECT_EQ(list.skipped, 4U);
     EXPECT_EQ(list.members[0].entry.born, TimePoint(1234ms));
     EXPECT_EQ(list.members[0].entry.zone, 1);
     EXPECT_EQ(list.members[0].entry.kind, 1);
     EXPECT_EQ(list_of(member("a", "127.0.0.1:1")).members[0].entry.born, TimePoint{});
-    MemberList unread;
+    HostMemberList unread;
     std::string error;
     for (const char* bad : {"", "x", "[]", "{}", R"({"revision":1,"complete":true})",
                             R"({"revision":"1","complete":true,"members":[]})"}) {
-        EXPECT_FALSE(parse_member_list(bad, site().places, unread, error)) << bad;
+        EXPECT_FALSE(parse_member_list(bad, site().locations, unread, error)) << bad;
     }
 }
 
@@ -215,27 +215,30 @@
     // These two hash alike; the order in a list must not decide who gets which number.
     const std::string one = member("costarring", "127.0.0.1:1"), other = member("liquid", "[::1]:2");
     HostDirectory a(250ms), b(250ms);
-    const auto x = a.apply(list_of(one + "," + other), ListKind::Full, {});
-    const auto y = b.apply(list_of(other + "," + one), ListKind::Full, {});
+    const auto x = a.apply_list(list_of(one + "," + other), ListKind::Full, {});
+    const auto y = b.apply_list(list_of(other + "," + one), ListKind::Full, {});
     ASSERT_EQ(x.hosts.size(), 2U);
     EXPECT_NE(x.hosts[0].host, x.hosts[1].host);
-    for (std::size_t i = 0; i < 2; ++i) EXPECT_EQ(a.find(x.hosts[i].host)->id, b.find(x.hosts[i].host)->id);
+    for (std::size_t i = 0; i < 2; ++i)
+        EXPECT_EQ(a.find_host(x.hosts[i].host)->id, b.find_host(x.hosts[i].host)->id);
 }
 
 TEST(Lists, NoFirstByteGoesToADrainedOrRemovedServerAfterTheGrace) {
     HostDirectory hosts(250ms);
     const TimePoint start(100s);
-    const HostId a = hosts.apply(list_of(member("a", "127.0.0.1:1")), ListKind::Full, start).hosts[0].host;
-    EXPECT_TRUE(hosts.may_begin(a, start + 9s));
-    const MemberList drains = list_of(member("a", "127.0.0.1:1", "terminating"), false);
-    hosts.apply(drains, ListKind::Delta, start + 1s);
-    EXPECT_TRUE(hosts.may_begin(a, start + 1s + 50ms));
-    hosts.apply(drains, ListKind::Delta, start + 1s + 200ms);    // told again: the grace does not begin anew
-    EXPECT_FALSE(hosts.may_begin(a, start + 1s + 240ms));
-    hosts.apply(list_of(member("a", "127.0.0.1:1")), ListKind::Full, start + 2s);
-    EXPECT_TRUE(hosts.may_begin(a, start + 9s));
-    hosts.apply(list_of(""), ListKind::Full, start + 10s);    // a complete list removes what it lacks
-    EXPECT_FALSE(hosts.may_begin(a, start + 10s));
+    const HostId a =
+        hosts.apply_list(list_of(member("a", "127.0.0.1:1")), ListKind::Full, start).hosts[0].host;
+    EXPECT_TRUE(hosts.may_send_to(a, start + 9s));
+    const HostMemberList drains = list_of(member("a", "127.0.0.1:1", "terminating"), false);
+    hosts.apply_list(drains, ListKind::Delta, start + 1s);
+    EXPECT_TRUE(hosts.may_send_to(a, start + 1s + 50ms));
+    hosts.apply_list(drains, ListKind::Delta,
+                     start + 1s + 200ms);    // told again: the grace does not begin anew
+    EXPECT_FALSE(hosts.may_send_to(a, start + 1s + 240ms));
+    hosts.apply_list(list_of(member("a", "127.0.0.1:1")), ListKind::Full, start + 2s);
+    EXPECT_TRUE(hosts.may_send_to(a, start + 9s));
+    hosts.apply_list(list_of(""), ListKind::Full, start + 10s);    // a complete list removes what it lacks
+    EXPECT_FALSE(hosts.may_send_to(a, start + 10s));
     EXPECT_EQ(hosts.size(), 0U);
 }
 
--- a/tests/balancer/service/gateway_rig.h
+++ b/tests/balancer/service/gateway_rig.h
@@ -195,11 +195,11 @@
 public:
     Gateway(const std::string& discovery, const std::string& known, const std::string& settings = kSettings)
         : Gateway(parse_config(config_text(discovery, known, settings))) {}
-    explicit Gateway(Config config) : service_(std::move(config)) {
+    explicit Gateway(GatewayConfig config) : service_(std::move(config)) {
         thread_ = std::thread([this] {
             service_.run([this] {
                 ++turns;
-                if (stop_) service_.stop();
+                if (stop_) service_.request_stop();
             });
             ended_ = true;
         });
@@ -218,14 +218,14 @@
         if (thread_.joinable()) thread_.join();
         return service_.counters();
     }
-    std::string address() const { return service_.address(); }
+    std::string address() const { return service_.client_address(); }
     std::string admin_address() const { return service_.admin_address(); }
     std::string peer_address() const { return service_.peer_address(); }
 
     std::atomic<long> turns{0};
 
 private:
-    Service service_;
+    GatewayService service_;
     std::atomic<bool> stop_{false}, ended_{false};
     std::thread thread_;
 };
--- a/tests/balancer/service/gateway_test.cpp
+++ b/tests/balancer/service/gateway_test.cpp
@@ -12,8 +12,8 @@
         const Answer late = Client(gateway).ask("/submit", "open", "400m");
         EXPECT_NE(late.status, 200);
         const Counters& counters = gateway.end();
-        EXPECT_EQ(counters.taken, 1U);
-        EXPECT_EQ(counters.overdue, 0U);    // the module answered, not the engine's guard
+        EXPECT_EQ(counters.requests_accepted, 1U);
+        EXPECT_EQ(counters.requests_overdue, 0U);    // the module answered, not the engine's guard
     }
     silent.over = true;
     Discovery discovery(member("b", good.stub.address()));
@@ -62,7 +62,7 @@
     for (int i = 0; i < 60; ++i) EXPECT_EQ(client.ask("/read").status, 200);
     EXPECT_LT(cold.requests * 2, warm.requests);
     EXPECT_LE(cold.stub.connections(), cold.requests);    // nothing is dialled ahead
-    EXPECT_EQ(gateway.end().sent, static_cast<Counters::Count>(warm.requests + cold.requests));
+    EXPECT_EQ(gateway.end().attempts_sent, static_cast<Counters::Counter>(warm.requests + cold.requests));
 }
 
 TEST(Rules, FiveACustomersCeilingHolds) {
@@ -102,7 +102,7 @@
         const Counters& counters = gateway.end();
         EXPECT_EQ(served, cost > 0 ? 2 : 3) << "told " << cost;
         EXPECT_EQ(counters.units_settled, cost > 0 ? 2U : 0U);
-        EXPECT_EQ(counters.units_untold, cost > 0 ? 0U : 3U);    // the guess was charged
+        EXPECT_EQ(counters.units_unreported, cost > 0 ? 0U : 3U);    // the guess was charged
     }
 }
 
@@ -147,7 +147,7 @@
     const int before = a.requests;
     for (int i = 0; i < 10; ++i) EXPECT_EQ(client.ask("/read").status, 200);
     EXPECT_EQ(a.requests, before);
-    EXPECT_GE(gateway.end().watches, 2U);
+    EXPECT_GE(gateway.end().discovery_watches, 2U);
 }
 
 // The whole program: without a handler SIGHUP ends it, and a discovery from the environment would go before
@@ -162,7 +162,7 @@
     std::this_thread::sleep_for(5ms);    // it may be used again now
     discovery.tell(member("a", server.stub.address(), "in_service", 1000));
     EXPECT_EQ(client.ask("/read").status, 200);
-    EXPECT_EQ(gateway.end().servers_dialled, 2U);
+    EXPECT_EQ(gateway.end().server_connections_dialled, 2U);
 }
 
 TEST(Operations, AReloadMovesToTheNewDiscoveryAndABadFileChangesNothing) {
@@ -216,8 +216,8 @@
         stranger.sendTo(text.data(), static_cast<int>(text.size()),
                         Poco::Net::SocketAddress(gateway.peer_address()));
     const Counters& counters = gateway.end();    // its last turns come after what was sent before
-    EXPECT_EQ(counters.peer_dropped, 3U);
-    EXPECT_EQ(counters.peer_taken, 0U);
+    EXPECT_EQ(counters.peer_messages_dropped, 3U);
+    EXPECT_EQ(counters.peer_messages_received, 0U);
 }
 
 // As resets they would put their server out of use at once, as if its process had ended.
@@ -236,8 +236,8 @@
         EXPECT_NE(Client(gateway).ask("/pay").status, 200);
         const Counters& counters = gateway.end();
         EXPECT_EQ(counters.outcomes[static_cast<std::size_t>(Outcome::Error)], 1U);
-        EXPECT_EQ(counters.bad_answers, 1U);
-        EXPECT_EQ(counters.probes, 0U);
+        EXPECT_EQ(counters.malformed_answers, 1U);
+        EXPECT_EQ(counters.health_checks, 0U);
     }
 }
 
@@ -250,7 +250,7 @@
     Gateway gateway(discovery.address(), member("a", server.address()));
     Client client(gateway);
     for (int i = 0; i < 3; ++i) EXPECT_EQ(client.ask("/read").body, "ab");
-    EXPECT_EQ(gateway.end().servers_dialled, 3U);
+    EXPECT_EQ(gateway.end().server_connections_dialled, 3U);
 }
 
 TEST(Operations, AnAnswerWithoutALengthEndsWithItsConnection) {
@@ -265,7 +265,7 @@
     Client client(gateway);
     for (int i = 0; i < 2; ++i) EXPECT_EQ(client.ask("/pay").body, "until the end");
     EXPECT_EQ(asked, 2);
-    EXPECT_EQ(gateway.end().servers_dialled, 2U);
+    EXPECT_EQ(gateway.end().server_connections_dialled, 2U);
 }
 
 // Far more than the gateway holds of one: the client reads nothing until much of it must have been stopped.
@@ -313,9 +313,9 @@
     }
     EXPECT_TRUE(Client(gateway).ask("/read").body == body);
     const Counters& counters = gateway.end();
-    EXPECT_EQ(counters.flows, 11U);
-    EXPECT_EQ(counters.flows_broken, 1U);
-    EXPECT_EQ(counters.flows_open, 0U);
+    EXPECT_EQ(counters.streamed_answers, 11U);
+    EXPECT_EQ(counters.broken_streamed_answers, 1U);
+    EXPECT_EQ(counters.open_streamed_answers, 0U);
 }
 
 std::string long_request(const std::string& framing, int id) {
@@ -342,9 +342,9 @@
     const std::string both = member("a", server.address()) + "," + member("gone", "127.0.0.1:1");
     Discovery discovery(both);
     for (int round = 0; round < 4; ++round) {
-        Config config = parse_config(config_text(discovery.address(), both));
+        GatewayConfig config = parse_config(config_text(discovery.address(), both));
         const bool holds = round < 2;    // until it is whole
-        config.memory_mb = holds ? 192 : 32;
+        config.max_memory_mb = holds ? 192 : 32;
         Gateway gateway(config);
         slow = round % 2 == 1;
         Client client(gateway);
@@ -360,8 +360,8 @@
         EXPECT_TRUE(chunks.rest().ends_with("\r\n\r\nok"));
         EXPECT_TRUE(got == body) << round;
         const Counters& counters = gateway.end();
-        EXPECT_EQ(counters.uploads, holds ? 0U : 2U);
-        EXPECT_EQ(counters.classes.at("submit").passed, 2U);
+        EXPECT_EQ(counters.streamed_uploads, holds ? 0U : 2U);
+        EXPECT_EQ(counters.classes.at("submit").answered, 2U);
     }
 }
 
@@ -384,8 +384,8 @@
         response.send() << "ok";
     });
     Discovery discovery(member("a", server.address()));
-    Config config = parse_config(config_text(discovery.address(), member("a", server.address())));
-    config.memory_mb = 4;    // none of this size is held
+    GatewayConfig config = parse_config(config_text(discovery.address(), member("a", server.address())));
+    config.max_memory_mb = 4;    // none of this size is held
     Gateway gateway(config);
     const std::string head = long_request("Content-Length: 1000000", 1), part(200'000, 'x');
     how = "breaks";
@@ -402,8 +402,8 @@
     EXPECT_EQ(whole, 1);
     EXPECT_EQ(cut, 2);
     const Counters& counters = gateway.end();
-    EXPECT_EQ(counters.uploads, 4U);
-    EXPECT_EQ(counters.tries_written, 1U);
+    EXPECT_EQ(counters.streamed_uploads, 4U);
+    EXPECT_EQ(counters.attempts_written, 1U);
     EXPECT_EQ(counters.classes.at("submit").dropped, 1U);
 }
 
--- a/tests/balancer/settings/settings_test.cpp
+++ b/tests/balancer/settings/settings_test.cpp
@@ -17,12 +17,12 @@
     try {
         std::vector<Problem> problems;
         const ValuePtr out =
-            settle(unify(parse(schema, "schema"), parse(file, "f"), "", problems), "", problems);
-        for (const Problem& p : problems) all.append(p.line()).append("; ");
+            resolve_value(unify(parse(schema, "schema"), parse(file, "f"), "", problems), "", problems);
+        for (const Problem& p : problems) all.append(p.to_line()).append("; ");
         if (!problems.empty()) return all;
-        for (const std::string& name : out->order)
-            all.append(name).append("=").append(out->fields.at(name).value->shown()).append(" ");
-    } catch (const BadSettingsFile& error) {
+        for (const std::string& name : out->field_order)
+            all.append(name).append("=").append(out->fields.at(name).value->to_text()).append(" ");
+    } catch (const SettingsFileError& error) {
         all = error.what();
     }
     return all;
@@ -92,14 +92,14 @@
 }
 
 TEST(Language, ReadsUnits) {
-    EXPECT_EQ(read_duration("1h30m"), 5.4e9);
-    EXPECT_EQ(read_duration("1.5s"), 1.5e6);
-    EXPECT_EQ(read_duration("250ms40us"), 250040.0);
+    EXPECT_EQ(parse_duration("1h30m"), 5.4e9);
+    EXPECT_EQ(parse_duration("1.5s"), 1.5e6);
+    EXPECT_EQ(parse_duration("250ms40us"), 250040.0);
     for (const char* bad : {"", "5", "-1s", "1s ", "1e9s", "s", "nans", "99999999999999h"})
-        EXPECT_FALSE(read_duration(bad)) << bad;
-    EXPECT_EQ(read_size("64KiB"), 65536.0);
-    EXPECT_EQ(read_size("12"), 12.0);
-    for (const char* bad : {"", "KiB", "1 KiB", "-1", "1KiB2KiB"}) EXPECT_FALSE(read_size(bad)) << bad;
+        EXPECT_FALSE(parse_duration(bad)) << bad;
+    EXPECT_EQ(parse_size("64KiB"), 65536.0);
+    EXPECT_EQ(parse_size("12"), 12.0);
+    for (const char* bad : {"", "KiB", "1 KiB", "-1", "1KiB2KiB"}) EXPECT_FALSE(parse_size(bad)) << bad;
 }
 
 // Whatever stands in a file, it is read or refused, and nothing else happens.
@@ -122,16 +122,16 @@
         }
         try {
             std::vector<Problem> problems;
-            settle(unify(parse(seed, "s"), parse(text, "f"), "", problems), "", problems);
+            resolve_value(unify(parse(seed, "s"), parse(text, "f"), "", problems), "", problems);
             ++good;
-        } catch (const BadSettingsFile&) {
+        } catch (const SettingsFileError&) {
         }
     }
     EXPECT_GT(good, 100);
 }
 
 TEST(OperatorFile, IsReadWithItsDefaults) {
-    const OperatorSettings s = read_operator_settings(
+    const OperatorSettings s = parse_operator_settings(
         "counter: {\n\tstores: [{address: \"127.0.0.1:6379\", password: \"s\"}, {address: \"[::1]:6380\", "
         "database: 2}]\n"
         "\tlease: \"4s\"\n}\n",
@@ -139,25 +139,26 @@
     ASSERT_TRUE(s.counter);
     EXPECT_EQ(s.counter->stores.size(), 2u);
     EXPECT_EQ(s.counter->stores[1].database, 2);
-    EXPECT_EQ(s.counter->lease, 4s);
-    EXPECT_EQ(s.counter->every, 500ms);
-    EXPECT_EQ(s.counter->prefix, "shaletray");
-    EXPECT_FALSE(read_operator_settings("", "f").counter);
-    EXPECT_EQ(explained("counter: stores: [{address: \"1.2.3.4:5\", password: \"s\"}]", "f").find("\"s\""),
-              std::string::npos);
+    EXPECT_EQ(s.counter->lease_duration, 4s);
+    EXPECT_EQ(s.counter->interval, 500ms);
+    EXPECT_EQ(s.counter->key_prefix, "shaletray");
+    EXPECT_FALSE(parse_operator_settings("", "f").counter);
+    EXPECT_EQ(
+        explain_settings("counter: stores: [{address: \"1.2.3.4:5\", password: \"s\"}]", "f").find("\"s\""),
+        std::string::npos);
 }
 
 TEST(OperatorFile, TellsAllThatIsWrong) {
     try {
-        read_operator_settings(
+        parse_operator_settings(
             "counter: {\n  stores: [{address: \"redis:6379\"}]\n  lease: \"10ms\"\n  shards: 3\n}\n",
             "f.cue");
         FAIL();
-    } catch (const BadSettingsFile& error) {
+    } catch (const SettingsFileError& error) {
         ASSERT_EQ(error.problems().size(), 3u) << error.what();
         EXPECT_EQ(error.problems()[0].path, "counter.stores[0].address");
         EXPECT_EQ(error.problems()[1].path, "counter.lease");
-        EXPECT_EQ(error.problems()[1].place.line, 3u);
+        EXPECT_EQ(error.problems()[1].position.line, 3u);
         EXPECT_EQ(error.problems()[2].path, "counter.shards");
     }
     for (const char* bad : {"counter: {stores: []}", "counter: {stores: [{address: \"1.2.3.4:99999\"}]}",
@@ -165,8 +166,8 @@
                             "counter: {stores: [{address: \"1.2.3.4:5\", username: \"u\"}]}",
                             "counter: {stores: [{address: \"1.2.3.4:5\", password_file: \"/nowhere\"}]}",
                             "counters: 3", "counter: 3"})
-        EXPECT_THROW(read_operator_settings(bad, "f"), BadSettingsFile) << bad;
-    EXPECT_THROW(load_operator_settings("/nowhere.cue"), BadSettingsFile);
+        EXPECT_THROW(parse_operator_settings(bad, "f"), SettingsFileError) << bad;
+    EXPECT_THROW(load_operator_settings("/nowhere.cue"), SettingsFileError);
 }
 
 }    // namespace
