--- a/tests/controller/controller_cluster.h
+++ b/tests/controller/controller_cluster.h
@@ -19,343 +19,396 @@
 using namespace std::chrono_literals;
 using consensus::test::kLess;
 
-struct Core {
-    static constexpr Duration kCatchUp = 4s, kContact = 3s, kAck = 4s;
+struct ControllerCluster {
+    static constexpr Duration kCatchUpTime = 4s, kContactTimeout = 3s, kAckTimeout = 4s;
     struct Machine {
         std::string address;
-        consensus::Saved disk;    // what a loss of power leaves
-        std::vector<consensus::Actions::Store> unsynced;
-        std::optional<consensus::Lamp> lamp;
-        std::unique_ptr<membership::Convoy> convoy;
-        std::optional<Steward> steward;
-        std::uint64_t life = 0;
-        TimePoint frozen{}, starts{}, reads{}, looks{}, leaves{}, lost_until{};
-        bool gone = false;     // for good
-        bool counts = true;    // false: its successor counts in its stead
-        bool hands_on = false;
+        consensus::PersistentState persisted_state;    // what a loss of power leaves
+        std::vector<consensus::Actions::StateWrite> unsynced_writes;
+        std::optional<consensus::ReplicatedRegister> replica;
+        std::unique_ptr<membership::Membership> member_view;
+        std::optional<VoterReconciler> reconciler;
+        std::uint64_t incarnation = 0;
+        TimePoint frozen_until{}, starts_at{}, next_read_at{}, next_check_at{}, leaves_at{},
+            unavailable_until{};
+        bool is_removed = false;    // for good
+        bool is_counted = true;     // false: its successor counts in its stead
+        bool has_vote_handover = false;
     };
     struct Event {
-        TimePoint at;
-        std::uint64_t order = 0;
-        std::size_t to = 0, from = 0;
-        std::uint64_t life = 0;    // stores: of the process that wrote
-        std::uint64_t token = 0, from_life = 0;
-        bool convoy = false;
+        TimePoint delivery_time;
+        std::uint64_t sequence = 0;
+        std::size_t recipient = 0, sender = 0;
+        std::uint64_t incarnation = 0;    // stores: of the process that wrote
+        std::uint64_t token = 0, sender_incarnation = 0;
+        bool is_membership = false;
         std::string bytes;
-        bool operator<(const Event& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+        bool operator<(const Event& other) const {
+            return std::tie(delivery_time, sequence) > std::tie(other.delivery_time, other.sequence);
+        }
     };
-    struct Order {
-        std::uint64_t version = 0, least = 0;    // least: what had been acknowledged before
-        TimePoint asked;
-        bool read = false;
+    struct PendingRequest {
+        std::uint64_t version = 0, min_version = 0;    // least: what had been acknowledged before
+        TimePoint requested_at;
+        bool is_read = false;
     };
 
     std::mt19937_64 random;
     TimePoint now = TimePoint{} + 1000s;
     std::vector<Machine> machines;
     std::priority_queue<Event> events;
-    std::set<std::pair<std::size_t, std::size_t>> cut;
-    std::map<consensus::Ticket, Order> orders;
-    consensus::test::Register chosen;
-    std::size_t losses;
-    bool diskless = false;    // whoever starts again has nothing, and is another voter
-    std::uint64_t order = 0, tickets = 0, version = 0, unsettled = 0, settled = 0;
+    std::set<std::pair<std::size_t, std::size_t>> partitioned_links;
+    std::map<consensus::RequestId, PendingRequest> requests;
+    consensus::test::Register committed;
+    std::size_t max_failures;
+    bool is_diskless = false;    // whoever starts again has nothing, and is another voter
+    std::uint64_t last_sequence = 0, last_request_id = 0, last_version = 0, indeterminate_count = 0,
+                  committed_count = 0;
 
-    Core(std::uint64_t seed, std::size_t founders, std::size_t size, std::size_t may_lose)
-        : random(seed), losses(may_lose) {
-        for (std::size_t i = 0; i < size; ++i) machines.push_back(machine(i));
-        for (std::size_t i = 0; i < size; ++i) {
-            if (i >= founders) machines[i].disk.disk = random() | 1;
-            start(i, founders);
+    ControllerCluster(std::uint64_t seed, std::size_t founder_count, std::size_t machine_count,
+                      std::size_t tolerated_failures)
+        : random(seed), max_failures(tolerated_failures) {
+        for (std::size_t i = 0; i < machine_count; ++i) machines.push_back(make_machine(i));
+        for (std::size_t i = 0; i < machine_count; ++i) {
+            if (i >= founder_count) machines[i].persisted_state.disk_id = random() | 1;
+            start_machine(i, founder_count);
         }
     }
-    static Machine machine(std::size_t i) {
-        Machine m;
-        m.address = "10.1." + std::to_string(i / 100) + "." + std::to_string(10 + i % 100) + ":7100";
-        return m;
+    static Machine make_machine(std::size_t index) {
+        Machine machine;
+        machine.address =
+            "10.1." + std::to_string(index / 100) + "." + std::to_string(10 + index % 100) + ":7100";
+        return machine;
+    }
+    std::uint64_t random_below(std::uint64_t bound) { return random() % bound; }
+    bool random_chance(double probability) {
+        return std::uniform_real_distribution<>()(random) < probability;
+    }
+    bool is_up(std::size_t index) const {
+        return machines[index].replica && machines[index].frozen_until <= now;
     }
-    std::uint64_t below(std::uint64_t n) { return random() % n; }
-    bool chance(double p) { return std::uniform_real_distribution<>()(random) < p; }
-    bool up(std::size_t i) const { return machines[i].lamp && machines[i].frozen <= now; }
 
-    void start(std::size_t i, std::size_t founders = 0) {
-        Machine& m = machines[i];
-        if (diskless && m.life != 0) {
-            m.disk = {};
-            m.disk.disk = random() | 1;
+    void start_machine(std::size_t index, std::size_t founder_count = 0) {
+        Machine& machine = machines[index];
+        if (is_diskless && machine.incarnation != 0) {
+            machine.persisted_state = {};
+            machine.persisted_state.disk_id = random() | 1;
         }
         std::vector<std::string> seeds;
-        if (founders > 0)
-            for (std::size_t o = 0; o < founders; ++o) seeds.push_back(machines[o].address);
-        for (std::size_t o = 0; founders == 0 && o < machines.size() && seeds.size() < 3; ++o)
-            if (!machines[o].gone && o != i) seeds.push_back(machines[o].address);
-        m.life = static_cast<std::uint64_t>(now.time_since_epoch().count()) + ++order;
-        consensus::Settings l;
-        l.me = {m.address, m.disk.disk};
-        if (founders > 0) l.founders = seeds;
-        l.seed = random();
-        m.lamp.emplace(l, m.disk, now);
-        membership::Settings c;
-        c.me = {m.address, membership::Role::Lighthouse,
-                m.address, "z" + std::to_string(i % 3),
-                "r",       m.address,
-                true,      m.disk.disk,
-                m.life,    0};
-        c.seeds = seeds;
-        c.seed = random();
-        m.convoy = std::make_unique<membership::Convoy>(c, now);
-        m.steward.emplace(Steward::Settings{{m.address, m.disk.disk}, losses, kCatchUp}, now);
-        m.reads = m.looks = now;
-        m.leaves = m.frozen = m.starts = TimePoint{};
-        m.hands_on = false;
-        members_changed(i);
-        take(i);
+        if (founder_count > 0)
+            for (std::size_t other = 0; other < founder_count; ++other)
+                seeds.push_back(machines[other].address);
+        for (std::size_t other = 0; founder_count == 0 && other < machines.size() && seeds.size() < 3;
+             ++other)
+            if (!machines[other].is_removed && other != index) seeds.push_back(machines[other].address);
+        machine.incarnation = static_cast<std::uint64_t>(now.time_since_epoch().count()) + ++last_sequence;
+        consensus::Settings register_settings;
+        register_settings.self = {machine.address, machine.persisted_state.disk_id};
+        if (founder_count > 0) register_settings.founders = seeds;
+        register_settings.seed = random();
+        machine.replica.emplace(register_settings, machine.persisted_state, now);
+        membership::Settings member_settings;
+        member_settings.self = {machine.address,
+                                membership::Role::Controller,
+                                machine.address,
+                                "z" + std::to_string(index % 3),
+                                "r",
+                                machine.address,
+                                true,
+                                machine.persisted_state.disk_id,
+                                machine.incarnation,
+                                0};
+        member_settings.seeds = seeds;
+        member_settings.random_seed = random();
+        machine.member_view = std::make_unique<membership::Membership>(member_settings, now);
+        machine.reconciler.emplace(
+            VoterReconciler::Settings{
+                {machine.address, machine.persisted_state.disk_id}, max_failures, kCatchUpTime},
+            now);
+        machine.next_read_at = machine.next_check_at = now;
+        machine.leaves_at = machine.frozen_until = machine.starts_at = TimePoint{};
+        machine.has_vote_handover = false;
+        update_peers(index);
+        record_committed_entry(index);
     }
     // A process that dies leaves what it wrote, some of it perhaps not synced; a loss of power what was
     // synced.
-    void stop(std::size_t i, bool power) {
-        Machine& m = machines[i];
-        if (!power && !m.unsynced.empty() && chance(0.5)) m.disk = m.unsynced[below(m.unsynced.size())].saved;
-        m.unsynced.clear();
-        m.lamp.reset();
-        m.convoy.reset();
-        m.steward.reset();
+    void stop_machine(std::size_t index, bool power_loss) {
+        Machine& machine = machines[index];
+        if (!power_loss && !machine.unsynced_writes.empty() && random_chance(0.5))
+            machine.persisted_state =
+                machine.unsynced_writes[random_below(machine.unsynced_writes.size())].state;
+        machine.unsynced_writes.clear();
+        machine.replica.reset();
+        machine.member_view.reset();
+        machine.reconciler.reset();
     }
-    void lose(std::size_t i, Duration down, bool power, bool wiped) {
-        stop(i, power || wiped);
-        if (wiped) {
-            machines[i].disk = {};
-            machines[i].disk.disk = random() | 1;
+    void crash_machine(std::size_t index, Duration downtime, bool power_loss, bool disk_wiped) {
+        stop_machine(index, power_loss || disk_wiped);
+        if (disk_wiped) {
+            machines[index].persisted_state = {};
+            machines[index].persisted_state.disk_id = random() | 1;
         }
-        machines[i].starts = now + down;
-        lost(i, down);
+        machines[index].starts_at = now + downtime;
+        mark_unavailable(index, downtime);
     }
-    void lost(std::size_t i, Duration down) {
-        machines[i].lost_until = std::max(machines[i].lost_until, now + down + kCatchUp);
+    void mark_unavailable(std::size_t index, Duration downtime) {
+        machines[index].unavailable_until =
+            std::max(machines[index].unavailable_until, now + downtime + kCatchUpTime);
     }
     // A SIGTERM: it hands its vote on, says goodbye and ends.
-    void leave(std::size_t i) {
-        Machine& m = machines[i];
-        m.leaves = now + 300ms;
-        m.steward->leave();
-        m.convoy->quorum(false);
-        look(i);
+    void start_departure(std::size_t index) {
+        Machine& machine = machines[index];
+        machine.leaves_at = now + 300ms;
+        machine.reconciler->start_leaving();
+        machine.member_view->set_voter_eligible(false);
+        reconcile_voters(index);
     }
-    std::size_t join() {
-        machines.push_back(machine(machines.size()));
-        machines.back().disk.disk = random() | 1;
-        start(machines.size() - 1);
-        lost(machines.size() - 1, 0s);
+    std::size_t add_machine() {
+        machines.push_back(make_machine(machines.size()));
+        machines.back().persisted_state.disk_id = random() | 1;
+        start_machine(machines.size() - 1);
+        mark_unavailable(machines.size() - 1, 0s);
         return machines.size() - 1;
     }
     // The one that left for good stops counting once its successor has had its time.
-    std::size_t replace(std::size_t i) {
-        machines[i].gone = true;
-        if (machines[i].lamp) stop(i, true);
-        machines[i].counts = false;
-        return join();
+    std::size_t replace_machine(std::size_t index) {
+        machines[index].is_removed = true;
+        if (machines[index].replica) stop_machine(index, true);
+        machines[index].is_counted = false;
+        return add_machine();
     }
-    std::size_t lost_now() const {
-        return static_cast<std::size_t>(std::count_if(
-            machines.begin(), machines.end(),
-            [&](const Machine& m) { return m.counts && (!m.lamp || m.lost_until > now || m.frozen > now); }));
+    std::size_t unavailable_count() const {
+        return static_cast<std::size_t>(
+            std::count_if(machines.begin(), machines.end(), [&](const Machine& machine) {
+                return machine.is_counted &&
+                       (!machine.replica || machine.unavailable_until > now || machine.frozen_until > now);
+            }));
     }
 
-    void carry(std::size_t i, const membership::Actions& out) {
-        for (const auto& s : out.sends) post(i, s.to, true, s.bytes);
-        if (!out.changed.empty()) members_changed(i);
+    void apply_actions(std::size_t index, const membership::Actions& actions) {
+        for (const auto& effect : actions.sends) send_message(index, effect.to, true, effect.bytes);
+        if (!actions.changed_members.empty()) update_peers(index);
     }
-    void carry(std::size_t i, consensus::Actions& out) {
-        Machine& m = machines[i];
-        if (out.changed) take(i);
-        for (consensus::Actions::Store& s : out.stores) {
-            events.push({now + 1ms + Duration(below(4000)), ++order, i, i, m.life, s.token, 0, false, {}});
-            m.unsynced.push_back(std::move(s));
+    void apply_actions(std::size_t index, consensus::Actions& actions) {
+        Machine& machine = machines[index];
+        if (actions.entry_changed) record_committed_entry(index);
+        for (consensus::Actions::StateWrite& effect : actions.writes) {
+            events.push({now + 1ms + Duration(random_below(4000)),
+                         ++last_sequence,
+                         index,
+                         index,
+                         machine.incarnation,
+                         effect.token,
+                         0,
+                         false,
+                         {}});
+            machine.unsynced_writes.push_back(std::move(effect));
         }
-        for (const auto& s : out.sends) post(i, s.to, false, s.bytes);
-        for (const auto& d : out.done) {
-            const auto it = orders.find(d.ticket);
-            if (it == orders.end()) continue;
-            const Order asked = it->second;
-            orders.erase(it);
-            if (d.answer == consensus::Answer::Unsettled) {
-                ++unsettled;
+        for (const auto& effect : actions.messages) send_message(index, effect.to, false, effect.bytes);
+        for (const auto& completion : actions.completions) {
+            const auto found = requests.find(completion.request_id);
+            if (found == requests.end()) continue;
+            const PendingRequest request = found->second;
+            requests.erase(found);
+            if (completion.outcome == consensus::Outcome::Indeterminate) {
+                ++indeterminate_count;
                 continue;
             }
-            ++settled;
-            const std::uint64_t held = m.lamp->decree().version;
-            cr_assert(held >= asked.least, "%lu answered after %lu was acknowledged", held, asked.least);
-            chosen.acknowledged = std::max(chosen.acknowledged, held);
+            ++committed_count;
+            const std::uint64_t current_version = machine.replica->committed_entry().version;
+            cr_assert(current_version >= request.min_version, "%lu answered after %lu was acknowledged",
+                      current_version, request.min_version);
+            committed.acknowledged = std::max(committed.acknowledged, current_version);
         }
     }
-    void take(std::size_t i) {
-        const std::string wrong = chosen.take(machines[i].lamp->decree());
-        cr_assert(wrong.empty(), "%s", wrong.c_str());
+    void record_committed_entry(std::size_t index) {
+        const std::string error = committed.record_entry(machines[index].replica->committed_entry());
+        cr_assert(error.empty(), "%s", error.c_str());
     }
-    void post(std::size_t from, const std::string& to, bool convoy, const std::string& bytes) {
-        for (std::size_t o = 0; o < machines.size(); ++o)
-            if (machines[o].address == to)
-                events.push({now + 1ms + Duration(below(1000)), ++order, o, from, 0, 0, machines[from].life,
-                             convoy, bytes});
+    void send_message(std::size_t sender, const std::string& recipient_address, bool is_membership,
+                      const std::string& bytes) {
+        for (std::size_t recipient = 0; recipient < machines.size(); ++recipient)
+            if (machines[recipient].address == recipient_address)
+                events.push({now + 1ms + Duration(random_below(1000)), ++last_sequence, recipient, sender, 0,
+                             0, machines[sender].incarnation, is_membership, bytes});
     }
-    void members_changed(std::size_t i) {
-        std::vector<std::string> others;
-        for (const auto& [address, member] : machines[i].convoy->members())
-            if (member.state != membership::State::Gone) others.push_back(address);
-        machines[i].lamp->others(std::move(others));
+    void update_peers(std::size_t index) {
+        std::vector<std::string> peers;
+        for (const auto& [address, member] : machines[index].member_view->members())
+            if (member.state != membership::State::Dead) peers.push_back(address);
+        machines[index].replica->set_peers(std::move(peers));
     }
-    void look(std::size_t i) {
-        Machine& m = machines[i];
-        const auto follows = [&](const consensus::Member& o) { return m.lamp->follows(o, 2s); };
-        const auto step = m.steward->next(m.lamp->decree(), m.convoy->members(), follows, now);
-        m.hands_on = step.has_value();
-        if (!step) return;
-        consensus::Actions out;
-        m.lamp->change_voters(step->from, step->to, now, out);
-        carry(i, out);
+    void reconcile_voters(std::size_t index) {
+        Machine& machine = machines[index];
+        const auto is_caught_up = [&](const consensus::Replica& voter) {
+            return machine.replica->is_caught_up(voter, 2s);
+        };
+        const auto change = machine.reconciler->next_change(
+            machine.replica->committed_entry(), machine.member_view->members(), is_caught_up, now);
+        machine.has_vote_handover = change.has_value();
+        if (!change) return;
+        consensus::Actions actions;
+        machine.replica->change_voters(change->current_voters, change->new_voters, now, actions);
+        apply_actions(index, actions);
     }
-    void ask(std::size_t i, bool read) {
-        orders[++tickets] = {read ? 0 : ++version, chosen.acknowledged, now, read};
-        consensus::Actions out;
-        if (read) machines[i].lamp->quorum_read(tickets, now + 900ms, now, out);
+    void submit_request(std::size_t index, bool is_read) {
+        requests[++last_request_id] = {is_read ? 0 : ++last_version, committed.acknowledged, now, is_read};
+        consensus::Actions actions;
+        if (is_read) machines[index].replica->quorum_read(last_request_id, now + 900ms, now, actions);
         else
-            machines[i].lamp->propose(tickets, version, "v" + std::to_string(version), now + 900ms, now, out);
-        carry(i, out);
+            machines[index].replica->propose(last_request_id, last_version,
+                                             "v" + std::to_string(last_version), now + 900ms, now, actions);
+        apply_actions(index, actions);
     }
 
-    TimePoint due(std::size_t i) const {
-        const Machine& m = machines[i];
-        if (!m.lamp) return m.gone || m.starts == TimePoint{} ? TimePoint::max() : m.starts;
-        TimePoint at = std::min({m.convoy->next(), m.reads, m.looks});
-        if (const auto next = m.lamp->next()) at = std::min(at, *next);
-        if (m.leaves != TimePoint{}) at = std::min(at, m.leaves);
-        return std::max(at, m.frozen);
+    TimePoint next_deadline(std::size_t index) const {
+        const Machine& machine = machines[index];
+        if (!machine.replica)
+            return machine.is_removed || machine.starts_at == TimePoint{} ? TimePoint::max()
+                                                                          : machine.starts_at;
+        TimePoint deadline =
+            std::min({machine.member_view->next_deadline(), machine.next_read_at, machine.next_check_at});
+        if (const auto replica_deadline = machine.replica->next_deadline())
+            deadline = std::min(deadline, *replica_deadline);
+        if (machine.leaves_at != TimePoint{}) deadline = std::min(deadline, machine.leaves_at);
+        return std::max(deadline, machine.frozen_until);
     }
-    void tick(std::size_t i) {
-        Machine& m = machines[i];
-        if (!m.lamp) return start(i);
-        if (m.convoy->next() <= now) {
-            membership::Actions out;
-            m.convoy->tick(now, out);
-            carry(i, out);
+    void tick_machine(std::size_t index) {
+        Machine& machine = machines[index];
+        if (!machine.replica) return start_machine(index);
+        if (machine.member_view->next_deadline() <= now) {
+            membership::Actions actions;
+            machine.member_view->tick(now, actions);
+            apply_actions(index, actions);
         }
-        consensus::Actions out;
-        m.lamp->tick(now, out);
-        if (m.reads <= now) {
-            m.reads = now + 500ms;
-            m.lamp->quorum_read(0, now + 900ms, now, out);
+        consensus::Actions actions;
+        machine.replica->tick(now, actions);
+        if (machine.next_read_at <= now) {
+            machine.next_read_at = now + 500ms;
+            machine.replica->quorum_read(0, now + 900ms, now, actions);
         }
-        carry(i, out);
-        if (m.looks <= now) {
-            m.looks = now + 250ms;
-            look(i);
+        apply_actions(index, actions);
+        if (machine.next_check_at <= now) {
+            machine.next_check_at = now + 250ms;
+            reconcile_voters(index);
         }
-        if (m.leaves == TimePoint{} || m.leaves > now) return;
-        if (m.hands_on && m.lamp->is_voter() && now < m.leaves + 1200ms) {
-            m.leaves = now + 50ms;
+        if (machine.leaves_at == TimePoint{} || machine.leaves_at > now) return;
+        if (machine.has_vote_handover && machine.replica->is_voter() && now < machine.leaves_at + 1200ms) {
+            machine.leaves_at = now + 50ms;
             return;
         }
-        membership::Actions goodbye;
-        m.convoy->leave(now, goodbye);
-        carry(i, goodbye);
-        stop(i, false);
-        m.leaves = TimePoint{};
+        membership::Actions departure_actions;
+        machine.member_view->announce_departure(now, departure_actions);
+        apply_actions(index, departure_actions);
+        stop_machine(index, false);
+        machine.leaves_at = TimePoint{};
     }
-    void run(TimePoint until) {
+    void run(TimePoint deadline) {
         for (;;) {
-            TimePoint at = until;
-            std::size_t who = machines.size();
+            TimePoint next_time = deadline;
+            std::size_t next_machine = machines.size();
             for (std::size_t i = 0; i < machines.size(); ++i)
-                if (const TimePoint d = due(i); d < at) {
-                    at = d;
-                    who = i;
+                if (const TimePoint machine_deadline = next_deadline(i); machine_deadline < next_time) {
+                    next_time = machine_deadline;
+                    next_machine = i;
                 }
-            if (!events.empty() && events.top().at <= at) {
-                Event e = events.top();
+            if (!events.empty() && events.top().delivery_time <= next_time) {
+                Event event = events.top();
                 events.pop();
-                now = std::max(now, e.at);
-                deliver(std::move(e));
+                now = std::max(now, event.delivery_time);
+                deliver_event(std::move(event));
                 continue;
             }
-            now = std::max(now, at);
-            if (who == machines.size()) return;
-            tick(who);
+            now = std::max(now, next_time);
+            if (next_machine == machines.size()) return;
+            tick_machine(next_machine);
         }
     }
-    void run(Duration more) { run(now + more); }
-    void deliver(Event e) {
-        Machine& m = machines[e.to];
-        if (!m.lamp || (e.life != 0 && e.life != m.life) || (e.life == 0 && cut.contains({e.from, e.to})))
+    void run(Duration duration) { run(now + duration); }
+    void deliver_event(Event event) {
+        Machine& machine = machines[event.recipient];
+        if (!machine.replica || (event.incarnation != 0 && event.incarnation != machine.incarnation) ||
+            (event.incarnation == 0 && partitioned_links.contains({event.sender, event.recipient})))
             return;
-        if (m.frozen > now) {    // it wakes to find it
-            e.at = m.frozen;
-            e.order = ++order;
-            events.push(std::move(e));
+        if (machine.frozen_until > now) {    // it wakes to find it
+            event.delivery_time = machine.frozen_until;
+            event.sequence = ++last_sequence;
+            events.push(std::move(event));
             return;
         }
-        if (e.convoy) {
-            membership::Actions out;
-            m.convoy->heard(machines[e.from].address, e.bytes, now, out);
-            carry(e.to, out);
+        if (event.is_membership) {
+            membership::Actions actions;
+            machine.member_view->on_message(machines[event.sender].address, event.bytes, now, actions);
+            apply_actions(event.recipient, actions);
             return;
         }
-        consensus::Actions out;
-        if (e.token != 0) {
-            while (!m.unsynced.empty() && m.unsynced.front().token <= e.token) {
-                m.disk = std::move(m.unsynced.front().saved);
-                m.unsynced.erase(m.unsynced.begin());
+        consensus::Actions actions;
+        if (event.token != 0) {
+            while (!machine.unsynced_writes.empty() && machine.unsynced_writes.front().token <= event.token) {
+                machine.persisted_state = std::move(machine.unsynced_writes.front().state);
+                machine.unsynced_writes.erase(machine.unsynced_writes.begin());
             }
-            m.lamp->stored(e.token, now, out);
+            machine.replica->on_stored(event.token, now, actions);
         } else {
-            m.convoy->seen(machines[e.from].address, e.from_life, now);
-            m.lamp->heard(machines[e.from].address, e.bytes, now, out);
+            machine.member_view->record_contact(machines[event.sender].address, event.sender_incarnation,
+                                                now);
+            machine.replica->on_message(machines[event.sender].address, event.bytes, now, actions);
         }
-        carry(e.to, out);
+        apply_actions(event.recipient, actions);
     }
 
     // ---- what must hold once every machine that came back or is new has had its time ----
-    const consensus::Decree& newest() const { return chosen.decrees.rbegin()->second; }
-    const Machine* holder(const consensus::Member& voter) const {
-        for (const Machine& m : machines)
-            if (m.lamp && m.address == voter.address && m.disk.disk == voter.disk) return &m;
+    const consensus::LogEntry& newest_entry() const { return committed.entries.rbegin()->second; }
+    const Machine* machine_of_voter(const consensus::Replica& voter) const {
+        for (const Machine& machine : machines)
+            if (machine.replica && machine.address == voter.address &&
+                machine.persisted_state.disk_id == voter.disk_id)
+                return &machine;
         return nullptr;
     }
     // The further losses that the voters bear; what was acknowledged is on more disks than may be lost.
-    void must_bear(const char* when) const {
-        const consensus::Decree& d = newest();
-        std::size_t answer = 0, keep = 0;
-        for (const consensus::Member& voter : d.voters)
-            if (const Machine* m = holder(voter)) {
-                ++answer;
-                keep += m->disk.decree.version >= chosen.acknowledged ||
-                        (m->disk.pending && m->disk.pending->version >= chosen.acknowledged);
+    void check_fault_tolerance(const char* phase) const {
+        const consensus::LogEntry& entry = newest_entry();
+        std::size_t responding = 0, up_to_date = 0;
+        for (const consensus::Replica& voter : entry.voters)
+            if (const Machine* machine = machine_of_voter(voter)) {
+                ++responding;
+                up_to_date += machine->persisted_state.committed.version >= committed.acknowledged ||
+                              (machine->persisted_state.accepted_entry &&
+                               machine->persisted_state.accepted_entry->version >= committed.acknowledged);
             }
-        cr_assert(Steward::bears(answer, d.voters.size()) >= static_cast<int>(losses),
-                  "%s, at %.3f s: %zu of %zu voters answer, decree %lu", when, seconds(), answer,
-                  d.voters.size(), d.number);
-        cr_assert(keep > losses, "%s, at %.3f s: %zu disks keep what was acknowledged", when, seconds(),
-                  keep);
+        cr_assert(VoterReconciler::tolerated_failures(responding, entry.voters.size()) >=
+                      static_cast<int>(max_failures),
+                  "%s, at %.3f s: %zu of %zu voters answer, decree %lu", phase, elapsed_seconds(), responding,
+                  entry.voters.size(), entry.number);
+        cr_assert(up_to_date > max_failures, "%s, at %.3f s: %zu disks keep what was acknowledged", phase,
+                  elapsed_seconds(), up_to_date);
+    }
+    double elapsed_seconds() const {
+        return std::chrono::duration<double>(now.time_since_epoch() - 1000s).count();
     }
-    double seconds() const { return std::chrono::duration<double>(now.time_since_epoch() - 1000s).count(); }
     // An order is acknowledged and read within `ack`, at any machine that runs.
-    void must_serve(const char* when) {
-        for (const bool read : {false, true}) {
-            const TimePoint begun = now;
-            const std::uint64_t wanted = read ? chosen.acknowledged : version + 1;
-            std::uint64_t before = settled;
-            while (before == settled) {
-                std::size_t i = below(machines.size());
-                while (!up(i) || machines[i].leaves != TimePoint{}) i = below(machines.size());
-                if (read) ask(i, true);
+    void check_progress(const char* phase) {
+        for (const bool is_read : {false, true}) {
+            const TimePoint started_at = now;
+            const std::uint64_t target_version = is_read ? committed.acknowledged : last_version + 1;
+            std::uint64_t previous_count = committed_count;
+            while (previous_count == committed_count) {
+                std::size_t index = random_below(machines.size());
+                while (!is_up(index) || machines[index].leaves_at != TimePoint{})
+                    index = random_below(machines.size());
+                if (is_read) submit_request(index, true);
                 else {
-                    version = wanted - 1;    // the same order again
-                    ask(i, false);
+                    last_version = target_version - 1;    // the same order again
+                    submit_request(index, false);
                 }
                 run(1s);
-                cr_assert(now - begun <= kAck || before != settled, "%s, at %.3f s: no %s", when, seconds(),
-                          read ? "read" : "acknowledgement");
+                cr_assert(now - started_at <= kAckTimeout || previous_count != committed_count,
+                          "%s, at %.3f s: no %s", phase, elapsed_seconds(),
+                          is_read ? "read" : "acknowledgement");
             }
-            cr_assert(chosen.acknowledged >= wanted, "%s", when);
+            cr_assert(committed.acknowledged >= target_version, "%s", phase);
         }
     }
 };
--- a/tests/controller/quorum_tracker_test.cpp
+++ b/tests/controller/quorum_tracker_test.cpp
@@ -8,131 +8,156 @@
 namespace {
 
 using namespace std::chrono_literals;
-using consensus::Answer;
-using consensus::Ticket;
+using consensus::Outcome;
+using consensus::RequestId;
 
-enum class Trouble { Cut, Deaf, Mute, Frozen };    // Deaf: it hears nobody; Mute: nobody hears it
+enum class ConnectivityFault {
+    Partitioned,
+    InboundBlocked,
+    OutboundBlocked,
+    Frozen
+};    // Deaf: it hears nobody; Mute: nobody hears it
 
-struct Core {
-    consensus::test::World w;
-    Duration contact;
-    std::vector<Quorum> quorums;
-    std::vector<TimePoint> ask;
-    std::map<Ticket, Answer> answers;
-    std::vector<std::size_t> losses, gains;
-    Duration longest_without{};
+struct QuorumFixture {
+    consensus::test::Cluster cluster;
+    Duration contact_timeout;
+    std::vector<QuorumTracker> trackers;
+    std::vector<TimePoint> next_read_at;
+    std::map<RequestId, Outcome> outcomes;
+    std::vector<std::size_t> loss_counts, gain_counts;
+    Duration max_time_without_quorum{};
 
-    Core(std::uint64_t seed, Duration contact_) : w(seed, 0), contact(contact_), ask(3), losses(3), gains(3) {
-        w.answered = [this](Ticket t, Answer a, const consensus::Decree&) { answers[t] = a; };
-        w.longest_wait = Quorum(contact, w.now).longest_wait();
-        const std::vector<std::string> all{w.name(0), w.name(1), w.name(2)};
+    QuorumFixture(std::uint64_t seed, Duration timeout)
+        : cluster(seed, 0), contact_timeout(timeout), next_read_at(3), loss_counts(3), gain_counts(3) {
+        cluster.answered = [this](RequestId request_id, Outcome outcome, const consensus::LogEntry&) {
+            outcomes[request_id] = outcome;
+        };
+        cluster.longest_wait = QuorumTracker(contact_timeout, cluster.now).max_retry_interval();
+        const std::vector<std::string> addresses{cluster.name(0), cluster.name(1), cluster.name(2)};
         for (std::size_t i = 0; i < 3; ++i) {
-            w.nodes.push_back({w.name(i), {}, {}, {}, 0, 0, {}, {}});
-            w.start(i, all);
-            quorums.emplace_back(contact, w.now);
+            cluster.nodes.push_back({cluster.name(i), {}, {}, {}, 0, 0, {}, {}});
+            cluster.start(i, addresses);
+            trackers.emplace_back(contact_timeout, cluster.now);
         }
         run(1s);
     }
     // As the wiring does: looked at after each turn of the register, here every 10 ms.
-    void run(Duration more) {
-        const TimePoint until = w.now + more;
-        while (w.now < until) {
+    void run(Duration duration) {
+        const TimePoint deadline = cluster.now + duration;
+        while (cluster.now < deadline) {
             for (std::size_t i = 0; i < 3; ++i) {
-                if (!w.up(i)) continue;
-                if (w.now >= ask[i]) {
-                    ask[i] = w.now + quorums[i].ask_every();
-                    w.confirm(i, 900ms);
+                if (!cluster.is_up(i)) continue;
+                if (cluster.now >= next_read_at[i]) {
+                    next_read_at[i] = cluster.now + trackers[i].read_interval();
+                    cluster.quorum_read(i, 900ms);
                 }
-                const auto change = quorums[i].look(w.nodes[i].lamp->confirmed(), w.now);
+                const auto change =
+                    trackers[i].update(cluster.nodes[i].replica->quorum_confirmed_at(), cluster.now);
                 if (!change) continue;
-                ++(change->held ? gains : losses)[i];
-                if (change->held) longest_without = std::max(longest_without, change->after);
+                ++(change->held ? gain_counts : loss_counts)[i];
+                if (change->held)
+                    max_time_without_quorum = std::max(max_time_without_quorum, change->previous_duration);
             }
-            w.run(10ms);
+            cluster.run(10ms);
         }
     }
-    void trouble(Trouble kind, Duration length) {
-        for (const std::size_t o : {std::size_t{0}, std::size_t{1}}) {
-            if (kind == Trouble::Cut || kind == Trouble::Mute) w.cut.insert({2, o});
-            if (kind == Trouble::Cut || kind == Trouble::Deaf) w.cut.insert({o, 2});
+    void inject_fault(ConnectivityFault kind, Duration duration) {
+        for (const std::size_t peer : {std::size_t{0}, std::size_t{1}}) {
+            if (kind == ConnectivityFault::Partitioned || kind == ConnectivityFault::OutboundBlocked)
+                cluster.partitioned_links.insert({2, peer});
+            if (kind == ConnectivityFault::Partitioned || kind == ConnectivityFault::InboundBlocked)
+                cluster.partitioned_links.insert({peer, 2});
         }
-        if (kind == Trouble::Frozen) w.nodes[2].frozen = w.now + length;
+        if (kind == ConnectivityFault::Frozen) cluster.nodes[2].frozen_until = cluster.now + duration;
     }
-    bool held(std::size_t i) const { return quorums[i].held(w.now); }
-    Ticket order(std::size_t i, std::uint64_t version, const char* text) {
-        w.propose(i, version, text, 900ms);
-        return w.tickets;
+    bool has_quorum(std::size_t index) const { return trackers[index].is_held(cluster.now); }
+    RequestId propose(std::size_t index, std::uint64_t version, const char* text) {
+        cluster.propose(index, version, text, 900ms);
+        return cluster.last_request_id;
     }
-    Ticket read(std::size_t i) {
-        w.confirm(i, 900ms);
-        return w.tickets;
+    RequestId quorum_read(std::size_t index) {
+        cluster.quorum_read(index, 900ms);
+        return cluster.last_request_id;
     }
 };
 
-void cut_off(Trouble kind, Duration length, Duration contact, bool changes, std::uint64_t seed) {
-    Core c(seed, contact);
+void run_isolation_scenario(ConnectivityFault kind, Duration duration, Duration contact_timeout,
+                            bool with_changes, std::uint64_t seed) {
+    QuorumFixture fixture(seed, contact_timeout);
     std::uint64_t version = 3;
-    cr_assert(c.held(0) && c.held(1) && c.held(2) && c.gains == std::vector<std::size_t>({1, 1, 1}));
-    const Ticket first = c.order(0, version, "first");
-    c.run(1s);
-    cr_assert_eq(c.answers.at(first), Answer::Settled);
+    cr_assert(fixture.has_quorum(0) && fixture.has_quorum(1) && fixture.has_quorum(2) &&
+              fixture.gain_counts == std::vector<std::size_t>({1, 1, 1}));
+    const RequestId first_request = fixture.propose(0, version, "first");
+    fixture.run(1s);
+    cr_assert_eq(fixture.outcomes.at(first_request), Outcome::Committed);
 
-    c.trouble(kind, length);
-    const TimePoint end = c.w.now + length;
-    c.run(contact / 2 + 50ms);
-    while (c.w.now + 3s < end) {
-        version += changes;
-        const Ticket other = c.order(0, version, changes ? "others" : "first");
-        std::vector<Ticket> here;
-        if (kind != Trouble::Frozen) {
-            cr_assert(!c.held(2) && c.losses[2] == 1);
-            here = {c.read(2), c.order(2, version + 1, "here"), c.order(2, 3, "first"),
-                    c.order(2, 3, "another"), c.order(2, 2, "older")};
+    fixture.inject_fault(kind, duration);
+    const TimePoint fault_end = fixture.cluster.now + duration;
+    fixture.run(contact_timeout / 2 + 50ms);
+    while (fixture.cluster.now + 3s < fault_end) {
+        version += with_changes;
+        const RequestId other_request = fixture.propose(0, version, with_changes ? "others" : "first");
+        std::vector<RequestId> isolated_requests;
+        if (kind != ConnectivityFault::Frozen) {
+            cr_assert(!fixture.has_quorum(2) && fixture.loss_counts[2] == 1);
+            isolated_requests = {fixture.quorum_read(2), fixture.propose(2, version + 1, "here"),
+                                 fixture.propose(2, 3, "first"), fixture.propose(2, 3, "another"),
+                                 fixture.propose(2, 2, "older")};
         }
-        c.run(1s);
-        cr_assert_eq(c.answers.at(other), Answer::Settled);
-        for (const Ticket ticket : here) cr_assert_eq(c.answers.at(ticket), Answer::Unsettled);
+        fixture.run(1s);
+        cr_assert_eq(fixture.outcomes.at(other_request), Outcome::Committed);
+        for (const RequestId request_id : isolated_requests)
+            cr_assert_eq(fixture.outcomes.at(request_id), Outcome::Indeterminate);
     }
-    cr_assert(c.held(0) && c.held(1) && c.losses[0] + c.losses[1] == 0);
+    cr_assert(fixture.has_quorum(0) && fixture.has_quorum(1) &&
+              fixture.loss_counts[0] + fixture.loss_counts[1] == 0);
 
-    if (kind == Trouble::Frozen) {
-        c.w.run(end);
-        cr_assert(!c.held(2));    // before it has done or heard anything
+    if (kind == ConnectivityFault::Frozen) {
+        fixture.cluster.run(fault_end);
+        cr_assert(!fixture.has_quorum(2));    // before it has done or heard anything
     } else {
-        c.run(end - c.w.now);
-        c.w.cut.clear();
+        fixture.run(fault_end - fixture.cluster.now);
+        fixture.cluster.partitioned_links.clear();
     }
-    c.run(contact);
-    cr_assert(c.held(2), "%d for %ld s, contact %ld ms, seed %lu", static_cast<int>(kind), length / 1s,
-              contact / 1ms, seed);
-    cr_assert_eq(c.w.nodes[2].lamp->decree().version, version);
-    cr_assert(c.losses[2] == 1 && c.gains[2] == 2);
-    cr_assert(c.longest_without >= length - contact && c.quorums[2].losses() == 1);
-    const Ticket read = c.read(2), another = c.order(2, 3, "another"), next = c.order(2, version + 1, "next");
-    c.run(1s);
-    cr_assert(c.answers.at(read) == Answer::Settled && c.answers.at(next) == Answer::Settled);
-    cr_assert_eq(c.answers.at(another), Answer::Conflict);
+    fixture.run(contact_timeout);
+    cr_assert(fixture.has_quorum(2), "%d for %ld s, contact %ld ms, seed %lu", static_cast<int>(kind),
+              duration / 1s, contact_timeout / 1ms, seed);
+    cr_assert_eq(fixture.cluster.nodes[2].replica->committed_entry().version, version);
+    cr_assert(fixture.loss_counts[2] == 1 && fixture.gain_counts[2] == 2);
+    cr_assert(fixture.max_time_without_quorum >= duration - contact_timeout &&
+              fixture.trackers[2].loss_count() == 1);
+    const RequestId read_request = fixture.quorum_read(2),
+                    conflicting_request = fixture.propose(2, 3, "another"),
+                    next_request = fixture.propose(2, version + 1, "next");
+    fixture.run(1s);
+    cr_assert(fixture.outcomes.at(read_request) == Outcome::Committed &&
+              fixture.outcomes.at(next_request) == Outcome::Committed);
+    cr_assert_eq(fixture.outcomes.at(conflicting_request), Outcome::Conflict);
 }
 
 }    // namespace
 
 Test(quorum, who_is_cut_off_confirms_and_refuses_nothing_and_is_whole_within_contact) {
-    for (const Trouble kind : {Trouble::Cut, Trouble::Deaf, Trouble::Mute, Trouble::Frozen})
-        for (const Duration length : {Duration(25s), Duration(60s)})
-            for (const Duration contact : {Duration(3s), Duration(1500ms)})
+    for (const ConnectivityFault kind : {ConnectivityFault::Partitioned, ConnectivityFault::InboundBlocked,
+                                         ConnectivityFault::OutboundBlocked, ConnectivityFault::Frozen})
+        for (const Duration duration : {Duration(25s), Duration(60s)})
+            for (const Duration contact_timeout : {Duration(3s), Duration(1500ms)})
                 for (std::uint64_t seed = 1; seed <= 10 / consensus::test::kLess; ++seed)
-                    cut_off(kind, length, contact, (seed + length / 60s) % 2 == 0, seed);
+                    run_isolation_scenario(kind, duration, contact_timeout, (seed + duration / 60s) % 2 == 0,
+                                           seed);
 }
 
 Test(quorum, a_core_without_a_majority_says_so_once_everywhere) {
-    const Duration contact = 1500ms;
-    Core c(1, contact);
-    c.w.cut = {{0, 1}, {1, 0}, {0, 2}, {2, 0}, {1, 2}, {2, 1}};
-    c.run(60s);
-    for (std::size_t i = 0; i < 3; ++i) cr_assert(!c.held(i) && c.losses[i] == 1 && c.gains[i] == 1);
-    c.w.cut.clear();
-    c.run(contact);
-    for (std::size_t i = 0; i < 3; ++i) cr_assert(c.held(i) && c.losses[i] == 1 && c.gains[i] == 2);
+    const Duration contact_timeout = 1500ms;
+    QuorumFixture fixture(1, contact_timeout);
+    fixture.cluster.partitioned_links = {{0, 1}, {1, 0}, {0, 2}, {2, 0}, {1, 2}, {2, 1}};
+    fixture.run(60s);
+    for (std::size_t i = 0; i < 3; ++i)
+        cr_assert(!fixture.has_quorum(i) && fixture.loss_counts[i] == 1 && fixture.gain_counts[i] == 1);
+    fixture.cluster.partitioned_links.clear();
+    fixture.run(contact_timeout);
+    for (std::size_t i = 0; i < 3; ++i)
+        cr_assert(fixture.has_quorum(i) && fixture.loss_counts[i] == 1 && fixture.gain_counts[i] == 2);
 }
 
 }    // namespace shaletray::controller
--- a/tests/data_plane/engine/engine_test.cpp
+++ b/tests/data_plane/engine/engine_test.cpp
@@ -18,25 +18,25 @@
     TimePoint now() const override { return time; }
 };
 
-struct TestFront : Front {
+struct TestFront : DownstreamConnection {
     int served_count = 0, refused_count = 0, failed_count = 0;
     Duration advice{0};
     bool late = false;
     std::string says;
-    void served(Payload&&) override { ++served_count; }
-    void refused(Duration retry_after, Refusal) override {
+    void on_answer(Payload&&) override { ++served_count; }
+    void on_rejected(Duration retry_after, RejectionReason) override {
         ++refused_count;
         advice = retry_after;
     }
-    void failed(Failure why, Payload&& answer) override {
+    void on_failed(FailureReason why, Payload&& answer) override {
         ++failed_count;
-        late = why == Failure::Late;
-        says = says_failure(answer) ? answer.body : "";
+        late = why == FailureReason::DeadlineExceeded;
+        says = is_failure_answer(answer) ? answer.body : "";
     }
     int answers() const { return served_count + refused_count + failed_count; }
 };
 
-class EngineTest : public ::testing::Test, public Backend, public Mail, public ListSource {
+class EngineTest : public ::testing::Test, public AttemptSender, public PeerMessenger, public HostListSource {
 protected:
     EngineTest() {
         engine_.connect(*this, *this, *this);
@@ -45,34 +45,34 @@
             list.hosts.emplace_back();
             list.hosts.back().host = HostId{i};
         }
-        engine_.list_heard(std::move(list));
+        engine_.on_host_list(std::move(list));
     }
 
-    void send(AttemptId attempt, HostId, const Payload&, Duration left) override {
+    void send_attempt(AttemptId attempt, HostId, const Payload&, Duration left) override {
         sent_.push_back(attempt);
         left_ = left;
-        if (refuse_connections_) engine_.attempt_ended(attempt, Outcome::ConnectFailed);
+        if (refuse_connections_) engine_.on_attempt_ended(attempt, Outcome::ConnectFailed);
     }
-    void cancel(AttemptId) override { ++called_off_; }
-    bool began(AttemptId) const override { return began_; }
-    void probe(HostId) override {}
-    void tell(PeerId, const std::vector<std::uint8_t>&) override {}
+    void cancel_attempt(AttemptId) override { ++called_off_; }
+    bool has_started(AttemptId) const override { return began_; }
+    void check_health(HostId) override {}
+    void send_to_peer(PeerId, const std::vector<std::uint8_t>&) override {}
     void subscribe() override {}
 
     RequestId ask(int cls = 0, bool streams = false) {
-        Arrival arrival;
+        IncomingRequest arrival;
         arrival.class_index = cls;
-        arrival.budget = 500ms;
-        arrival.streams = streams;
-        return engine_.take(front_, std::move(arrival));
+        arrival.time_budget = 500ms;
+        arrival.is_streaming = streams;
+        return engine_.submit(front_, std::move(arrival));
     }
     void pass(Duration span) {
         for (const TimePoint end = clock_.time + span; clock_.time < end; clock_.time += 1ms)
             timers_.run_due(clock_.time);
     }
-    Counters::Count outcomes(Outcome o) const { return counters_.outcomes[static_cast<std::size_t>(o)]; }
-    Counters::Count ended() const {
-        Counters::Count sum = 0;
+    Counters::Counter outcomes(Outcome o) const { return counters_.outcomes[static_cast<std::size_t>(o)]; }
+    Counters::Counter ended() const {
+        Counters::Counter sum = 0;
         for (const auto n : counters_.outcomes) sum += n;
         return sum;
     }
@@ -90,44 +90,45 @@
 };
 
 // Plans change in service, and use is kept.
-class BilledTest : public EngineTest, public UseKeeper {
+class BilledTest : public EngineTest, public UsageRecorder {
 protected:
     BilledTest() {
         clock_.time += 100s;    // the ledger began long ago: ceilings' stores are full
-        engine_.share_by(ledger_);
-        engine_.rule_by(desk_);
-        engine_.keep_use_in(*this);
+        engine_.set_quota_state_table(ledger_);
+        engine_.set_plan_service(desk_);
+        engine_.set_usage_recorder(*this);
     }
     static decision::Settings settings() { return parse_config(test::config_text("127.0.0.1:1")).settings; }
-    static limits::LedgerSettings ledger_settings() {
-        limits::LedgerSettings l;
+    static limits::QuotaTableSettings ledger_settings() {
+        limits::QuotaTableSettings l;
         l.plans = settings().plans;
-        l.most_units = settings().most_units;
-        l.alone_share = 0.0;
+        l.max_request_units = settings().most_units;
+        l.isolated_quota_share = 0.0;
         return l;
     }
-    static plans::Book book() {
-        plans::BookSettings b;
-        b.platform = settings().plans;
-        b.book_wins = true;
-        b.lead = 20ms;
-        return plans::Book(b);
+    static plans::PlanTable book() {
+        plans::PlanTableSettings b;
+        b.platform_plans = settings().plans;
+        b.table_overrides_request = true;
+        b.lead_time = 20ms;
+        return plans::PlanTable(b);
     }
     void assign(const std::string& plan) {
-        plans::Proposal p;
-        p.body = plans::Assign{decision::CustomerId{}, plan};
-        p.against = desk_.book().version();
+        plans::ChangeProposal p;
+        p.body = plans::AssignPlan{decision::CustomerId{}, plan};
+        p.expected_version = desk_.plan_table().version();
         p.author = "test";
-        desk_.take(std::get<plans::Change>(desk_.book().propose(p, clock_.time)), clock_.time);
+        desk_.apply_change(std::get<plans::PlanChange>(desk_.plan_table().validate_proposal(p, clock_.time)),
+                           clock_.time);
     }
-    void admitted(const Admission& a) override {
-        EXPECT_EQ(sent_.size(), sends_before_) << "kept before its first attempt is sent";
+    void record_admission(const AdmittedRequest& a) override {
+        EXPECT_EQ(sent_.size(), sends_before) << "kept before its first attempt is sent";
         kept_.push_back(a);
     }
-    std::size_t sends_before_ = 0;
-    limits::Ledger ledger_{ledger_settings(), clock_.time};
-    plans::Desk desk_{book(), ledger_, clock_.time};
-    std::vector<Admission> kept_;
+    std::size_t sends_before = 0;
+    limits::QuotaStateTable ledger_{ledger_settings(), clock_.time};
+    plans::PlanService desk_{book(), ledger_, clock_.time};
+    std::vector<AdmittedRequest> kept_;
 };
 
 TEST_F(BilledTest, ARequestStaysUnderThePlanItWasTakenUnderThroughAllItsAttempts) {
@@ -139,14 +140,14 @@
     EXPECT_EQ(kept_[0].plan_index, 0) << "the change is not in force yet";
     const std::size_t before = sent_.size();
     clock_.time += 20ms;
-    engine_.allowances_due();
+    engine_.refresh_allowances();
     clock_.time += 300ms;    // the ceiling that comes with the new plan begins with nothing, and owes nothing
     sends_before_ = sent_.size();
     ask();
     ASSERT_EQ(kept_.size(), 2U);
     EXPECT_EQ(kept_[1].plan_index, last);
     // A second attempt of the first, after the change: no second record, and no word of the other plan.
-    engine_.attempt_ended(sent_[before - 1], Outcome::ConnectFailed);
+    engine_.on_attempt_ended(sent_[before - 1], Outcome::ConnectFailed);
     pass(100ms);
     EXPECT_EQ(kept_.size(), 2U);
     EXPECT_GE(sent_.size(), 3U);
@@ -156,9 +157,9 @@
     const RequestId id = ask();
     ASSERT_EQ(sent_.size(), 1U);
     EXPECT_EQ(left_, 500ms);
-    engine_.attempt_ended(sent_[0], Outcome::Ok);
-    engine_.attempt_ended(sent_[0], Outcome::Reset);    // an outcome counts once
-    engine_.withdraw(id);
+    engine_.on_attempt_ended(sent_[0], Outcome::Ok);
+    engine_.on_attempt_ended(sent_[0], Outcome::Reset);    // an outcome counts once
+    engine_.cancel(id);
     pass(1s);
     EXPECT_EQ(front_.served_count, 1);
     EXPECT_EQ(front_.answers(), 1);
@@ -172,15 +173,15 @@
     EXPECT_EQ(front_.answers(), 1);
     EXPECT_EQ(called_off_, 1);
     EXPECT_EQ(outcomes(Outcome::Timeout), 1U);
-    EXPECT_EQ(counters_.overdue, 0U);
+    EXPECT_EQ(counters_.requests_overdue, 0U);
     EXPECT_EQ(engine_.open_requests(), 0U);
 }
 
 TEST_F(EngineTest, AClientThatLeavesReleasesItsAttempts) {
-    engine_.withdraw(ask());
+    engine_.cancel(ask());
     EXPECT_EQ(called_off_, 1);
     EXPECT_EQ(outcomes(Outcome::Cancelled), 1U);
-    engine_.attempt_ended(sent_[0], Outcome::Ok);
+    engine_.on_attempt_ended(sent_[0], Outcome::Ok);
     pass(1s);
     EXPECT_EQ(front_.answers(), 0);
     EXPECT_EQ(ended(), 1U);
@@ -201,7 +202,7 @@
 
 // Whatever becomes of attempts: who is told of a refusal may come again, and nothing ran.
 TEST_F(EngineTest, ARefusalPromisesThatNothingRanWherePlatformsWantThat) {
-    engine_.behave({true, true});
+    engine_.set_response_policy({true, true});
     std::mt19937 random(1);
     int refused = 0, late = 0, said = 0;
     for (int i = 0; i < 2000; ++i) {
@@ -217,22 +218,22 @@
                 pass(600ms);
                 ran = ran || began_;
             } else if (kind == 1) {
-                engine_.attempt_ended(sent_[next], Outcome::Full);
+                engine_.on_attempt_ended(sent_[next], Outcome::Full);
             } else if (kind == 2) {
-                engine_.attempt_ended(sent_[next], Outcome::ConnectFailed);
+                engine_.on_attempt_ended(sent_[next], Outcome::ConnectFailed);
             } else if (kind == 3) {
                 Payload answer;
-                answer.status = 500;
+                answer.status_code = 500;
                 answer.body = last = std::to_string(i + static_cast<int>(next));
-                engine_.attempt_ended(sent_[next], Outcome::Error, {}, std::move(answer));
+                engine_.on_attempt_ended(sent_[next], Outcome::Error, {}, std::move(answer));
                 ran = true;
             } else if (kind == 4) {
-                engine_.attempt_ended(sent_[next], Outcome::Reset);
+                engine_.on_attempt_ended(sent_[next], Outcome::Reset);
                 ran = true;
             } else {
                 began_ = random() % 2 == 0;
                 ran = ran || began_;
-                engine_.give_up_all();
+                engine_.abandon_all_requests();
             }
             began_ = true;
             if (front_.answers() == 0 && next + 1 == sent_.size())
@@ -245,7 +246,7 @@
         refused += front_.refused_count;
         late += front_.late;
         said += !front_.says.empty();
-        engine_.withdraw(id);
+        engine_.cancel(id);
         pass(20ms);
     }
     EXPECT_GT(refused, 100);
@@ -257,74 +258,74 @@
     for (int i = 0; i < 1000; ++i) ask();    // as many as may be open
     ASSERT_EQ(engine_.open_requests(), 1000U);
     ask();
-    EXPECT_EQ(counters_.turned_away, 1U);
+    EXPECT_EQ(counters_.requests_rejected, 1U);
     EXPECT_EQ(front_.refused_count, 1);
     EXPECT_EQ(front_.advice, 1s);
 }
 
 TEST_F(EngineTest, OnlyAStreamsBeginningIsToldAndItsBreakFails) {
     ask();
-    engine_.attempt_began(sent_[0]);
+    engine_.on_response_started(sent_[0]);
     pass(600ms);
     EXPECT_EQ(outcomes(Outcome::Timeout), 1U);    // no stream: its time-out still runs
     ask(0, true);
-    engine_.attempt_began(sent_[1]);
+    engine_.on_response_started(sent_[1]);
     pass(5s);
     EXPECT_EQ(engine_.open_requests(), 1U);
-    engine_.attempt_ended(sent_[1], Outcome::Reset);
+    engine_.on_attempt_ended(sent_[1], Outcome::Reset);
     EXPECT_EQ(front_.failed_count, 1);
     EXPECT_EQ(engine_.open_requests(), 0U);
 }
 
-struct TestUpload : Upload {
+struct TestUpload : RequestUpload {
     bool is_given = false, is_whole = false;
     TimePoint at{};
-    std::string_view first() const override { return "first"; }
-    bool given() const override { return is_given; }
-    bool whole() const override { return is_whole; }
-    TimePoint moved() const override { return at; }
-    void begin(BodySink&) override {}
-    void go_on(bool) override {}
-    std::optional<std::uint64_t> length() const override { return {}; }
+    std::string_view initial_body() const override { return "first"; }
+    bool is_streaming() const override { return is_given; }
+    bool is_complete() const override { return is_whole; }
+    TimePoint last_received_at() const override { return at; }
+    void start(BodySink&) override {}
+    void set_reading(bool) override {}
+    std::optional<std::uint64_t> total_length() const override { return {}; }
 };
 
 TEST_F(EngineTest, ALongRequestsTimeRunsFromItsLastByteAndItIsNotTriedAgainOncePassedOn) {
     const auto ask_long = [this] {
-        Arrival arrival;
+        IncomingRequest arrival;
         arrival.class_index = kPay;
-        arrival.budget = 500ms;
+        arrival.time_budget = 500ms;
         const auto upload = std::make_shared<TestUpload>();
         upload->at = clock_.time;
         arrival.payload.upload = upload;
-        engine_.take(front_, std::move(arrival));
+        engine_.submit(front_, std::move(arrival));
         return upload;
     };
     const auto upload = ask_long();
     EXPECT_EQ(left_, 500ms);
-    engine_.attempt_uploads(sent_[0]);
+    engine_.on_upload_started(sent_[0]);
     upload->is_given = true;
     for (int i = 0; i < 10; ++i) {
         pass(1s);
         upload->at = clock_.time;
     }
     upload->is_whole = true;
-    engine_.attempt_written(sent_[0]);
+    engine_.on_request_written(sent_[0]);
     pass(480ms);
     EXPECT_EQ(front_.answers(), 0);
     pass(30ms);
     EXPECT_EQ(front_.answers(), 1);
     EXPECT_EQ(outcomes(Outcome::Timeout), 1U);
-    EXPECT_EQ(counters_.overdue, 0U);
+    EXPECT_EQ(counters_.requests_overdue, 0U);
     const auto stuck = ask_long();    // neither its client nor its server moves
     pass(3400ms);
     EXPECT_EQ(front_.answers(), 1);
     pass(200ms);
     EXPECT_EQ(front_.answers(), 2);
     const auto broken = ask_long();
-    engine_.attempt_uploads(sent_.back());
+    engine_.on_upload_started(sent_.back());
     broken->is_given = true;
     const std::size_t sent = sent_.size();
-    engine_.attempt_ended(sent_.back(), Outcome::ConnectFailed);
+    engine_.on_attempt_ended(sent_.back(), Outcome::ConnectFailed);
     EXPECT_EQ(sent_.size(), sent);
     EXPECT_EQ(front_.refused_count, 1);    // it never ran
 }
@@ -335,41 +336,41 @@
     const RequestId open = ask();
     next.classes[0].repeat = decision::Repeat::Unsafe;    // stricter
     next.send_cap = 1;
-    const std::vector<int> places = engine_.adopt(next);
+    const std::vector<int> places = engine_.apply_settings(next);
     EXPECT_EQ(places, (std::vector<int>{3, 1, 2}));
     ask(places[0]);
-    engine_.attempt_ended(sent_[1], Outcome::Reset);    // may have run, and may not be repeated any more
+    engine_.on_attempt_ended(sent_[1], Outcome::Reset);    // may have run, and may not be repeated any more
     EXPECT_EQ(front_.failed_count, 1);
     EXPECT_EQ(counters_.classes.at("read").failed, 1U);
     next.classes[0].give_up = Duration(-1);
     next.classes[0].aim = Duration(-1);
-    EXPECT_THROW(engine_.adopt(next), decision::BadSettings);
-    engine_.withdraw(open);
-    EXPECT_EQ(engine_.adopt(first), (std::vector<int>{0, 1, 2}));
+    EXPECT_THROW(engine_.apply_settings(next), decision::BadSettings);
+    engine_.cancel(open);
+    EXPECT_EQ(engine_.apply_settings(first), (std::vector<int>{0, 1, 2}));
     next = first;
     next.classes.push_back(first.classes[0]);
     next.classes.back().name = "new";
-    EXPECT_EQ(engine_.adopt(next), (std::vector<int>{0, 1, 2, 3}));    // the place is free again
+    EXPECT_EQ(engine_.apply_settings(next), (std::vector<int>{0, 1, 2, 3}));    // the place is free again
 }
 
 TEST(Timers, RunInOrderAndNotBeforeTheyAreDue) {
     Timers timers;
     std::string order;
-    timers.at(TimePoint(2ms), [&] { order += 'b'; });
-    Timers::Id gone = timers.at(TimePoint(1ms), [&] { order += 'x'; });
-    timers.at(TimePoint(1ms), [&] {
+    timers.schedule_at(TimePoint(2ms), [&] { order += 'b'; });
+    Timers::Id gone = timers.schedule_at(TimePoint(1ms), [&] { order += 'x'; });
+    timers.schedule_at(TimePoint(1ms), [&] {
         order += 'a';
-        timers.at(TimePoint(1ms), [&] { order += 'c'; });
+        timers.schedule_at(TimePoint(1ms), [&] { order += 'c'; });
     });
     timers.cancel(gone);
-    EXPECT_EQ(timers.next(), TimePoint(1ms));
+    EXPECT_EQ(timers.next_deadline(), TimePoint(1ms));
     timers.run_due(TimePoint(0ms));
     EXPECT_EQ(order, "");
     timers.run_due(TimePoint(2ms));
     EXPECT_EQ(order, "ab");    // what a task adds waits, so that it cannot hold up the turn
     timers.run_due(TimePoint(2ms));
     EXPECT_EQ(order, "abc");
-    EXPECT_EQ(timers.next(), std::nullopt);
+    EXPECT_EQ(timers.next_deadline(), std::nullopt);
 }
 
 // Seen as a pilot that ended by itself (139) when a configuration took a service's last route away: the
@@ -384,10 +385,10 @@
         decision::HostList list;
         list.hosts.emplace_back();
         list.hosts.back().host = HostId{1};
-        engine.list_heard(std::move(list));
-        Arrival arrival;
-        arrival.budget = 500ms;
-        engine.take(front, std::move(arrival));
+        engine.on_host_list(std::move(list));
+        IncomingRequest arrival;
+        arrival.time_budget = 500ms;
+        engine.submit(front, std::move(arrival));
         ASSERT_GT(timers.size(), 0u);
     }
     clock_.time += 10s;
--- a/tests/data_plane/limits/explore_test.cpp
+++ b/tests/data_plane/limits/explore_test.cpp
@@ -15,25 +15,25 @@
 
 constexpr CustomerId kOnly{1};
 
-LedgerSettings settings(int me, std::uint64_t incarnation, double burst) {
-    LedgerSettings s;
-    s.me = me;
-    s.gateways = 2;
-    s.plans.resize(1);
-    s.plans[0] = {"empresa", 1.0, 3.0, 0, 2.0, burst, 1.0, 1.0, 0.0, 0.0};
-    s.most_units = 1.0;
-    s.lease = 2s;
-    s.reserve = 0.25;
-    s.incarnation = incarnation;
-    return s;
+QuotaTableSettings settings(int own_index, std::uint64_t incarnation, double burst) {
+    QuotaTableSettings settings;
+    settings.own_index = own_index;
+    settings.gateway_count = 2;
+    settings.plans.resize(1);
+    settings.plans[0] = {"empresa", 1.0, 3.0, 0, 2.0, burst, 1.0, 1.0, 0.0, 0.0};
+    settings.max_request_units = 1.0;
+    settings.lease_duration = 2s;
+    settings.reserve_fraction = 0.25;
+    settings.incarnation = incarnation;
+    return settings;
 }
 
 struct State {
     struct Store {
-        std::array<std::optional<Row>, 2> now, before;
+        std::array<std::optional<QuotaRow>, 2> now, before;
     };
     TimePoint now = TimePoint{} + 100s;
-    std::vector<Ledger> ledgers;
+    std::vector<QuotaStateTable> ledgers;
     std::vector<test::Grants> grants;
     std::array<Store, 2> stores;
     std::array<std::uint64_t, 2> lives{100, 200};
@@ -41,50 +41,51 @@
     test::Reference reference;
 
     explicit State(double of) : burst(of) {
-        for (int i = 0; i < 2; ++i)
-            ledgers.emplace_back(settings(i, lives[static_cast<std::size_t>(i)], burst), now);
+        for (int index = 0; index < 2; ++index)
+            ledgers.emplace_back(settings(index, lives[static_cast<std::size_t>(index)], burst), now);
         grants.resize(2);
         reference = {2.0, burst, burst, 0.0, now};
-        for (std::size_t i = 0; i < 2; ++i) ask(i);
+        for (std::size_t index = 0; index < 2; ++index) ask(index);
     }
-    void tick(std::size_t i) {
+    void tick(std::size_t index) {
         std::vector<Allowance> changed;
-        ledgers[i].tick(now, changed);
-        for (const Allowance& a : changed) grants[i].told(a, now);
+        ledgers[index].tick(now, changed);
+        for (const Allowance& a : changed) grants[index].on_allowance(a, now);
     }
-    void ask(std::size_t i) {
-        tick(i);
-        if (const auto a = ledgers[i].asked(kOnly, 0, 0, 2, i == 0 ? 0.2 : 3.0, now)) grants[i].told(*a, now);
+    void ask(std::size_t index) {
+        tick(index);
+        if (const auto a = ledgers[index].on_request(kOnly, 0, 0, 2, index == 0 ? 0.2 : 3.0, now))
+            grants[index].on_allowance(*a, now);
     }
-    bool admit(std::size_t i) {
-        ask(i);
-        if (!grants[i].admit(kOnly, 1.0, true, now)) return false;
-        ledgers[i].admitted(kOnly, 1.0, now);
+    bool admit(std::size_t index) {
+        ask(index);
+        if (!grants[index].admit(kOnly, 1.0, true, now)) return false;
+        ledgers[index].record_admission(kOnly, 1.0, now);
         reference.admit(1.0, now);
         return true;
     }
-    void write(std::size_t i, std::size_t store) {
-        ledgers[i].refresh();
-        for (const auto& [id, row] : ledgers[i].rows_due(now, 1)) {
-            stores[store].before[i] = stores[store].now[i];
-            stores[store].now[i] = row;
+    void write(std::size_t index, std::size_t store) {
+        ledgers[index].rewrite_all_rows();
+        for (const auto& [id, row] : ledgers[index].rows_due(now, 1)) {
+            stores[store].before[index] = stores[store].now[index];
+            stores[store].now[index] = row;
         }
-        tick(i);
+        tick(index);
     }
-    void read(std::size_t i, std::size_t store) {
-        const auto& row = stores[store].now[1 - i];
-        if (row) ledgers[i].row_heard(kOnly, static_cast<int>(1 - i), *row, now);
-        tick(i);
+    void read(std::size_t index, std::size_t store) {
+        const auto& row = stores[store].now[1 - index];
+        if (row) ledgers[index].on_row(kOnly, static_cast<int>(1 - index), *row, now);
+        tick(index);
     }
-    void restart(std::size_t i, bool clock_back) {
-        lives[i] = clock_back ? lives[i] - 7 : lives[i] + 10;    // never one that was before
-        ledgers[i] = Ledger(settings(static_cast<int>(i), lives[i], burst), now);
-        grants[i] = {};
-        ask(i);
+    void restart(std::size_t index, bool clock_back) {
+        lives[index] = clock_back ? lives[index] - 7 : lives[index] + 10;    // never one that was before
+        ledgers[index] = QuotaStateTable(settings(static_cast<int>(index), lives[index], burst), now);
+        grants[index] = {};
+        ask(index);
     }
     double sum() {
-        for (std::size_t i = 0; i < 2; ++i) tick(i);
-        return ledgers[0].ceiling_share(kOnly, now) + ledgers[1].ceiling_share(kOnly, now);
+        for (std::size_t index = 0; index < 2; ++index) tick(index);
+        return ledgers[0].rate_limit_share(kOnly, now) + ledgers[1].rate_limit_share(kOnly, now);
     }
 };
 
@@ -110,27 +111,27 @@
     if (which < 16) return s.restart(static_cast<std::size_t>(which - 14), false), true;
     if (which == 16) return s.restart(0, true), true;
     s.now += 500ms;
-    for (std::size_t i = 0; i < 2; ++i) s.ask(i);
+    for (std::size_t index = 0; index < 2; ++index) s.ask(index);
     return true;
 }
 
-struct Explored {
+struct ExplorationResult {
     std::uint64_t states = 0;
-    double most = 0.0, deepest = 0.0;
+    double max_share_sum = 0.0, max_debt = 0.0;
     std::string worst;
 };
 
-void explore(const State& from, int depth, const std::string& path, Explored& found) {
+void explore(const State& from, int depth, const std::string& path, ExplorationResult& found) {
     ++found.states;
     if (depth == 0) return;
     for (int which = 0; which < kSteps; ++which) {
         State next = from;
         if (!step(next, which)) continue;
         const std::string taken = path + " " + std::to_string(which);
-        const double sum = next.sum(), deep = next.reference.deepest;
-        if (sum > found.most || deep < found.deepest) found.worst = taken;
-        found.most = std::max(found.most, sum);
-        found.deepest = std::min(found.deepest, deep);
+        const double sum = next.sum(), deep = next.reference.lowest_level;
+        if (sum > found.max_share_sum || deep < found.max_debt) found.worst = taken;
+        found.max_share_sum = std::max(found.max_share_sum, sum);
+        found.max_debt = std::min(found.max_debt, deep);
         explore(next, depth - 1, taken, found);
     }
 }
@@ -149,10 +150,10 @@
 #else
     constexpr int kDepth = 5;
 #endif
-    Explored found;
+    ExplorationResult found;
     explore(state, kDepth, "", found);
-    EXPECT_LE(found.most, 1.0 + 1e-9) << found.worst;
-    EXPECT_GE(found.deepest, -1e-9) << found.worst;
+    EXPECT_LE(found.max_share_sum, 1.0 + 1e-9) << found.worst;
+    EXPECT_GE(found.max_debt, -1e-9) << found.worst;
     EXPECT_GT(found.states, 100u);
     std::cout << found.states << " states\n";
 }
--- a/tests/data_plane/plans/plan_service_test.cpp
+++ b/tests/data_plane/plans/plan_service_test.cpp
@@ -66,8 +66,8 @@
 };
 
 struct Gateway {
-    std::unique_ptr<Ledger> ledger;
-    std::unique_ptr<Desk> desk;
+    std::unique_ptr<QuotaStateTable> ledger;
+    std::unique_ptr<PlanService> desk;
     Grants grants;
     Duration clock{0};    // how far its clock is off
     std::uint64_t rules = 0;
@@ -76,41 +76,41 @@
 struct Fleet {
     explicit Fleet(int n = 1, bool wins = true, Duration lead = 2s) {
         for (int i = 0; i < n; ++i) {
-            limits::LedgerSettings l;
-            l.me = i;
-            l.gateways = n;
+            limits::QuotaTableSettings l;
+            l.own_index = i;
+            l.gateway_count = n;
             l.plans = platform();
-            l.most_units = kMostUnits;
+            l.max_request_units = kMostUnits;
             l.incarnation = 100 + static_cast<std::uint64_t>(i);
-            l.alone_share = 0.0;
-            BookSettings b;
-            b.platform = platform();
-            b.book_wins = wins;
-            b.lead = lead;
+            l.isolated_quota_share = 0.0;
+            PlanTableSettings b;
+            b.platform_plans = platform();
+            b.table_overrides_request = wins;
+            b.lead_time = lead;
             auto g = std::make_unique<Gateway>();
             // They have been up for a while, so that ceilings' stores are full.
-            g->ledger = std::make_unique<Ledger>(l, kStart - 100s);
-            g->desk = std::make_unique<Desk>(Book(b), *g->ledger, kStart - 1s);
+            g->ledger = std::make_unique<QuotaStateTable>(l, kStart - 100s);
+            g->desk = std::make_unique<PlanService>(PlanTable(b), *g->ledger, kStart - 1s);
             gateways.push_back(std::move(g));
         }
     }
     TimePoint clock(std::size_t i) const { return now + gateways[i]->clock; }
-    const Book& book() const { return gateways[0]->desk->book(); }
-    std::optional<Change> make(Body body, std::optional<TimePoint> at = {}) {
-        Proposal p;
-        p.against = book().version_of(subject_of(body));
+    const PlanTable& book() const { return gateways[0]->desk->plan_table(); }
+    std::optional<PlanChange> make(ChangeBody body, std::optional<TimePoint> at = {}) {
+        ChangeProposal p;
+        p.expected_version = book().subject_version(subject_of(body));
         p.body = std::move(body);
-        p.at = at;
+        p.effective_at = at;
         p.author = "marta";
-        const auto outcome = book().propose(p, now);
-        const auto* change = std::get_if<Change>(&outcome);
+        const auto outcome = book().validate_proposal(p, now);
+        const auto* change = std::get_if<PlanChange>(&outcome);
         if (change == nullptr) return std::nullopt;
         return *change;
     }
-    Change spread(Body body, std::optional<TimePoint> at = {}) {
+    PlanChange spread(ChangeBody body, std::optional<TimePoint> at = {}) {
         const auto change = make(std::move(body), at);
         if (!change) throw std::runtime_error("refused");
-        for (std::size_t i = 0; i < gateways.size(); ++i) gateways[i]->desk->take(*change, clock(i));
+        for (std::size_t i = 0; i < gateways.size(); ++i) gateways[i]->desk->apply_change(*change, clock(i));
         return *change;
     }
     void tell(Gateway& g, const std::vector<decision::Allowance>& all, TimePoint at) {
@@ -119,22 +119,23 @@
     void tick(std::size_t i) {
         Gateway& g = *gateways[i];
         std::vector<decision::Allowance> told;
-        g.desk->due(clock(i), told);
+        g.desk->apply_due_effects(clock(i), told);
         g.ledger->tick(clock(i), told);
         tell(g, told, clock(i));
     }
     // One request, decided at once. Gives the ruling where it was let in.
-    std::optional<Desk::Ruling> ask(std::size_t i, double units, const std::string& reservation = {},
-                                    int asked_plan = 0, CustomerId id = kAnna) {
+    std::optional<PlanService::PlanDecision> ask(std::size_t i, double units,
+                                                 const std::string& reservation = {}, int asked_plan = 0,
+                                                 CustomerId id = kAnna) {
         Gateway& g = *gateways[i];
         tick(i);
         std::vector<decision::Allowance> told;
-        const Desk::Ruling r = g.desk->rule(id, asked_plan, 0, static_cast<int>(gateways.size()), units,
-                                            reservation, clock(i), told);
+        const PlanService::PlanDecision r = g.desk->decide_plan(
+            id, asked_plan, 0, static_cast<int>(gateways.size()), units, reservation, clock(i), told);
         tell(g, told, clock(i));
         if (!g.grants.admit(r.account, units, clock(i))) return std::nullopt;
         told.clear();
-        g.desk->admitted(r, id, units, clock(i), told);
+        g.desk->record_admission(r, id, units, clock(i), told);
         tell(g, told, clock(i));
         return r;
     }
@@ -147,12 +148,12 @@
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             tick(i);
             const auto rows = gateways[i]->ledger->rows_due(clock(i), 10);
-            const auto news = gateways[i]->ledger->news();
+            const auto news = gateways[i]->ledger->announcement();
             for (std::size_t k = 0; k < gateways.size(); ++k) {
                 if (k == i || std::uniform_real_distribution<>(0, 1)(random) < lost) continue;
-                gateways[k]->ledger->news_heard(static_cast<int>(i), news, clock(k));
+                gateways[k]->ledger->on_announcement(static_cast<int>(i), news, clock(k));
                 for (const auto& [id, row] : rows)
-                    gateways[k]->ledger->row_heard(id, static_cast<int>(i), row, clock(k));
+                    gateways[k]->ledger->on_row(id, static_cast<int>(i), row, clock(k));
                 tick(k);
             }
         }
@@ -164,12 +165,13 @@
 
 TEST(Desk, MovesACustomerDuringABurstAndBillsEachRequestToThePlanItWasTakenUnder) {
     Fleet f;
-    const Change c = f.spread(Assign{kAnna, "empresa"}, kStart + 5s);
+    const PlanChange c = f.spread(AssignPlan{kAnna, "empresa"}, kStart + 5s);
     EXPECT_EQ(f.drain(0), 16.0);
     std::vector<decision::Allowance> told;
     // Taken under the old plan, sent after the change: it stays what it was.
-    const Desk::Ruling before = f.gateways[0]->desk->rule(kAnna, 0, 0, 1, 1.0, {}, f.now, told);
-    f.now = c.at;
+    const PlanService::PlanDecision before =
+        f.gateways[0]->desk->decide_plan(kAnna, 0, 0, 1, 1.0, {}, f.now, told);
+    f.now = c.effective_at;
     EXPECT_EQ(before.plan_index, 0);
     const auto after = f.ask(0, 1.0);
     ASSERT_TRUE(after);
@@ -178,7 +180,7 @@
     EXPECT_LE(f.drain(0), 20.0);
     f.now += 2s;
     EXPECT_NEAR(f.drain(0), 20.0, 1.0);
-    f.gateways[0]->desk->admitted(before, kAnna, 1.0, f.now, told);
+    f.gateways[0]->desk->record_admission(before, kAnna, 1.0, f.now, told);
     f.now += 60s;
     EXPECT_NEAR(f.drain(0), 40.0, 1.0);
 }
@@ -187,8 +189,9 @@
     Fleet f;
     f.ask(0, 1.0);
     for (int i = 0; i < 100; ++i, f.now += 1s) f.tick(0);
-    ASSERT_EQ(f.gateways[0]->ledger->stats(f.now).customers, 0u) << "at rest for long, and forgotten";
-    f.now = f.spread(Assign{kAnna, "empresa"}).at;
+    ASSERT_EQ(f.gateways[0]->ledger->statistics(f.now).tracked_customers, 0u)
+        << "at rest for long, and forgotten";
+    f.now = f.spread(AssignPlan{kAnna, "empresa"}).effective_at;
     EXPECT_NEAR(f.drain(0), 16.0, 1.0) << "what the smaller plan's store held";
     f.now += 30s;
     EXPECT_NEAR(f.drain(0), 40.0, 1.0);
@@ -197,47 +200,47 @@
 TEST(Desk, ChangesThePlanOfAllThatHaveItAndTellsThoseThatAreHeld) {
     Fleet f;
     EXPECT_EQ(f.drain(0), 16.0);
-    const Change c = f.spread(Define{"equipo", "equipo", {400.0, 800.0, 900.0, 900.0, 4.0}});
-    f.now = c.at;
-    EXPECT_EQ(f.gateways[0]->desk->next(), c.at);
+    const PlanChange c = f.spread(DefinePlan{"equipo", "equipo", {400.0, 800.0, 900.0, 900.0, 4.0}});
+    f.now = c.effective_at;
+    EXPECT_EQ(f.gateways[0]->desk->next_deadline(), c.effective_at);
     f.tick(0);    // nobody asked again
     EXPECT_EQ(f.gateways[0]->grants.stores[kAnna].a.rate, 400.0);
-    EXPECT_LE(f.gateways[0]->desk->stats(f.now).behind, 50ms);
+    EXPECT_LE(f.gateways[0]->desk->statistics(f.now).max_delay, 50ms);
 }
 
 TEST(Desk, ActsAtOnceOnWhatItHearsLateAndCountsIt) {
     Fleet f(2);
     f.ask(0, 1.0);
     f.ask(1, 1.0);
-    const auto change = f.make(Assign{kAnna, "empresa"});
+    const auto change = f.make(AssignPlan{kAnna, "empresa"});
     ASSERT_TRUE(change);
-    f.gateways[0]->desk->take(*change, f.now);
-    f.now = change->at + 700ms;
+    f.gateways[0]->desk->apply_change(*change, f.now);
+    f.now = change->effective_at + 700ms;
     f.tick(0);
     f.tick(1);
     EXPECT_NEAR(f.gateways[0]->grants.stores[kAnna].a.rate, 5.0, 1e-9);
     EXPECT_NEAR(f.gateways[1]->grants.stores[kAnna].a.rate, 2.0, 1e-9);
-    f.gateways[1]->desk->take(*change, f.now);
+    f.gateways[1]->desk->apply_change(*change, f.now);
     f.tick(1);
     EXPECT_NEAR(f.gateways[1]->grants.stores[kAnna].a.rate, 5.0, 1e-9);
-    EXPECT_EQ(f.gateways[1]->desk->stats(f.now).late, 1u);
-    EXPECT_EQ(f.gateways[1]->desk->stats(f.now).latest, 700ms);
+    EXPECT_EQ(f.gateways[1]->desk->statistics(f.now).late_changes, 1u);
+    EXPECT_EQ(f.gateways[1]->desk->statistics(f.now).max_lateness, 700ms);
 }
 
 struct Reserved : testing::Test {
     // 40 units carved over twenty seconds, half of what comes.
     void make(int gateways) {
         f = std::make_unique<Fleet>(gateways);
-        c = f->spread(Reserve{"payroll", kAnna, 40.0, kStart + 22s, kStart + 60s, "equipo"});
+        c = f->spread(MakeReservation{"payroll", kAnna, 40.0, kStart + 22s, kStart + 60s, "equipo"});
     }
     std::unique_ptr<Fleet> f;
-    Change c;
+    PlanChange c;
     std::mt19937_64 random{1};
 };
 
 TEST_F(Reserved, IsCarvedFromTheQuotaRedeemedOnceAndNotBeyond) {
     make(1);
-    f->now = c.at;
+    f->now = c.effective_at;
     EXPECT_EQ(f->drain(0), 16.0);
     f->now += 10s;    // at 4 a second less 2
     EXPECT_NEAR(f->drain(0), 16.0, 1.01);
@@ -250,20 +253,20 @@
     // The ceiling's store holds as much as was spared.
     double redeemed = 0.0;
     while (const auto r = f->ask(0, 1.0, "payroll")) {
-        ASSERT_EQ(r->reservation, c.version);
+        ASSERT_EQ(r->reservation_version, c.version);
         redeemed += 1.0;
     }
     EXPECT_LE(redeemed, 40.0);
     EXPECT_GE(redeemed, 30.0);
     f->now += 6s;
     while (const auto r = f->ask(0, 1.0, "payroll")) {
-        if (r->reservation == 0) break;
+        if (r->reservation_version == 0) break;
         redeemed += 1.0;
     }
     EXPECT_EQ(redeemed, 40.0);
-    EXPECT_EQ(f->gateways[0]->desk->redeemed().at(c.version), 40.0);
-    EXPECT_GT(f->gateways[0]->desk->stats(f->now).not_redeemed, 0u);
-    EXPECT_EQ(f->ask(0, 1.0, "payroll", 0, kBerta)->reservation, 0u) << "it is not Berta's";
+    EXPECT_EQ(f->gateways[0]->desk->redeemed_units().at(c.version), 40.0);
+    EXPECT_GT(f->gateways[0]->desk->statistics(f->now).failed_redemptions, 0u);
+    EXPECT_EQ(f->ask(0, 1.0, "payroll", 0, kBerta)->reservation_version, 0u) << "it is not Berta's";
 }
 
 TEST_F(Reserved, GivesBackAtItsEndWhatWasLeftAndIsPaidByTheQuotaAfterIt) {
@@ -271,22 +274,24 @@
     f->now = kStart + 59s;
     ASSERT_TRUE(f->ask(0, 4.0, "payroll"));
     f->drain(0);
-    const double before = f->gateways[0]->ledger->level(kAnna, f->now);
+    const double before = f->gateways[0]->ledger->quota_level(kAnna, f->now);
     std::vector<decision::Allowance> told;
-    const Desk::Ruling in_flight = f->gateways[0]->desk->rule(kAnna, 0, 0, 1, 2.0, "payroll", f->now, told);
-    EXPECT_EQ(in_flight.reservation, c.version);
-    const double account = f->gateways[0]->ledger->level(in_flight.account, f->now);
-    f->gateways[0]->desk->settled(in_flight, kAnna, 1.5, f->now);    // while it is open, the account pays
-    EXPECT_NEAR(f->gateways[0]->ledger->level(in_flight.account, f->now), account - 1.5, 1e-6);
+    const PlanService::PlanDecision in_flight =
+        f->gateways[0]->desk->decide_plan(kAnna, 0, 0, 1, 2.0, "payroll", f->now, told);
+    EXPECT_EQ(in_flight.reservation_version, c.version);
+    const double account = f->gateways[0]->ledger->quota_level(in_flight.account, f->now);
+    f->gateways[0]->desk->settle_units(in_flight, kAnna, 1.5,
+                                       f->now);    // while it is open, the account pays
+    EXPECT_NEAR(f->gateways[0]->ledger->quota_level(in_flight.account, f->now), account - 1.5, 1e-6);
     f->now = kStart + 60s;
     f->tick(0);
     // 36 were left; the store takes 16.
-    EXPECT_NEAR(f->gateways[0]->ledger->level(kAnna, f->now), 16.0, 1e-6) << before;
-    f->gateways[0]->desk->admitted(in_flight, kAnna, 2.0, f->now, told);
-    EXPECT_NEAR(f->gateways[0]->ledger->level(kAnna, f->now), 14.0, 1e-6);
-    f->gateways[0]->desk->settled(in_flight, kAnna, 1.0, f->now);    // 3 in truth: the owner pays it all
-    EXPECT_NEAR(f->gateways[0]->ledger->level(kAnna, f->now), 13.0, 1e-6);
-    EXPECT_EQ(f->ask(0, 1.0, "payroll")->reservation, 0u);
+    EXPECT_NEAR(f->gateways[0]->ledger->quota_level(kAnna, f->now), 16.0, 1e-6) << before;
+    f->gateways[0]->desk->record_admission(in_flight, kAnna, 2.0, f->now, told);
+    EXPECT_NEAR(f->gateways[0]->ledger->quota_level(kAnna, f->now), 14.0, 1e-6);
+    f->gateways[0]->desk->settle_units(in_flight, kAnna, 1.0, f->now);    // 3 in truth: the owner pays it all
+    EXPECT_NEAR(f->gateways[0]->ledger->quota_level(kAnna, f->now), 13.0, 1e-6);
+    EXPECT_EQ(f->ask(0, 1.0, "payroll")->reservation_version, 0u);
 }
 
 TEST_F(Reserved, IsNotGivenTwiceThroughTwoGatewaysNorAfterARestart) {
@@ -296,26 +301,26 @@
     for (int round = 0; round < 40; ++round, f->now += 250ms) {
         for (std::size_t i = 0; i < 3; ++i) {
             const auto r = f->ask(i, 2.0, "payroll");
-            if (r && r->reservation == c.version) sum += 2.0;
+            if (r && r->reservation_version == c.version) sum += 2.0;
         }
         f->exchange(random, 0.1);
         if (round == 20) {    // gateway 1 starts anew, with what it wrote down of what it gave
             Gateway& g = *f->gateways[1];
-            const auto redeemed = g.desk->redeemed();
-            BookSettings b;
-            b.platform = platform();
-            b.book_wins = true;
-            Book book(b);
-            for (const Change& change : f->book().log()) book.apply(change);
-            limits::LedgerSettings l;
-            l.me = 1;
-            l.gateways = 3;
+            const auto redeemed = g.desk->redeemed_units();
+            PlanTableSettings b;
+            b.platform_plans = platform();
+            b.table_overrides_request = true;
+            PlanTable book(b);
+            for (const PlanChange& change : f->book().change_log()) book.append(change);
+            limits::QuotaTableSettings l;
+            l.own_index = 1;
+            l.gateway_count = 3;
             l.plans = platform();
-            l.most_units = kMostUnits;
+            l.max_request_units = kMostUnits;
             l.incarnation = 500;
-            l.alone_share = 0.0;
-            g.ledger = std::make_unique<Ledger>(l, f->now);
-            g.desk = std::make_unique<Desk>(std::move(book), *g.ledger, f->now, redeemed);
+            l.isolated_quota_share = 0.0;
+            g.ledger = std::make_unique<QuotaStateTable>(l, f->now);
+            g.desk = std::make_unique<PlanService>(std::move(book), *g.ledger, f->now, redeemed);
             g.grants = {};
         }
     }
@@ -359,7 +364,7 @@
         for (auto& g : f.gateways) g->clock = Duration(n(300'000) - 150'000);
         const Duration apart = 150ms + late;
         struct Pending {
-            Change change;
+            PlanChange change;
             std::size_t gateway;
             TimePoint at;
         };
@@ -372,41 +377,42 @@
             for (auto it = pending.begin(); it != pending.end();) {
                 // Each hears of them in their order.
                 if (it->at <= f.now &&
-                    f.gateways[it->gateway]->desk->book().version() + 1 == it->change.version) {
-                    f.gateways[it->gateway]->desk->take(it->change, f.clock(it->gateway));
+                    f.gateways[it->gateway]->desk->plan_table().version() + 1 == it->change.version) {
+                    f.gateways[it->gateway]->desk->apply_change(it->change, f.clock(it->gateway));
                     it = pending.erase(it);
                 } else {
                     ++it;
                 }
             }
             if (n(12) == 0) {
-                Body body;
+                ChangeBody body;
                 const int which = n(5);
                 if (which < 3) {
-                    body = Assign{kAnna, n(3) ? (n(2) ? "equipo" : "empresa") : ""};
+                    body = AssignPlan{kAnna, n(3) ? (n(2) ? "equipo" : "empresa") : ""};
                 } else if (which == 3) {
-                    Terms t{real(2, 12), real(8, 50), 0, 0, 4};
+                    PlanTerms t{real(2, 12), real(8, 50), 0, 0, 4};
                     t.ceiling_rate = t.rate * real(1.2, 2.5);
                     t.ceiling_burst = std::max(t.burst, 30.0);
                     const char* const plan = n(2) ? "equipo" : "empresa";
-                    body = Define{plan, plan, t};
+                    body = DefinePlan{plan, plan, t};
                 } else {
                     const TimePoint from = f.now + Duration(static_cast<std::int64_t>(real(-1e6, 8e6)));
-                    body = Reserve{"r" + std::to_string(step), kAnna, real(3, 12), from, from + 6s, "equipo"};
+                    body = MakeReservation{
+                        "r" + std::to_string(step), kAnna, real(3, 12), from, from + 6s, "equipo"};
                 }
                 const auto at = n(2) ? std::optional(f.now + Duration(n(4'000'000))) : std::nullopt;
                 if (const auto change = f.make(body, at)) {
                     ++changes;
-                    f.gateways[0]->desk->take(*change, f.clock(0));
+                    f.gateways[0]->desk->apply_change(*change, f.clock(0));
                     for (std::size_t i = 1; i < f.gateways.size(); ++i) {
                         // Within the lead, or as late as the history allows.
                         const Duration took =
                             late > Duration(0)
-                                ? change->at - f.now + Duration(n(static_cast<int>(late.count())))
+                                ? change->effective_at - f.now + Duration(n(static_cast<int>(late.count())))
                                 : Duration(n(50'000));
                         pending.push_back({*change, i, f.now + took});
                     }
-                    if (const auto* r = std::get_if<Reserve>(&change->body))
+                    if (const auto* r = std::get_if<MakeReservation>(&change->body))
                         reserved[change->version] = r->units;
                 }
             }
@@ -414,23 +420,23 @@
             const auto at = static_cast<std::size_t>(n(static_cast<int>(f.gateways.size())));
             const double units = 1.0 + n(4);
             std::string reservation;
-            for (const Reservation* r : f.book().reservations_of(kAnna))
-                if (r->open(f.now) && n(2)) reservation = r->made.id;
+            for (const Reservation* r : f.book().customer_reservations(kAnna))
+                if (r->is_open(f.now) && n(2)) reservation = r->definition.reservation_id;
             const auto ruling = f.ask(at, units, reservation);
             // The largest that anybody may go by now.
             double rate = 0.0, cap = 0.0;
             for (TimePoint t = f.now - apart;; t = std::min(t + 20ms, f.now + apart)) {
-                const InForce now = f.book().in_force(kAnna, 0, t);
-                rate = std::max(rate, now.figures.ceiling_rate);
-                cap = std::max(cap, now.figures.ceiling_burst);
-                most_rate = std::max(most_rate, now.figures.rate);
-                most_burst = std::max(most_burst, now.figures.burst);
+                const EffectivePlan now = f.book().effective_plan_for(kAnna, 0, t);
+                rate = std::max(rate, now.terms.ceiling_rate);
+                cap = std::max(cap, now.terms.ceiling_burst);
+                most_rate = std::max(most_rate, now.terms.rate);
+                most_burst = std::max(most_burst, now.terms.burst);
                 if (t >= f.now + apart) break;
             }
             if (!ruling) continue;
             ++admitted;
-            if (ruling->reservation > 0) {
-                redeemed[ruling->reservation] += units;
+            if (ruling->reservation_version > 0) {
+                redeemed[ruling->reservation_version] += units;
                 ++redeemed_tries;
             }
             ceiling.admit(units, rate, cap, f.now);
@@ -467,34 +473,34 @@
 TEST(Spread, BringsTheBookToAllWhateverBecomesOfTheBoard) {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         std::mt19937_64 random(seed);
-        BookSettings b;
-        b.platform = platform();
-        std::vector<std::unique_ptr<Book>> books;
-        std::vector<std::unique_ptr<Spread>> spreads;
+        PlanTableSettings b;
+        b.platform_plans = platform();
+        std::vector<std::unique_ptr<PlanTable>> books;
+        std::vector<std::unique_ptr<ChangeReplicator>> spreads;
         Board board;
         for (int i = 0; i < 4; ++i) {
-            books.push_back(std::make_unique<Book>(b));
-            Book& own = *books.back();
-            spreads.push_back(
-                std::make_unique<Spread>(i, 4, i == 2, own, [&own](const Change& c) { own.apply(c); }));
+            books.push_back(std::make_unique<PlanTable>(b));
+            PlanTable& own = *books.back();
+            spreads.push_back(std::make_unique<ChangeReplicator>(
+                i, 4, i == 2, own, [&own](const PlanChange& c) { own.append(c); }));
         }
         const auto exchange = [&](std::size_t i, bool lossy) {
             if (lossy && random() % 4 == 0) return;
-            for (const auto& [field, value] : spreads[i]->to_write()) board.fields[field] = value;
+            for (const auto& [field, value] : spreads[i]->fields_to_write()) board.fields[field] = value;
             if (lossy && random() % 4 == 0) return;
-            for (const std::string& field : spreads[i]->wanted()) {
+            for (const std::string& field : spreads[i]->fields_to_read()) {
                 const auto it = board.fields.find(field);
-                if (it == board.fields.end()) spreads[i]->absent(field);
-                else spreads[i]->heard(field, it->second, kStart);
+                if (it == board.fields.end()) spreads[i]->on_field_absent(field);
+                else spreads[i]->on_field_read(field, it->second, kStart);
             }
         };
         for (int step = 0; step < 400; ++step) {
             if (step < 300 && random() % 4 == 0) {
-                Proposal p;
-                p.body = Assign{CustomerId{random() % 5}, random() % 2 ? "equipo" : "empresa"};
-                p.against = books[2]->version_of(subject_of(p.body));
+                ChangeProposal p;
+                p.body = AssignPlan{CustomerId{random() % 5}, random() % 2 ? "equipo" : "empresa"};
+                p.expected_version = books[2]->subject_version(subject_of(p.body));
                 p.author = "x";
-                books[2]->apply(std::get<Change>(books[2]->propose(p, kStart)));
+                books[2]->append(std::get<PlanChange>(books[2]->validate_proposal(p, kStart)));
             }
             const bool faults = step < 320;
             if (faults && random() % 20 == 0) board.old = board.fields;
@@ -506,42 +512,42 @@
         }
         for (const auto& book : books) {
             ASSERT_EQ(book->version(), books[2]->version()) << "seed " << seed;
-            ASSERT_EQ(book->chain(), books[2]->chain()) << "seed " << seed;
+            ASSERT_EQ(book->chain_hash(), books[2]->chain_hash()) << "seed " << seed;
         }
         // At rest it costs nothing but one field to read.
         for (std::size_t i = 0; i < 4; ++i) exchange(i, false);
-        for (const auto& spread : spreads) EXPECT_TRUE(spread->to_write().empty());
-        EXPECT_EQ(spreads[2]->stats().behind, 0u);
+        for (const auto& spread : spreads) EXPECT_TRUE(spread->fields_to_write().empty());
+        EXPECT_EQ(spreads[2]->statistics().gateways_behind, 0u);
     }
 }
 
 TEST(Spread, TakesNothingOfAnotherBook) {
-    BookSettings b;
-    b.platform = platform();
-    Book ours(b), other(b);
-    Proposal p;
-    p.body = Assign{kAnna, "empresa"};
+    PlanTableSettings b;
+    b.platform_plans = platform();
+    PlanTable ours(b), other(b);
+    ChangeProposal p;
+    p.body = AssignPlan{kAnna, "empresa"};
     p.author = "x";
-    ours.apply(std::get<Change>(ours.propose(p, kStart)));
+    ours.append(std::get<PlanChange>(ours.validate_proposal(p, kStart)));
     p.note = "of another keeper";
-    other.apply(std::get<Change>(other.propose(p, kStart)));
-    p.against = 1;
-    other.apply(std::get<Change>(other.propose(p, kStart)));
-    Spread spread(1, 2, false, ours, [&](const Change& c) { ours.apply(c); });
-    spread.heard("book:2", write_change(other.log()[1]), kStart);
+    other.append(std::get<PlanChange>(other.validate_proposal(p, kStart)));
+    p.expected_version = 1;
+    other.append(std::get<PlanChange>(other.validate_proposal(p, kStart)));
+    ChangeReplicator spread(1, 2, false, ours, [&](const PlanChange& c) { ours.append(c); });
+    spread.on_field_read("book:2", serialize_change(other.change_log()[1]), kStart);
     EXPECT_EQ(ours.version(), 1u);
-    EXPECT_EQ(spread.stats().foreign, 1u);
+    EXPECT_EQ(spread.statistics().foreign_entries, 1u);
 }
 
 TEST(Office, AnswersOperatorsALineEach) {
     Fleet f;
     bool kept = true;
-    control_socket::Office office(*f.gateways[0]->desk, true, [&](const Change& c) {
+    control_socket::PlanCommandHandler office(*f.gateways[0]->desk, true, [&](const PlanChange& c) {
         if (!kept) throw std::runtime_error("the disk is full");
-        f.gateways[0]->desk->take(c, f.now);
+        f.gateways[0]->desk->apply_change(c, f.now);
     });
     const auto has = [&](const std::string& line, const std::string& what) {
-        const std::string answer = office.answer(line, f.now);
+        const std::string answer = office.handle_line(line, f.now);
         EXPECT_NE(answer.find(what), std::string::npos) << line << "\n" << answer;
         EXPECT_EQ(answer.find('\n'), std::string::npos);
     };
@@ -568,8 +574,8 @@
     has(R"({"do":"propose","kind":"reserve","id":"b","customer":"0000000000000007","units":100000,)"
         R"("from":"2023-11-14T22:30:00Z","until":"2023-11-14T23:30:00Z","author":"m"})",
         R"("fits":)");
-    control_socket::Office follower(*f.gateways[0]->desk, false, [](const Change&) {});
-    EXPECT_NE(follower.answer(assign + "}", f.now).find("not the keeper"), std::string::npos);
+    control_socket::PlanCommandHandler follower(*f.gateways[0]->desk, false, [](const PlanChange&) {});
+    EXPECT_NE(follower.handle_line(assign + "}", f.now).find("not the keeper"), std::string::npos);
 }
 
 }    // namespace
--- a/tests/data_plane/proxy/client_connection_test.cpp
+++ b/tests/data_plane/proxy/client_connection_test.cpp
@@ -17,223 +17,235 @@
 namespace {
 
 // "/7": a request of that id. What is read may be overlapped; what is posted may not.
-struct TestDoor : Door {
-    std::variant<Taken, Rejection> read(const http::Parser& parser, const http::Buffer& buffer,
-                                        TimePoint) override {
-        if (parser.target(buffer).starts_with("/no")) return Rejection{404, "no route", true};
-        Taken taken;
-        taken.id = parser.target(buffer).substr(1);
-        taken.overlaps = parser.method(buffer) == "GET";
-        taken.arrival.budget = 1000ms;
-        taken.arrival.payload.head = taken.id;
-        return taken;
+struct TestRequestMapping : RequestMapping {
+    std::variant<MappedRequest, ImmediateRejection> map_request(const http::Parser& parser,
+                                                                const http::Buffer& buffer,
+                                                                TimePoint) override {
+        if (parser.target(buffer).starts_with("/no")) return ImmediateRejection{404, "no route", true};
+        MappedRequest mapped_request;
+        mapped_request.request_id = parser.target(buffer).substr(1);
+        mapped_request.allows_pipelining = parser.method(buffer) == "GET";
+        mapped_request.incoming.time_budget = 1000ms;
+        mapped_request.incoming.payload.head = mapped_request.request_id;
+        return mapped_request;
     }
-    http::Limits limits() const override { return {}; }
+    http::Limits parser_limits() const override { return {}; }
     Duration header_timeout() const override { return 10s; }
     Duration idle_timeout(std::uint64_t) const override { return 10s; }
-    Final refused(Refusal, Duration) const override { return {503}; }
-    Final failed(Failure) const override { return {502}; }
-    std::string_view kept_headers() const override { return "Keep-Alive: timeout=9\r\n"; }
+    GatewayAnswer rejection_answer(RejectionReason, Duration) const override { return {503}; }
+    GatewayAnswer failure_answer(FailureReason) const override { return {502}; }
+    std::string_view keep_alive_headers() const override { return "Keep-Alive: timeout=9\r\n"; }
 };
 
 // An answer that its server breaks off when told.
-struct TestFlow : BodyFlow {
+struct TestBodyStream : BodyStream {
     BodySink* sink = nullptr;
-    bool* let_go;
-    explicit TestFlow(bool& gone) : let_go(&gone) {}
-    ~TestFlow() override { *let_go = true; }
-    void begin(BodySink& to) override { (sink = &to)->on_body("some"); }
-    void go_on(bool) override {}
-    std::optional<std::uint64_t> length() const override { return std::nullopt; }
+    bool* released;
+    explicit TestBodyStream(bool& released_flag) : released(&released_flag) {}
+    ~TestBodyStream() override { *released = true; }
+    void start(BodySink& target) override { (sink = &target)->on_body_chunk("some"); }
+    void set_reading(bool) override {}
+    std::optional<std::uint64_t> total_length() const override { return std::nullopt; }
 };
 
-struct Site : Intake {
+struct TestEnvironment : RequestHandler {
     struct Request {
-        Front* front;
-        Arrival arrival;
-        bool open = true;
+        DownstreamConnection* downstream;
+        IncomingRequest incoming;
+        bool is_open = true;
     };
 
-    std::uint64_t take(Front& front, Arrival&& arrival) override {
-        taken.push_back({&front, std::move(arrival)});
-        most_open = std::max(most_open, open());
-        const std::size_t ticket = taken.size();
-        if (on_take) std::exchange(on_take, nullptr)();
-        return ticket;
+    std::uint64_t submit(DownstreamConnection& downstream, IncomingRequest&& incoming) override {
+        requests.push_back({&downstream, std::move(incoming)});
+        max_open = std::max(max_open, open_count());
+        const std::size_t request_id = requests.size();
+        if (on_submit) std::exchange(on_submit, nullptr)();
+        return request_id;
     }
-    void withdraw(std::uint64_t ticket) override {
-        cr_assert(taken.at(ticket - 1).open);
-        taken.at(ticket - 1).open = false;
-        ++withdrawn;
+    void cancel(std::uint64_t request_id) override {
+        cr_assert(requests.at(request_id - 1).is_open);
+        requests.at(request_id - 1).is_open = false;
+        ++cancelled_count;
     }
-    std::size_t open() const {
-        return static_cast<std::size_t>(
-            std::count_if(taken.begin(), taken.end(), [](const Request& r) { return r.open; }));
+    std::size_t open_count() const {
+        return static_cast<std::size_t>(std::count_if(
+            requests.begin(), requests.end(), [](const Request& request) { return request.is_open; }));
     }
-    bool serve(std::size_t at, std::shared_ptr<BodyFlow> flow = {}) {
-        if (!std::exchange(taken.at(at).open, false)) return false;
+    bool answer_request(std::size_t index, std::shared_ptr<BodyStream> body_stream = {}) {
+        if (!std::exchange(requests.at(index).is_open, false)) return false;
         Payload answer;
-        answer.status = 201;
-        answer.body = "for " + taken.at(at).arrival.payload.head + ";";
-        answer.flow = std::move(flow);
-        taken.at(at).front->served(std::move(answer));
+        answer.status_code = 201;
+        answer.body = "for " + requests.at(index).incoming.payload.head + ";";
+        answer.body_stream = std::move(body_stream);
+        requests.at(index).downstream->on_answer(std::move(answer));
         return true;
     }
 
-    std::vector<Request> taken;
-    std::size_t withdrawn = 0, most_open = 0;
-    std::function<void()> on_take;
+    std::vector<Request> requests;
+    std::size_t cancelled_count = 0, max_open = 0;
+    std::function<void()> on_submit;
     Loop loop;
     Counters counters;
-    TestDoor door;
-    std::optional<Listener> listener{std::in_place,
-                                     *this,
-                                     door,
-                                     ClientRoom{},
-                                     counters,
-                                     loop.reactor,
-                                     Listener::listen("127.0.0.1:0"),
-                                     100,
-                                     [] { return true; }};
+    TestRequestMapping request_mapping;
+    std::optional<ClientListener> listener{std::in_place,
+                                           *this,
+                                           request_mapping,
+                                           ClientCapacity{},
+                                           counters,
+                                           loop.reactor,
+                                           ClientListener::listen("127.0.0.1:0"),
+                                           100,
+                                           [] { return true; }};
     Poco::Net::StreamSocket client{Poco::Net::SocketAddress(listener->address())};
-    std::string got;
-    bool ended = false;
+    std::string received;
+    bool connection_ended = false;
 
-    void say(const std::string& text) { client.sendBytes(text.data(), static_cast<int>(text.size())); }
-    void look() {
+    void send_text(const std::string& text) { client.sendBytes(text.data(), static_cast<int>(text.size())); }
+    void read_available() {
         char bytes[4096];
-        while (!ended && client.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
-            const int n = client.receiveBytes(bytes, sizeof bytes);
-            if (n <= 0) ended = true;
-            else got.append(bytes, static_cast<std::size_t>(n));
+        while (!connection_ended && client.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
+            const int count = client.receiveBytes(bytes, sizeof bytes);
+            if (count <= 0) connection_ended = true;
+            else received.append(bytes, static_cast<std::size_t>(count));
         }
     }
-    void until(const std::function<bool()>& condition) {
-        const bool held = loop.until([&] {
-            look();
+    void run_until(const std::function<bool()>& condition) {
+        const bool condition_met = loop.until([&] {
+            read_available();
             return condition();
         });
-        cr_assert(held, "taken %zu, withdrawn %zu, got %s", taken.size(), withdrawn, got.c_str());
+        cr_assert(condition_met, "taken %zu, withdrawn %zu, got %s", requests.size(), cancelled_count,
+                  received.c_str());
     }
-    std::size_t answers() const {
+    std::size_t answer_count() const {
         std::size_t count = 0;
-        for (std::size_t at = 0; (at = got.find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++count;
+        for (std::size_t position = 0; (position = received.find("HTTP/1.1 ", position)) != std::string::npos;
+             ++position)
+            ++count;
         return count;
     }
 };
 
-std::string get(int id) { return fmt::format("GET /{} HTTP/1.1\r\n\r\n", id); }
-std::string post(int id) { return fmt::format("POST /{} HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", id); }
+std::string get_request(int id) { return fmt::format("GET /{} HTTP/1.1\r\n\r\n", id); }
+std::string post_request(int id) {
+    return fmt::format("POST /{} HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", id);
+}
 
 }    // namespace
 
 // Cut anywhere, served in any order: each answer is in its place, and no more are open at once than may be.
 Test(clients, overlapping_requests_are_answered_in_their_order) {
     for (const unsigned seed : {1U, 2U, 3U}) {
-        Site site;
+        TestEnvironment environment;
         std::mt19937 random(seed);
-        std::string text, expected;
-        const int all = 60;
-        std::size_t real = 0;
-        for (int i = 0; i < all; ++i) {
-            const unsigned kind = random() % 8;
-            if (kind == 0) text += "GET /no HTTP/1.1\r\n\r\n", expected += "no route\n";
+        std::string input, expected;
+        const int request_count = 60;
+        std::size_t forwarded_count = 0;
+        for (int i = 0; i < request_count; ++i) {
+            const unsigned request_kind = random() % 8;
+            if (request_kind == 0) input += "GET /no HTTP/1.1\r\n\r\n", expected += "no route\n";
             else {
-                text += kind == 1 ? post(i) : get(i), expected += fmt::format("for {};", i);
-                ++real;
+                input += request_kind == 1 ? post_request(i) : get_request(i),
+                    expected += fmt::format("for {};", i);
+                ++forwarded_count;
             }
         }
-        while (!text.empty()) {
-            const std::size_t piece = std::min<std::size_t>(text.size(), 1 + random() % 300);
-            site.say(text.substr(0, piece));
-            text.erase(0, piece);
-            if (random() % 2 == 0) site.loop.until([&] { return true; });
-            if (!site.taken.empty()) site.serve(random() % site.taken.size());
+        while (!input.empty()) {
+            const std::size_t chunk_size = std::min<std::size_t>(input.size(), 1 + random() % 300);
+            environment.send_text(input.substr(0, chunk_size));
+            input.erase(0, chunk_size);
+            if (random() % 2 == 0) environment.loop.until([&] { return true; });
+            if (!environment.requests.empty())
+                environment.answer_request(random() % environment.requests.size());
         }
-        site.until([&] {
-            const std::size_t from = site.taken.empty() ? 0 : random() % site.taken.size();
-            for (std::size_t i = 0; i < site.taken.size(); ++i) {
-                if (site.serve((from + i) % site.taken.size())) break;
+        environment.run_until([&] {
+            const std::size_t first =
+                environment.requests.empty() ? 0 : random() % environment.requests.size();
+            for (std::size_t i = 0; i < environment.requests.size(); ++i) {
+                if (environment.answer_request((first + i) % environment.requests.size())) break;
             }
-            return site.answers() == static_cast<std::size_t>(all);
+            return environment.answer_count() == static_cast<std::size_t>(request_count);
         });
         std::string bodies;
-        for (std::size_t at = 0; (at = site.got.find("\r\n\r\n", at)) != std::string::npos;) {
-            at += 4;
-            bodies += site.got.substr(at, site.got.find("HTTP/1.1 ", at) - at);
+        for (std::size_t position = 0;
+             (position = environment.received.find("\r\n\r\n", position)) != std::string::npos;) {
+            position += 4;
+            bodies += environment.received.substr(
+                position, environment.received.find("HTTP/1.1 ", position) - position);
         }
         cr_assert(bodies == expected, "%s", bodies.c_str());
-        cr_assert(site.taken.size() == real && site.withdrawn == 0 && site.most_open <= 16);
-        cr_assert(site.most_open > 1);
-        cr_assert(site.got.find("Connection: close") == std::string::npos);
+        cr_assert(environment.requests.size() == forwarded_count && environment.cancelled_count == 0 &&
+                  environment.max_open <= 16);
+        cr_assert(environment.max_open > 1);
+        cr_assert(environment.received.find("Connection: close") == std::string::npos);
     }
 }
 
 // It could be sent once more by its client, were the connection to end before its answer.
 Test(clients, what_must_not_run_twice_is_begun_alone) {
-    Site site;
-    site.say(get(1) + get(2) + post(3) + get(4));
-    site.until([&] { return site.taken.size() == 2; });
-    site.serve(1);
-    site.loop.clock.ahead += 300ms;
-    site.until([&] { return true; });
-    cr_assert(site.taken.size() == 2 && site.got.empty());
-    site.serve(0);
-    site.until([&] { return site.taken.size() == 3; });
-    cr_assert(site.taken[2].arrival.payload.head == "3");
-    cr_assert(site.taken[2].arrival.budget <= 700ms);    // its time ran
-    site.serve(2);
-    site.until([&] { return site.taken.size() == 4; });
+    TestEnvironment environment;
+    environment.send_text(get_request(1) + get_request(2) + post_request(3) + get_request(4));
+    environment.run_until([&] { return environment.requests.size() == 2; });
+    environment.answer_request(1);
+    environment.loop.clock.ahead += 300ms;
+    environment.run_until([&] { return true; });
+    cr_assert(environment.requests.size() == 2 && environment.received.empty());
+    environment.answer_request(0);
+    environment.run_until([&] { return environment.requests.size() == 3; });
+    cr_assert(environment.requests[2].incoming.payload.head == "3");
+    cr_assert(environment.requests[2].incoming.time_budget <= 700ms);    // its time ran
+    environment.answer_request(2);
+    environment.run_until([&] { return environment.requests.size() == 4; });
 }
 
 // What was begun is answered, the last with the word that the connection ends, and no more is begun.
 Test(clients, a_stop_ends_the_connection_behind_what_was_begun) {
-    Site site;
-    site.say(get(1) + get(2));
-    site.until([&] { return site.taken.size() == 2; });
-    site.listener->begin_stop();
-    site.say(get(3));
-    site.serve(1);
-    site.until([&] { return true; });
-    site.serve(0);
-    site.until([&] { return site.ended; });
-    cr_assert(site.taken.size() == 2 && site.answers() == 2);
-    cr_assert(site.got.find("Connection: close") > site.got.find("for 1;"));
-    cr_assert(site.got.ends_with("for 2;"));
-    site.client.close();
-    site.until([&] { return site.listener->clients() == 0; });
+    TestEnvironment environment;
+    environment.send_text(get_request(1) + get_request(2));
+    environment.run_until([&] { return environment.requests.size() == 2; });
+    environment.listener->start_shutdown();
+    environment.send_text(get_request(3));
+    environment.answer_request(1);
+    environment.run_until([&] { return true; });
+    environment.answer_request(0);
+    environment.run_until([&] { return environment.connection_ended; });
+    cr_assert(environment.requests.size() == 2 && environment.answer_count() == 2);
+    cr_assert(environment.received.find("Connection: close") > environment.received.find("for 1;"));
+    cr_assert(environment.received.ends_with("for 2;"));
+    environment.client.close();
+    environment.run_until([&] { return environment.listener->client_count() == 0; });
 }
 
 Test(clients, what_nobody_waits_for_is_withdrawn) {
-    Site site;
-    site.say(get(1) + get(2) + get(3));
-    site.until([&] { return site.taken.size() == 3; });
-    bool let_go = false;
-    site.serve(1, std::make_shared<TestFlow>(let_go));
-    cr_assert(!let_go);
-    site.client.close();
-    site.ended = true;
-    site.until([&] { return site.listener->clients() == 0; });
-    cr_assert(site.withdrawn == 2 && let_go);
+    TestEnvironment environment;
+    environment.send_text(get_request(1) + get_request(2) + get_request(3));
+    environment.run_until([&] { return environment.requests.size() == 3; });
+    bool released = false;
+    environment.answer_request(1, std::make_shared<TestBodyStream>(released));
+    cr_assert(!released);
+    environment.client.close();
+    environment.connection_ended = true;
+    environment.run_until([&] { return environment.listener->client_count() == 0; });
+    cr_assert(environment.cancelled_count == 2 && released);
 }
 
 // The connection ends while the intake takes a request: neither is that one forgotten, nor asked about twice.
 Test(clients, an_answer_broken_off_ends_the_connection_and_what_waits_behind_it) {
-    for (const bool within : {false, true}) {
-        Site site;
-        bool let_go = false;
-        const auto flow = std::make_shared<TestFlow>(let_go);
-        site.say(get(1) + get(2));
-        site.until([&] { return site.taken.size() == 2; });
-        site.serve(0, flow);
-        site.until([&] { return site.got.ends_with("4\r\nsome\r\n"); });
-        const auto breaks = [&] { flow->sink->on_body_end(false); };
-        if (within) site.on_take = breaks;
-        else breaks();
-        site.say(get(3));
-        site.until([&] { return site.ended; });
-        cr_assert(site.withdrawn == site.taken.size() - 1);
-        cr_assert(site.taken.size() == (within ? 3U : 2U));
-        cr_assert(site.got.ends_with("some\r\n"));
+    for (const bool during_submit : {false, true}) {
+        TestEnvironment environment;
+        bool released = false;
+        const auto body_stream = std::make_shared<TestBodyStream>(released);
+        environment.send_text(get_request(1) + get_request(2));
+        environment.run_until([&] { return environment.requests.size() == 2; });
+        environment.answer_request(0, body_stream);
+        environment.run_until([&] { return environment.received.ends_with("4\r\nsome\r\n"); });
+        const auto break_stream = [&] { body_stream->sink->on_body_end(false); };
+        if (during_submit) environment.on_submit = break_stream;
+        else break_stream();
+        environment.send_text(get_request(3));
+        environment.run_until([&] { return environment.connection_ended; });
+        cr_assert(environment.cancelled_count == environment.requests.size() - 1);
+        cr_assert(environment.requests.size() == (during_submit ? 3U : 2U));
+        cr_assert(environment.received.ends_with("some\r\n"));
     }
 }
--- a/tests/gateway/http_mapping/upstream_hosts_test.cpp
+++ b/tests/gateway/http_mapping/upstream_hosts_test.cpp
@@ -11,24 +11,24 @@
 
 const TimePoint kStart = TimePoint{} + 100s;
 
-registry::Server server(const std::string& id, registry::State state = registry::State::InService) {
-    registry::Server s;
-    s.id = id;
-    s.service = "pay";
-    s.address = "10.0.0." + id.substr(2) + ":80";
-    s.zone = "b";
-    s.capacity = 6;
-    s.state = state;
-    s.at = kStart;
-    return s;
+registry::Server make_server(const std::string& id, registry::State state = registry::State::InService) {
+    registry::Server result;
+    result.id = id;
+    result.service = "pay";
+    result.address = "10.0.0." + id.substr(2) + ":80";
+    result.zone = "b";
+    result.capacity = 6;
+    result.state = state;
+    result.last_called_at = kStart;
+    return result;
 }
 
-using Servers = std::map<std::string, registry::Server>;
-Servers servers(int count, int lost = 0) {
-    Servers all;
-    for (int i = 1; i <= count; ++i) {
-        const std::string id = "i-" + std::to_string(i);
-        all[id] = server(id, i <= lost ? registry::State::Lost : registry::State::InService);
+using ServerMap = std::map<std::string, registry::Server>;
+ServerMap make_servers(int count, int expired = 0) {
+    ServerMap all;
+    for (int index = 1; index <= count; ++index) {
+        const std::string id = "i-" + std::to_string(index);
+        all[id] = make_server(id, index <= expired ? registry::State::Expired : registry::State::InService);
     }
     return all;
 }
@@ -36,43 +36,43 @@
 }    // namespace
 
 Test(fleet, a_server_keeps_its_number_and_grows_to_its_size) {
-    Fleet fleet({{"a", "b"}, 300ms});
-    Servers all = servers(1);
-    all["i-1"].ramp_left = 2s;
-    cr_assert(fleet.take(all, kStart) == std::set<std::string>{"pay"});
-    const decision::HostEntry young = fleet.list("pay").hosts.at(0);
-    cr_assert(young.rating == 3.0 && young.zone == 1);
-    cr_assert(fleet.take(all, kStart + 1s).empty(), "nothing differs");
-    cr_assert(fleet.take(all, kStart + 3s).size() == 1);
-    const decision::HostEntry grown = fleet.list("pay").hosts.at(0);
-    cr_assert(grown.rating == 6.0 && grown.host == young.host);
-    cr_assert(*fleet.id_of(grown.host) == "i-1");
+    UpstreamHosts hosts({{"a", "b"}, 300ms});
+    ServerMap all = make_servers(1);
+    all["i-1"].slow_start_left = 2s;
+    cr_assert(hosts.update(all, kStart) == std::set<std::string>{"pay"});
+    const decision::HostEntry starting = hosts.host_list("pay").hosts.at(0);
+    cr_assert(starting.rating == 3.0 && starting.zone == 1);
+    cr_assert(hosts.update(all, kStart + 1s).empty(), "nothing differs");
+    cr_assert(hosts.update(all, kStart + 3s).size() == 1);
+    const decision::HostEntry started = hosts.host_list("pay").hosts.at(0);
+    cr_assert(started.rating == 6.0 && started.host == starting.host);
+    cr_assert(*hosts.id_of(started.host) == "i-1");
 }
 
 Test(fleet, nothing_begins_at_a_server_that_drains_or_is_gone) {
-    Fleet fleet({{"a", "b"}, 300ms});
-    Servers all = servers(2);
-    fleet.take(all, kStart);
-    const HostId host = fleet.list("pay").hosts.at(0).host;
-    const std::string id = *fleet.id_of(host);
+    UpstreamHosts hosts({{"a", "b"}, 300ms});
+    ServerMap all = make_servers(2);
+    hosts.update(all, kStart);
+    const HostId host = hosts.host_list("pay").hosts.at(0).host;
+    const std::string id = *hosts.id_of(host);
     all[id].state = registry::State::Draining;
-    fleet.take(all, kStart + 1s);
-    cr_assert(fleet.may_begin(host, kStart + 1200ms), "a connection that was coming up");
-    cr_assert(!fleet.may_begin(host, kStart + 1400ms));
-    cr_assert(fleet.find(host) != nullptr, "what runs there ends there");
-    all[id].state = registry::State::Gone;
-    fleet.take(all, kStart + 2s);
-    cr_assert(fleet.find(host) == nullptr && !fleet.may_begin(host, kStart + 2s));
-    cr_assert(fleet.in_service("pay") == 1);
+    hosts.update(all, kStart + 1s);
+    cr_assert(hosts.may_send_to(host, kStart + 1200ms), "a connection that was coming up");
+    cr_assert(!hosts.may_send_to(host, kStart + 1400ms));
+    cr_assert(hosts.find_host(host) != nullptr, "what runs there ends there");
+    all[id].state = registry::State::Departed;
+    hosts.update(all, kStart + 2s);
+    cr_assert(hosts.find_host(host) == nullptr && !hosts.may_send_to(host, kStart + 2s));
+    cr_assert(hosts.healthy_count("pay") == 1);
     all.erase(id);
-    cr_assert(fleet.take(all, kStart + 3s).empty());
+    cr_assert(hosts.update(all, kStart + 3s).empty());
 }
 
 // Where beats of most servers stop coming, it is the beats' way that broke.
 Test(fleet, silence_of_a_few_is_believed_and_silence_of_most_is_not) {
-    Fleet few({{"a", "b"}, 300ms}), most({{"a", "b"}, 300ms});
-    few.take(servers(8, 3), kStart);
-    cr_assert(few.in_service("pay") == 5);
-    most.take(servers(8, 6), kStart);
-    cr_assert(most.in_service("pay") == 8);
+    UpstreamHosts few_expired({{"a", "b"}, 300ms}), most_expired({{"a", "b"}, 300ms});
+    few_expired.update(make_servers(8, 3), kStart);
+    cr_assert(few_expired.healthy_count("pay") == 5);
+    most_expired.update(make_servers(8, 6), kStart);
+    cr_assert(most_expired.healthy_count("pay") == 8);
 }
--- a/tests/gateway/quota_lease_world.h
+++ b/tests/gateway/quota_lease_world.h
@@ -21,56 +21,62 @@
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr std::uint64_t kLess = 24;    // everything takes so much longer
 #else
-constexpr std::uint64_t kLess = 1;
+constexpr std::uint64_t kSanitizerReduction = 1;
 #endif
 
-constexpr Duration kStep = 50ms, kLook = 250ms, kWord = 500ms;
+constexpr Duration kStepInterval = 50ms, kUpdateInterval = 250ms, kControlUpdateInterval = 500ms;
 
-inline double rule(const quota::Quota& q) { return (q.rate * 5.0 + q.burst) * 1.1 + 20.0; }
+inline double max_grants(const quota::Quota& tenant_quota) {
+    return (tenant_quota.rate * 5.0 + tenant_quota.burst) * 1.1 + 20.0;
+}
 
 class World {
 public:
-    World(int lighthouses, int pilots, std::uint64_t seed) : random(seed), net(seed * 7919) {
-        for (int i = 0; i < lighthouses; ++i) lighthouses_.push_back(Network::lighthouse(i));
-        net.cut = [this](const std::string& from, const std::string& to) { return cut(from, to); };
-        for (const std::string& l : lighthouses_) net.start(l, lighthouses_, life());
-        for (int i = 0; i < pilots; ++i) start(Network::pilot(i));
-        next_pilot_ = pilots;
-        pump();
+    World(int controller_count, int gateway_count, std::uint64_t seed) : random(seed), network(seed * 7919) {
+        for (int index = 0; index < controller_count; ++index)
+            controllers_.push_back(Network::controller_address(index));
+        network.is_cut = [this](const std::string& from, const std::string& to) {
+            return is_partitioned(from, to);
+        };
+        for (const std::string& address : controllers_)
+            network.start_process(address, controllers_, new_incarnation());
+        for (int index = 0; index < gateway_count; ++index) start(Network::gateway_address(index));
+        next_gateway_ = gateway_count;
+        step_all();
     }
 
-    struct Pilot {
-        std::uint64_t life = 0;
+    struct Gateway {
+        std::uint64_t incarnation = 0;
         std::unique_ptr<QuotaLease> lease;
-        std::unique_ptr<quota::Tide> tide;
-        std::map<std::string, TimePoint> words;    // of lighthouses that a quorum bore out
-        TimePoint looks{}, said{};
+        std::unique_ptr<quota::QuotaBalancer> balancer;
+        std::map<std::string, TimePoint> confirmations;    // of lighthouses that a quorum bore out
+        TimePoint next_update{}, next_control_update{};
     };
 
     void start(const std::string& address) {
-        net.start(address, lighthouses_, life());
-        Pilot& p = pilots[address] = Pilot{};
-        p.life = net[address].me().life;
-        p.lease = std::make_unique<QuotaLease>(address);
-        begin(address, p);
+        network.start_process(address, controllers_, new_incarnation());
+        Gateway& process = gateways[address] = Gateway{};
+        process.incarnation = network[address].self().incarnation;
+        process.lease = std::make_unique<QuotaLease>(address);
+        start_balancer(address, process);
     }
     std::string start_new() {
-        const std::string address = Network::pilot(next_pilot_++);
+        const std::string address = Network::gateway_address(next_gateway_++);
         start(address);
         return address;
     }
     void kill(const std::string& address) {
-        net.stop(address);
-        pilots.erase(address);
+        network.stop_process(address);
+        gateways.erase(address);
     }
-    void leave(const std::string& address) {
-        net.leave(address);
-        pilots.erase(address);
+    void shut_down(const std::string& address) {
+        network.depart(address);
+        gateways.erase(address);
     }
-    void run(Duration d) { net.run(d); }
+    void run(Duration duration) { network.run_for(duration); }
     double granted_per_s(const std::string& tenant, Duration lately) const {
         double count = 0.0;
-        for (auto it = grants.rbegin(); it != grants.rend() && net.now - it->at < lately; ++it)
+        for (auto it = grants.rbegin(); it != grants.rend() && network.now - it->time < lately; ++it)
             count += it->tenant == tenant ? 1.0 : 0.0;
         return count / std::chrono::duration<double>(lately).count();
     }
@@ -78,108 +84,117 @@
     double excess() const {
         double worst = -1e9;
         for (const auto& [name, quota] : quotas)
-            worst = std::max(worst, quota::world::World::excess(grants, name, rule(quota), 5s));
+            worst = std::max(worst, quota::world::World::excess(grants, name, max_grants(quota), 5s));
         return worst;
     }
-    bool frozen(const std::string& address) const { return net.now < net.processes.at(address).frozen_until; }
-    std::string any() {
-        auto it = pilots.begin();
-        std::advance(it, static_cast<std::ptrdiff_t>(random() % pilots.size()));
+    bool frozen(const std::string& address) const {
+        return network.now < network.processes.at(address).frozen_until;
+    }
+    std::string random_gateway() {
+        auto it = gateways.begin();
+        std::advance(it, static_cast<std::ptrdiff_t>(random() % gateways.size()));
         return it->first;
     }
 
     std::mt19937_64 random;
-    Network net;
-    std::map<std::string, Pilot> pilots;    // that run
+    Network network;
+    std::map<std::string, Gateway> gateways;    // that run
     std::vector<quota::world::World::Grant> grants;
     const std::map<std::string, quota::Quota> quotas{{"large", {200, 20}}, {"small", {10, 5}}};
-    std::function<bool(const std::string& from, const std::string& to)> cut = [](const auto&, const auto&) {
-        return false;
-    };
-    bool greedy = true;
-    const std::vector<std::string>& lighthouses() const { return lighthouses_; }
+    std::function<bool(const std::string& from, const std::string& to)> is_partitioned =
+        [](const auto&, const auto&) { return false; };
+    bool saturating = true;
+    const std::vector<std::string>& controllers() const { return controllers_; }
 
 private:
-    std::uint64_t life() { return static_cast<std::uint64_t>(net.now.time_since_epoch().count()) + ++lives_; }
-    void begin(const std::string& address, Pilot& p) {
-        quota::Settings s;
-        s.me = address;
-        s.life = p.life;
-        s.seed = random();
-        p.tide = std::make_unique<quota::Tide>(s, net.now);
-        p.tide->quotas(quotas, net.now);
-    }
-    bool open(const std::string& a, const std::string& b) const { return !cut(a, b) && !cut(b, a); }
-    bool runs(const std::string& address) const {
-        return net.processes.at(address).convoy != nullptr && !frozen(address);
-    }
-    bool borne_out(const std::string& lighthouse) const {
-        if (!runs(lighthouse)) return false;
+    std::uint64_t new_incarnation() {
+        return static_cast<std::uint64_t>(network.now.time_since_epoch().count()) + ++last_incarnation_;
+    }
+    void start_balancer(const std::string& address, Gateway& process) {
+        quota::Settings settings;
+        settings.self = address;
+        settings.incarnation = process.incarnation;
+        settings.seed = random();
+        process.balancer = std::make_unique<quota::QuotaBalancer>(settings, network.now);
+        process.balancer->set_quotas(quotas, network.now);
+    }
+    bool is_connected(const std::string& a, const std::string& b) const {
+        return !is_partitioned(a, b) && !is_partitioned(b, a);
+    }
+    bool is_running(const std::string& address) const {
+        return network.processes.at(address).member != nullptr && !frozen(address);
+    }
+    bool has_quorum(const std::string& address) const {
+        if (!is_running(address)) return false;
         std::size_t voters = 0;
-        for (const std::string& l : lighthouses_) voters += runs(l) && open(l, lighthouse);
-        return 2 * voters > lighthouses_.size();
-    }
-    void pump() {
-        for (auto& [address, p] : pilots) step(address, p);
-        net.at(net.now + kStep, [this] { pump(); });
-    }
-    void step(const std::string& address, Pilot& p) {
-        if (net.now >= p.said) {    // words that come to a frozen process are read when it wakes, as new
-            p.said = net.now + kWord;
-            for (const std::string& l : lighthouses_)
-                if (open(address, l) && borne_out(l)) p.words[l] = TimePoint::max();
+        for (const std::string& voter : controllers_)
+            voters += is_running(voter) && is_connected(voter, address);
+        return 2 * voters > controllers_.size();
+    }
+    void step_all() {
+        for (auto& [address, process] : gateways) step(address, process);
+        network.schedule(network.now + kStepInterval, [this] { step_all(); });
+    }
+    void step(const std::string& address, Gateway& process) {
+        if (network.now >= process.next_control_update) {    // words that come to a frozen process are read
+                                                             // when it wakes, as new
+            process.next_control_update = network.now + kControlUpdateInterval;
+            for (const std::string& controller_address : controllers_)
+                if (is_connected(address, controller_address) && has_quorum(controller_address))
+                    process.confirmations[controller_address] = TimePoint::max();
         }
         if (frozen(address)) return;
-        for (auto& [l, at] : p.words)
-            if (at == TimePoint::max()) at = net.now;
+        for (auto& [l, confirmed_at] : process.confirmations)
+            if (confirmed_at == TimePoint::max()) confirmed_at = network.now;
         // Before anything else is looked at: the worst that a process just woken can do.
         for (const auto& [name, quota] : quotas) {
-            Duration retry{};
-            while (greedy && p.tide->ask(name, 0ms, net.now, retry) == quota::Ruling::Granted)
-                grants.push_back({net.now, name});
+            Duration retry_after{};
+            while (saturating && process.balancer->request_unit(name, 0ms, network.now, retry_after) ==
+                                     quota::AdmissionDecision::Granted)
+                grants.push_back({network.now, name});
         }
-        membership::Convoy& c = net[address];
-        if (c.me().life != p.life) {
-            p.life = c.me().life;
-            p.lease->end();
-            begin(address, p);
+        membership::Membership& cluster = network[address];
+        if (cluster.self().incarnation != process.incarnation) {
+            process.incarnation = cluster.self().incarnation;
+            process.lease->release();
+            start_balancer(address, process);
         }
-        if (net.now >= p.looks) {
-            p.looks = net.now + kLook;
+        if (network.now >= process.next_update) {
+            process.next_update = network.now + kUpdateInterval;
             std::vector<std::string> confirmed;
-            for (const auto& [l, at] : p.words)
-                if (net.now - at <= 3s) confirmed.push_back(l);
-            p.tide->peers(p.lease->look(c, confirmed, net.now), net.now);
-            c.counts(p.lease->counts());
-            net.touched(address);
+            for (const auto& [controller_address, confirmed_at] : process.confirmations)
+                if (network.now - confirmed_at <= 3s) confirmed.push_back(controller_address);
+            process.balancer->set_peers(process.lease->update(cluster, confirmed, network.now), network.now);
+            cluster.set_quota_divisor(process.lease->quota_divisor());
+            network.reschedule_tick(address);
         }
-        if (p.tide->next() > net.now) return;
-        quota::Actions out;
-        p.tide->tick(net.now, out);
-        carry(address, out);
-    }
-    void carry(const std::string& from, const quota::Actions& out) {
-        for (const auto& send : out.sends) {
-            if (cut(from, send.to)) continue;
-            net.at(net.now + 1ms,
-                   [this, from, to = send.to, bytes = send.bytes] { arrive(from, to, bytes); });
+        if (process.balancer->next_deadline() > network.now) return;
+        quota::Actions actions;
+        process.balancer->tick(network.now, actions);
+        send_messages(address, actions);
+    }
+    void send_messages(const std::string& from, const quota::Actions& actions) {
+        for (const auto& send : actions.sends) {
+            if (is_partitioned(from, send.to)) continue;
+            network.schedule(network.now + 1ms,
+                             [this, from, to = send.to, bytes = send.bytes] { deliver(from, to, bytes); });
         }
     }
-    void arrive(const std::string& from, const std::string& to, const std::string& bytes) {
-        const auto it = pilots.find(to);
-        if (it == pilots.end()) return;
+    void deliver(const std::string& from, const std::string& to, const std::string& bytes) {
+        const auto it = gateways.find(to);
+        if (it == gateways.end()) return;
         if (frozen(to)) {
-            net.at(net.processes.at(to).frozen_until, [=, this] { arrive(from, to, bytes); });
+            network.schedule(network.processes.at(to).frozen_until, [=, this] { deliver(from, to, bytes); });
             return;
         }
-        quota::Actions out;
-        it->second.tide->heard(from, bytes, net.now, out);
-        carry(to, out);
+        quota::Actions actions;
+        it->second.balancer->on_message(from, bytes, network.now, actions);
+        send_messages(to, actions);
     }
 
-    std::vector<std::string> lighthouses_;
-    int next_pilot_ = 0;
-    std::uint64_t lives_ = 0;
+    std::vector<std::string> controllers_;
+    int next_gateway_ = 0;
+    std::uint64_t last_incarnation_ = 0;
 };
 
 }    // namespace shaletray::gateway::world
--- a/tests/gateway/response_test_site.h
+++ b/tests/gateway/response_test_site.h
@@ -24,35 +24,35 @@
 namespace shaletray::test {
 
 // What a server does to a request. Those from Answer to Restart have run it, the others have not.
-enum class Do {
+enum class ServerBehaviour {
     Answer,
-    Slow,          // answers some turns later
-    Twice,         // a second copy of the answer in the same write
-    CopyLater,     // a second copy some turns later, where the next answer is expected
-    OldFirst,      // the connection's last answer once more, then its own
-    CloseAfter,    // says so, and does
-    Forget,        // answers, and resets at whatever comes next on this connection, unread
-    Cut,           // ends the connection in the middle of the answer
-    CutByReset,    // the same, by a reset
-    Reset,         // after the request was read and run
-    Silent,        // for good
-    Fail,          // 500
-    Unsaid503,     // a promise that no X-Not-Executed makes true
-    Unsaid429,
-    Garbage,        // no answer in the protocol
-    NoId,           // a whole success without an id
-    NoIdFail,       // a whole failure without an id
-    OtherId,        // a whole success of another request that is open, and nothing else
-    Restart,        // all its connections are reset, and another server is at its address
-    Full,           // 503 with X-Not-Executed
-    ResetUnread,    // before any of it was read
-    ResetWithin,    // once a part of it was read
+    SlowAnswer,             // answers some turns later
+    DuplicateAnswer,        // a second copy of the answer in the same write
+    LateDuplicate,          // a second copy some turns later, where the next answer is expected
+    PreviousAnswerFirst,    // the connection's last answer once more, then its own
+    CloseAfterAnswer,       // says so, and does
+    ResetOnNextInput,       // answers, and resets at whatever comes next on this connection, unread
+    TruncatedAnswer,        // ends the connection in the middle of the answer
+    ResetDuringAnswer,      // the same, by a reset
+    ResetAfterExecution,    // after the request was read and run
+    NoAnswer,               // for good
+    ServerError,            // 500
+    Unmarked503,            // a promise that no X-Not-Executed makes true
+    Unmarked429,
+    MalformedAnswer,     // no answer in the protocol
+    SuccessWithoutId,    // a whole success without an id
+    FailureWithoutId,    // a whole failure without an id
+    WrongId,             // a whole success of another request that is open, and nothing else
+    Restart,             // all its connections are reset, and another server is at its address
+    Overloaded,          // 503 with X-Not-Executed
+    ResetBeforeRead,     // before any of it was read
+    ResetDuringRead,     // once a part of it was read
     kCount
 };
-inline bool runs(Do what) { return what <= Do::Restart; }
+inline bool executes_request(ServerBehaviour behaviour) { return behaviour <= ServerBehaviour::Restart; }
 
-struct Ask {
-    std::string id, method, target, body, tells;    // tells: the server that it names
+struct ServerRequest {
+    std::string id, method, target, body, target_instance;    // tells: the server that it names
 };
 
 // One address. The server there may be followed by another one with another id.
@@ -60,49 +60,49 @@
 public:
     struct Connection {
         Poco::Net::StreamSocket socket;
-        http::Buffer in;
+        http::Buffer input;
         http::Parser parser{http::Parser::Kind::Request, {16 * 1024, 64 * 1024 * 1024, 100}};
-        std::string last;    // answer
-        bool forgotten = false, open = true, waits = false;
+        std::string last_answer;    // answer
+        bool resets_on_input = false, is_open = true, is_paused = false;
         std::uint64_t number = 0;
     };
     explicit ScriptedServer(std::string name) : id(std::move(name)) {
-        listening_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
-        listening_.listen(64);
-        listening_.setBlocking(false);
-        address = listening_.address().toString();
+        listening_socket_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
+        listening_socket_.listen(64);
+        listening_socket_.setBlocking(false);
+        address = listening_socket_.address().toString();
     }
-    void look(const std::function<void(ScriptedServer&, Connection&)>& came) {
-        if (!listens_) return;
-        while (listening_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
-            Connection& c = connections.emplace_back();
-            c.socket = listening_.acceptConnection();
-            c.socket.setBlocking(false);
-            c.socket.setNoDelay(true);    // the clock runs ahead of the system's
-            c.number = ++last_;
+    void poll_connections(const std::function<void(ScriptedServer&, Connection&)>& on_connection) {
+        if (!is_listening_) return;
+        while (listening_socket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
+            Connection& connection = connections.emplace_back();
+            connection.socket = listening_socket_.acceptConnection();
+            connection.socket.setBlocking(false);
+            connection.socket.setNoDelay(true);    // the clock runs ahead of the system's
+            connection.number = ++last_number_;
         }
-        for (Connection& c : connections) {
-            if (c.open) came(*this, c);
+        for (Connection& connection : connections) {
+            if (connection.is_open) on_connection(*this, connection);
         }
-        connections.remove_if([](const Connection& c) { return !c.open; });
+        connections.remove_if([](const Connection& connection) { return !connection.is_open; });
     }
-    void go() {    // nobody listens there any more
-        listens_ = false;
-        for (Connection& c : connections) reset(c);
+    void shut_down() {    // nobody listens there any more
+        is_listening_ = false;
+        for (Connection& connection : connections) reset(connection);
         connections.clear();
-        listening_.close();
+        listening_socket_.close();
     }
-    static void reset(Connection& c) {
-        if (!std::exchange(c.open, false)) return;
-        c.socket.setLinger(true, 0);
-        c.socket.close();
+    static void reset(Connection& connection) {
+        if (!std::exchange(connection.is_open, false)) return;
+        connection.socket.setLinger(true, 0);
+        connection.socket.close();
     }
-    static void say(Connection& c, const std::string& bytes) {
-        if (!c.open) return;
+    static void send(Connection& connection, const std::string& bytes) {
+        if (!connection.is_open) return;
         try {
-            c.socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
+            connection.socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
         } catch (const Poco::Exception&) {
-            c.open = false;    // the pool had seen enough
+            connection.is_open = false;    // the pool had seen enough
         }
     }
 
@@ -110,315 +110,350 @@
     std::list<Connection> connections;
 
 private:
-    Poco::Net::ServerSocket listening_;
-    bool listens_ = true;
-    std::uint64_t last_ = 0;
+    Poco::Net::ServerSocket listening_socket_;
+    bool is_listening_ = true;
+    std::uint64_t last_number_ = 0;
 };
 
-class AnswersSite {
+class ResponseTestSite {
 public:
     // What is to be done to a request of which all, or at least the head, is here.
-    std::function<Do(const Ask&, bool whole)> script = [](const Ask&, bool) { return Do::Answer; };
-    std::function<int()> turns = [] { return 5; };    // that something comes later
-    std::map<std::string, int> arrivals, ran;         // by id
-    std::map<std::string, std::string> bodies;        // of good answers, by id
-    std::map<Do, int> done;
+    std::function<ServerBehaviour(const ServerRequest&, bool complete)> choose_behaviour =
+        [](const ServerRequest&, bool) { return ServerBehaviour::Answer; };
+    std::function<int()> delay_turns = [] { return 5; };    // that something comes later
+    std::map<std::string, int> arrivals, executions;        // by id
+    std::map<std::string, std::string> answer_bodies;       // of good answers, by id
+    std::map<ServerBehaviour, int> behaviour_counts;
 
     Loop loop;
     Counters counters;
-    http_mapping::Fleet fleet{{{"a"}, 300ms}};
-    quota::Tide tide;
-    http_mapping::Passage passage;
-    std::optional<gateway::Desk> desk;
-    std::optional<Listener> listener;
+    http_mapping::UpstreamHosts hosts{{{"a"}, 300ms}};
+    quota::QuotaBalancer balancer;
+    http_mapping::RequestMapper request_mapper;
+    std::optional<gateway::RequestDispatcher> dispatcher;
+    std::optional<ClientListener> listener;
     std::vector<std::unique_ptr<ScriptedServer>> servers;
 
-    explicit AnswersSite(int count, std::uint64_t seed = 1) : tide(tide_settings(), loop.clock.now()) {
-        gateway::DeskSettings d;
-        d.seed = seed;
-        d.retry_slack = 5000.0;
-        desk.emplace(d, loop.reactor, loop.timers, counters, fleet, tide, [] {});
-        for (int i = 0; i < count; ++i)
-            servers.push_back(std::make_unique<ScriptedServer>(fmt::format("i-{}", ++last_server_)));
-        auto table = std::make_shared<const configuration::Table>(chart_of());
-        passage.chart(table);
-        tell_fleet();
-        desk->chart(table);
-        listener.emplace(*desk, passage, ClientRoom{1024, 128.0}, counters, loop.reactor,
-                         Listener::listen("127.0.0.1:0"), 200, [] { return true; });
-        loop.reactor.spin(true);
+    explicit ResponseTestSite(int count, std::uint64_t seed = 1)
+        : balancer(balancer_settings(), loop.clock.now()) {
+        gateway::DispatcherSettings dispatcher_settings;
+        dispatcher_settings.seed = seed;
+        dispatcher_settings.retry_slack = 5000.0;
+        dispatcher.emplace(dispatcher_settings, loop.reactor, loop.timers, counters, hosts, balancer, [] {});
+        for (int index = 0; index < count; ++index)
+            servers.push_back(std::make_unique<ScriptedServer>(fmt::format("i-{}", ++last_server_number_)));
+        auto configuration_index =
+            std::make_shared<const configuration::ConfigurationIndex>(make_configuration());
+        request_mapper.set_configuration(configuration_index);
+        publish_servers();
+        dispatcher->set_configuration(configuration_index);
+        listener.emplace(*dispatcher, request_mapper, ClientCapacity{1024, 128.0}, counters, loop.reactor,
+                         ClientListener::listen("127.0.0.1:0"), 200, [] { return true; });
+        loop.reactor.set_busy_polling(true);
     }
     // The list as it stands, told to the pilot.
-    void tell_fleet() {
-        std::map<std::string, registry::Server> all;
+    void publish_servers() {
+        std::map<std::string, registry::Server> servers_by_id;
         for (const auto& server : servers) {
-            registry::Server s;
-            s.id = server->id;
-            s.service = "pay";
-            s.address = server->address;
-            s.zone = "a";
-            s.capacity = 4;
-            s.at = loop.clock.now();
-            all[s.id] = s;
+            registry::Server entry;
+            entry.id = server->id;
+            entry.service = "pay";
+            entry.address = server->address;
+            entry.zone = "a";
+            entry.capacity = 4;
+            entry.last_called_at = loop.clock.now();
+            servers_by_id[entry.id] = entry;
         }
-        fleet.take(all, loop.clock.now());
-        desk->servers_changed({"pay"});
+        hosts.update(servers_by_id, loop.clock.now());
+        dispatcher->on_servers_changed({"pay"});
     }
     // False where it did not come true within so many turns, of a millisecond of the clock each.
-    bool turn_until(const std::function<bool()>& condition, int most = 15000) {
-        int left = most;
-        bool held = false;
+    bool run_until(const std::function<bool()>& condition, int max_turns = 15000) {
+        int turns_left = max_turns;
+        bool condition_met = false;
         loop.until([&] {
-            ++turn_;
+            ++current_turn_;
             loop.clock.ahead += 1ms;
             for (auto& server : servers)
-                server->look([this](ScriptedServer& s, ScriptedServer::Connection& c) { read(s, c); });
-            for (auto it = later_.begin(); it != later_.end() && it->first <= turn_;) {
-                const auto task = std::move(it->second);
-                it = later_.erase(it);
+                server->poll_connections(
+                    [this](ScriptedServer& scripted_server, ScriptedServer::Connection& connection) {
+                        process_input(scripted_server, connection);
+                    });
+            for (auto due = scheduled_tasks_.begin();
+                 due != scheduled_tasks_.end() && due->first <= current_turn_;) {
+                const auto task = std::move(due->second);
+                due = scheduled_tasks_.erase(due);
                 task();
             }
-            held = condition();
-            return held || --left <= 0;
+            condition_met = condition();
+            return condition_met || --turns_left <= 0;
         });
-        return held;
+        return condition_met;
     }
-    void in_turns(int turns, std::function<void()> task) { later_.emplace(turn_ + turns, std::move(task)); }
-    int turn() const { return turn_; }
+    void schedule_after(int turn_count, std::function<void()> task) {
+        scheduled_tasks_.emplace(current_turn_ + turn_count, std::move(task));
+    }
+    int current_turn() const { return current_turn_; }
 
-    static std::string good(const Ask& ask, const std::string& body, const std::string& more = "") {
+    static std::string success_answer(const ServerRequest& request, const std::string& body,
+                                      const std::string& extra_headers = "") {
         return fmt::format(
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Seal: seal-{}\r\n{}Content-Length: {}\r\n\r\n{}",
-            ask.id, ask.id, more, body.size(), body);
+            request.id, request.id, extra_headers, body.size(), body);
     }
 
 private:
-    static quota::Settings tide_settings() {
-        quota::Settings s;
-        s.me = "127.0.0.1:1";
-        s.life = 1;
-        return s;
+    static quota::Settings balancer_settings() {
+        quota::Settings result;
+        result.self = "127.0.0.1:1";
+        result.incarnation = 1;
+        return result;
     }
-    static configuration::Chart chart_of() {
-        configuration::Chart c;
-        c.version = 1;
-        configuration::Route pay;
-        pay.name = "pay";
-        pay.hostname = "a.example";
-        pay.path_prefix = "/pay/";
-        pay.kind = configuration::RouteKind::NonIdempotent;
-        pay.timeout = 400ms;
-        pay.target_latency = 300ms;
-        pay.to = {{"pay", 1}};
-        pay.max_attempts = 3;
-        configuration::Route read = pay;
-        read.name = "read";
-        read.path_prefix = "/read/";
-        read.kind = configuration::RouteKind::Idempotent;
-        c.routes = {pay, read};
-        c.services = {{"pay", "/health", 0}};
-        return c;
+    static configuration::Configuration make_configuration() {
+        configuration::Configuration result;
+        result.version = 1;
+        configuration::Route pay_route;
+        pay_route.name = "pay";
+        pay_route.hostname = "a.example";
+        pay_route.path_prefix = "/pay/";
+        pay_route.kind = configuration::RouteKind::NonIdempotent;
+        pay_route.timeout = 400ms;
+        pay_route.target_latency = 300ms;
+        pay_route.targets = {{"pay", 1}};
+        pay_route.max_attempts = 3;
+        configuration::Route read_route = pay_route;
+        read_route.name = "read";
+        read_route.path_prefix = "/read/";
+        read_route.kind = configuration::RouteKind::Idempotent;
+        result.routes = {pay_route, read_route};
+        result.services = {{"pay", "/health", 0}};
+        return result;
     }
 
-    void read(ScriptedServer& server, ScriptedServer::Connection& c) {
+    void process_input(ScriptedServer& server, ScriptedServer::Connection& connection) {
         char bytes[16384];
         bool ended = false;
         try {
             for (;;) {
-                if (c.forgotten && c.socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
-                    return ScriptedServer::reset(c);
-                const int n = c.forgotten ? -1 : c.socket.receiveBytes(bytes, sizeof bytes);
-                if (n == 0) ended = true;
-                if (n <= 0) break;
-                c.in.append({bytes, static_cast<std::size_t>(n)});
+                if (connection.resets_on_input &&
+                    connection.socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
+                    return ScriptedServer::reset(connection);
+                const int received =
+                    connection.resets_on_input ? -1 : connection.socket.receiveBytes(bytes, sizeof bytes);
+                if (received == 0) ended = true;
+                if (received <= 0) break;
+                connection.input.append({bytes, static_cast<std::size_t>(received)});
             }
         } catch (const Poco::Exception&) {
             ended = true;
         }
         if (ended) {
-            c.open = false;
-            return c.socket.close();
+            connection.is_open = false;
+            return connection.socket.close();
         }
-        if (c.waits || c.in.empty()) return;
-        const http::Status status = c.parser.parse(c.in);
-        cr_assert(status != http::Status::Bad);
-        if (!c.parser.head_done()) return;
-        Ask ask{std::string(c.parser.header(c.in, "X-Attempt-Id")), std::string(c.parser.method(c.in)),
-                std::string(c.parser.target(c.in)), std::string(c.parser.body(c.in)),
-                std::string(c.parser.header(c.in, "X-Target-Instance"))};
-        if (ask.target == "/health") {
-            if (status != http::Status::Done) return;
-            finish(c);
-            return ScriptedServer::say(
-                c,
+        if (connection.is_paused || connection.input.empty()) return;
+        const http::ParseStatus status = connection.parser.parse(connection.input);
+        cr_assert(status != http::ParseStatus::Malformed);
+        if (!connection.parser.head_complete()) return;
+        ServerRequest request{std::string(connection.parser.header(connection.input, "X-Attempt-Id")),
+                              std::string(connection.parser.method(connection.input)),
+                              std::string(connection.parser.target(connection.input)),
+                              std::string(connection.parser.body(connection.input)),
+                              std::string(connection.parser.header(connection.input, "X-Target-Instance"))};
+        if (request.target == "/health") {
+            if (status != http::ParseStatus::Complete) return;
+            finish_request(connection);
+            return ScriptedServer::send(
+                connection,
                 fmt::format("HTTP/1.1 200 OK\r\nX-Instance-Id: {}\r\nContent-Length: 0\r\n\r\n", server.id));
         }
-        if (status != http::Status::Done) {
-            if (c.in.size() < 65536 || script(ask, false) != Do::ResetWithin) return;
-            ++arrivals[ask.id];
-            ++done[Do::ResetWithin];
-            return ScriptedServer::reset(c);
+        if (status != http::ParseStatus::Complete) {
+            if (connection.input.size() < 65536 ||
+                choose_behaviour(request, false) != ServerBehaviour::ResetDuringRead)
+                return;
+            ++arrivals[request.id];
+            ++behaviour_counts[ServerBehaviour::ResetDuringRead];
+            return ScriptedServer::reset(connection);
         }
-        ++arrivals[ask.id];
-        finish(c);
-        if (ask.tells != server.id)
-            return ScriptedServer::say(
-                c, fmt::format("HTTP/1.1 421 No\r\nX-Attempt-Id: {}\r\nContent-Length: 0\r\n\r\n", ask.id));
-        const Do what = script(ask, true);
-        ++done[what];
-        if (runs(what)) ++ran[ask.id];
-        act(server, c, ask, what);
+        ++arrivals[request.id];
+        finish_request(connection);
+        if (request.target_instance != server.id)
+            return ScriptedServer::send(
+                connection,
+                fmt::format("HTTP/1.1 421 No\r\nX-Attempt-Id: {}\r\nContent-Length: 0\r\n\r\n", request.id));
+        const ServerBehaviour behaviour = choose_behaviour(request, true);
+        ++behaviour_counts[behaviour];
+        if (executes_request(behaviour)) ++executions[request.id];
+        apply_behaviour(server, connection, request, behaviour);
     }
-    static void finish(ScriptedServer::Connection& c) {
-        c.in.consume(c.parser.size());
-        c.parser.reset();
+    static void finish_request(ScriptedServer::Connection& connection) {
+        connection.input.consume(connection.parser.message_size());
+        connection.parser.reset();
     }
-    void act(ScriptedServer& server, ScriptedServer::Connection& c, const Ask& ask, Do what) {
-        using S = ScriptedServer;
-        const std::string body = fmt::format("of {} by {}", ask.id, server.id);
-        bodies[ask.id] = body;
-        const std::string answer = good(ask, body);
-        const auto plain = [&](const std::string& head, const std::string& text) {
-            S::say(c, fmt::format("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n{}", head, text.size(), text));
+    void apply_behaviour(ScriptedServer& server, ScriptedServer::Connection& connection,
+                         const ServerRequest& request, ServerBehaviour behaviour) {
+        using Server = ScriptedServer;
+        const std::string body = fmt::format("of {} by {}", request.id, server.id);
+        answer_bodies[request.id] = body;
+        const std::string answer = success_answer(request, body);
+        const auto send_plain = [&](const std::string& head, const std::string& text) {
+            Server::send(connection,
+                         fmt::format("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n{}", head, text.size(), text));
         };
-        const std::string mine = "X-Attempt-Id: " + ask.id;
-        open_.insert(ask.id);
-        switch (what) {
-            case Do::Answer: S::say(c, answer); break;
-            case Do::Slow:
-                c.waits = true;
-                on_later(server, c, [answer](S::Connection& there) {
-                    there.waits = false;
-                    S::say(there, answer);
+        const std::string id_header = "X-Attempt-Id: " + request.id;
+        request_ids_.insert(request.id);
+        switch (behaviour) {
+            case ServerBehaviour::Answer: Server::send(connection, answer); break;
+            case ServerBehaviour::SlowAnswer:
+                connection.is_paused = true;
+                schedule_on_connection(server, connection, [answer](Server::Connection& live_connection) {
+                    live_connection.is_paused = false;
+                    Server::send(live_connection, answer);
+                });
+                break;
+            case ServerBehaviour::DuplicateAnswer: Server::send(connection, answer + answer); break;
+            case ServerBehaviour::LateDuplicate:
+                Server::send(connection, answer);
+                schedule_on_connection(server, connection, [answer](Server::Connection& live_connection) {
+                    Server::send(live_connection, answer);
                 });
                 break;
-            case Do::Twice: S::say(c, answer + answer); break;
-            case Do::CopyLater:
-                S::say(c, answer);
-                on_later(server, c, [answer](S::Connection& there) { S::say(there, answer); });
+            case ServerBehaviour::PreviousAnswerFirst:
+                Server::send(connection, connection.last_answer + answer);
+                break;
+            case ServerBehaviour::CloseAfterAnswer:
+                Server::send(connection, success_answer(request, body, "Connection: close\r\n"));
+                connection.is_open = false;
+                connection.socket.close();
+                break;
+            case ServerBehaviour::ResetOnNextInput:
+                Server::send(connection, answer);
+                connection.resets_on_input = true;
                 break;
-            case Do::OldFirst: S::say(c, c.last + answer); break;
-            case Do::CloseAfter:
-                S::say(c, good(ask, body, "Connection: close\r\n"));
-                c.open = false;
-                c.socket.close();
+            case ServerBehaviour::TruncatedAnswer:
+                Server::send(connection, answer.substr(0, answer.size() / 2));
+                connection.is_open = false;
+                connection.socket.close();
                 break;
-            case Do::Forget:
-                S::say(c, answer);
-                c.forgotten = true;
+            case ServerBehaviour::ResetDuringAnswer:
+                Server::send(connection, answer.substr(0, answer.size() - 1));
+                Server::reset(connection);
                 break;
-            case Do::Cut:
-                S::say(c, answer.substr(0, answer.size() / 2));
-                c.open = false;
-                c.socket.close();
+            case ServerBehaviour::ResetAfterExecution:
+            case ServerBehaviour::ResetBeforeRead:
+            case ServerBehaviour::ResetDuringRead: Server::reset(connection); break;
+            case ServerBehaviour::NoAnswer: connection.is_paused = true; break;
+            case ServerBehaviour::ServerError:
+                send_plain("500 No\r\n" + id_header, "why-" + request.id);
                 break;
-            case Do::CutByReset:
-                S::say(c, answer.substr(0, answer.size() - 1));
-                S::reset(c);
+            case ServerBehaviour::Unmarked503:
+                send_plain("503 No\r\n" + id_header + "\r\nRetry-After: 1", "busy");
                 break;
-            case Do::Reset:
-            case Do::ResetUnread:
-            case Do::ResetWithin: S::reset(c); break;
-            case Do::Silent: c.waits = true; break;
-            case Do::Fail: plain("500 No\r\n" + mine, "why-" + ask.id); break;
-            case Do::Unsaid503: plain("503 No\r\n" + mine + "\r\nRetry-After: 1", "busy"); break;
-            case Do::Unsaid429: plain("429 No\r\n" + mine + "\r\nRetry-After: 1", "busy"); break;
-            case Do::Garbage: S::say(c, "\x16\x03nothing of yours\r\n\r\n"); break;
-            case Do::NoId: plain("200 OK\r\nX-Server-Seal: s", "stray"); break;
-            case Do::NoIdFail: plain("500 No", "stray"); break;
-            case Do::OtherId: {
-                const auto other = std::find_if(open_.begin(), open_.end(),
-                                                [&](const std::string& id) { return id != ask.id; });
-                Ask of = ask;
-                of.id = other == open_.end() ? "nobody" : *other;
-                S::say(c, good(of, "stray"));
-                c.waits = true;
+            case ServerBehaviour::Unmarked429:
+                send_plain("429 No\r\n" + id_header + "\r\nRetry-After: 1", "busy");
+                break;
+            case ServerBehaviour::MalformedAnswer:
+                Server::send(connection, "\x16\x03nothing of yours\r\n\r\n");
+                break;
+            case ServerBehaviour::SuccessWithoutId: send_plain("200 OK\r\nX-Server-Seal: s", "stray"); break;
+            case ServerBehaviour::FailureWithoutId: send_plain("500 No", "stray"); break;
+            case ServerBehaviour::WrongId: {
+                const auto other_id = std::find_if(request_ids_.begin(), request_ids_.end(),
+                                                   [&](const std::string& id) { return id != request.id; });
+                ServerRequest other_request = request;
+                other_request.id = other_id == request_ids_.end() ? "nobody" : *other_id;
+                Server::send(connection, success_answer(other_request, "stray"));
+                connection.is_paused = true;
                 break;
             }
-            case Do::Restart: {
-                for (S::Connection& each : server.connections) S::reset(each);
-                server.id = fmt::format("i-{}", ++last_server_);
-                in_turns(turns() * 3, [this] { tell_fleet(); });
+            case ServerBehaviour::Restart: {
+                for (Server::Connection& open_connection : server.connections) Server::reset(open_connection);
+                server.id = fmt::format("i-{}", ++last_server_number_);
+                schedule_after(delay_turns() * 3, [this] { publish_servers(); });
                 break;
             }
-            case Do::Full: plain("503 Full\r\n" + mine + "\r\nX-Not-Executed: 1", "full"); break;
-            case Do::kCount: break;
+            case ServerBehaviour::Overloaded:
+                send_plain("503 Full\r\n" + id_header + "\r\nX-Not-Executed: 1", "full");
+                break;
+            case ServerBehaviour::kCount: break;
         }
-        if (what == Do::Answer || what == Do::Twice) c.last = answer;
+        if (behaviour == ServerBehaviour::Answer || behaviour == ServerBehaviour::DuplicateAnswer)
+            connection.last_answer = answer;
     }
     // On that connection, where it is still there.
-    void on_later(ScriptedServer& server, const ScriptedServer::Connection& c,
-                  std::function<void(ScriptedServer::Connection&)> task) {
-        in_turns(turns(), [&server, number = c.number, task = std::move(task)] {
-            for (ScriptedServer::Connection& there : server.connections) {
-                if (there.number == number && there.open) task(there);
+    void schedule_on_connection(ScriptedServer& server, const ScriptedServer::Connection& connection,
+                                std::function<void(ScriptedServer::Connection&)> task) {
+        schedule_after(delay_turns(), [&server, number = connection.number, task = std::move(task)] {
+            for (ScriptedServer::Connection& live_connection : server.connections) {
+                if (live_connection.number == number && live_connection.is_open) task(live_connection);
             }
         });
     }
 
-    int turn_ = 0, last_server_ = 0;
-    std::multimap<int, std::function<void()>> later_;
-    std::set<std::string> open_;
+    int current_turn_ = 0, last_server_number_ = 0;
+    std::multimap<int, std::function<void()>> scheduled_tasks_;
+    std::set<std::string> request_ids_;
 };
 
 // A client's connection.
-struct AnswersClient {
-    explicit AnswersClient(const std::string& address) : socket(Poco::Net::SocketAddress(address)) {
+struct ResponseTestClient {
+    explicit ResponseTestClient(const std::string& address) : socket(Poco::Net::SocketAddress(address)) {
         socket.setBlocking(false);
         socket.setNoDelay(true);
     }
     struct Answer {
         int status = 0;
         std::string id, seal, body;
-        bool retry_after = false;
+        bool has_retry_after = false;
     };
-    void say(const std::string& text) {
+    void send(const std::string& text) {
         unsent += text;
         flush();
     }
     void flush() {
         try {
             while (!unsent.empty()) {
-                const int n = socket.sendBytes(unsent.data(), static_cast<int>(unsent.size()));
-                if (n <= 0) return;
-                unsent.erase(0, static_cast<std::size_t>(n));
+                const int sent = socket.sendBytes(unsent.data(), static_cast<int>(unsent.size()));
+                if (sent <= 0) return;
+                unsent.erase(0, static_cast<std::size_t>(sent));
             }
         } catch (const Poco::Exception& error) {
-            ended = ended || error.code() != POCO_EWOULDBLOCK;
+            disconnected = disconnected || error.code() != POCO_EWOULDBLOCK;
         }
     }
-    std::optional<Answer> next() {
+    std::optional<Answer> next_answer() {
         flush();
         char bytes[16384];
         try {
-            for (int n = 0; !ended && (n = socket.receiveBytes(bytes, sizeof bytes)) >= 0;) {
-                if (n == 0) ended = true;
-                in.append({bytes, static_cast<std::size_t>(n)});
+            for (int received = 0;
+                 !disconnected && (received = socket.receiveBytes(bytes, sizeof bytes)) >= 0;) {
+                if (received == 0) disconnected = true;
+                input.append({bytes, static_cast<std::size_t>(received)});
             }
         } catch (const Poco::Exception&) {
-            ended = true;
+            disconnected = true;
         }
-        const http::Status status = parser.parse(in);
-        cr_assert(status != http::Status::Bad);
-        if (status != http::Status::Done) return std::nullopt;
-        Answer a{parser.status(), std::string(parser.header(in, "X-Attempt-Id")),
-                 std::string(parser.header(in, "X-Server-Seal")), std::string(parser.body(in)),
-                 !parser.header(in, "Retry-After").empty()};
-        if (!parser.keep_alive()) closes = true;
-        in.consume(parser.size());
+        const http::ParseStatus status = parser.parse(input);
+        cr_assert(status != http::ParseStatus::Malformed);
+        if (status != http::ParseStatus::Complete) return std::nullopt;
+        Answer answer{parser.status_code(), std::string(parser.header(input, "X-Attempt-Id")),
+                      std::string(parser.header(input, "X-Server-Seal")), std::string(parser.body(input)),
+                      !parser.header(input, "Retry-After").empty()};
+        if (!parser.keep_alive()) close_announced = true;
+        input.consume(parser.message_size());
         parser.reset();
-        return a;
+        return answer;
     }
 
     Poco::Net::StreamSocket socket;
-    http::Buffer in;
+    http::Buffer input;
     http::Parser parser{http::Parser::Kind::Response};
     std::string unsent;
-    bool ended = false, closes = false;    // closes: the last answer said so
+    bool disconnected = false, close_announced = false;    // closes: the last answer said so
 };
 
-inline std::string ask_text(bool unsafe, const std::string& id, const std::string& body = "",
-                            int deadline_ms = 350) {
+inline std::string request_text(bool unsafe, const std::string& id, const std::string& body = "",
+                                int deadline_ms = 350) {
     const std::string head = fmt::format(
         "{} /{}/{} HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: {}\r\nX-Deadline-Remaining: {}\r\n",
         unsafe ? "POST" : "GET", unsafe ? "pay" : "read", id, id, deadline_ms);
