--- a/tests/simulator/simulator_test.cpp
+++ b/tests/simulator/simulator_test.cpp
@@ -25,35 +25,35 @@
 
 Scenario small() {
     Scenario s;
-    s.time = 6s;
-    s.rate = 400.0;
-    s.customers = 300;
+    s.duration = 6s;
+    s.request_rate = 400.0;
+    s.customer_count = 300;
     s.plans = {{"equipo", 4.0, 16.0, 0, 0.0, 0.0, 0.0, 1.0, 0.5, 0.2},
                {"empresa", 10.0, 40.0, 0, 12.0, 48.0, 4.8, 3.0, 0.0, 0.0}};
-    s.leaves = 0.02;
-    s.burst = 0.2;
-    s.faults = {{Fault::Kind::Crash, 1s, 1500ms, 2, -1, 1.0},  {Fault::Kind::Slow, 2s, 1s, 1, -1, 5.0},
+    s.abandon_fraction = 0.02;
+    s.burst_fraction = 0.2;
+    s.faults = {{Fault::Kind::Crash, 1s, 1500ms, 2, -1, 1.0},  {Fault::Kind::Slowdown, 2s, 1s, 1, -1, 5.0},
                 {Fault::Kind::Errors, 2s, 1s, 3, -1, 0.3},     {Fault::Kind::Drain, 3s, 1s, 4, -1, 1.0},
                 {Fault::Kind::RoomLost, 3s, 1s, -1, 0, 1.0},   {Fault::Kind::Hang, 500ms, 400ms, 5, -1, 1.0},
                 {Fault::Kind::LinkLoss, 1s, 500ms, 7, -1, 0.2}};
-    Fault lost{Fault::Kind::GatewayLost, 2s, 2s};
-    lost.gateway = 1;
-    Fault heavy{Fault::Kind::Heavy, 4s, 1s, -1, -1, 5.0};
-    heavy.part = 0.1;
-    heavy.cls = Approve;
+    Fault lost{Fault::Kind::GatewayCrash, 2s, 2s};
+    lost.gateway_index = 1;
+    Fault heavy{Fault::Kind::HeavyRequests, 4s, 1s, -1, -1, 5.0};
+    heavy.request_fraction = 0.1;
+    heavy.class_index = Approve;
     s.faults.insert(s.faults.end(), {lost,
                                      heavy,
-                                     {Fault::Kind::MailLoss, 1s, 2s, -1, -1, 0.5},
-                                     {Fault::Kind::DiscoverySilent, 900ms, 800ms}});
+                                     {Fault::Kind::PeerMessageLoss, 1s, 2s, -1, -1, 0.5},
+                                     {Fault::Kind::DiscoveryOutage, 900ms, 800ms}});
     return s;
 }
 
 Scenario by_counter() {
     Scenario s = small();
-    s.sharing = Scenario::Sharing::Counter;
-    s.time = 8s;
-    s.faults.push_back({Fault::Kind::StoreLost, 4s, 1s});
-    s.changes = {{500ms, 1, 3.0, 12.0, 5.0, 20.0, 2.0}};
+    s.quota_sharing = Scenario::QuotaSharing::SharedCounter;
+    s.duration = 8s;
+    s.faults.push_back({Fault::Kind::StoreOutage, 4s, 1s});
+    s.plan_changes = {{500ms, 1, 3.0, 12.0, 5.0, 20.0, 2.0}};
     return s;
 }
 
@@ -61,16 +61,16 @@
     for (std::uint64_t seed : {1, 2, 3}) {
         Scenario s = seed == 3 ? by_counter() : small();
         s.seed = seed;
-        const Figures one = run(s, 1);
+        const RunStatistics one = run_scenario(s, 1);
         for (const std::size_t threads : {2, 3, 4}) {
-            const Figures many = run(s, threads);
+            const RunStatistics many = run_scenario(s, threads);
             EXPECT_EQ(many.digest, one.digest) << threads;
             EXPECT_EQ(many.served, one.served);
             EXPECT_EQ(many.events, one.events);
             EXPECT_EQ(many.served_by_second, one.served_by_second);
         }
         s.seed += 100;
-        EXPECT_NE(run(s, 2).digest, one.digest);
+        EXPECT_NE(run_scenario(s, 2).digest, one.digest);
     }
 }
 
@@ -79,14 +79,14 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Scenario s = small();
         s.seed = seed;
-        const Figures f = run(s, 2);
+        const RunStatistics f = run_scenario(s, 2);
         EXPECT_GT(f.requests, 1000u);
-        EXPECT_EQ(f.requests, f.served + f.refused + f.failed + f.left);
+        EXPECT_EQ(f.requests, f.served + f.rejected + f.failed + f.abandoned);
         for (const auto& [name, rule] : f.rules)
-            EXPECT_EQ(rule.broken, 0u) << seed << ' ' << name << ": " << rule.first;
-        EXPECT_GT(f.rules.at("one answer").checked, 1000u);
-        now_and_then += f.rules.at("drains").checked + f.rules.at("unasked repeats").checked;
-        EXPECT_GT(f.rules.at("ceilings").checked, 100u);
+            EXPECT_EQ(rule.violation_count, 0u) << seed << ' ' << name << ": " << rule.first_violation;
+        EXPECT_GT(f.rules.at("one answer").check_count, 1000u);
+        now_and_then += f.rules.at("drains").check_count + f.rules.at("unasked repeats").check_count;
+        EXPECT_GT(f.rules.at("ceilings").check_count, 100u);
         EXPECT_GT(f.served, f.requests / 2);
     }
     EXPECT_GT(now_and_then, 0u);
@@ -96,19 +96,19 @@
     Scenario s = small();
     s.faults.clear();
     s.plans.clear();
-    s.leaves = 0.0;
-    const Figures calm = run(s, 2);
+    s.abandon_fraction = 0.0;
+    const RunStatistics calm = run_scenario(s, 2);
     EXPECT_GE(static_cast<double>(calm.served), 0.999 * static_cast<double>(calm.requests));
-    EXPECT_EQ(calm.rules.at("ceilings").checked, 0u) << "told as not checked";
+    EXPECT_EQ(calm.rules.at("ceilings").check_count, 0u) << "told as not checked";
     // Two of three rooms gone: what is left cannot do half of it.
-    s.rate = 1200.0;
+    s.request_rate = 1200.0;
     s.faults = {{Fault::Kind::RoomLost, 2s, 3s, -1, 0, 1.0}, {Fault::Kind::RoomLost, 2s, 3s, -1, 1, 1.0}};
-    const Figures lost = run(s, 2);
+    const RunStatistics lost = run_scenario(s, 2);
     EXPECT_LT(lost.served_by_second.at(4), lost.served_by_second.at(1) * 3 / 4);
-    EXPECT_LT(lost.in_aim, lost.requests);
-    s.model.cancel_stops = false;
-    s.leaves = 0.3;
-    EXPECT_GT(run(s, 2).wasted_work_us, lost.wasted_work_us);
+    EXPECT_LT(lost.within_target, lost.requests);
+    s.server_model.cancel_stops_work = false;
+    s.abandon_fraction = 0.3;
+    EXPECT_GT(run_scenario(s, 2).wasted_work_us, lost.wasted_work_us);
 }
 
 TEST(Lab, RefusesScenariosThatContradictThemselves) {
@@ -116,97 +116,100 @@
         Scenario s = small();
         change(s);
         try {
-            run(s, 1);
+            run_scenario(s, 1);
             ADD_FAILURE() << what;
         } catch (const std::invalid_argument& error) {
             EXPECT_NE(std::string(error.what()).find(what), std::string::npos) << error.what();
         }
     };
-    wrong([](Scenario& s) { s.faults[0].server = 99; }, "faults[0] (crash): there is no such server");
-    wrong([](Scenario& s) { s.faults[4].room = 3; }, "there is no such room");
-    wrong([](Scenario& s) { s.faults[1].at = 7s; }, "outside of the scenario's time");
-    wrong([](Scenario& s) { s.faults[2].by = 2.0; }, "part of the requests");
+    wrong([](Scenario& s) { s.faults[0].server_index = 99; }, "faults[0] (crash): there is no such server");
+    wrong([](Scenario& s) { s.faults[4].room_index = 3; }, "there is no such room");
+    wrong([](Scenario& s) { s.faults[1].starts_at = 7s; }, "outside of the scenario's time");
+    wrong([](Scenario& s) { s.faults[2].magnitude = 2.0; }, "part of the requests");
     wrong([](Scenario& s) { s.faults.push_back(s.faults[0]); }, "down already");
     wrong(
         [](Scenario& s) {
             s.faults.push_back({Fault::Kind::Crash, 3500ms, 1s, 3, -1, 1.0});
         },
         "down already");
-    wrong([](Scenario& s) { s.faults.push_back({Fault::Kind::StoreLost, 1s, 1s}); }, "no counter");
-    wrong([](Scenario& s) { s.faults.push_back({Fault::Kind::GatewayLost, 1s, 1s}); }, "no such gateway");
-    wrong([](Scenario& s) { s.faults[1].share = 0.5; }, "either a server or a share");
-    wrong([](Scenario& s) { s.faults[1].at_to = 1s; }, "a range must end after");
-    wrong([](Scenario& s) { s.changes = {{1s, 0, 1.0, 1.0}}; }, "share by a counter");
-    wrong([](Scenario& s) { s.gateways = 0; }, "gateways");
-    wrong([](Scenario& s) { s.delay = Duration(0); }, "delay");
+    wrong([](Scenario& s) { s.faults.push_back({Fault::Kind::StoreOutage, 1s, 1s}); }, "no counter");
+    wrong([](Scenario& s) { s.faults.push_back({Fault::Kind::GatewayCrash, 1s, 1s}); }, "no such gateway");
+    wrong([](Scenario& s) { s.faults[1].server_fraction = 0.5; }, "either a server or a share");
+    wrong([](Scenario& s) { s.faults[1].starts_at_max = 1s; }, "a range must end after");
+    wrong([](Scenario& s) { s.plan_changes = {{1s, 0, 1.0, 1.0}}; }, "share by a counter");
+    wrong([](Scenario& s) { s.gateway_count = 0; }, "gateways");
+    wrong([](Scenario& s) { s.network_delay = Duration(0); }, "delay");
 }
 
 TEST(Lab, KeepsCeilingsWherePlansChangeAndTheCounterIsLost) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Scenario s = by_counter();
         s.seed = seed;
-        const Figures f = run(s, 2);
+        const RunStatistics f = run_scenario(s, 2);
         for (const auto& [name, rule] : f.rules)
-            EXPECT_EQ(rule.broken, 0u) << seed << ' ' << name << ": " << rule.first;
-        EXPECT_GT(f.rules.at("ceilings").checked, 100u);
+            EXPECT_EQ(rule.violation_count, 0u) << seed << ' ' << name << ": " << rule.first_violation;
+        EXPECT_GT(f.rules.at("ceilings").check_count, 100u);
         EXPECT_GT(f.messages, 50u);
         // The smaller plan holds from 2.5 s on: less is let in than without the change.
-        s.changes.clear();
-        EXPECT_LT(f.served, run(s, 2).served);
+        s.plan_changes.clear();
+        EXPECT_LT(f.served, run_scenario(s, 2).served);
     }
 }
 
 TEST(Lab, ShowsTheWholeCourseOfARequest) {
     const Scenario s = small();
     const std::uint64_t request = 5;    // of the first front
-    const Figures f = run(s, 2, request);
-    ASSERT_GE(f.course.size(), 4u);
-    EXPECT_NE(f.course.front().second.find("try 1"), std::string::npos) << f.course.front().second;
+    const RunStatistics f = run_scenario(s, 2, request);
+    ASSERT_GE(f.request_trace.size(), 4u);
+    EXPECT_NE(f.request_trace.front().second.find("try 1"), std::string::npos)
+        << f.request_trace.front().second;
     bool taken = false, ended = false;
     double last = 0.0;
-    for (const auto& [at, what] : f.course) {
+    for (const auto& [at, what] : f.request_trace) {
         EXPECT_GE(at, last);
         last = at;
         taken = taken || what.find("takes try") != std::string::npos;
         ended = ended || what.find("answer") != std::string::npos || what.find("leaves") != std::string::npos;
     }
     EXPECT_TRUE(taken && ended);
-    EXPECT_EQ(f.digest, run(s, 2).digest) << "looking on changes nothing";
-    EXPECT_TRUE(run(s, 2, 0xffffff).course.empty());
+    EXPECT_EQ(f.digest, run_scenario(s, 2).digest) << "looking on changes nothing";
+    EXPECT_TRUE(run_scenario(s, 2, 0xffffff).request_trace.empty());
 }
 
 TEST(Scenario, DrawsRangesAndSharesAnewForEachSeed) {
     Scenario s = small();
     s.faults = {{Fault::Kind::Crash, 1s, 1s}, {Fault::Kind::Errors, 1s, 1s, -1, -1, 0.5}};
-    s.faults[0].share = 0.4;
-    s.faults[0].at_to = 3s;
-    s.faults[0].lasts_to = 2s;
-    s.faults[1].share = 0.2;
-    s.faults[1].by_to = 0.9;
+    s.faults[0].server_fraction = 0.4;
+    s.faults[0].starts_at_max = 3s;
+    s.faults[0].duration_max = 2s;
+    s.faults[1].server_fraction = 0.2;
+    s.faults[1].magnitude_max = 0.9;
     std::set<std::int64_t> times;
     for (s.seed = 1; s.seed <= 20; ++s.seed) {
-        const Scenario d = s.drawn();
+        const Scenario d = s.with_drawn_faults();
         ASSERT_EQ(d.faults.size(), 4u + 2u);    // 0.4 and 0.2 of nine
         for (const Fault& f : d.faults) {
-            EXPECT_GE(f.server, 0);
-            EXPECT_EQ(f.share, 0.0);
-            EXPECT_TRUE(f.kind == Fault::Kind::Errors ? f.by >= 0.5 && f.by <= 0.9
-                                                      : f.at >= 1s && f.at <= 3s && f.lasts <= 2s);
+            EXPECT_GE(f.server_index, 0);
+            EXPECT_EQ(f.server_fraction, 0.0);
+            EXPECT_TRUE(f.kind == Fault::Kind::Errors
+                            ? f.magnitude >= 0.5 && f.magnitude <= 0.9
+                            : f.starts_at >= 1s && f.starts_at <= 3s && f.duration <= 2s);
         }
-        EXPECT_NO_THROW(d.check());
-        times.insert(d.faults[0].at.count());
-        EXPECT_EQ(d.faults[0].at, s.drawn().faults[0].at) << "the same for the same seed";
+        EXPECT_NO_THROW(d.validate());
+        times.insert(d.faults[0].starts_at.count());
+        EXPECT_EQ(d.faults[0].starts_at, s.with_drawn_faults().faults[0].starts_at)
+            << "the same for the same seed";
     }
     EXPECT_GT(times.size(), 15u);
 }
 
 // ---- a server ----
 
-struct OneServer : ServerWorld {
+struct OneServer : ServerEnvironment {
     explicit OneServer(const Scenario& s) : server(s, 1, TimePoint{}, *this) {}
-    TimePoint now() const override { return at; }
-    void wake(TimePoint when, std::uint64_t number) override { due.emplace(when, number); }
-    void answer(const JobId& job, decision::Outcome outcome) override {
+    TimePoint current_time() const override { return at; }
+    void schedule_wakeup(TimePoint when, std::uint64_t number) override { due.emplace(when, number); }
+    void send_answer(const JobId& job, decision::Outcome outcome) override {
         answers.emplace_back(job.request, outcome);
     }
     void until(TimePoint end) {
@@ -214,7 +217,7 @@
             const auto [when, number] = *due.begin();
             due.erase(due.begin());
             at = when;
-            server.woken(number);
+            server.on_wakeup(number);
         }
         at = end;
     }
@@ -226,83 +229,89 @@
 
 TEST(Server, QueuesTurnsAwayAndForgetsWhatIsCalledOff) {
     Scenario s;
-    s.model = {.cores = 1, .queue = 2, .work_ms = 10.0, .tail = 0.0, .loss_when_full = 0.0};
+    s.server_model = {
+        .cores = 1, .queue_length = 2, .work_ms = 10.0, .work_sigma = 0.0, .full_queue_slowdown = 0.0};
     OneServer one(s);
-    for (std::uint32_t i = 1; i <= 4; ++i) one.server.arrived({1, i, 0}, 0, false);
+    for (std::uint32_t i = 1; i <= 4; ++i) one.server.on_request({1, i, 0}, 0, false);
     ASSERT_EQ(one.answers.size(), 1u);
     EXPECT_EQ(one.answers[0], (std::pair<std::uint32_t, decision::Outcome>{4, decision::Outcome::Full}));
-    EXPECT_EQ(one.server.load().outstanding, 3.0);
-    EXPECT_EQ(one.server.load().backlog, 2.0);
-    one.server.called_off({1, 2, 0});    // it waits
-    one.server.called_off({1, 9, 0});    // nobody knows it
-    one.server.arrived({1, 5, 0}, 0, false);
+    EXPECT_EQ(one.server.reported_load().outstanding, 3.0);
+    EXPECT_EQ(one.server.reported_load().backlog, 2.0);
+    one.server.on_cancel({1, 2, 0});    // it waits
+    one.server.on_cancel({1, 9, 0});    // nobody knows it
+    one.server.on_request({1, 5, 0}, 0, false);
     one.until(one.at + 25ms);
     ASSERT_EQ(one.answers.size(), 3u);
     EXPECT_EQ(one.answers[2].first, 3u);
-    one.server.called_off({1, 5, 0});    // it runs: half of its work is for nobody
+    one.server.on_cancel({1, 5, 0});    // it runs: half of its work is for nobody
     one.until(one.at + 100ms);
     EXPECT_EQ(one.answers.size(), 3u);
-    EXPECT_EQ(one.server.figures.wasted_work_us, 5000u);
+    EXPECT_EQ(one.server.statistics.wasted_work_us, 5000u);
 }
 
 TEST(Server, FallsOverWhereItIsPushedWhileColdAndStaysDown) {
     Scenario s;
-    s.model = {.cores = 1, .queue = 1000, .work_ms = 10.0, .tail = 0.0, .cold_speed = 0.2, .cold = 10s};
+    s.server_model = {.cores = 1,
+                      .queue_length = 1000,
+                      .work_ms = 10.0,
+                      .work_sigma = 0.0,
+                      .initial_speed = 0.2,
+                      .warm_up_time = 10s};
     OneServer one(s);
     const Fault crash{Fault::Kind::Crash, 0s, 1s, 0};
     const auto press = [&](double a_second, Duration time) {
         const TimePoint end = one.at + time;
         for (std::uint32_t i = 0; one.at < end; ++i) {
-            one.server.arrived({2, i, 0}, 0, false);
+            one.server.on_request({2, i, 0}, 0, false);
             one.until(one.at + Duration(static_cast<std::int64_t>(1e6 / a_second)));
         }
     };
-    one.server.trouble(crash, true);
-    one.server.arrived({1, 1, 0}, 0, false);
+    one.server.apply_fault(crash, true);
+    one.server.on_request({1, 1, 0}, 0, false);
     EXPECT_EQ(one.answers.back().second, decision::Outcome::ConnectFailed);
-    one.server.trouble(crash, false);
+    one.server.apply_fault(crash, false);
     press(50.0, 3s);    // it can do 20 a second then, and more as it warms: under four times that
-    EXPECT_FALSE(one.server.down());
-    EXPECT_EQ(one.server.figures.rules["cold servers"].broken, 0u);
-    one.server.trouble(crash, true);
-    one.server.trouble(crash, false);
+    EXPECT_FALSE(one.server.is_down());
+    EXPECT_EQ(one.server.statistics.rules["cold servers"].violation_count, 0u);
+    one.server.apply_fault(crash, true);
+    one.server.apply_fault(crash, false);
     press(300.0, 3s);
-    EXPECT_TRUE(one.server.down());
-    EXPECT_EQ(one.server.figures.rules["cold servers"].broken, 1u);
-    one.server.trouble(crash, false);
-    EXPECT_TRUE(one.server.down()) << "it stays down";
+    EXPECT_TRUE(one.server.is_down());
+    EXPECT_EQ(one.server.statistics.rules["cold servers"].violation_count, 1u);
+    one.server.apply_fault(crash, false);
+    EXPECT_TRUE(one.server.is_down()) << "it stays down";
 }
 
 TEST(Server, SaysLateAndWronglyWhatItHasToDo) {
     Scenario s;
-    s.model = {.cores = 1, .work_ms = 1000.0, .tail = 0.0, .report_late = 1s};
+    s.server_model = {.cores = 1, .work_ms = 1000.0, .work_sigma = 0.0, .max_report_age = 1s};
     OneServer one(s);
-    EXPECT_EQ(one.server.load().outstanding, 0.0);
-    one.server.arrived({1, 1, 0}, 0, false);
-    EXPECT_EQ(one.server.load().outstanding, 0.0) << "what it was";
+    EXPECT_EQ(one.server.reported_load().outstanding, 0.0);
+    one.server.on_request({1, 1, 0}, 0, false);
+    EXPECT_EQ(one.server.reported_load().outstanding, 0.0) << "what it was";
     one.until(one.at + 1s);
-    one.server.arrived({1, 2, 0}, 0, false);
-    EXPECT_EQ(one.server.load().outstanding, 1.0);
+    one.server.on_request({1, 2, 0}, 0, false);
+    EXPECT_EQ(one.server.reported_load().outstanding, 1.0);
 }
 
 // ---- on paper ----
 
 TEST(Report, HoldsWhatIsNeededToRunItAgainAndItsPlots) {
-    Report r;
-    r.text =
+    RunReport r;
+    r.scenario_text =
         "name: \"x\"\ntime: \"4s\"\nfaults: [{kind: \"crash\", at: \"1s\", server: 1}]\n"
         "bounds: [{figure: \"served\", least: 0.9}]\n";
-    r.file = read_scenario(r.text, "x.cue");
-    r.file.scenario.seed = 5;
-    r.figures = run(r.file.scenario, 1);
-    const Replayed again = read_report(report_json(r).dump(), "x.json");
-    EXPECT_EQ(fmt::format("{:016x}", run(again.file.scenario, 2).digest), again.digest);
-    EXPECT_EQ(again.file.scenario.seed, 5u);
-    EXPECT_THROW(read_report("{\"seed\": 1}", "x.json"), std::runtime_error);
-    EXPECT_THROW(read_report("", "x.json"), std::runtime_error);
-    const std::string csv = report_csv(r.figures);
+    r.scenario_file = parse_scenario(r.scenario_text, "x.cue");
+    r.scenario_file.scenario.seed = 5;
+    r.statistics = run_scenario(r.scenario_file.scenario, 1);
+    const ReplayedRun again = parse_report(report_to_json(r).dump(), "x.json");
+    EXPECT_EQ(fmt::format("{:016x}", run_scenario(again.scenario_file.scenario, 2).digest), again.digest);
+    EXPECT_EQ(again.scenario_file.scenario.seed, 5u);
+    EXPECT_THROW(parse_report("{\"seed\": 1}", "x.json"), std::runtime_error);
+    EXPECT_THROW(parse_report("", "x.json"), std::runtime_error);
+    const std::string csv = report_to_csv(r.statistics);
     EXPECT_EQ(std::count(csv.begin(), csv.end(), '\n'), 1 + 8);
-    const std::string html = report_html(r);
+    const std::string html = report_to_html(r);
     std::size_t plots = 0;
     for (std::size_t at = html.find("<svg"); at != std::string::npos; at = html.find("<svg", at + 1)) ++plots;
     EXPECT_EQ(plots, 5u);
@@ -315,9 +324,9 @@
 
 TEST(Live, GatewaysAreToldWhatTheModelsGatewaysAreTold) {
     Scenario s = small();
-    for (int me = 0; me < s.gateways; ++me) {
+    for (int me = 0; me < s.gateway_count; ++me) {
         const decision::Settings want = gateway_settings(s, me);
-        const Config config = parse_config(fmt::format(
+        const GatewayConfig config = parse_config(fmt::format(
             R"({{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{}}})", settings_json(s, me)));
         const decision::Settings& got = config.settings;
         EXPECT_EQ(got.me, want.me);
@@ -362,78 +371,78 @@
 TEST(Live, RunsAScenarioWithRealGatewaysThroughCrashesDrainsAndALostGateway) {
     Scenario s;
     s.name = "live-test";
-    s.time = 4s;
-    s.rate = 150.0;
+    s.duration = 4s;
+    s.request_rate = 150.0;
     s.faults = {{Fault::Kind::Crash, 500ms, 1500ms, 2},
                 {Fault::Kind::Drain, 1s, 2s, 4},
                 {Fault::Kind::Errors, 1s, 1s, 5, -1, 0.5}};
-    Fault lost{Fault::Kind::GatewayLost, 1s, 1500ms};
-    lost.gateway = 2;
+    Fault lost{Fault::Kind::GatewayCrash, 1s, 1500ms};
+    lost.gateway_index = 2;
     s.faults.push_back(lost);
     const LiveFigures live = run_live(s, {PROGRAMS, {}});
-    const Figures& f = live.figures;
+    const RunStatistics& f = live.figures;
     EXPECT_GT(f.requests, 400u);
-    EXPECT_EQ(f.requests, f.served + f.refused + f.failed + f.left);
+    EXPECT_EQ(f.requests, f.served + f.rejected + f.failed + f.abandoned);
     EXPECT_GT(f.served, f.requests / 2);
     EXPECT_GT(f.messages + f.attempts, 400u);
     EXPECT_GT(live.cpu_s, 0.0);
     // Rules with a time in them say nothing where this machine is too slow for it.
     for (const auto& [name, rule] : f.rules) {
         if (live.ran_late() && name != "one answer" && name != "unasked repeats") continue;
-        EXPECT_EQ(rule.broken, 0u) << name << ": " << rule.first;
+        EXPECT_EQ(rule.violation_count, 0u) << name << ": " << rule.first_violation;
     }
-    s.gateways = kMostLiveGateways + 1;
+    s.gateway_count = kMostLiveGateways + 1;
     EXPECT_THROW(run_live(s, {PROGRAMS, {}}), std::invalid_argument);
-    s.gateways = 1;
+    s.gateway_count = 1;
     s.faults.clear();
     EXPECT_THROW(run_live(s, {"/nowhere", {}}), std::runtime_error);
 }
 
 TEST(Scenario, IsReadAsATypedRecordAndNamesWhatIsWrong) {
-    const ScenarioFile f = read_scenario(
+    const ScenarioFile f = parse_scenario(
         "name: \"x\"\nrate: 50\nmodel: work: \"5ms\"\nfaults: [{kind: \"slow\", at: \"2s\", server: 1, by: "
         "3}]\n"
         "bounds: [{figure: \"served\", least: 0.9}]\n",
         "x.cue");
-    EXPECT_EQ(f.scenario.rate, 50.0);
-    EXPECT_EQ(f.scenario.model.work_ms, 5.0);
-    EXPECT_EQ(f.scenario.faults.at(0).kind, Fault::Kind::Slow);
-    EXPECT_EQ(f.scenario.faults.at(0).lasts, 1s);
-    EXPECT_THROW(read_scenario("name: \"x\"\nrat: 50\n", "x.cue"), settings::BadSettingsFile);
-    EXPECT_THROW(read_scenario("name: \"x\"\nmodel: work: \"5\"\n", "x.cue"), settings::BadSettingsFile);
-    EXPECT_THROW(read_scenario("name: \"x\"\nbounds: [{figure: \"served\"}]\n", "x.cue"),
-                 settings::BadSettingsFile);
-    EXPECT_THROW(read_scenario("name: \"x\"\nfaults: [{kind: \"crash\", at: \"2s\", server: 9}]\n", "x.cue"),
+    EXPECT_EQ(f.scenario.request_rate, 50.0);
+    EXPECT_EQ(f.scenario.server_model.work_ms, 5.0);
+    EXPECT_EQ(f.scenario.faults.at(0).kind, Fault::Kind::Slowdown);
+    EXPECT_EQ(f.scenario.faults.at(0).duration, 1s);
+    EXPECT_THROW(parse_scenario("name: \"x\"\nrat: 50\n", "x.cue"), settings::SettingsFileError);
+    EXPECT_THROW(parse_scenario("name: \"x\"\nmodel: work: \"5\"\n", "x.cue"), settings::SettingsFileError);
+    EXPECT_THROW(parse_scenario("name: \"x\"\nbounds: [{figure: \"served\"}]\n", "x.cue"),
+                 settings::SettingsFileError);
+    EXPECT_THROW(parse_scenario("name: \"x\"\nfaults: [{kind: \"crash\", at: \"2s\", server: 9}]\n", "x.cue"),
                  std::invalid_argument);
 }
 
 TEST(Scenario, TellsABoundThatNothingCalledForAsNotChecked) {
-    Figures f;
-    EXPECT_EQ(judge({"served", 0.9, {}}, f), Verdict::NotChecked);
+    RunStatistics f;
+    EXPECT_EQ(check_range({"served", 0.9, {}}, f), Verdict::NotChecked);
     f.requests = 10;
     f.served = 8;
-    EXPECT_EQ(judge({"served", 0.9, {}}, f), Verdict::Broken);
-    EXPECT_EQ(judge({"served", 0.7, 0.9}, f), Verdict::Kept);
-    EXPECT_EQ(judge({"wasted", {}, 0.1}, f), Verdict::NotChecked);
+    EXPECT_EQ(check_range({"served", 0.9, {}}, f), Verdict::Violated);
+    EXPECT_EQ(check_range({"served", 0.7, 0.9}, f), Verdict::Satisfied);
+    EXPECT_EQ(check_range({"wasted", {}, 0.1}, f), Verdict::NotChecked);
     f.served = 0;
-    EXPECT_EQ(judge({"p99_ms", {}, 10.0}, f), Verdict::NotChecked);
+    EXPECT_EQ(check_range({"p99_ms", {}, 10.0}, f), Verdict::NotChecked);
 }
 
 TEST(Scenario, ComparisonSaysPlainlyWhereThereIsNoDifference) {
-    EXPECT_FALSE(paired({1, 2, 3}, {1, 2, 3}).clear());
-    EXPECT_FALSE(paired({1, 2, 3}, {1.5, 1.6, 3.1}).clear());
-    const Difference d = paired({1, 2, 3}, {2.1, 3.0, 4.1});
-    EXPECT_TRUE(d.clear());
+    EXPECT_FALSE(paired_difference({1, 2, 3}, {1, 2, 3}).is_significant());
+    EXPECT_FALSE(paired_difference({1, 2, 3}, {1.5, 1.6, 3.1}).is_significant());
+    const PairedDifference d = paired_difference({1, 2, 3}, {2.1, 3.0, 4.1});
+    EXPECT_TRUE(d.is_significant());
     EXPECT_NEAR(d.mean, 1.0667, 1e-3);
     EXPECT_NEAR(d.half_width, 4.3027 * 0.057735 / std::sqrt(3.0), 1e-3);    // Student's t of two degrees
-    EXPECT_FALSE(paired({1}, {9}).clear());
+    EXPECT_FALSE(paired_difference({1}, {9}).is_significant());
 }
 
 TEST(Scenario, AllOfTheLibraryCanBeRead) {
     int n = 0;
     for (const auto& entry : std::filesystem::directory_iterator(SCENARIOS)) {
         if (entry.path().extension() != ".cue") continue;
-        EXPECT_FALSE(load_scenario(entry.path().string()).bounds.empty()) << entry.path();
+        EXPECT_FALSE(load_scenario(entry.path().string()).expected_ranges.empty()) << entry.path();
         ++n;
     }
     EXPECT_GE(n, 18);
@@ -445,7 +454,7 @@
     const auto count = [](Arrivals& a, Duration time) {
         std::size_t n = 0;
         Duration last(0);
-        for (auto at = a.next(); at && *at < time; at = a.next(), ++n) {
+        for (auto at = a.next_arrival(); at && *at < time; at = a.next_arrival(), ++n) {
             EXPECT_GE(*at, last);
             last = *at;
         }
@@ -455,19 +464,19 @@
     EXPECT_NEAR(static_cast<double>(count(*poisson_arrivals(1000.0, 3), 10s)), 10'000.0, 400.0);
     const auto on_off = on_off_arrivals(1000.0, 2s, 3);
     std::size_t in_quarter = 0, all = 0;
-    for (auto at = on_off->next(); at && *at < 20s; at = on_off->next(), ++all)
+    for (auto at = on_off->next_arrival(); at && *at < 20s; at = on_off->next_arrival(), ++all)
         in_quarter += *at % 2s < 500ms;
     EXPECT_EQ(in_quarter, all);
     EXPECT_NEAR(static_cast<double>(all), 20'000.0, 800.0);
 }
 
 TEST(Arrivals, AreReadFromARecordThatMayEndInTheMiddleOfALine) {
-    const Recorded r = read_recorded("0\n1000\n500\n20");
-    EXPECT_EQ(r.times, (std::vector<Duration>{0us, 1000us, 1000us}));
-    EXPECT_EQ(r.late, 1u);
-    EXPECT_TRUE(r.cut_short);
+    const RecordedArrivals r = parse_recorded_arrivals("0\n1000\n500\n20");
+    EXPECT_EQ(r.arrival_times, (std::vector<Duration>{0us, 1000us, 1000us}));
+    EXPECT_EQ(r.out_of_order_count, 1u);
+    EXPECT_TRUE(r.is_truncated);
     try {
-        read_recorded("0\n12x\n");
+        parse_recorded_arrivals("0\n12x\n");
         ADD_FAILURE();
     } catch (const std::runtime_error& error) {
         EXPECT_NE(std::string(error.what()).find("line 2"), std::string::npos);
@@ -477,58 +486,60 @@
 struct LoadRun {
     explicit LoadRun(Duration work)
         : workers(reactor, 1, work, [this](int, std::string_view, TimePoint) { ++seen; }) {}
-    const LoadFigures& run(LoadSettings s, std::unique_ptr<Arrivals> arrivals) {
-        const std::string list = workers.list();
+    const LoadStatistics& run(LoadSettings s, std::unique_ptr<Arrivals> arrivals) {
+        const std::string list = workers.host_list();
         const std::size_t at = list.find("host_port\":\"") + 12;
         s.address = list.substr(at, list.find('"', at) - at);
-        load = std::make_unique<Load>(reactor, s, std::move(arrivals), [this] { reactor.stop(); });
-        load->start();
+        load = std::make_unique<LoadGenerator>(reactor, s, std::move(arrivals), [this] { reactor.stop(); });
+        load->start_load();
         reactor.run();
-        return load->figures();
+        return load->statistics();
     }
     SystemClock clock;
     Timers timers;
     Reactor reactor{clock, timers};
-    Workers workers;
+    StandInWorkers workers;
     std::uint64_t seen = 0;
-    std::unique_ptr<Load> load;
+    std::unique_ptr<LoadGenerator> load;
 };
 
 TEST(Load, CountsFromWhenARequestWasDueAndLosesNone) {
     LoadRun run(20ms);
     LoadSettings s;
-    s.time = 1s;
-    const LoadFigures& f = run.run(s, constant_arrivals(200.0));
-    EXPECT_EQ(f.due, 199u);
-    EXPECT_EQ(f.sent, f.due);
-    EXPECT_EQ(f.by_status.at(200), f.due);
-    EXPECT_EQ(run.seen, f.due);
-    EXPECT_GE(quantile_of(f.latency, 0.5), 19.9);
+    s.duration = 1s;
+    const LoadStatistics& f = run.run(s, constant_arrivals(200.0));
+    EXPECT_EQ(f.due_count, 199u);
+    EXPECT_EQ(f.sent_count, f.due_count);
+    EXPECT_EQ(f.by_status.at(200), f.due_count);
+    EXPECT_EQ(run.seen, f.due_count);
+    EXPECT_GE(histogram_quantile(f.latency, 0.5), 19.9);
 }
 
 // One connection to a server that takes 20 ms, and a request each 10 ms: those that wait must show it.
 TEST(Load, DoesNotHideWhatASlowServerDoesToThoseWhoCameMeanwhile) {
     LoadRun run(20ms);
     LoadSettings s;
-    s.time = 1s;
-    s.connections = 1;
-    const LoadFigures& f = run.run(s, constant_arrivals(100.0));
-    EXPECT_EQ(f.due, 99u);
-    EXPECT_EQ(f.by_status.at(200), f.due);
-    EXPECT_GE(quantile_of(f.latency, 0.99), 900.0) << "a closed loop would say 20";
+    s.duration = 1s;
+    s.max_connections = 1;
+    const LoadStatistics& f = run.run(s, constant_arrivals(100.0));
+    EXPECT_EQ(f.due_count, 99u);
+    EXPECT_EQ(f.by_status.at(200), f.due_count);
+    EXPECT_GE(histogram_quantile(f.latency, 0.99), 900.0) << "a closed loop would say 20";
 }
 
 struct Echo : Kernel<int>::Entity {
-    void handle(int&&, Kernel<int>::Context& context) override { context.send(1 - context.self(), 10us, 1); }
+    void handle_message(int&&, Kernel<int>::Context& context) override {
+        context.send_message(1 - context.own_id(), 10us, 1);
+    }
 };
 
 TEST(Kernel, RefusesWhatWouldMakeTheOrderDependOnThreads) {
     for (const std::size_t threads : {1, 2}) {
         Kernel<int> kernel(20us, threads);
-        kernel.add(std::make_unique<Echo>());
-        kernel.add(std::make_unique<Echo>());
-        kernel.schedule(0, TimePoint{} + 1ms, 1);
-        EXPECT_THROW(kernel.run(TimePoint{} + 1s), std::logic_error);
+        kernel.add_entity(std::make_unique<Echo>());
+        kernel.add_entity(std::make_unique<Echo>());
+        kernel.schedule_message(0, TimePoint{} + 1ms, 1);
+        EXPECT_THROW(kernel.run_until(TimePoint{} + 1s), std::logic_error);
     }
 }
 
