--- a/tests/cluster/subscription/subscription_test.cpp
+++ b/tests/cluster/subscription/subscription_test.cpp
@@ -18,7 +18,7 @@
     update.configuration_delta = std::string(3000, '\0') + "patch";
     update.since_sequence = 3;
     update.sequence = 9;
-    update.endpoint_changes = "bytes\0more";
+    update.endpoint_changes = std::string("bytes\0more", 10);
     return update;
 }
 
