--- a/tests/data_plane/engine/engine_test.cpp
+++ b/tests/data_plane/engine/engine_test.cpp
@@ -142,7 +142,7 @@
     clock_.time += 20ms;
     engine_.refresh_allowances();
     clock_.time += 300ms;    // the ceiling that comes with the new plan begins with nothing, and owes nothing
-    sends_before_ = sent_.size();
+    sends_before = sent_.size();
     ask();
     ASSERT_EQ(kept_.size(), 2U);
     EXPECT_EQ(kept_[1].plan_index, last);
