--- a/src/gateway/http_mapping/upstream_hosts.h
+++ b/src/gateway/http_mapping/upstream_hosts.h
@@ -20,7 +20,7 @@
     struct Settings {
         std::vector<std::string> zones;    // a zone's place is its number
         Duration drain_start_grace{0};     // after a server drains, how long a connection that was coming up
-                                          // may still be used for a first byte
+                                           // may still be used for a first byte
     };
     explicit UpstreamHosts(Settings settings) : settings_(std::move(settings)) {}
 
--- a/testbed/experiments/capacity_slopes.cpp
+++ b/testbed/experiments/capacity_slopes.cpp
@@ -44,7 +44,7 @@
 // ---- what is not stated and taken for it ----
 constexpr double kServerChangesPerDay = 3;    // changes of a server's entry a day: it comes, drains and goes
 constexpr double kActiveTenants = 2000;       // tenants whose requests reach one pilot within an idle store's
-                                           // time, of all; for their messages the worst number is taken
+                                              // time, of all; for their messages the worst number is taken
 constexpr int kServersPerService = 30;        // servers of a service
 constexpr double kMachineStartsPerDay = 4;    // starts of each machine a day
 constexpr double kSecondsPerDay = 86'400;
