--- a/src/gateway/http_mapping/request_mapper.h
+++ b/src/gateway/http_mapping/request_mapper.h
@@ -10,6 +10,7 @@
 
 #include "base/http/answer.h"
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_index.h"
 #include "data_plane/proxy/request_mapping.h"
 #include "data_plane/proxy/upstream_protocol.h"
 
