--- /dev/null
+++ b/src/cluster/quota/balancing_messages.cpp
@@ -0,0 +1,290 @@
+// The part of QuotaBalancer::Impl that writes and reads the messages between neighbours.
+#include <algorithm>
+#include <cmath>
+
+#include "cluster/quota/quota_balancer_impl.h"
+#include "cluster/quota/transfer_estimates.h"
+
+namespace shaletray::quota {
+namespace {
+
+using namespace std::chrono_literals;
+
+// Smaller changes, as a fraction of a full bucket, are not announced: it bounds the messages at rest.
+constexpr double kAnnounceThreshold = 0.4;
+// How often a gap of a single step is evened out after all. Without it units could stay where no request
+// comes; always, two neighbours would pass the same step back and forth.
+constexpr double kSmallTransferProbability = 1.0 / 16.0;
+// Entries with a request come before all with a transfer, and those before all others.
+constexpr double kRequestPriority = 1e6;
+constexpr double kTransferPriority = 1e3;
+// A neighbour that asked in vain is announced this many units above a full bucket, so that the difference to
+// what we have is large enough to be corrected with the next message.
+constexpr double kCorrectionUnits = 2.0;
+// Bounds the arithmetic on delays that a message claims.
+constexpr std::uint64_t kMaxClaimedDelay = 1'000'000'000;
+
+double round_down_to_fraction(double units) {
+    return std::floor(units * kFractionsPerUnit) / kFractionsPerUnit;
+}
+
+std::uint64_t to_microseconds(Duration duration) { return static_cast<std::uint64_t>(duration.count()); }
+
+// A message echoes our own timestamp, so that the age of its transfers is known by our clock.
+struct TransferOrigin {
+    TimePoint echoed_time;
+    Duration echo_delay{0};
+    // The earliest moment at which the message's transfers can have been sent.
+    TimePoint sent_at() const { return echoed_time + echo_delay; }
+};
+
+TransferOrigin origin_of(const Message& message) {
+    const Duration echoed(static_cast<std::int64_t>(message.echoed_timestamp));
+    const std::uint64_t delay = std::min(message.echo_delay, kMaxClaimedDelay);
+    return {TimePoint(echoed), Duration(static_cast<std::int64_t>(delay))};
+}
+
+}    // namespace
+
+// ---- writing ----
+
+// How much to move to the neighbour: the rounded-up half of the difference. A difference of a single step is
+// moved with a small probability.
+double QuotaBalancer::Impl::transfer_amount(const TenantBucket& bucket, std::size_t neighbour_index,
+                                            TimePoint now) {
+    const NeighbourState& state = bucket.neighbours[neighbour_index];
+    if (!state.received.known || state.max_transfer <= 0.0F) return 0.0;
+    if (!neighbours_[neighbour_index].is_recently_heard(now) || !refill_clock_.is_running(now)) return 0.0;
+    const double available = std::min(bucket.level, bucket.available_units());
+    if (available <= 0.0) return 0.0;
+    const double gap = bucket.available_units() - estimate_units(bucket, state.received, refill_clock_, now);
+    const double granularity = transfer_granularity(bucket);
+    double amount = 0.0;
+    if (gap > granularity) {
+        amount = std::ceil(gap / 2.0 / granularity) * granularity;
+    } else if (gap > granularity / 2.0 &&
+               std::uniform_real_distribution<>(0.0, 1.0)(random_) < kSmallTransferProbability) {
+        amount = granularity / 2.0;
+    }
+    const double permitted = std::min({amount, available, static_cast<double>(state.max_transfer)});
+    return std::max(0.0, round_down_to_fraction(permitted));
+}
+
+// False where the neighbour need not be told anything of this bucket.
+bool QuotaBalancer::Impl::draft_entry(const TenantBucket& bucket, std::size_t neighbour_index, TimePoint now,
+                                      EntryDraft& draft) {
+    const NeighbourState& state = bucket.neighbours[neighbour_index];
+    const double available = bucket.available_units();
+    const bool under_pressure = bucket.under_pressure(now);
+    const double amount = transfer_amount(bucket, neighbour_index, now);
+    // A full bucket that was never announced is what the neighbour assumes anyway.
+    const bool differs_from_assumption = state.announced.known || available < bucket.capacity_share;
+    const double announced =
+        differs_from_assumption ? estimate_units(bucket, state.announced, refill_clock_, now) : available;
+    const double change = std::fabs(available - amount - announced);
+    const bool has_request = state.pending_request > 0.0F;
+    const bool change_matters =
+        change > std::max(transfer_granularity(bucket), kAnnounceThreshold * bucket.capacity_share);
+    const bool pressure_changed = state.announced.known && state.announced.under_pressure != under_pressure;
+    if (!has_request && amount <= 0.0 && !change_matters && !pressure_changed) return false;
+    draft.entry.tenant = bucket.id;
+    draft.entry.transfer = static_cast<float>(amount);
+    draft.entry.urgent = has_request;
+    draft.entry.under_pressure = under_pressure;
+    draft.priority = (has_request ? kRequestPriority : 0.0) +
+                     (amount > 0.0 ? kTransferPriority * (1.0 + amount / bucket.capacity_share) : 0.0) +
+                     change / bucket.capacity_share;
+    return true;
+}
+
+// Fills drafts_ with all that this neighbour has to be told; where that is too much, with the most important.
+void QuotaBalancer::Impl::draft_entries(std::size_t neighbour_index, TimePoint now) {
+    drafts_.clear();
+    for (const BucketTable::Index index : pending_updates_) {
+        EntryDraft draft;
+        draft.bucket_index = index;
+        TenantBucket& bucket = buckets_[index];
+        bucket.advance_to(refill_clock_);
+        if (draft_entry(bucket, neighbour_index, now, draft)) drafts_.push_back(draft);
+    }
+    if (drafts_.size() <= kMaxEntries) return;
+    std::nth_element(drafts_.begin(), drafts_.begin() + kMaxEntries, drafts_.end(),
+                     [](const EntryDraft& a, const EntryDraft& b) { return a.priority > b.priority; });
+    drafts_.resize(kMaxEntries);
+}
+
+// Completes the draft and records what the neighbour will know by it. Transferred units leave the bucket
+// here.
+void QuotaBalancer::Impl::commit_entry(EntryDraft& draft, std::size_t neighbour_index, TimePoint now) {
+    TenantBucket& bucket = buckets_[draft.bucket_index];
+    NeighbourState& state = bucket.neighbours[neighbour_index];
+    Entry& entry = draft.entry;
+    const double amount = entry.transfer;
+    if (amount > 0.0) {
+        bucket.transfer_out(amount, now);
+        state.received.units =
+            static_cast<float>(estimate_units(bucket, state.received, refill_clock_, now) + amount);
+        state.received.reported_at = now;
+        state.max_transfer -= static_cast<float>(amount);
+        statistics_.units_sent += amount;
+    }
+    entry.available = static_cast<float>(bucket.available_units());
+    if (state.pending_request > 0.0F) {
+        entry.max_transfer = state.pending_request;
+        // It is expected to transfer all of it.
+        const double remaining =
+            estimate_units(bucket, state.received, refill_clock_, now) - state.pending_request;
+        state.received.units = static_cast<float>(std::max(0.0, remaining));
+        state.received.reported_at = now;
+        state.received.known = true;
+        state.requested_at = now;
+        state.outstanding_request = state.pending_request;
+        state.pending_request = 0.0F;
+    } else {
+        entry.max_transfer = static_cast<float>(
+            max_transfer_from(bucket, neighbour_index, neighbours_.size(), refill_clock_, now));
+    }
+    state.announced = {true, entry.under_pressure, entry.available, now};
+}
+
+// A message without entries, with all that the receiver needs to reckon the age of transfers.
+Message QuotaBalancer::Impl::make_message(const Neighbour& neighbour, TimePoint now) {
+    Message message;
+    message.incarnation = settings_.incarnation;
+    message.sequence = ++last_sequence_;
+    message.timestamp = to_microseconds(now.time_since_epoch());
+    if (neighbour.is_recently_heard(now)) {
+        message.echoed_incarnation = neighbour.incarnation;
+        message.echoed_timestamp = neighbour.timestamp;
+        message.echo_delay = to_microseconds(now - neighbour.last_heard);
+    }
+    return message;
+}
+
+void QuotaBalancer::Impl::send_to_neighbour(std::size_t neighbour_index, TimePoint now, Actions& actions) {
+    draft_entries(neighbour_index, now);
+    if (drafts_.empty()) return;
+    Neighbour& neighbour = neighbours_[neighbour_index];
+    Message message = make_message(neighbour, now);
+    for (EntryDraft& draft : drafts_) {
+        commit_entry(draft, neighbour_index, now);
+        message.entries.push_back(draft.entry);
+    }
+    neighbour.last_sent = now;
+    neighbour.urgent = false;
+    actions.sends.push_back({neighbour.address, encode(message)});
+    ++statistics_.sent;
+    statistics_.sent_bytes += actions.sends.back().bytes.size();
+}
+
+// Messages for which a request waits, to those neighbours that may get one again.
+void QuotaBalancer::Impl::send_urgent(TimePoint now, Actions& actions) {
+    for (std::size_t index = 0; index < neighbours_.size(); ++index) {
+        Neighbour& neighbour = neighbours_[index];
+        if (neighbour.urgent && now >= neighbour.last_sent + settings_.urgent_interval)
+            send_to_neighbour(index, now, actions);
+        if (now >= neighbour.last_sent + settings_.urgent_interval) neighbour.urgent = false;
+    }
+}
+
+// Whether no neighbour has to be told anything of this bucket.
+bool QuotaBalancer::Impl::is_up_to_date(const TenantBucket& bucket, TimePoint now) {
+    if (bucket.under_pressure(now)) return false;
+    EntryDraft draft;
+    for (std::size_t index = 0; index < neighbours_.size(); ++index) {
+        if (draft_entry(bucket, index, now, draft)) return false;
+    }
+    return true;
+}
+
+void QuotaBalancer::Impl::send_routine(TimePoint now, Actions& actions) {
+    bool all_sent = true;
+    for (std::size_t index = 0; index < neighbours_.size(); ++index) {
+        if (now >= neighbours_[index].last_sent + settings_.message_interval) {
+            send_to_neighbour(index, now, actions);
+        } else {
+            all_sent = false;
+        }
+    }
+    std::erase_if(pending_updates_, [&](BucketTable::Index index) {
+        TenantBucket& bucket = buckets_[index];
+        if (!all_sent || !is_up_to_date(bucket, now)) return false;
+        bucket.update_pending = false;
+        return true;
+    });
+    next_routine_send_ = pending_updates_.empty() ? TimePoint::max() : now + settings_.message_interval;
+}
+
+// ---- reading ----
+
+// False for a message that is older than one received before.
+bool QuotaBalancer::Impl::accept_header(const Message& message, Neighbour& neighbour, TimePoint now) {
+    if (message.incarnation == 0 || message.incarnation < neighbour.incarnation) return false;
+    if (message.incarnation == neighbour.incarnation && message.sequence <= neighbour.sequence) return false;
+    neighbour.incarnation = message.incarnation;
+    neighbour.sequence = message.sequence;
+    neighbour.timestamp = message.timestamp;
+    neighbour.last_heard = now;
+    return true;
+}
+
+// The age of a transfer is at most the time since our echoed timestamp, less what the echo waited there.
+void QuotaBalancer::Impl::receive_transfer(const Entry& entry, const Message& message, NeighbourState& state,
+                                           TenantBucket& bucket, TimePoint now) {
+    if (entry.transfer <= 0.0F) return;
+    const TransferOrigin origin = origin_of(message);
+    const bool accepted = message.echoed_incarnation == settings_.incarnation &&
+                          origin.echo_delay <= kMaxEchoDelay && origin.echoed_time <= now &&
+                          now - origin.sent_at() <= kMaxTransferAge && refill_clock_.is_running(now);
+    if (!accepted) {
+        ++statistics_.expired_transfers;
+        return;
+    }
+    bucket.transfer_in(entry.transfer, origin.sent_at() + kReservationTime);
+    statistics_.units_received += entry.transfer;
+    state.announced.units += entry.transfer;    // the sender counts it as ours
+}
+
+void QuotaBalancer::Impl::apply_entry(const Entry& entry, std::size_t neighbour_index, TenantBucket& bucket,
+                                      TimePoint now) {
+    NeighbourState& state = bucket.neighbours[neighbour_index];
+    state.received = {true, entry.under_pressure, entry.available, now};
+    state.max_transfer = entry.max_transfer;
+    state.requested_at = TimePoint{};
+    if (!entry.urgent) return;
+    if (transfer_amount(bucket, neighbour_index, now) > 0.0) {
+        neighbours_[neighbour_index].urgent = true;
+        return;
+    }
+    // It asked in vain, so it believes that we have more than we do.
+    state.announced.known = true;
+    state.announced.units = static_cast<float>(bucket.capacity_share + kCorrectionUnits);
+    state.announced.under_pressure = false;
+}
+
+void QuotaBalancer::Impl::on_message(const std::string& from, std::string_view bytes, TimePoint now,
+                                     Actions& actions) {
+    advance_to(now);
+    const std::optional<std::size_t> neighbour_index = neighbours_.index_of(from);
+    const leaf::result<Message> decoded = decode(bytes);
+    if (!decoded || !neighbour_index || !accept_header(decoded.value(), neighbours_[*neighbour_index], now)) {
+        ++statistics_.ignored;
+        return;
+    }
+    ++statistics_.received;
+    const Message& message = decoded.value();
+    for (const Entry& entry : message.entries) {
+        TenantBucket* const bucket = find_or_create_bucket(entry.tenant);
+        if (bucket == nullptr) {
+            ++statistics_.ignored;
+            continue;
+        }
+        receive_transfer(entry, message, bucket->neighbours[*neighbour_index], *bucket, now);
+        apply_entry(entry, *neighbour_index, *bucket, now);
+        queue_update(*bucket);
+        wake_queued(*bucket, now, actions);
+    }
+    send_urgent(now, actions);
+}
+
+}    // namespace shaletray::quota
--- a/src/cluster/quota/message.cpp
+++ b/src/cluster/quota/message.cpp
@@ -13,34 +13,79 @@
 namespace shaletray::quota {
 namespace {
 
+// Far above any quota; larger amounts are taken for damage.
 constexpr float kMaxAmount = 1e9F;
-constexpr std::size_t kMaxMessageSize =
-    4096;    // bytes read; a later version may send longer ones than we do
+// A later version may send longer messages than this one does.
+constexpr std::size_t kMaxMessageSize = 4096;
+// Words on the stack for a message that is written; larger ones are allocated.
+constexpr std::size_t kScratchWords = 256;
+
+// Bits of Entry::flags.
+constexpr unsigned kUrgentFlag = 1;
+constexpr unsigned kUnderPressureFlag = 2;
 
 bool is_valid_amount(float value) { return std::isfinite(value) && std::fabs(value) < kMaxAmount; }
 
+bool has_valid_amounts(const Entry& entry) {
+    return is_valid_amount(entry.available) && is_valid_amount(entry.transfer) &&
+           is_valid_amount(entry.max_transfer) && entry.transfer >= 0.0F && entry.max_transfer >= 0.0F;
+}
+
+void write_entry(const Entry& entry, wire::Entry::Builder target) {
+    const unsigned flags = (entry.urgent ? kUrgentFlag : 0) | (entry.under_pressure ? kUnderPressureFlag : 0);
+    target.setTenant(entry.tenant);
+    target.setAvailable(entry.available);
+    target.setTransfer(entry.transfer);
+    target.setMaxTransfer(entry.max_transfer);
+    target.setFlags(static_cast<std::uint8_t>(flags));
+}
+
+Entry read_entry(wire::Entry::Reader source) {
+    Entry entry;
+    entry.tenant = source.getTenant();
+    entry.available = source.getAvailable();
+    entry.transfer = source.getTransfer();
+    entry.max_transfer = source.getMaxTransfer();
+    entry.urgent = (source.getFlags() & kUrgentFlag) != 0;
+    entry.under_pressure = (source.getFlags() & kUnderPressureFlag) != 0;
+    return entry;
+}
+
+// May throw kj::Exception.
+leaf::result<Message> read_message(wire::Balance::Reader root) {
+    Message message;
+    message.incarnation = root.getIncarnation();
+    message.sequence = root.getSequence();
+    message.timestamp = root.getTimestamp();
+    message.echoed_incarnation = root.getEchoedIncarnation();
+    message.echoed_timestamp = root.getEchoedTimestamp();
+    message.echo_delay = root.getEchoDelay();
+    const auto entries = root.getEntries();
+    if (entries.size() > kMaxMessageSize / sizeof(std::uint64_t))
+        return leaf::new_error(DecodeError::TooLarge);
+    message.entries.reserve(entries.size());
+    for (const auto source : entries) {
+        const Entry entry = read_entry(source);
+        if (!has_valid_amounts(entry)) return leaf::new_error(DecodeError::InvalidAmount);
+        message.entries.push_back(entry);
+    }
+    return message;
+}
+
 }    // namespace
 
 std::string encode(const Message& message) {
-    capnp::word scratch[256] = {};
-    capnp::MallocMessageBuilder builder(kj::arrayPtr(scratch, 256));
+    capnp::word scratch[kScratchWords] = {};
+    capnp::MallocMessageBuilder builder(kj::arrayPtr(scratch, kScratchWords));
     auto root = builder.initRoot<wire::Balance>();
-    root.setLife(message.incarnation);
+    root.setIncarnation(message.incarnation);
     root.setSequence(message.sequence);
-    root.setStamp(message.timestamp);
-    root.setEchoLife(message.echoed_incarnation);
-    root.setEcho(message.echoed_timestamp);
-    root.setHeld(message.echo_delay);
+    root.setTimestamp(message.timestamp);
+    root.setEchoedIncarnation(message.echoed_incarnation);
+    root.setEchoedTimestamp(message.echoed_timestamp);
+    root.setEchoDelay(message.echo_delay);
     auto entries = root.initEntries(static_cast<unsigned>(message.entries.size()));
-    for (unsigned i = 0; i < entries.size(); ++i) {
-        const Entry& source = message.entries[i];
-        auto target = entries[i];
-        target.setTenant(source.tenant);
-        target.setFree(source.available);
-        target.setGift(source.transfer);
-        target.setWant(source.max_transfer);
-        target.setFlags(static_cast<std::uint8_t>((source.urgent ? 1 : 0) | (source.under_pressure ? 2 : 0)));
-    }
+    for (unsigned i = 0; i < entries.size(); ++i) write_entry(message.entries[i], entries[i]);
     kj::VectorOutputStream stream;
     capnp::writePackedMessage(stream, builder);
     const auto bytes = stream.getArray();
@@ -49,40 +94,15 @@
 
 leaf::result<Message> decode(std::string_view bytes) {
     if (bytes.size() > kMaxMessageSize) return leaf::new_error(DecodeError::TooLarge);
-    Message message;
+    const auto* const data = reinterpret_cast<const kj::byte*>(bytes.data());
     try {    // the only place where the library's exceptions can arise
-        kj::ArrayInputStream input(
-            kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
+        kj::ArrayInputStream input(kj::arrayPtr(data, bytes.size()));
         capnp::PackedMessageReader reader(input,
                                           {.traversalLimitInWords = 4 * kMaxMessageSize, .nestingLimit = 8});
-        const auto root = reader.getRoot<wire::Balance>();
-        message = {root.getLife(),
-                   root.getSequence(),
-                   root.getStamp(),
-                   root.getEchoLife(),
-                   root.getEcho(),
-                   root.getHeld(),
-                   {}};
-        const auto entries = root.getEntries();
-        if (entries.size() > kMaxMessageSize / sizeof(std::uint64_t))
-            return leaf::new_error(DecodeError::TooLarge);
-        message.entries.reserve(entries.size());
-        for (const auto source : entries) {
-            const Entry entry{source.getTenant(),
-                              source.getFree(),
-                              source.getGift(),
-                              source.getWant(),
-                              (source.getFlags() & 1) != 0,
-                              (source.getFlags() & 2) != 0};
-            if (!is_valid_amount(entry.available) || !is_valid_amount(entry.transfer) ||
-                !is_valid_amount(entry.max_transfer) || entry.transfer < 0.0F || entry.max_transfer < 0.0F)
-                return leaf::new_error(DecodeError::InvalidAmount);
-            message.entries.push_back(entry);
-        }
+        return read_message(reader.getRoot<wire::Balance>());
     } catch (const kj::Exception&) {
         return leaf::new_error(DecodeError::Malformed);
     }
-    return message;
 }
 
 std::uint64_t tenant_id(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
--- /dev/null
+++ b/src/cluster/quota/request_admission.cpp
@@ -0,0 +1,149 @@
+// The part of QuotaBalancer::Impl that decides on requests and plans what neighbours are asked for.
+#include <algorithm>
+
+#include "cluster/quota/quota_balancer_impl.h"
+#include "cluster/quota/time_units.h"
+#include "cluster/quota/transfer_estimates.h"
+
+namespace shaletray::quota {
+namespace {
+
+using namespace std::chrono_literals;
+
+// The longest time that a rejected client is told to stay away: estimates of a longer one are too uncertain.
+constexpr Duration kMaxRetryAfter = 1s;
+// The advice while this gateway has no lease or too many buckets: about as long as such a state lasts.
+constexpr Duration kUnavailableRetryAfter = 500ms;
+// Requests go to two neighbours at least, so that one may fail.
+constexpr std::size_t kMinAskedNeighbours = 2;
+
+}    // namespace
+
+AdmissionDecision QuotaBalancer::Impl::reject(Duration retry_after_now, Duration& retry_after) {
+    retry_after = retry_after_now;
+    ++statistics_.rejected;
+    return AdmissionDecision::Rejected;
+}
+
+AdmissionDecision QuotaBalancer::Impl::request_unit(const std::string& tenant, Duration max_wait,
+                                                    TimePoint now, Duration& retry_after) {
+    advance_to(now);
+    const std::uint64_t id = tenant_id(tenant);
+    TenantBucket* const found_bucket = find_or_create_bucket(id);
+    if (found_bucket == nullptr) {
+        const TenantLimit* const limit = limits_.find(id);
+        if (limit == nullptr || !limit->is_limited()) return AdmissionDecision::Granted;
+        return reject(kUnavailableRetryAfter, retry_after);    // too many buckets
+    }
+    TenantBucket& bucket = *found_bucket;
+    if (bucket.name.empty()) bucket.name = tenant;
+    bucket.demand = bucket.demand * std::max(0.0, 1.0 - seconds(now - bucket.last_used)) + 1.0;
+    bucket.last_used = now;
+    if (!refill_clock_.is_running(now)) return reject(kUnavailableRetryAfter, retry_after);
+    if (bucket.consume_unit()) {
+        queue_update(bucket);
+        ++statistics_.granted;
+        return AdmissionDecision::Granted;
+    }
+    bucket.last_shortage = now;
+    queue_update(bucket);
+    const double needed_units = 1.0 + bucket.queued - bucket.total_units();
+    const Duration until_refilled = to_duration(needed_units / refill_rate(bucket, refill_clock_));
+    if (expected_units(bucket, needed_units, max_wait, now) < needed_units)
+        return reject(reserve_retry_slot(bucket, until_refilled, now), retry_after);
+    plan_immediately_ = true;
+    bucket.next_plan = now;
+    retry_after = std::min(until_refilled, kMaxRetryAfter);
+    ++statistics_.queued;
+    return AdmissionDecision::Queued;
+}
+
+// Units that refill or may come from neighbours within `max_wait`. Stops counting at `needed_units`.
+double QuotaBalancer::Impl::expected_units(const TenantBucket& bucket, double needed_units, Duration max_wait,
+                                           TimePoint now) const {
+    double expected = refill_rate(bucket, refill_clock_) * seconds(max_wait);
+    for (std::size_t index = 0; index < neighbours_.size() && expected < needed_units; ++index) {
+        const NeighbourState& state = bucket.neighbours[index];
+        const double outstanding = state.awaits_reply(now) ? state.outstanding_request : 0.0;
+        expected +=
+            outstanding + obtainable_units(bucket, state, bucket.available_units() - 1.0, refill_clock_, now);
+    }
+    return expected;
+}
+
+// Each rejected request is told a moment of its own to come back, as far as kMaxRetryAfter allows.
+Duration QuotaBalancer::Impl::reserve_retry_slot(TenantBucket& bucket, Duration until_refilled,
+                                                 TimePoint now) {
+    const Duration slot_length = to_duration(1.0 / refill_rate(bucket, refill_clock_));
+    bucket.next_retry_slot = std::max(bucket.next_retry_slot + slot_length, now + until_refilled);
+    if (bucket.next_retry_slot > now + kMaxRetryAfter)
+        bucket.next_retry_slot = now + std::min(until_refilled, kMaxRetryAfter);
+    return bucket.next_retry_slot - now;
+}
+
+void QuotaBalancer::Impl::adjust_queued(const std::string& tenant, int change) {
+    const std::optional<BucketTable::Index> index = buckets_.index_of(tenant_id(tenant));
+    if (!index) return;
+    TenantBucket& bucket = buckets_[*index];
+    const bool had_queued = bucket.queued > 0;
+    bucket.queued = std::max(0, bucket.queued + change);
+    if (bucket.queued > 0 && !had_queued) queued_buckets_.push_back(*index);
+    if (bucket.queued == 0 && had_queued) std::erase(queued_buckets_, *index);
+}
+
+void QuotaBalancer::Impl::return_unit(const std::string& tenant, TimePoint now) {
+    advance_to(now);
+    TenantBucket* const bucket = buckets_.find(tenant_id(tenant));
+    if (bucket == nullptr || !refill_clock_.is_running(now)) return;
+    bucket->advance_to(refill_clock_);
+    bucket->return_unit();
+    queue_update(*bucket);
+    if (bucket->queued > 0) plan_immediately_ = true;
+}
+
+void QuotaBalancer::Impl::RequestCandidates::insert(const RequestCandidate& candidate) {
+    std::size_t position = count++;
+    for (; position > 0 && items[position - 1].obtainable < candidate.obtainable; --position)
+        items[position] = items[position - 1];
+    items[position] = candidate;
+}
+
+// While requests are queued, the neighbours with most units are asked: as few as cover the need if one of
+// them fails.
+void QuotaBalancer::Impl::plan_requests(TenantBucket& bucket, TimePoint now) {
+    if (now < bucket.next_plan) return;
+    bucket.next_plan = now + kRequestTimeout;
+    double needed_units = bucket.queued - bucket.total_units();
+    if (needed_units <= 0.0) return;
+    RequestCandidates candidates;
+    for (std::size_t index = 0; index < neighbours_.size(); ++index) {
+        const NeighbourState& state = bucket.neighbours[index];
+        if (state.awaits_reply(now)) {
+            needed_units -= state.outstanding_request;
+            continue;
+        }
+        const double obtainable =
+            obtainable_units(bucket, state, bucket.available_units(), refill_clock_, now);
+        if (obtainable > 0.0) candidates.insert({obtainable, index});
+    }
+    if (needed_units <= 0.0 || candidates.count == 0) return;
+
+    const double largest = candidates.items[0].obtainable;
+    double total = 0.0;
+    std::size_t asked = 0;
+    while (asked < candidates.count && (asked < kMinAskedNeighbours || total - largest < needed_units))
+        total += candidates.items[asked++].obtainable;
+    const double total_without_largest = total - largest;
+    // Also for the requests that will arrive until the next routine message, at the present rate.
+    const double wanted_units = needed_units + bucket.demand * seconds(settings_.message_interval);
+    const double fraction = total_without_largest > wanted_units ? wanted_units / total_without_largest : 1.0;
+    for (std::size_t i = 0; i < asked; ++i) {
+        const RequestCandidate& candidate = candidates.items[i];
+        const double amount = candidate.obtainable * fraction + 1.0 / kFractionsPerUnit;
+        bucket.neighbours[candidate.neighbour_index].pending_request = static_cast<float>(amount);
+        neighbours_[candidate.neighbour_index].urgent = true;
+    }
+    queue_update(bucket);
+}
+
+}    // namespace shaletray::quota
--- a/src/cluster/quota/tenant_bucket.cpp
+++ b/src/cluster/quota/tenant_bucket.cpp
@@ -7,36 +7,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kPressureDuration = 500ms;    // after the last request that found too little
+// How long a tenant counts as short of units after the last request that found none: two message intervals.
+constexpr Duration kPressureDuration = 500ms;
+// Sums of refills may fall short of a whole unit by a rounding error.
+constexpr double kOneUnit = 1.0 - 1e-9;
 
-double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 std::int64_t step_of(TimePoint time) { return time.time_since_epoch() / kReservationStep; }
+
+// The place of a step in the ring of sums; steps may be negative.
 std::size_t step_index(std::int64_t step) {
     return static_cast<std::size_t>((step % kReservationSteps + kReservationSteps) % kReservationSteps);
 }
 
 }    // namespace
 
-void RefillClock::advance(TimePoint now) {
-    if (now <= current_time_) return;
-    const TimePoint end = std::min(now, refill_until_);
-    if (divisor_ > 0 && end > current_time_) integral_ += seconds(end - current_time_) * share_;
-    current_time_ = now;
-}
-
-void RefillClock::set_divisor(std::uint32_t divisor, TimePoint deadline, TimePoint now) {
-    advance(now);
-    divisor_ = divisor;
-    refill_until_ = deadline;
-    if (divisor > 0) share_ = 1.0 / divisor;
-}
-
-double RefillClock::integral_at(TimePoint time) const {
-    if (divisor_ == 0) return integral_;
-    const TimePoint end = std::min(current_time_, refill_until_);
-    return time < end ? integral_ - seconds(end - time) * share_ : integral_;
-}
-
 double TenantBucket::reserved_units() const {
     double total = 0.0;
     for (const float amount : transferred) total += amount;
@@ -50,39 +34,47 @@
     refilled_until = integral;
 }
 
-void TenantBucket::advance_to(const RefillClock& clock) {
-    const TimePoint now = clock.current_time();
-    capacity_share = full_capacity * clock.share();
-    // While room was held, the store could not refill into it: step by step as it came free.
-    const std::int64_t last_expired_step =
-        step_of(now - kReservationTime) - 1;    // the newest step that has run out
-    for (std::int64_t step = newest_step - kReservationSteps + 1;
-         step <= std::min(last_expired_step, newest_step); ++step) {
+// While capacity was reserved, the bucket could not refill into it: it is replayed step by step.
+void TenantBucket::end_reservations(const RefillClock& clock) {
+    const std::int64_t last_expired_step = step_of(clock.current_time() - kReservationTime) - 1;
+    const std::int64_t last_step = std::min(last_expired_step, newest_step);
+    for (std::int64_t step = newest_step - kReservationSteps + 1; step <= last_step; ++step) {
         float& amount = transferred[step_index(step)];
         if (amount <= 0.0F) continue;
-        refill_to(clock.integral_at(TimePoint((step + 1) * kReservationStep) + kReservationTime));
+        const TimePoint step_end((step + 1) * kReservationStep);
+        refill_to(clock.integral_at(step_end + kReservationTime));
         amount = 0.0F;
     }
+}
+
+void TenantBucket::absorb_expiring_units(TimePoint now) {
+    if (expiring_units <= 0.0) return;
+    if (now >= expiring_until) expiring_units = 0.0;
+    const double fitting = std::clamp(capacity_share - reserved_units() - level, 0.0, expiring_units);
+    level += fitting;
+    expiring_units -= fitting;
+}
+
+void TenantBucket::advance_to(const RefillClock& clock) {
+    capacity_share = full_capacity * clock.share();
+    end_reservations(clock);
     refill_to(clock.integral());
     level = std::min(level, std::max(0.0, capacity_share - reserved_units()));
-    if (expiring_units > 0.0) {
-        if (now >= expiring_until) expiring_units = 0.0;
-        const double fitting = std::clamp(capacity_share - reserved_units() - level, 0.0, expiring_units);
-        level += fitting;
-        expiring_units -= fitting;
-    }
+    absorb_expiring_units(clock.current_time());
 }
 
+bool TenantBucket::has_unit() const { return total_units() >= kOneUnit; }
+
 bool TenantBucket::consume_unit() {
-    constexpr double kOneUnit = 1.0 - 1e-9;
-    if (total_units() < kOneUnit) return false;
+    if (!has_unit()) return false;
     const double from_expiring = std::min(expiring_units, 1.0);
     expiring_units -= from_expiring;
     level = std::max(0.0, level - (1.0 - from_expiring));
     return true;
 }
 
-// After settle: places of steps that have run out are empty.
+void TenantBucket::return_unit() { level += std::clamp(capacity_share - reserved_units() - level, 0.0, 1.0); }
+
 void TenantBucket::transfer_out(double amount, TimePoint now) {
     newest_step = std::max(newest_step, step_of(now));
     level = std::max(0.0, level - amount);
@@ -92,9 +84,10 @@
 void TenantBucket::transfer_in(double amount, TimePoint expires_at) {
     const double fitting = std::clamp(capacity_share - reserved_units() - level, 0.0, amount);
     level += fitting;
-    if (amount - fitting <= 0.0) return;
+    const double excess = amount - fitting;
+    if (excess <= 0.0) return;
     expiring_until = expiring_units > 0.0 ? std::min(expiring_until, expires_at) : expires_at;
-    expiring_units += amount - fitting;
+    expiring_units += excess;
 }
 
 void TenantBucket::clear() { level = expiring_units = 0.0; }
--- a/tests/cluster/quota/balancer_world.h
+++ b/tests/cluster/quota/balancer_world.h
@@ -1,5 +1,5 @@
-// Pilots in virtual time: their stores, the network between them, what the caller learns of the others by
-// beats, and tenants whose requests come unevenly.
+// Gateways in virtual time: their balancers, the network between them, what the caller learns of the others
+// by heartbeats, and tenants whose requests arrive unevenly.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,8 @@
 
 constexpr Duration kHeartbeatInterval = 500ms, kMemberTimeout = 20s, kRefillTime = 10s;
 
-// What the caller must do for peers(): a model of the convoy, strict where the rule hangs on it.
+// What the caller of set_peers() has to guarantee: a model of the membership and the quota lease, strict
+// where the bound depends on it.
 class MembershipModel {
 public:
     struct Heartbeat {
@@ -29,7 +30,7 @@
         std::uint32_t quota_divisor = 0;
         TimePoint timestamp{}, echoed_timestamp{};
         std::uint64_t echoed_incarnation = 0;
-        std::map<std::string, TimePoint> last_heard;    // when any pilot last heard of it
+        std::map<std::string, TimePoint> last_heard;    // when any gateway last heard it
     };
     MembershipModel(std::string self, std::uint64_t incarnation, std::size_t gateway_count)
         : self_(self), incarnation_(incarnation), gateway_count_(gateway_count) {}
@@ -69,13 +70,13 @@
         PeerSet result{member_names(now), 0, {}};
         const auto size = static_cast<std::uint32_t>(result.ring.size());
         std::uint32_t divisor = size;
-        std::vector<TimePoint> echoed{now};    // when they heard this life, by their own word
+        std::vector<TimePoint> echoed{now};    // when they heard this incarnation, as they say
         bool all_counted = true;
         for (const auto& [name, member] : members_) {
             if (now >= member.last_heard + kMemberTimeout) continue;
             divisor = std::max(divisor, member.quota_divisor);
             if (member.last_echoed != TimePoint{}) echoed.push_back(member.last_echoed);
-            // It counts this life, or refills no more.
+            // It counts this incarnation, or refills no more.
             const bool is_counted = member.last_echoed != TimePoint{} &&
                                     now < member.last_echoed + kRefillTime && member.quota_divisor >= size;
             all_counted = all_counted && (is_counted || now >= member.last_heard + kRefillTime + 1s);
@@ -110,12 +111,12 @@
 struct Tenant {
     std::string name;
     Quota quota;
-    std::vector<double> weight{};    // of pilots
+    std::vector<double> weight{};    // of each gateway
 };
 
 struct Network {
     Duration delay = 1ms, jitter = 1ms;
-    double loss = 0.0, duplication = 0.0, late_delivery = 0.0;    // late: up to a second
+    double loss = 0.0, duplication = 0.0, late_delivery = 0.0;    // late: by up to a second
 };
 
 class World {
@@ -131,7 +132,7 @@
         std::unique_ptr<MembershipModel> cluster;
         std::unique_ptr<QuotaBalancer> balancer;
         std::map<std::string, Quota> quotas;                    // its configuration
-        std::map<std::string, std::deque<TimePoint>> queued;    // until when
+        std::map<std::string, std::deque<TimePoint>> queued;    // when their wait expires
         std::deque<std::function<void()>> deferred;             // while frozen
         TimePoint next_tick = TimePoint::max();
     };
@@ -201,7 +202,7 @@
         for (auto& task : deferred) task();
         schedule_tick(index);
     }
-    // A new configuration reaches each pilot after up to `spread`.
+    // A new configuration reaches each gateway after up to `spread`.
     void configure(std::map<std::string, Quota> by_tenant, Duration spread) {
         quotas = by_tenant;
         for (std::size_t i = 0; i < gateways.size(); ++i)
@@ -213,12 +214,12 @@
                 });
             });
     }
-    // From now on the tenant sends so many requests a second.
+    // From now on the tenant sends `rate` requests a second.
     void set_load(const Tenant& tenant, double rate) {
         schedule_request(tenant, rate, ++load_numbers_[tenant.name]);
     }
 
-    // The most grants of the tenant in any window, less what may be granted in it.
+    // The largest number of the tenant's grants in any window, less `max_grants`.
     static double excess(const std::vector<Grant>& grants, const std::string& tenant, double max_grants,
                          Duration window) {
         std::deque<TimePoint> in_window;
@@ -236,7 +237,7 @@
     std::mt19937_64 random;
     Network network;
     Duration max_wait = 150ms;
-    double return_fraction = 0.0;    // part of what is granted that never ran
+    double return_fraction = 0.0;    // of the granted requests that never run
     std::map<std::string, Quota> quotas;
     std::vector<Gateway> gateways;
     std::vector<Grant> grants;
@@ -351,7 +352,7 @@
         ++statistics.granted;
         grants.push_back({now, tenant});
     }
-    // Sends what is to be sent, lets those ask again that wait, and comes back when it is due.
+    // Sends the messages, lets queued requests try again, and schedules the next tick.
     void apply_actions(std::size_t index, Actions& actions) {
         Gateway& process = gateways[index];
         for (Actions::Send& send : actions.sends) {
--- a/tests/cluster/quota/message_test.cpp
+++ b/tests/cluster/quota/message_test.cpp
@@ -48,27 +48,27 @@
         capnp::PackedMessageReader reader(input);
         const auto earlier = reader.getRoot<versions::Earlier>();
         cr_assert_eq(earlier.getSequence(), current.sequence);
-        cr_assert_eq(earlier.getEntries()[1].getGift(), current.entries[1].transfer);
+        cr_assert_eq(earlier.getEntries()[1].getTransfer(), current.entries[1].transfer);
     }
     const auto fill = [&](auto root) {
-        root.setLife(current.incarnation);
+        root.setIncarnation(current.incarnation);
         root.setSequence(current.sequence);
-        root.setStamp(current.timestamp);
-        root.setEchoLife(current.echoed_incarnation);
-        root.setEcho(current.echoed_timestamp);
-        root.setHeld(current.echo_delay);
+        root.setTimestamp(current.timestamp);
+        root.setEchoedIncarnation(current.echoed_incarnation);
+        root.setEchoedTimestamp(current.echoed_timestamp);
+        root.setEchoDelay(current.echo_delay);
         auto entries = root.initEntries(2);
         for (unsigned i = 0; i < 2; ++i) {
             entries[i].setTenant(current.entries[i].tenant);
-            entries[i].setFree(current.entries[i].available);
-            entries[i].setGift(current.entries[i].transfer);
+            entries[i].setAvailable(current.entries[i].available);
+            entries[i].setTransfer(current.entries[i].transfer);
         }
         return entries;
     };
     {
         capnp::MallocMessageBuilder builder;
         fill(builder.initRoot<versions::Earlier>());
-        Message expected = current;    // it wants nothing and presses for nothing
+        Message expected = current;    // it permits no transfer and has no flags
         for (Entry& entry : expected.entries)
             entry = {entry.tenant, entry.available, entry.transfer, 0.0F, false, false};
         cr_assert(decode(packed(builder)).value() == expected);
@@ -79,7 +79,7 @@
         root.setRemark("a field that we do not know");
         auto entries = fill(root);
         for (unsigned i = 0; i < 2; ++i) {
-            entries[i].setWant(current.entries[i].max_transfer);
+            entries[i].setMaxTransfer(current.entries[i].max_transfer);
             entries[i].setFlags(static_cast<std::uint8_t>(0xf0 | (current.entries[i].urgent ? 1 : 0) |
                                                           (current.entries[i].under_pressure ? 2 : 0)));
             entries[i].setPrice(0.5);
--- a/tests/cluster/quota/quota_balancer_test.cpp
+++ b/tests/cluster/quota/quota_balancer_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The bound that store.h argues for: the quota and half of what the rule allows on top.
+// The bound that tenant_bucket.h argues for: the quota and half of the permitted overshoot.
 double half_bound(const Quota& tenant_quota) {
     const double quota = tenant_quota.rate * 5.0 + tenant_quota.burst;
     return quota + 0.5 * (quota * 0.1 + 20.0);
@@ -24,7 +24,7 @@
     return result;
 }
 
-// Something happens to pilots, and is over by `end`.
+// A fault of some gateways that is over by `end`.
 void inject_fault(World& world, const std::vector<Tenant>& tenants, TimePoint end) {
     const std::size_t target = world.random_index();
     switch (world.random() % 6) {
@@ -50,7 +50,7 @@
             world.network = {Duration(world.random() % 150'000), 5ms, 0.2, 0.3, 0.2};
             world.schedule(end, [&world] { world.network = {}; });
             break;
-        case 4: {    // one's limit falls, or it leaves; and all is as it was
+        case 4: {    // a tenant's limit falls, or the tenant is removed; later all is as before
             auto reduced = world.quotas;
             const Tenant& tenant = tenants[world.random() % tenants.size()];
             reduced.erase(tenant.name);
@@ -67,9 +67,9 @@
 
 }    // namespace
 
-// Whatever happens to the pilots and between them, all grants of a tenant in any window stay in the bound.
-// The worst moment for it is when stores are full and many requests come just as a trouble ends.
-Test(tide, no_trouble_adds_to_a_quota) {
+// Whatever happens to the gateways and between them, all grants of a tenant in any window stay in the bound.
+// The worst moment for it is when buckets are full and many requests come just as a fault ends.
+Test(quota_balancer, no_fault_adds_to_a_quota) {
     for (std::uint64_t seed = 1; seed <= 16; ++seed) {
         World world(3 + seed % 9, seed);
         const std::vector<Tenant> tenants{make_tenant(world, "small", {5, 5}),
@@ -79,7 +79,7 @@
         for (std::size_t i = 0; i < world.gateways.size(); ++i)
             if (world.chance() < 0.7) world.start(i);
         for (int episode = 0; episode < 16; ++episode) {
-            // Short, or long enough for the others to count on the shares of those that are gone.
+            // Short, or long enough for the others to count on the shares of those that failed.
             const double longest = world.chance() < 0.5 ? 4.0 : 35.0;
             const Duration length(static_cast<std::int64_t>((0.2 + longest * world.chance()) * 1e6));
             const TimePoint end = world.now + 4s + length;
@@ -101,8 +101,8 @@
     }
 }
 
-// Three pilots and one tenant, and all orders of a few things that may happen: what all hold together, with
-// every gift in flight that would still be taken, never exceeds what the tenant's stores may hold.
+// Three gateways and one tenant, and all orders of a few events: the units of all together, with every
+// transfer in flight that would still be accepted, never exceed what the tenant's buckets may hold.
 namespace tiny {
 
 struct Envelope {
@@ -175,25 +175,25 @@
         case 6:
             if (!state.in_flight.empty()) state.in_flight.erase(state.in_flight.begin());
             break;
-        case 7:    // a new life, which the others count already
+        case 7:    // a new incarnation, which the others count already
             state.balancers[1] = make_balancer(state, 1);
             state.balancers[1].set_peers({kNames, state.divisor[1], state.now + 10s}, state.now);
             break;
-        case 8:    // the third is cut off, and after twenty seconds the others divide by two
+        case 8:    // the third is partitioned, and after twenty seconds the others divide by two
             state.contacted[2] = false;
             advance_time(state, 9s);
             advance_time(state, 12s);
             state.divisor[0] = state.divisor[1] = 2;
             advance_time(state, 0s);
             break;
-        case 9:    // it comes back: counted first, then confirmed
+        case 9:    // it is back: counted first, then confirmed
             state.divisor = {3, 3, 3};
             for (std::size_t index = 0; index < 2; ++index)
                 state.balancers[index].set_peers({kNames, 3, state.now + 10s}, state.now);
             state.contacted[2] = true;
             advance_time(state, 10ms);
             break;
-        case 10: {    // a request waits at the first and asks
+        case 10: {    // a request is queued at the first, which requests units
             Duration retry_after{};
             if (state.balancers[0].request_unit("t", 150ms, state.now, retry_after) !=
                 AdmissionDecision::Queued)
@@ -232,34 +232,34 @@
 
 }    // namespace tiny
 
-Test(tide, no_order_of_events_makes_units) {
+Test(quota_balancer, no_order_of_events_creates_units) {
     tiny::State state;
     for (std::size_t i = 0; i < 3; ++i) state.balancers.push_back(tiny::make_balancer(state, i));
     tiny::advance_time(state, 1s);
     std::vector<int> path;
     for (int i = 0; i < 12; ++i) tiny::advance_time(state, 1s);
     tiny::explore(state, path, 5);
-    for (const int action : {0, 3, 4, 4, 3}) tiny::apply_action(state, action);    // gifts are on their way
+    for (const int action : {0, 3, 4, 4, 3}) tiny::apply_action(state, action);    // transfers are in flight
     tiny::explore(state, path, 5);
 }
 
 namespace {
 
-// Eight tenants at a fleet for half a minute; `hot` sends 7.5 times its rate, the others 0.6 times. A
-// tenant's clients reach some pilots up to five times as often as others, or, where `few`, four pilots only.
-World run_day(std::size_t pilots, std::uint64_t seed, int hot, bool few, std::vector<Tenant>& tenants) {
-    World world(pilots, seed);
+// Eight tenants for half a minute; the tenant of index `hot` sends 7.5 times its rate, the others 0.6 times.
+// A tenant's clients reach some gateways up to five times as often as others, or only four gateways.
+World run_day(std::size_t gateways, std::uint64_t seed, int hot, bool few, std::vector<Tenant>& tenants) {
+    World world(gateways, seed);
     world.network.loss = 0.01;
     for (const double rate : {5, 8, 10, 15, 25, 50, 100, 200}) {
         Tenant tenant = make_tenant(world, "tenant" + std::to_string(tenants.size()), {rate, rate});
         if (few) {
-            tenant.weight.assign(pilots, 0.0);
+            tenant.weight.assign(gateways, 0.0);
             for (int i = 0; i < 4; ++i) tenant.weight[world.random_index()] += 1.0;
         }
         world.quotas[tenant.name] = tenant.quota;
         tenants.push_back(tenant);
     }
-    for (std::size_t i = 0; i < pilots; ++i) world.start(i);
+    for (std::size_t i = 0; i < gateways; ++i) world.start(i);
     world.run(8s);
     for (std::size_t i = 0; i < tenants.size(); ++i)
         world.set_load(tenants[i], tenants[i].quota.rate * (static_cast<int>(i) == hot ? 7.5 : 0.6));
@@ -269,23 +269,24 @@
 
 }    // namespace
 
-Test(tide, requests_inside_the_quota_are_hardly_refused) {
-    for (const std::size_t pilots : {std::size_t{11}, std::size_t{13}})
+Test(quota_balancer, requests_within_the_quota_are_hardly_rejected) {
+    for (const std::size_t gateways : {std::size_t{11}, std::size_t{13}})
         for (const bool few : {false, true}) {
             std::vector<Tenant> tenants;
-            const World world = run_day(pilots, pilots, -1, few, tenants);
-            cr_log_info("%zu pilots%s: %llu asked, %.3f%% refused, %.1f%% waited, %.1f messages/s each",
-                        pilots, few ? ", few used" : "",
-                        static_cast<unsigned long long>(world.statistics.requested),
-                        100.0 * world.statistics.rejected_fraction(),
-                        100.0 * static_cast<double>(world.statistics.queued) /
-                            static_cast<double>(world.statistics.requested),
-                        static_cast<double>(world.statistics.sent) / 30.0 / static_cast<double>(pilots));
+            const World world = run_day(gateways, gateways, -1, few, tenants);
+            cr_log_info(
+                "%zu gateways%s: %llu requested, %.3f%% rejected, %.1f%% queued, %.1f messages/s each",
+                gateways, few ? ", few used" : "",
+                static_cast<unsigned long long>(world.statistics.requested),
+                100.0 * world.statistics.rejected_fraction(),
+                100.0 * static_cast<double>(world.statistics.queued) /
+                    static_cast<double>(world.statistics.requested),
+                static_cast<double>(world.statistics.sent) / 30.0 / static_cast<double>(gateways));
             cr_assert_lt(world.statistics.rejected_fraction(), 0.003);
         }
 }
 
-Test(tide, a_hot_tenant_gets_its_quota_and_costs_the_others_nothing) {
+Test(quota_balancer, a_hot_tenant_gets_its_quota_and_costs_the_others_nothing) {
     for (const int hot : {0, 2, 7}) {
         std::vector<Tenant> tenants;
         const World world = run_day(13, 5, hot, false, tenants);
@@ -317,7 +318,7 @@
 
 }    // namespace
 
-Test(tide, tenants_cost_nothing_until_they_are_met) {
+Test(quota_balancer, tenants_cost_nothing_until_they_send_requests) {
     TimePoint now{1'000s};
     std::map<std::string, Quota> quotas;
     for (int i = 0; i < 420'000; ++i) quotas["tenant" + std::to_string(i)] = {10, 10};
@@ -327,7 +328,7 @@
     cr_assert_eq(balancer.statistics().buckets, 0u);
     cr_assert(balancer.next_deadline() == TimePoint::max());
     const double full = balancer.available_units("tenant7", now);
-    cr_assert_eq(full, 10.0 + 0.5 * (0.1 * 60.0 + 20.0));    // as if it had refilled all the time
+    cr_assert_eq(full, 10.0 + 0.5 * (0.1 * 60.0 + 20.0));    // as if its bucket had always existed
     Duration retry_after{};
     cr_assert(balancer.request_unit("tenant7", 0ms, now, retry_after) == AdmissionDecision::Granted);
     cr_assert_eq(balancer.statistics().buckets, 1u);
@@ -339,7 +340,7 @@
     cr_assert(actions.sends.empty());
 }
 
-Test(tide, changed_limits_take_hold) {
+Test(quota_balancer, changed_limits_take_effect) {
     TimePoint now{1'000s};
     const Quota small{10, 0}, large{20, 30};
     const double few = half_bound(small) - 50.0, many = half_bound(large) - 100.0;
@@ -348,12 +349,12 @@
     cr_assert(balancer.request_unit("free", 0ms, now, retry_after) ==
               AdmissionDecision::Granted);    // no limit
     cr_assert(balancer.request_unit("unheard", 0ms, now, retry_after) ==
-              AdmissionDecision::Granted);    // is the caller's to refuse
+              AdmissionDecision::Granted);    // the caller rejects unknown tenants
     cr_assert(balancer.request_unit("met", 0ms, now, retry_after) == AdmissionDecision::Granted);
     balancer.set_quotas({{"met", small}, {"unmet", small}, {"free", small}}, now);    // lower: at once
     cr_assert_eq(balancer.available_units("met", now), few);
     cr_assert_float_eq(balancer.available_units("unmet", now), few, 1e-6);
-    cr_assert_eq(balancer.available_units("free", now), 0.0);    // it may have had any number
+    cr_assert_eq(balancer.available_units("free", now), 0.0);    // it may have been granted any number
     balancer.set_quotas({{"met", large}, {"unmet", large}, {"free", small}, {"new", large}},
                         now);    // higher: by refill
     now += 500ms;
@@ -362,26 +363,26 @@
     cr_assert_eq(balancer.available_units("new", now), many);    // nobody here was granted any of it
     balancer.set_quotas({{"met", large}}, now);
     balancer.set_quotas({{"met", large}, {"new", large}}, now);
-    cr_assert_eq(balancer.available_units("new", now), 0.0);    // it left and came back
-    balancer.set_peers({{"a", "b"}, 2, now + 1s}, now);         // more pilots: the store is cut
+    cr_assert_eq(balancer.available_units("new", now), 0.0);    // it was removed and came back
+    balancer.set_peers({{"a", "b"}, 2, now + 1s}, now);         // more gateways: the bucket is cut
     cr_assert_leq(balancer.available_units("met", now), many / 2);
     balancer.set_peers({{"a"}, 1, now + 1s}, now);    // fewer: by refill
     cr_assert_leq(balancer.available_units("met", now), many / 2);
     now += 1s;
-    cr_assert_eq(balancer.available_units("met", now), 0.0);    // unheard for too long
+    cr_assert_eq(balancer.available_units("met", now), 0.0);    // the lease has ended
     cr_assert(balancer.request_unit("met", 0ms, now, retry_after) == AdmissionDecision::Rejected);
     balancer.set_peers({{"a"}, 1, now + 10s}, now);
     now += 250ms;
     cr_assert_float_eq(balancer.available_units("met", now), 5.0, 1e-6);
 }
 
-Test(tide, those_who_wait_are_woken_and_others_told_when_to_return) {
+Test(quota_balancer, queued_requests_are_woken_and_others_told_when_to_retry) {
     TimePoint now{1'000s};
     QuotaBalancer balancer = single_balancer({{"t", {10, 0}}}, now);
     Duration retry_after{};
     while (balancer.available_units("t", now) >= 1.0) balancer.request_unit("t", 0ms, now, retry_after);
     cr_assert(balancer.request_unit("t", 100ms, now, retry_after) ==
-              AdmissionDecision::Queued);    // one is refilled by then
+              AdmissionDecision::Queued);    // one unit is refilled by then
     balancer.adjust_queued("t", 1);
     cr_assert(balancer.request_unit("t", 100ms, now, retry_after) ==
               AdmissionDecision::Rejected);    // but not two
