--- a/src/base/http/line_protocol.h
+++ b/src/base/http/line_protocol.h
@@ -1,5 +1,4 @@
-// Interface of a connection's protocol state machine for short request/response exchanges. It is fed bytes
-// and independent of sockets; LineProtocolServer runs one for each connection.
+// One connection's side of a short talk, fed bytes. It knows no socket.
 #pragma once
 
 #include <string>
@@ -8,13 +7,11 @@
 
 namespace shaletray {
 
-// One instance serves one connection.
 class LineProtocol {
 public:
-    // Close: after `output` has been written.
-    enum class NextStep { ReadMore, Close };
+    enum class NextStep { ReadMore, Close };    // for more bytes; once what was said is written
     virtual ~LineProtocol() = default;
-    // Consumes complete messages from `input` and appends the replies to `output`.
+    // Consumes what it understood of `in`, and appends what is to be said to `out`.
     virtual NextStep process_input(http::Buffer& input, std::string& output) = 0;
 };
 
--- a/src/base/net/waker.h
+++ b/src/base/net/waker.h
@@ -1,5 +1,4 @@
-// Lets other threads wake the reactor's thread: after wake(), the task runs there in a later iteration. Calls
-// before the task runs are merged into one.
+// Lets other threads call the reactor's one: whatever they did, the task runs in a turn after it.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -12,23 +11,21 @@
 
 namespace shaletray {
 
-// Created and destroyed on the reactor's thread; only wake() may be called from others.
 class Waker {
 public:
-    // Throws std::runtime_error if no pipe can be created.
+    // Throws std::runtime_error where the system has no pipe left.
     Waker(Reactor& reactor, std::function<void()> task);
     ~Waker();
     Waker(const Waker&) = delete;
     Waker& operator=(const Waker&) = delete;
-    // Safe from any thread. Everything that the caller wrote before is visible to the task.
-    void wake();
+    void wake();    // from any thread
 
 private:
     void on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
 
     Reactor& reactor_;
     std::function<void()> task_;
-    Poco::Net::StreamSocket poll_socket_;    // the pipe's read end, wrapped so that POCO can poll it
+    Poco::Net::StreamSocket poll_socket_;    // a pipe's end; what POCO makes of it is only waited on
     int read_descriptor_ = -1, write_descriptor_ = -1;
     std::atomic<bool> wake_pending_{false};
 };
--- a/src/cluster/subscription/subscription.capnp
+++ b/src/cluster/subscription/subscription.capnp
@@ -1,4 +1,4 @@
-# Messages between gateways and controllers; see subscription.h.
+# What pilots and lighthouses tell each other; see watch.h.
 @0x8ac931085f77d5e6;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -6,27 +6,27 @@
 
 struct Message {
   union {
-    clientState @0 :ClientState;
-    controlUpdate @1 :ControlUpdate;
+    have @0 :Have;
+    news @1 :News;
   }
 }
 
-struct ClientState {
-  incarnation @0 :UInt64;
+struct Have {
+  life @0 :UInt64;
   version @1 :UInt64;
   digest @2 :UInt64;
-  knownIncarnation @3 :UInt64;
+  knownLife @3 :UInt64;
   knownSequence @4 :UInt64;
-  quotaDivisor @5 :UInt32;
+  counts @5 :UInt32;
 }
 
-struct ControlUpdate {
-  incarnation @0 :UInt64;
-  quorumConfirmed @1 :Bool;
+struct News {
+  life @0 :UInt64;
+  confirmed @1 :Bool;
   version @2 :UInt64;
   digest @3 :UInt64;
-  configurationDelta @4 :Data;
-  sinceSequence @5 :UInt64;
+  update @4 :Data;
+  since @5 :UInt64;
   sequence @6 :UInt64;
-  endpointChanges @7 :Data;
+  servers @7 :Data;
 }
--- a/src/controller/configuration_publisher.cpp
+++ b/src/controller/configuration_publisher.cpp
@@ -2,9 +2,6 @@
 
 #include <algorithm>
 
-#include "cluster/configuration/configuration_digest.h"
-#include "cluster/configuration/configuration_update.h"
-
 namespace shaletray::controller {
 
 void ConfigurationPublisher::publish(configuration::Configuration new_configuration) {
--- a/src/gateway/control_plane_client.cpp
+++ b/src/gateway/control_plane_client.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-#include "cluster/configuration/configuration_digest.h"
-#include "cluster/configuration/configuration_update.h"
-
 namespace shaletray::gateway {
 namespace {
 
-// The same order at a pilot for as long as it lives, another one at each: lighthouses get even parts.
+// An update that is missing is asked for at most so many times in one request interval.
+constexpr int kRepairsPerInterval = 5;
+
+// A fixed order for each gateway, and another one for each: the controllers get even parts of the load.
 std::size_t preference(const std::string& self, const std::string& controller_address) {
     return std::hash<std::string>{}(self + "|" + controller_address);
 }
@@ -39,8 +39,8 @@
     return addresses;
 }
 
-// Those that answer stay; in the place of one that does not, the next one is tried. So it is where a majority
-// bore nothing out that one says: those that are watched may be cut off together, and what they say old.
+// Controllers that answer stay; one that doesn't is replaced by the next. So is one that no quorum confirms:
+// the subscribed ones may be partitioned from the others together, and their information old.
 void ControlPlaneClient::select_controllers(TimePoint now) {
     const auto silent = [&](const ControllerState& candidate) {
         return candidate.requested_at != TimePoint{} &&
@@ -91,8 +91,9 @@
 void ControlPlaneClient::on_message(const std::string& from, std::uint64_t incarnation,
                                     std::string_view bytes, TimePoint now, Actions& actions) {
     const auto it = controller_states_.find(from);
-    if (it == controller_states_.end()) return;    // not asked, or not any more
-    boost::leaf::result<subscription::ControlUpdate> decoded = subscription::decode_control_update(bytes);
+    if (it == controller_states_.end()) return;    // not subscribed to, or not any more
+    const boost::leaf::result<subscription::ControlUpdate> decoded =
+        subscription::decode_control_update(bytes);
     if (!decoded || decoded->incarnation != incarnation) {
         ++statistics_.malformed_updates;
         return;
@@ -100,21 +101,9 @@
     const subscription::ControlUpdate& update = *decoded;
     ControllerState& controller_state = it->second;
     ++statistics_.updates;
-    controller_state.last_heard = now;
-    controller_state.confirmed = update.quorum_confirmed;
-    if (update.quorum_confirmed) controller_state.last_confirmed = now;
-    if (controller_state.incarnation != update.incarnation) {
-        controller_state.incarnation = update.incarnation;
-        controller_state.sequence = 0;
-    }
+    record_contact(update, controller_state, now);
     bool incomplete = apply_update(update, actions);
-    if (!update.endpoint_changes.empty()) {
-        boost::leaf::result<std::vector<std::string>> changed =
-            endpoints_.apply_changes(update.endpoint_changes, now);
-        if (!changed) ++statistics_.malformed_updates;
-        else actions.servers_changed = actions.servers_changed || !changed->empty();
-        if (!changed) return;
-    }
+    if (!apply_endpoint_changes(update, now, actions)) return;
     if (update.since_sequence <= controller_state.sequence)
         controller_state.sequence = std::max(controller_state.sequence, update.sequence);
     else incomplete = true;
@@ -122,21 +111,46 @@
     if (update.quorum_confirmed && complete && update.version > 0 &&
         configuration_version() >= update.version)
         caught_up_ = true;
-    if (incomplete && now - controller_state.last_repair >= settings_.request_interval / 5) {
+    const Duration min_repair_interval = settings_.request_interval / kRepairsPerInterval;
+    if (incomplete && now - controller_state.last_repair >= min_repair_interval) {
         controller_state.last_repair = now;
         send_client_state(from, controller_state, now, actions);
     }
 }
 
-// True where this pilot is behind what it was told of.
+void ControlPlaneClient::record_contact(const subscription::ControlUpdate& update,
+                                        ControllerState& controller_state, TimePoint now) {
+    controller_state.last_heard = now;
+    controller_state.confirmed = update.quorum_confirmed;
+    if (update.quorum_confirmed) controller_state.last_confirmed = now;
+    if (controller_state.incarnation == update.incarnation) return;
+    controller_state.incarnation = update.incarnation;
+    controller_state.sequence = 0;
+}
+
+// False where the changes are malformed.
+bool ControlPlaneClient::apply_endpoint_changes(const subscription::ControlUpdate& update, TimePoint now,
+                                                Actions& actions) {
+    if (update.endpoint_changes.empty()) return true;
+    const boost::leaf::result<std::vector<std::string>> changed_servers =
+        endpoints_.apply_changes(update.endpoint_changes, now);
+    if (!changed_servers) {
+        ++statistics_.malformed_updates;
+        return false;
+    }
+    actions.servers_changed = actions.servers_changed || !changed_servers->empty();
+    return true;
+}
+
+// Applies the configuration of the update. True where this gateway is still behind the update's version.
 bool ControlPlaneClient::apply_update(const subscription::ControlUpdate& update, Actions& actions) {
-    if (update.version <= configuration_version()) return false;    // never back
+    if (update.version <= configuration_version()) return false;    // never go back
     if (update.configuration_delta.empty()) return true;
     boost::leaf::result<configuration::Configuration> new_configuration = configuration::apply_update(
         configuration_index_ ? configuration_index_->config() : empty_configuration_,
         update.configuration_delta);
     if (!new_configuration || new_configuration->version != update.version) {
-        // A patch to something else, or damaged: the whole is asked for where that goes on.
+        // The delta is for another configuration, or damaged: the next message asks for a full one.
         ++statistics_.malformed_updates;
         needs_full_update_ = true;
         return true;
--- a/src/gateway/control_plane_client.h
+++ b/src/gateway/control_plane_client.h
@@ -1,5 +1,5 @@
-// What a pilot knows of the configuration and the servers, from what lighthouses tell it; and what it says to
-// them. Pure. A chart never goes back within a life.
+// A gateway's subscription to the controllers: the configuration and the servers as they announce them, and
+// what the gateway tells them about its own state. Pure: the caller hands in the time and sends the messages.
 #pragma once
 
 #include <map>
@@ -8,63 +8,81 @@
 #include <vector>
 
 #include "cluster/configuration/configuration.h"
-#include "cluster/configuration/configuration_index.h"
 #include "cluster/registry/service_registry.h"
 #include "cluster/subscription/subscription.h"
 
 namespace shaletray::gateway {
 
+// Invariant: within an incarnation, the configuration never goes back to an earlier version. Not thread-safe.
 class ControlPlaneClient {
 public:
     struct Settings {
-        std::string self;    // internal address
+        std::string self;    // internal address of this gateway
         std::uint64_t incarnation = 0;
-        std::size_t max_controllers = 3;                               // lighthouses at a time
-        Duration request_interval = std::chrono::milliseconds(500);    // between two words to each
-        Duration response_timeout =
-            std::chrono::milliseconds(1500);    // another one is watched then, where there is one
+        std::size_t max_controllers = 3;    // to which this gateway is subscribed at a time
+        // Between two messages to each of them.
+        Duration request_interval = std::chrono::milliseconds(500);
+        // A controller that is silent for longer is replaced by another one, if there is one.
+        Duration response_timeout = std::chrono::milliseconds(1500);
     };
+    // What the caller has to do.
     struct Actions {
         struct Send {
-            std::string to, bytes;
+            std::string to;
+            std::string bytes;
         };
         std::vector<Send> sends;
-        bool configuration_changed = false, servers_changed = false;
+        bool configuration_changed = false;
+        bool servers_changed = false;
     };
     explicit ControlPlaneClient(Settings settings);
 
     void set_incarnation(std::uint64_t incarnation) { settings_.incarnation = incarnation; }
-    // All lighthouses that are known, by internal address; those in `suspected` are watched last.
+    // All known controllers by internal address. Those suspected of a failure are subscribed to last.
     void set_controllers(std::vector<std::string> controllers, std::vector<std::string> suspect_controllers);
+    // A message that arrived from a controller of this incarnation. Malformed ones are counted and ignored.
     void on_message(const std::string& from, std::uint64_t incarnation, std::string_view bytes, TimePoint now,
                     Actions& actions);
+    // To be called at next_deadline(). `quota_divisor` is what the membership announces of this gateway.
     void tick(TimePoint now, std::uint32_t quota_divisor, Actions& actions);
     TimePoint next_deadline() const { return next_tick_; }
 
+    // Null until the first configuration arrived.
     const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index() const {
         return configuration_index_;
     }
+    // By instance id.
     const std::map<std::string, registry::Server>& servers() const { return endpoints_.servers(); }
-    // A lighthouse that a majority bore out has told this life all that there is, and this life has it.
+    // Whether a controller that a quorum confirmed has told this incarnation all that there is.
     bool caught_up() const { return caught_up_ && configuration_index_ != nullptr; }
-    // The lighthouses whose last word, not older than `within`, was borne out by a majority.
+    // The controllers whose last message is not older than `timeout` and was confirmed by a quorum.
     std::vector<std::string> confirmed_controllers(TimePoint now, Duration timeout) const;
     struct Statistics {
-        std::uint64_t updates = 0, full_updates = 0, delta_updates = 0, malformed_updates = 0;
+        std::uint64_t updates = 0;
+        std::uint64_t full_updates = 0;     // a whole configuration
+        std::uint64_t delta_updates = 0;    // the difference to an earlier one
+        std::uint64_t malformed_updates = 0;
     };
     const Statistics& statistics() const { return statistics_; }
 
 private:
+    // A controller to which this gateway is subscribed.
     struct ControllerState {
-        std::uint64_t incarnation = 0, sequence = 0;    // of its muster, as far as it is known here
-        TimePoint requested_at{};                       // first, since it was last heard
-        TimePoint last_heard{}, last_repair{};
-        TimePoint subscribed_since{}, last_confirmed{};    // watched; last word that a majority bore out
-        bool confirmed = false;
+        std::uint64_t incarnation = 0;
+        std::uint64_t sequence = 0;    // up to which its registry's changes are known here
+        TimePoint requested_at{};      // of the first message without an answer
+        TimePoint last_heard{};
+        TimePoint last_repair{};    // a message outside of the interval, since an update was missing
+        TimePoint subscribed_since{};
+        TimePoint last_confirmed{};    // last message that a quorum confirmed
+        bool confirmed = false;        // whether its last message was
     };
     void send_client_state(const std::string& to, ControllerState& controller_state, TimePoint now,
                            Actions& actions);
     void select_controllers(TimePoint now);
+    void record_contact(const subscription::ControlUpdate& update, ControllerState& controller_state,
+                        TimePoint now);
+    bool apply_endpoint_changes(const subscription::ControlUpdate& update, TimePoint now, Actions& actions);
     bool apply_update(const subscription::ControlUpdate& update, Actions& actions);
     std::uint64_t configuration_version() const {
         return configuration_index_ ? configuration_index_->config().version : 0;
@@ -73,12 +91,13 @@
     Settings settings_;
     std::vector<std::string> controllers_;    // in the order of preference
     std::map<std::string, ControllerState> controller_states_;
-    std::size_t next_candidate_ = 0;    // of known_
+    std::size_t next_candidate_ = 0;    // index in controllers_, modulo its size
     std::shared_ptr<const configuration::ConfigurationIndex> configuration_index_;
-    configuration::Configuration empty_configuration_;
-    std::uint64_t digest_ = 0;
+    configuration::Configuration empty_configuration_;    // what the first update is applied to
+    std::uint64_t digest_ = 0;                            // of the configuration
     registry::EndpointDirectory endpoints_;
-    bool caught_up_ = false, needs_full_update_ = false;
+    bool caught_up_ = false;
+    bool needs_full_update_ = false;    // a delta did not fit
     std::uint32_t quota_divisor_ = 0;
     TimePoint next_tick_{};
     Statistics statistics_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -13,12 +13,12 @@
 using runtime::log_event;
 
 constexpr Duration kPeerUpdateInterval = 250ms, kHostUpdateInterval = 500ms;
-constexpr Duration kConfirmationTimeout = 3s;    // a lighthouse's word, for the lease on quotas
-// After the order to stop: new clients come for as long as the platform has not noticed (it asks each second,
-// and believes the second silence); what is open may end until shortly before the process is killed.
+constexpr Duration kConfirmationTimeout = 3s;    // of a controller's confirmation, for the quota lease
+// After the order to stop, new clients arrive until the platform has noticed: it checks readiness each
+// second, and believes the second failure. Open requests may end until shortly before the process is killed.
 constexpr Duration kAcceptAfterStop = 2200ms, kKillMargin = 500ms;
-constexpr std::size_t kReservedDescriptors = 260;    // files outside the disk folder, and the loop's own
-constexpr double kClientSocketShare = 0.65;          // of the others
+constexpr std::size_t kReservedDescriptors = 260;    // files outside the disk folder, and the reactor's own
+constexpr double kClientSocketShare = 0.65;          // of the remaining descriptors
 
 std::vector<std::string> zone_names(const runtime::NodeSettings& settings) {
     std::vector<std::string> names;
@@ -69,12 +69,12 @@
 
     DispatcherSettings dispatcher_settings;
     dispatcher_settings.seed = seed + 2;
-    dispatcher_settings.max_server_connections =
+    dispatcher_settings.pipelines.max_server_connections =
         static_cast<std::size_t>(static_cast<double>(max_sockets(settings_)) * (1.0 - kClientSocketShare));
-    dispatcher_settings.zone = hosts_.zone_number(settings_.zone);
-    dispatcher_settings.retry_ratio = settings_.bounds.retry_budget_ratio;
-    dispatcher_settings.retry_slack = settings_.bounds.retry_slack;
-    dispatcher_settings.retry_window = settings_.bounds.retry_window;
+    dispatcher_settings.pipelines.zone = hosts_.zone_number(settings_.zone);
+    dispatcher_settings.pipelines.retry_ratio = settings_.bounds.retry_budget_ratio;
+    dispatcher_settings.pipelines.retry_slack = settings_.bounds.retry_slack;
+    dispatcher_settings.pipelines.retry_window = settings_.bounds.retry_window;
     dispatcher_ = std::make_unique<RequestDispatcher>(dispatcher_settings, reactor_, timers_, counters_,
                                                       hosts_, *quota_balancer_, [this] { schedule_tick(); });
 
@@ -84,9 +84,9 @@
         static_cast<std::size_t>(static_cast<double>(max_sockets(settings_)) * kClientSocketShare),
         [this] { return ready(); });
     readiness_server_ = serve_readiness(reactor_, settings_.readiness_address, [this] { return ready(); });
-    log_event(
-        LogLevel::Info, "pilot_started",
-        {log_field("address", address_), log_field("life", incarnation_), log_field("zone", settings_.zone)});
+    log_event(LogLevel::Info, "gateway_started",
+              {log_field("address", address_), log_field("incarnation", incarnation_),
+               log_field("zone", settings_.zone)});
 }
 
 Gateway::~Gateway() { reactor_.cancel_timer(tick_timer_); }
@@ -107,7 +107,7 @@
     if (stopping_since_ != TimePoint{}) return;
     stopping_since_ = clock_.now();
     log_event(
-        LogLevel::Info, "pilot_stopping",
+        LogLevel::Info, "gateway_stopping",
         {log_field("clients", listener_->client_count()), log_field("open", dispatcher_->pending_count())});
     listener_->start_shutdown();
 }
@@ -118,7 +118,7 @@
     update_controllers();
 }
 
-// A life's stores begin empty.
+// The buckets of an incarnation start empty.
 void Gateway::start_quota_balancer() {
     quota::Settings balancer_settings;
     balancer_settings.self = address_;
@@ -143,10 +143,10 @@
     quota_balancer_->set_quotas(quotas, clock_.now());
 }
 
-// An earlier life of this address had a higher number, since the machine's clock was set back.
+// An earlier incarnation of this address had a higher number: the machine's clock was set back since then.
 void Gateway::check_incarnation() {
     if (membership_->self().incarnation == incarnation_) return;
-    log_event(LogLevel::Info, "life_raised",
+    log_event(LogLevel::Info, "incarnation_raised",
               {log_field("from", incarnation_), log_field("to", membership_->self().incarnation)});
     incarnation_ = membership_->self().incarnation;
     connections_->set_incarnation(incarnation_);
@@ -156,7 +156,7 @@
     set_quotas();
 }
 
-// ---- other processes ----
+// ---- messages from other processes ----
 
 void Gateway::on_message(transport::Message&& message) {
     const TimePoint now = clock_.now();
@@ -181,7 +181,7 @@
             apply_actions(actions);
             break;
         }
-        default: break;    // lighthouses' own
+        default: break;    // between controllers only
     }
 }
 
@@ -196,10 +196,10 @@
         const std::string_view state = member.state == membership::State::Alive     ? "alive"
                                        : member.state == membership::State::Suspect ? "suspected"
                                                                                     : "gone";
-        log_event(
-            LogLevel::Debug, "member_changed",
-            {log_field("member", address), log_field("state", state),
-             log_field("life", member.info.incarnation), log_field("counts", member.info.quota_divisor)});
+        log_event(LogLevel::Debug, "member_changed",
+                  {log_field("member", address), log_field("state", state),
+                   log_field("incarnation", member.info.incarnation),
+                   log_field("quota_divisor", member.info.quota_divisor)});
         controllers_changed = controllers_changed || member.info.role == membership::Role::Controller;
         if (member.info.role == membership::Role::Gateway) next_peer_update_ = TimePoint{};
     }
@@ -222,7 +222,7 @@
         set_quotas();
         request_mapper_.set_configuration(configuration_index);
         dispatcher_->set_configuration(configuration_index);
-        log_event(LogLevel::Info, "chart_in_force",
+        log_event(LogLevel::Info, "configuration_applied",
                   {log_field("version", configuration_index->config().version),
                    log_field("routes", configuration_index->config().routes.size()),
                    log_field("services", configuration_index->config().services.size()),
@@ -234,8 +234,8 @@
         dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), now));
     if (ready() != was_ready_) {
         was_ready_ = ready();
-        log_event(LogLevel::Info, was_ready_ ? "pilot_ready" : "pilot_not_ready");
-        next_peer_update_ = TimePoint{};    // its quotas begin with it
+        log_event(LogLevel::Info, was_ready_ ? "gateway_ready" : "gateway_not_ready");
+        next_peer_update_ = TimePoint{};    // the quota lease may start with readiness
         schedule_tick();
     }
 }
@@ -253,7 +253,7 @@
     control_plane_client_->set_controllers(std::move(alive), std::move(suspect));
 }
 
-// ---- time ----
+// ---- timers ----
 
 void Gateway::tick() {
     const TimePoint now = clock_.now();
@@ -274,7 +274,7 @@
         control_plane_client_->tick(now, membership_->self().quota_divisor, actions);
         apply_actions(actions);
     }
-    if (now >= next_host_update_) {    // servers that have just started come to their full size
+    if (now >= next_host_update_) {    // servers that have just started reach their full capacity
         next_host_update_ = now + kHostUpdateInterval;
         dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), now));
     }
@@ -290,7 +290,7 @@
     tick_timer_ = reactor_.schedule_after(Duration(0), [this] { tick(); });
 }
 
-// Which pilots share the quotas, and whether this one may go on refilling its part.
+// Updates which gateways share the quotas, and whether this one may go on refilling its share.
 void Gateway::update_quota_peers() {
     const TimePoint now = clock_.now();
     next_peer_update_ = now + kPeerUpdateInterval;
@@ -302,14 +302,14 @@
     const bool holds_lease = peer_set.divisor > 0 && peer_set.refill_until > now;
     if (holds_lease != had_lease_) {
         had_lease_ = holds_lease;
-        log_event(LogLevel::Info, holds_lease ? "quota_lease_begins" : "quota_lease_ended",
-                  {log_field("electorate", quota_lease_.possible_gateway_count()),
-                   log_field("divisor", peer_set.divisor), log_field("pilots", peer_set.ring.size())});
+        log_event(LogLevel::Info, holds_lease ? "quota_lease_started" : "quota_lease_ended",
+                  {log_field("possible_gateways", quota_lease_.possible_gateway_count()),
+                   log_field("divisor", peer_set.divisor), log_field("gateways", peer_set.ring.size())});
     }
     quota_balancer_->set_peers(std::move(peer_set), now);
 }
 
-// ---- the end ----
+// ---- shutdown ----
 
 void Gateway::check_shutdown() {
     if (stopping_since_ == TimePoint{}) return;
@@ -323,7 +323,7 @@
     membership_->announce_departure(now, actions);
     for (const auto& send : actions.sends)
         connections_->send_datagram(send.to, transport::Kind::Membership, send.bytes);
-    log_event(LogLevel::Info, "pilot_stopped",
+    log_event(LogLevel::Info, "gateway_stopped",
               {log_field("after_ms", elapsed / 1ms), log_field("open", dispatcher_->pending_count())});
     reactor_.stop();
 }
@@ -333,10 +333,11 @@
     const ControlPlaneClient::Statistics& update_statistics = control_plane_client_->statistics();
     const transport::ConnectionManager::Counters& message_statistics = connections_->counters();
     return fmt::format(
-        "taken={} granted={} waited={} refused_quota={} refused_room={} served={} failed={} sent={} "
+        "taken={} granted={} queued={} rejected_quota={} rejected_capacity={} served={} failed={} sent={} "
         "dialled={} reused={} "
-        "clients={} news={} wholes={} patches={} spoilt={} mail_sent={} mail_bytes={} mail_dropped={} "
-        "mail_spoilt={}",
+        "clients={} control_updates={} full_updates={} delta_updates={} malformed_updates={} "
+        "messages_sent={} message_bytes={} messages_dropped={} "
+        "messages_malformed={}",
         counters_.requests_accepted, dispatch_statistics.granted, dispatch_statistics.queued,
         dispatch_statistics.rejected_quota, dispatch_statistics.rejected_capacity, dispatch_statistics.served,
         dispatch_statistics.failed, counters_.attempts_sent, counters_.server_connections_dialled,
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,4 +1,4 @@
-// One pilot put together: clients, engines, members, quotas and the watch of the lighthouses on one loop.
+// One gateway process: clients, engines, membership, quotas and the subscription to the controllers.
 #pragma once
 
 #include <functional>
@@ -18,17 +18,20 @@
 
 namespace shaletray::gateway {
 
+// Owns all parts and connects them. Everything runs on the thread that calls run(), on one reactor.
 class Gateway {
 public:
     // Throws Poco::Exception where an address cannot be used.
     explicit Gateway(runtime::NodeSettings settings);
     ~Gateway();
-    // Until stopped. `look` runs once a turn, and at least ten times a second.
+    // Runs until it is stopped. `on_turn` is called once in each turn of the reactor, at least ten times a
+    // second.
     void run(std::function<void()> on_turn);
-    // Finishes what was taken, then ends run().
+    // Finishes the requests that were accepted, then ends run().
     void stop();
-    // Takes over the seeds; all else takes a restart.
+    // Takes over the seed addresses; all other settings need a restart.
     void apply_settings(const runtime::NodeSettings& settings);
+    // All counters as "name=value" pairs, for the log.
     std::string counters_text() const;
 
 private:
@@ -65,7 +68,7 @@
     std::unique_ptr<ApiServer> readiness_server_;
     Timers::Id tick_timer_ = 0;
     TimePoint next_peer_update_{}, next_host_update_{};
-    TimePoint stopping_since_{};
+    TimePoint stopping_since_{};    // zero: not ordered to stop
     bool was_ready_ = false, had_lease_ = false;
 };
 
--- a/src/gateway/http_mapping/request_mapper.h
+++ b/src/gateway/http_mapping/request_mapper.h
@@ -1,36 +1,35 @@
-// What the system's messages to clients and from servers mean: routes, keys, ids and deadlines of requests,
-// and how requests are written to servers and their answers read. Pure; the chart is handed in.
+// What clients' requests mean: routes, API keys, request ids and deadlines. Pure; the configuration is handed
+// in.
 #pragma once
 
-#include <functional>
 #include <memory>
 #include <optional>
-#include <string>
 #include <string_view>
+#include <variant>
 
 #include "base/http/answer.h"
 #include "cluster/configuration/configuration.h"
-#include "cluster/configuration/configuration_index.h"
 #include "data_plane/proxy/request_mapping.h"
-#include "data_plane/proxy/upstream_protocol.h"
 
 namespace shaletray::http_mapping {
 
-// What a request is for, by the chart that was in force when it came. Goes with its Arrival, as `purpose`.
+// Where a request goes, by the configuration in force when it arrived. Travels as IncomingRequest::context.
 struct RouteMatch {
-    std::shared_ptr<const configuration::ConfigurationIndex>
-        configuration_index;    // keeps what is pointed to here
+    // Keeps the route and the tenant alive.
+    std::shared_ptr<const configuration::ConfigurationIndex> configuration_index;
     const configuration::Route* route = nullptr;
-    const configuration::Tenant* tenant = nullptr;    // none: a public route, or no keys are asked for
+    const configuration::Tenant* tenant = nullptr;    // null: a public route, or no keys are required
 
+    // The tenant's priority where it has one, otherwise the route's.
     int priority() const {
         return tenant != nullptr && tenant->priority ? *tenant->priority : route->priority;
     }
 };
 
+// Maps clients' requests to routes and tenants. Not thread-safe.
 class RequestMapper final : public RequestMapping {
 public:
-    // All requests read from now on go by this chart.
+    // Takes effect for all requests that are read from now on.
     void set_configuration(std::shared_ptr<const configuration::ConfigurationIndex> index) {
         configuration_index_ = std::move(index);
     }
@@ -52,30 +51,8 @@
     std::shared_ptr<const configuration::ConfigurationIndex> configuration_index_;
 };
 
-// "400" to "400.7" milliseconds; none where it is no time, below zero or above an hour.
+// A number of milliseconds, with decimals or without. Nothing where it is malformed, negative or above an
+// hour.
 std::optional<Duration> parse_deadline(std::string_view text);
 
-// Messages to and from the servers of all services.
-class UpstreamCodec final : public UpstreamProtocol {
-public:
-    struct Target {
-        std::string id, health_check;
-    };
-    explicit UpstreamCodec(std::function<std::optional<Target>(HostId)> target_of)
-        : target_of_(std::move(target_of)) {}
-
-    std::string write_request(const Payload& request, HostId host, Duration time_left) const override;
-    std::string write_health_check(HostId host, std::string_view address) const override;
-    AnswerMatch match_answer(const ExchangeContext& request, const http::Parser& parser,
-                             const http::Buffer& buffer) const override;
-    Outcome outcome_of(const ExchangeContext& request, const http::Parser& parser,
-                       const http::Buffer& buffer) const override;
-    Payload answer_of(const http::Parser& parser, const http::Buffer& buffer, bool with_body) const override;
-    std::optional<Duration> server_idle_timeout(const http::Parser& parser,
-                                                const http::Buffer& buffer) const override;
-
-private:
-    std::function<std::optional<Target>(HostId)> target_of_;
-};
-
 }    // namespace shaletray::http_mapping
--- a/src/gateway/http_mapping/upstream_hosts.cpp
+++ b/src/gateway/http_mapping/upstream_hosts.cpp
@@ -9,14 +9,36 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kSlowStartFactor = 0.5;    // of a server that has just started
-constexpr double kMaxExpiredFraction =
-    0.5;    // of a service's servers: beyond it, silence is not the servers' fault
-constexpr Duration kRemovedHostRetention = 60s;    // what is still under way there may come back
+constexpr double kSlowStartFactor = 0.5;    // of the capacity of a server that has just started
+// Of a service's servers. Where heartbeats of more than these stop, it is their way that broke, not the
+// servers.
+constexpr double kMaxExpiredFraction = 0.5;
+constexpr Duration kRemovedHostRetention = 60s;    // answers may still come from a removed server
+
+// Servers of one service.
+struct StateCount {
+    std::size_t serving = 0;
+    std::size_t expired = 0;
+};
+
+std::map<std::string, StateCount> count_states(const std::map<std::string, registry::Server>& servers) {
+    std::map<std::string, StateCount> counts_by_service;
+    for (const auto& [id, server] : servers) {
+        StateCount& count = counts_by_service[server.service];
+        if (server.state == registry::State::InService) ++count.serving;
+        if (server.state == registry::State::Expired) ++count.expired;
+    }
+    return counts_by_service;
+}
+
+bool is_loss_plausible(const StateCount& count) {
+    const auto known = static_cast<double>(count.expired + count.serving);
+    return static_cast<double>(count.expired) <= kMaxExpiredFraction * known;
+}
 
 }    // namespace
 
-// The same number at all pilots and in all lives, unless two ids hash alike here.
+// The same number at all gateways and in all incarnations, unless two ids have the same hash here.
 HostId UpstreamHosts::number_for(const std::string& id) {
     if (const auto it = numbers_.find(id); it != numbers_.end()) return it->second;
     std::uint64_t hash = XXH64(id.data(), id.size(), 0);
@@ -31,55 +53,63 @@
 
 int UpstreamHosts::zone_number(const std::string& zone) const {
     const auto it = std::find(settings_.zones.begin(), settings_.zones.end(), zone);
-    return static_cast<int>(it - settings_.zones.begin());    // unknown ones share the number behind the last
+    return static_cast<int>(it - settings_.zones.begin());
 }
 
 std::set<std::string> UpstreamHosts::update(const std::map<std::string, registry::Server>& servers,
                                             TimePoint now) {
     std::set<std::string> changed;
-    struct StateCount {
-        std::size_t serving = 0, expired = 0;
-    };
-    std::map<std::string, StateCount> counts_by_service;
+    const std::map<std::string, StateCount> counts_by_service = count_states(servers);
     for (const auto& [id, server] : servers) {
-        if (server.state == registry::State::InService) ++counts_by_service[server.service].serving;
-        if (server.state == registry::State::Expired) ++counts_by_service[server.service].expired;
+        const bool loss_plausible = is_loss_plausible(counts_by_service.at(server.service));
+        if (update_host(id, server, loss_plausible, now)) changed.insert(server.service);
     }
-    for (const auto& [id, server] : servers) {
-        const HostId number = number_for(id);
-        const auto [it, is_new] = hosts_.try_emplace(number);
-        HostRecord& record = it->second;
-        decision::HostEntry entry;
-        entry.host = number;
-        entry.zone = zone_number(server.zone);
-        const bool slow_starting =
-            server.slow_start_left > Duration(0) && server.last_called_at + server.slow_start_left > now;
-        entry.rating = std::max(1, server.capacity) * (slow_starting ? kSlowStartFactor : 1.0);
-        const StateCount& state_count = counts_by_service[server.service];
-        const bool loss_plausible =
-            static_cast<double>(state_count.expired) <=
-            kMaxExpiredFraction * static_cast<double>(state_count.expired + state_count.serving);
-        switch (server.state) {
-            case registry::State::InService: entry.state = decision::HostState::Healthy; break;
-            case registry::State::Draining: entry.state = decision::HostState::Draining; break;
-            case registry::State::Departed: entry.state = decision::HostState::Gone; break;
-            case registry::State::Expired:
-                entry.state = loss_plausible ? decision::HostState::Gone : decision::HostState::Healthy;
-                break;
-        }
-        const bool unchanged = !is_new && record.entry.state == entry.state &&
-                               record.entry.rating == entry.rating && record.host.address == server.address &&
-                               record.entry.zone == entry.zone;
-        if (unchanged) continue;
-        if (entry.state == decision::HostState::Healthy) record.unhealthy_since = TimePoint{};
-        else if (record.unhealthy_since == TimePoint{}) record.unhealthy_since = now;
-        record.id = id;
-        record.service = server.service;
-        record.host.address = server.address;
-        record.entry = entry;
-        by_service_[server.service].insert(number);
-        changed.insert(server.service);
+    remove_unregistered(servers, now, changed);
+    return changed;
+}
+
+decision::HostEntry UpstreamHosts::entry_of(HostId number, const registry::Server& server,
+                                            bool loss_plausible, TimePoint now) const {
+    decision::HostEntry entry;
+    entry.host = number;
+    entry.zone = zone_number(server.zone);
+    const bool slow_starting =
+        server.slow_start_left > Duration(0) && server.last_called_at + server.slow_start_left > now;
+    entry.rating = std::max(1, server.capacity) * (slow_starting ? kSlowStartFactor : 1.0);
+    switch (server.state) {
+        case registry::State::InService: entry.state = decision::HostState::Healthy; break;
+        case registry::State::Draining: entry.state = decision::HostState::Draining; break;
+        case registry::State::Departed: entry.state = decision::HostState::Gone; break;
+        case registry::State::Expired:
+            entry.state = loss_plausible ? decision::HostState::Gone : decision::HostState::Healthy;
+            break;
     }
+    return entry;
+}
+
+// True where the decision module has to be told.
+bool UpstreamHosts::update_host(const std::string& id, const registry::Server& server, bool loss_plausible,
+                                TimePoint now) {
+    const HostId number = number_for(id);
+    const auto [it, is_new] = hosts_.try_emplace(number);
+    HostRecord& record = it->second;
+    const decision::HostEntry entry = entry_of(number, server, loss_plausible, now);
+    const bool unchanged = !is_new && record.entry.state == entry.state &&
+                           record.entry.rating == entry.rating && record.host.address == server.address &&
+                           record.entry.zone == entry.zone;
+    if (unchanged) return false;
+    if (entry.state == decision::HostState::Healthy) record.unhealthy_since = TimePoint{};
+    else if (record.unhealthy_since == TimePoint{}) record.unhealthy_since = now;
+    record.id = id;
+    record.service = server.service;
+    record.host.address = server.address;
+    record.entry = entry;
+    by_service_[server.service].insert(number);
+    return true;
+}
+
+void UpstreamHosts::remove_unregistered(const std::map<std::string, registry::Server>& servers, TimePoint now,
+                                        std::set<std::string>& changed) {
     for (auto it = hosts_.begin(); it != hosts_.end();) {
         HostRecord& record = it->second;
         const bool registered = servers.contains(record.id);
@@ -96,7 +126,6 @@
             ++it;
         }
     }
-    return changed;
 }
 
 decision::HostList UpstreamHosts::host_list(const std::string& service) const {
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,4 +1,5 @@
-// The program `pilot`: takes clients. Its settings file is named by SHALETRAY_BOOT or --settings.
+// The program `gateway`: accepts clients and forwards their requests. Its settings file is named by
+// SHALETRAY_BOOT or --settings.
 #include <Poco/Exception.h>
 
 #include <cstdio>
@@ -23,7 +24,7 @@
         runtime::log_event(LogLevel::Info, "counters", {log_field("text", process.counters_text())});
         return 0;
     } catch (const Poco::Exception& error) {
-        std::fprintf(stderr, "pilot: %s\n", error.displayText().c_str());
+        std::fprintf(stderr, "gateway: %s\n", error.displayText().c_str());
         return 1;
     }
 }
--- a/src/gateway/quota_lease.cpp
+++ b/src/gateway/quota_lease.cpp
@@ -9,28 +9,88 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kContactTimeout = 4s;
-constexpr Duration kMaxUpdateGap = 1s;       // without a look: this process did not run
-constexpr Duration kPropagationTime = 2s;    // in which most have heard what one has
-constexpr Duration kReconnectGrace = 5s;     // in which the others come to count a pilot that is back
+constexpr Duration kMaxUpdateGap = 1s;       // without an update: this process did not run
+constexpr Duration kPropagationTime = 2s;    // in which most gateways hear what one of them has heard
+constexpr Duration kReconnectGrace =
+    5s;    // in which the others come to count a gateway that is connected again
 
-// Both ways, within the last moments.
+// Whether messages went in both directions of late.
 bool is_in_contact(const membership::Membership& cluster, const membership::Member& member, TimePoint now) {
     if (member.state != membership::State::Alive) return false;
-    if (!cluster.contacts_every_member()) return true;    // heard_part and answered_part stand for all
+    if (!cluster.contacts_every_member())
+        return true;    // heard_fraction and acknowledged_fraction stand for all
     return member.last_heard != TimePoint{} && now - member.last_heard <= kContactTimeout &&
            member.last_acknowledged != TimePoint{} && now - member.last_acknowledged <= kContactTimeout;
 }
 
 }    // namespace
 
+// The others in the order in which they were discovered, and how many of the first ones are in contact.
+struct QuotaLease::ContactHistory {
+    explicit ContactHistory(const std::map<std::string, Peer>& peers) {
+        for (const auto& [address, peer] : peers) by_discovery.push_back(&peer);
+        std::sort(by_discovery.begin(), by_discovery.end(),
+                  [](const Peer* a, const Peer* b) { return a->discovered_at < b->discovered_at; });
+        for (const Peer* peer : by_discovery)
+            contact_counts.push_back(contact_counts.back() + (peer->in_contact ? 1 : 0));
+    }
+    // How many others were known when the peer was last heard.
+    std::size_t known_before(const Peer& peer) const {
+        const auto end = std::upper_bound(
+            by_discovery.begin(), by_discovery.end(), peer.last_heard + kPropagationTime,
+            [](TimePoint time, const Peer* candidate) { return time < candidate->discovered_at; });
+        return static_cast<std::size_t>(end - by_discovery.begin());
+    }
+    // How many gateways there were then, as far as this gateway or the peer knew.
+    std::size_t gateways_then(const Peer& peer) const {
+        return std::max<std::size_t>(known_before(peer) + 1, peer.quota_divisor);
+    }
+    // How many of them are in contact now, this gateway included.
+    std::size_t contacts_then(const Peer& peer) const { return contact_counts[known_before(peer)]; }
+    std::size_t contacts() const { return contact_counts.back(); }
+
+    std::vector<const Peer*> by_discovery;
+    std::vector<std::size_t> contact_counts{1};    // of the first so many others, this gateway included
+};
+
 quota::PeerSet QuotaLease::update(const membership::Membership& cluster,
                                   const std::vector<std::string>& confirmed_controllers, TimePoint now) {
+    forget_silence_after_gap(now);
+    contact_sampled_ = !cluster.contacts_every_member();
+    const bool quorum = is_quorum_in_contact(cluster, confirmed_controllers, now);
+    update_peers(cluster, now);
+    drop_unheard_peers(quorum, now);
+    remember_divisor(now);
+
+    quota::PeerSet peer_set;
+    peer_set.ring.push_back(self_);
+    for (const auto& [address, member] : cluster.members()) {
+        if (member.info.role == membership::Role::Gateway && member.state != membership::State::Dead)
+            peer_set.ring.push_back(address);
+    }
+    std::sort(peer_set.ring.begin(), peer_set.ring.end());
+    std::uint32_t largest_divisor = std::max(divisor_, static_cast<std::uint32_t>(peer_set.ring.size()));
+    for (const auto& [address, peer] : peers_)
+        largest_divisor = std::max(largest_divisor, peer.quota_divisor);
+
+    renew(cluster, quorum, now);
+    peer_set.divisor = held_ ? largest_divisor : 0;
+    peer_set.refill_until = last_renewal_ + kLeaseDuration;
+    return peer_set;
+}
+
+// A process that did not run has heard nobody, which says nothing about the others.
+void QuotaLease::forget_silence_after_gap(TimePoint now) {
     if (now - last_update_ > kMaxUpdateGap) {
         for (auto& [address, peer] : peers_) peer.unheard_since = TimePoint{};
         unknown_unheard_since_ = TimePoint{};
     }
     last_update_ = now;
-    contact_sampled_ = !cluster.contacts_every_member();
+}
+
+// Whether one of the confirmed controllers is in contact. Notes whether one of them agrees on the members.
+bool QuotaLease::is_quorum_in_contact(const membership::Membership& cluster,
+                                      const std::vector<std::string>& confirmed_controllers, TimePoint now) {
     bool quorum = false;
     for (const std::string& controller_address : confirmed_controllers) {
         const auto it = cluster.members().find(controller_address);
@@ -39,41 +99,38 @@
                  cluster.acknowledged_fraction(now, kContactTimeout) > 0.0;
         membership_agreed_ = membership_agreed_ || it->second.last_in_sync != TimePoint{};
     }
-    update_peers(cluster, now);
-    drop_unheard_peers(quorum, now);
+    return quorum;
+}
+
+void QuotaLease::remember_divisor(TimePoint now) {
     recent_divisors_.emplace_back(now, divisor_);
     while (now - recent_divisors_.front().first > kPropagationTime) recent_divisors_.pop_front();
+}
 
-    quota::PeerSet peer_set;
-    peer_set.ring.push_back(self_);
-    for (const auto& [address, member] : cluster.members())
-        if (member.info.role == membership::Role::Gateway && member.state != membership::State::Dead)
-            peer_set.ring.push_back(address);
-    std::sort(peer_set.ring.begin(), peer_set.ring.end());
-    std::uint32_t largest_divisor = std::max(divisor_, static_cast<std::uint32_t>(peer_set.ring.size()));
-    std::size_t contacts = 1;
-    for (const auto& [address, peer] : peers_) {
-        largest_divisor = std::max(largest_divisor, peer.quota_divisor);
-        contacts += peer.in_contact ? 1 : 0;
-    }
-
+// Renews, starts or ends the lease.
+void QuotaLease::renew(const membership::Membership& cluster, bool quorum, TimePoint now) {
+    const std::size_t contacts = contact_count();
     const bool connected = cluster.joined() && (quorum || (ever_held_ && majority_in_contact_));
     if (now >= last_renewal_ + kLeaseDuration) held_ = false;
     if (!connected) {
         reconnected_at_ = TimePoint{};
-    } else {
-        if (reconnected_at_ == TimePoint{}) reconnected_at_ = now;
-        membership_agreed_ =
-            membership_agreed_ || !cluster.contacts_every_member();    // so many that some always differ
-        const bool counted =
-            (membership_agreed_ && is_counted(cluster, contacts)) || now - reconnected_at_ >= kReconnectGrace;
-        held_ = held_ || (counted && (ever_held_ || may_start(now)));
-        if (held_) last_renewal_ = now;
-        ever_held_ = ever_held_ || held_;
+        return;
     }
-    peer_set.divisor = held_ ? largest_divisor : 0;
-    peer_set.refill_until = last_renewal_ + kLeaseDuration;
-    return peer_set;
+    if (reconnected_at_ == TimePoint{}) reconnected_at_ = now;
+    // In a cluster so large that contact is sampled, some members always differ.
+    membership_agreed_ = membership_agreed_ || !cluster.contacts_every_member();
+    const bool counted =
+        (membership_agreed_ && is_counted(cluster, contacts)) || now - reconnected_at_ >= kReconnectGrace;
+    held_ = held_ || (counted && (ever_held_ || may_start(now)));
+    if (held_) last_renewal_ = now;
+    ever_held_ = ever_held_ || held_;
+}
+
+// Gateways in contact, this one included.
+std::size_t QuotaLease::contact_count() const {
+    std::size_t contacts = 1;
+    for (const auto& [address, peer] : peers_) contacts += peer.in_contact ? 1 : 0;
+    return contacts;
 }
 
 void QuotaLease::update_peers(const membership::Membership& cluster, TimePoint now) {
@@ -91,79 +148,66 @@
             continue;
         }
         if (it == peers_.end()) {
-            // Dropped before, or told to a newcomer, which has dropped nobody that it didn't hear.
+            // It was dropped before; or this is a newcomer that was told of it, and never heard it.
             if (member.state == membership::State::Dead && (ever_held_ || member.last_heard != TimePoint{}))
                 continue;
             it = peers_.emplace(address, Peer{}).first;
             it->second.discovered_at = it->second.last_heard = now;
         }
         Peer& peer = it->second;
-        if (peer.incarnation != member.info.incarnation) {
-            if (peer.incarnation != 0) retain_unknown_peers(peer);
-            peer.incarnation = member.info.incarnation;
-        }
-        if (member.info.quota_divisor == 0 && peer.quota_divisor > 0)
-            retain_unknown_peers(peer);    // its lease has ended
-        peer.quota_divisor = member.info.quota_divisor;
-        peer.dead = member.state == membership::State::Dead;
-        peer.indirect_only = peer.indirect_only && member.last_heard == TimePoint{};
-        peer.last_heard = std::max(peer.last_heard, member.last_heard);
+        update_peer(peer, member);
         if (!cluster.contacts_every_member() && member.state == membership::State::Alive)
             peer.last_heard = now;
         peer.in_contact = majority_reachable && is_in_contact(cluster, member, now);
     }
 }
 
-// What it knew more than this pilot knew lately stays counted.
+// Takes over what the membership knows of it. Where its lease or its incarnation ended, the gateways that
+// only it knew stay counted.
+void QuotaLease::update_peer(Peer& peer, const membership::Member& member) {
+    if (peer.incarnation != member.info.incarnation) {
+        if (peer.incarnation != 0) retain_unknown_peers(peer);
+        peer.incarnation = member.info.incarnation;
+    }
+    if (member.info.quota_divisor == 0 && peer.quota_divisor > 0) retain_unknown_peers(peer);
+    peer.quota_divisor = member.info.quota_divisor;
+    peer.dead = member.state == membership::State::Dead;
+    peer.indirect_only = peer.indirect_only && member.last_heard == TimePoint{};
+    peer.last_heard = std::max(peer.last_heard, member.last_heard);
+}
+
+// Gateways that the peer knew of, by its divisor, and this one did not of late stay counted.
 void QuotaLease::retain_unknown_peers(const Peer& peer) {
     std::uint32_t largest_divisor = std::max(divisor_, possible_gateway_count());
     for (const auto& [at, divisor] : recent_divisors_) largest_divisor = std::max(largest_divisor, divisor);
     if (peer.quota_divisor > largest_divisor) unknown_peers_ += peer.quota_divisor - largest_divisor;
 }
 
+bool QuotaLease::all_in_contact() const {
+    return unknown_peers_ == 0 &&
+           std::all_of(peers_.begin(), peers_.end(), [](const auto& item) { return item.second.in_contact; });
+}
+
+// Sets divisor_ and majority_in_contact_ by the peers that are left.
 void QuotaLease::drop_unheard_peers(bool quorum, TimePoint now) {
-    if (unknown_peers_ == 0 &&
-        std::all_of(peers_.begin(), peers_.end(), [](const auto& item) { return item.second.in_contact; })) {
+    divisor_ = possible_gateway_count();
+    if (all_in_contact()) {
         majority_in_contact_ = true;
-        divisor_ = possible_gateway_count();
         for (auto& [address, peer] : peers_) peer.unheard_since = TimePoint{};
         return;
     }
-    std::vector<const Peer*> by_discovery;
-    for (const auto& [address, peer] : peers_) by_discovery.push_back(&peer);
-    std::sort(by_discovery.begin(), by_discovery.end(),
-              [](const Peer* a, const Peer* b) { return a->discovered_at < b->discovered_at; });
-    std::vector<std::size_t> contact_counts{1};    // of the first so many
-    for (const Peer* peer : by_discovery)
-        contact_counts.push_back(contact_counts.back() + (peer->in_contact ? 1 : 0));
-
-    divisor_ = possible_gateway_count();
-    majority_in_contact_ = 2 * contact_counts.back() > peers_.size() + 1 + unknown_peers_;
+    const ContactHistory history(peers_);
+    majority_in_contact_ = 2 * history.contacts() > peers_.size() + 1 + unknown_peers_;
     std::vector<std::string> dropped;
     for (auto& [address, peer] : peers_) {
         if (peer.in_contact) {
             peer.unheard_since = TimePoint{};
             continue;
         }
-        const auto end = std::upper_bound(
-            by_discovery.begin(), by_discovery.end(), peer.last_heard + kPropagationTime,
-            [](TimePoint time, const Peer* candidate) { return time < candidate->discovered_at; });
-        const auto known_before = static_cast<std::size_t>(end - by_discovery.begin());
-        const std::size_t peers_then = std::max<std::size_t>(known_before + 1, peer.quota_divisor);
-        majority_in_contact_ = majority_in_contact_ && 2 * contact_counts[known_before] > peers_then;
-        // Touch that is a sample tells no shares: who knew fewer than the unheard one leaves them to those
-        // who knew as many and tell theirs.
-        if (!peer.indirect_only)    // rounded up
-            divisor_ = std::max(
-                divisor_, static_cast<std::uint32_t>(
-                              contact_sampled_ && known_before + 1 < peers_then
-                                  ? peers_then
-                                  : (peers_then * contact_counts.back() + contact_counts[known_before] - 1) /
-                                        contact_counts[known_before]));
-        const bool droppable = quorum && (ever_held_ || !peer.indirect_only) &&
-                               2 * contact_counts[known_before] >= peers_then &&
-                               now - peer.last_heard > kContactTimeout;
-        if (!droppable) {
+        const bool majority_then = 2 * history.contacts_then(peer) > history.gateways_then(peer);
+        majority_in_contact_ = majority_in_contact_ && majority_then;
+        if (!peer.indirect_only) raise_divisor_for(peer, history);
+        if (!may_drop(peer, history, quorum, now)) {
             peer.unheard_since = TimePoint{};
         } else if (peer.unheard_since == TimePoint{}) {
             peer.unheard_since = now;
@@ -176,11 +220,36 @@
         retain_unknown_peers(peer);
         peers_.erase(address);
     }
-    // Figures by samples compound over many restarts: never so many that those in touch could not drop them.
-    if (contact_sampled_)
-        unknown_peers_ = std::min(unknown_peers_, 2 * contact_counts.back() -
-                                                      std::min(2 * contact_counts.back(), peers_.size() + 1));
-    if (unknown_peers_ == 0 || !quorum || 2 * contact_counts.back() < peers_.size() + 1 + unknown_peers_) {
+    drop_unknown_peers(history.contacts(), quorum, now);
+}
+
+// Whether, at this moment, nothing speaks against dropping a peer that is not in contact.
+bool QuotaLease::may_drop(const Peer& peer, const ContactHistory& history, bool quorum, TimePoint now) const {
+    return quorum && (ever_held_ || !peer.indirect_only) &&
+           2 * history.contacts_then(peer) >= history.gateways_then(peer) &&
+           now - peer.last_heard > kContactTimeout;
+}
+
+// Leaves the silent peer its share: the gateways in contact divide what was their part when it was last
+// heard.
+void QuotaLease::raise_divisor_for(const Peer& peer, const ContactHistory& history) {
+    const std::size_t gateways_then = history.gateways_then(peer);
+    const std::size_t contacts_then = history.contacts_then(peer);
+    std::size_t divisor = (gateways_then * history.contacts() + contacts_then - 1) / contacts_then;    // up
+    // Where contact is sampled it says nothing about shares: a gateway that knew of fewer than the silent one
+    // leaves them to those that knew of as many and announce their divisors.
+    if (contact_sampled_ && history.known_before(peer) + 1 < gateways_then) divisor = gateways_then;
+    divisor_ = std::max(divisor_, static_cast<std::uint32_t>(divisor));
+}
+
+void QuotaLease::drop_unknown_peers(std::size_t contacts, bool quorum, TimePoint now) {
+    // Estimates from samples compound over many restarts: never so many that those in contact could not drop
+    // them.
+    if (contact_sampled_) {
+        const std::size_t droppable = 2 * contacts - std::min(2 * contacts, peers_.size() + 1);
+        unknown_peers_ = std::min(unknown_peers_, droppable);
+    }
+    if (unknown_peers_ == 0 || !quorum || 2 * contacts < peers_.size() + 1 + unknown_peers_) {
         unknown_unheard_since_ = TimePoint{};
     } else if (unknown_unheard_since_ == TimePoint{}) {
         unknown_unheard_since_ = now;
@@ -190,8 +259,9 @@
     }
 }
 
-// A newcomer: whether nobody holds a lease that may not count it, or those do that hold one and so count the
-// others. By the lighthouses' word who is there and holds none begins after it has heard of this one.
+// For a newcomer: whether no gateway holds a lease that may not count this one, or those that hold one do,
+// and so count the others. Gateways that are there and hold none, as the controllers announce, start only
+// after they have heard of this one.
 bool QuotaLease::may_start(TimePoint now) {
     const auto holds_lease = [](const auto& item) {
         return item.second.in_contact && item.second.quota_divisor > 0;
@@ -208,8 +278,8 @@
     });
 }
 
-// Those that are in touch and hold a lease divide by as many as are in touch here, at least: all, or nearly
-// all of many.
+// Whether the gateways in contact that hold a lease divide by at least as many as are in contact here: all of
+// them, or, in a cluster too large to contact each member, nearly all.
 bool QuotaLease::is_counted(const membership::Membership& cluster, std::size_t contacts) const {
     const double min_divisor = static_cast<double>(contacts) * (cluster.contacts_every_member() ? 1.0 : 0.9);
     std::size_t smaller_divisors = 0;
--- a/src/gateway/quota_lease.h
+++ b/src/gateway/quota_lease.h
@@ -1,31 +1,36 @@
-// A pilot's lease on its part of the quotas: by how many it divides them, and until when it may refill. Pure.
+// A gateway's lease on its share of the quotas: by how many gateways it divides them, and until when it may
+// refill. Pure.
 //
-// Invariant: the parts 1/divisor of all pilots that may refill at any moment sum up to at most one. It holds
-// because each of them divides by all others that may, or leaves room for them:
-// - Whoever was ever met counts until it said goodbye or came back as a later incarnation. Silence alone
-//   takes nobody out; the failure detector's Gone doesn't either.
-// - A lease ends kLease after this pilot last was in touch, both ways, with a lighthouse whose word a
-//   quorum of lighthouses bore out, or with more than half of the pilots. It begins, or begins again, when
-//   those in touch that hold one count this pilot.
-// - A pilot that was unheard for kDropAfter is no longer counted if, all that time, this one was in touch
-//   with the quorum of lighthouses and with at least half of the pilots. Half of which ones: of those that
-//   were known when the unheard one was last heard, for newcomers since then are unknown to it. More than
-//   half and at least half of the same ones meet in one pilot, two quorums of lighthouses in a lighthouse,
-//   and that one hands on the beats of both: so who could be dropped has no lease any more.
-// - Until then newcomers share the part of those that they are in touch with: n that were known, a of them
-//   in touch and k newcomers divide by n (a + k) / a, and leave the unheard their n - a parts.
-// - A newcomer begins when a lighthouse that a quorum bore out knows no others, and by the figures of
-//   those that hold a lease. Where nobody in touch does, those may run that its lighthouses tell of and
-//   nobody hears: it waits until it hears them, or they were unheard for kUnknown.
-// - What a pilot that is counted no longer knew of others and this one doesn't, by its figure, stays counted
-//   without a name, on the same terms.
-// Limit: where members are too many to meet each, touch is a sample that may fall to nothing for a moment.
-// There newcomers that know too little leave no room beyond the figures of others, and the nameless stay so
-// few that those in touch can drop them: else a mass restart doubles the divisors again and again (the
-// incident quotas-after-a-mass-restart). Price: where more than half of the pilots are lost at once, never
-// come back and said no goodbye, the others share what was their part until they were restarted themselves.
-// Limit: pilots that hear each other but no quorum of lighthouses for over kUnknown, while on the quorum's
-// side no pilot is left that ever met them.
+// Invariant: the shares 1/divisor of all gateways that may refill at any moment sum up to at most one. It
+// holds because each of them divides by all others that may refill, or leaves room for them:
+// - A gateway that was ever discovered counts until it announced its departure or came back as a later
+//   incarnation. Silence alone removes nobody; neither does the failure detector's verdict Dead.
+// - A lease ends kLeaseDuration after this gateway last was in contact, in both directions, with a controller
+//   that a quorum of controllers confirmed, or with more than half of the gateways. It starts, or starts
+//   again, when those in contact that hold a lease count this gateway.
+// - A gateway that was not heard for kDropTimeout is no longer counted if, during all that time, this one was
+//   in contact with the quorum of controllers and with at least half of the gateways: of those that were
+//   known when the silent one was last heard, since it doesn't know of later ones. More than half and at
+//   least half of the same gateways have one in common, and two quorums of controllers a controller, which
+//   passes on the heartbeats of both: so a gateway that could be dropped has no lease any more.
+// - Until then, newcomers share the part of those with which they are in contact: with n that were known, a
+// of
+//   them in contact, and k newcomers, each divides by n (a + k) / a, and leaves the silent ones their n - a
+//   parts.
+// - A newcomer starts when a controller that a quorum confirmed knows no other gateways, and by the divisors
+// of
+//   those that hold a lease. Where none in contact holds one, gateways may be running that its controllers
+//   announce and nobody hears: it waits until it hears them, or they were silent for kUnknownPeerTimeout.
+// - Gateways that a gateway which is no longer counted knew of, by its divisor, and this one doesn't, stay
+//   counted without an address, on the same terms.
+// Limit: in a cluster too large to contact each member, contact is a sample that may drop to nothing for a
+// moment. There, newcomers that know too little leave no room beyond the divisors of others, and the unknown
+// gateways stay so few that those in contact can drop them: otherwise a restart of all doubles the divisors
+// again and again (the incident quotas-after-a-mass-restart). Price: where more than half of the gateways are
+// lost at once, never come back and announced no departure, the others keep to the part that they had until
+// they are restarted themselves.
+// Limit: gateways that hear each other but no quorum of controllers for over kUnknownPeerTimeout, while no
+// gateway that ever contacted them is left on the quorum's side.
 #pragma once
 
 #include <cstdint>
@@ -41,56 +46,73 @@
 namespace shaletray::gateway {
 
 constexpr Duration kLeaseDuration = std::chrono::seconds(10);
-constexpr Duration kDropTimeout = std::chrono::seconds(20);    // twice the lease: late proofs of touch, drift
-constexpr Duration kUnknownPeerTimeout =
-    std::chrono::seconds(150);    // less than what convoy keeps of the unheard
+// Twice the lease: proofs of contact may arrive late, and clocks drift.
+constexpr Duration kDropTimeout = std::chrono::seconds(20);
+// Less than the time for which the membership keeps members that were not heard.
+constexpr Duration kUnknownPeerTimeout = std::chrono::seconds(150);
 
+// Not thread-safe. update() moves time on, and never backwards.
 class QuotaLease {
 public:
     explicit QuotaLease(std::string self) : self_(std::move(self)) {}
 
-    // To be called a few times a second. `confirmed`: the lighthouses that a quorum bore out, by their word
-    // of the last seconds.
+    // To be called a few times a second. `confirmed_controllers`: those that a quorum confirmed within the
+    // last seconds.
     quota::PeerSet update(const membership::Membership& cluster,
                           const std::vector<std::string>& confirmed_controllers, TimePoint now);
-    // For Convoy::counts: how many pilots this one divides by of its own knowledge; 0: it has no lease.
+    // What the membership announces: the number of gateways by its own knowledge. 0: it has no lease.
     std::uint32_t quota_divisor() const { return held_ ? divisor_ : 0; }
-    // How many pilots may run, this one included.
+    // The number of gateways that may be running, this one included.
     std::uint32_t possible_gateway_count() const {
         return static_cast<std::uint32_t>(peers_.size() + 1 + unknown_peers_);
     }
-    // A later life of this pilot begins without a lease.
+    // A later incarnation of this gateway starts without a lease.
     void release() { held_ = membership_agreed_ = ever_held_ = false; }
 
 private:
+    // Another gateway that may be running.
     struct Peer {
         std::uint64_t incarnation = 0;
-        std::uint32_t quota_divisor = 0;    // by its own word
-        TimePoint discovered_at{},
-            last_heard{};             // since when its address is known; when it was last heard of
-        TimePoint unheard_since{};    // since when it may be dropped; zero: it may not
+        std::uint32_t quota_divisor = 0;    // as it announces; 0: it has no lease
+        TimePoint discovered_at{};          // its address became known
+        TimePoint last_heard{};             // when anything last proved that it runs
+        TimePoint unheard_since{};          // since when it may be dropped; zero: it may not
         bool in_contact = false;
-        bool indirect_only = true;    // this life never heard of it itself
-        bool dead = false;            // for the failure detector
+        bool indirect_only = true;    // this incarnation never heard it itself
+        bool dead = false;            // by the failure detector
     };
     void update_peers(const membership::Membership& cluster, TimePoint now);
     void retain_unknown_peers(const Peer& peer);
+    struct ContactHistory;
+    void forget_silence_after_gap(TimePoint now);
+    bool is_quorum_in_contact(const membership::Membership& cluster,
+                              const std::vector<std::string>& confirmed_controllers, TimePoint now);
+    void remember_divisor(TimePoint now);
+    void renew(const membership::Membership& cluster, bool quorum, TimePoint now);
+    void update_peer(Peer& peer, const membership::Member& member);
+    bool all_in_contact() const;
     void drop_unheard_peers(bool quorum, TimePoint now);
+    bool may_drop(const Peer& peer, const ContactHistory& history, bool quorum, TimePoint now) const;
+    void raise_divisor_for(const Peer& peer, const ContactHistory& history);
+    void drop_unknown_peers(std::size_t contacts, bool quorum, TimePoint now);
+    std::size_t contact_count() const;
     bool is_counted(const membership::Membership& cluster, std::size_t contacts) const;
     bool may_start(TimePoint now);
 
     std::string self_;
-    std::map<std::string, Peer> peers_;
-    std::size_t unknown_peers_ = 0;
-    TimePoint unknown_unheard_since_{};
+    std::map<std::string, Peer> peers_;    // by internal address
+    std::size_t unknown_peers_ = 0;        // that others knew and whose addresses are unknown here
+    TimePoint unknown_unheard_since_{};    // since when they may be dropped; zero: they may not
     std::deque<std::pair<TimePoint, std::uint32_t>> recent_divisors_;    // divisor_, and when
-    TimePoint last_update_{}, last_renewal_{}, reconnected_at_{};
-    bool contact_sampled_ = false;        // so many that touch is reckoned from samples
-    bool majority_in_contact_ = false;    // more than half of the pilots are in touch
-    bool membership_agreed_ = false;      // a lighthouse that a quorum bore out knew no others, once
-    bool ever_held_ = false;              // it had a lease
+    TimePoint last_update_{};
+    TimePoint last_renewal_{};
+    TimePoint reconnected_at_{};          // since when this gateway is connected; zero: it isn't
+    bool contact_sampled_ = false;        // the cluster is so large that contact is estimated from samples
+    bool majority_in_contact_ = false;    // more than half of the gateways
+    bool membership_agreed_ = false;      // a confirmed controller knew no other gateways, once
+    bool ever_held_ = false;              // this incarnation had a lease
     bool held_ = false;
-    std::uint32_t divisor_ = 1;    // by this pilot's own knowledge
+    std::uint32_t divisor_ = 1;    // by this gateway's own knowledge
 };
 
 }    // namespace shaletray::gateway
--- /dev/null
+++ b/src/gateway/service_pipelines.h
@@ -0,0 +1,89 @@
+// One engine with its connection pool for each service, set up by the configuration.
+#pragma once
+
+#include <memory>
+#include <random>
+#include <set>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "cluster/configuration/configuration.h"
+#include "data_plane/engine/engine.h"
+#include "data_plane/proxy/server_pool.h"
+#include "gateway/http_mapping/upstream_codec.h"
+#include "gateway/http_mapping/upstream_hosts.h"
+
+namespace shaletray::gateway {
+
+struct PipelineSettings {
+    std::size_t max_server_connections = 512;    // to all servers together
+    int zone = 0;
+    // The retry budget of all gateways together: a ratio of the requests, and a number in each window on top.
+    double retry_ratio = 0.2;
+    double retry_slack = 0.0;
+    Duration retry_window = std::chrono::seconds(10);
+};
+
+// The engine's settings for the requests of a route.
+decision::ClassSettings class_settings_of(const configuration::Route& route);
+
+// What processes the requests of one service.
+struct ServicePipeline {
+    ServicePipeline(std::string name, const decision::Settings& engine_settings, std::uint64_t seed,
+                    Reactor& reactor, Timers& timers, Counters& counters, http_mapping::UpstreamHosts& hosts,
+                    http_mapping::UpstreamCodec& codec, ConnectionBudget& connection_budget);
+
+    // Gateways exchange nothing on single services.
+    struct NullPeerMessenger : PeerMessenger {
+        void send_to_peer(PeerId, const std::vector<std::uint8_t>&) override {}
+    } peer_messenger;
+    // Endpoint lists are pushed by ServicePipelines.
+    struct NullHostListSource : HostListSource {
+        void subscribe() override {}
+    } host_lists;
+    std::string service;
+    decision::Settings settings;
+    Engine engine;
+    ServerPool pool;
+    std::unordered_map<std::string, int> class_by_route;    // the engine's class index, by the route's name
+};
+
+// Creates a pipeline at the first request or route of a service, and keeps it. Runs on the reactor's thread;
+// what it is given by reference has to outlive it.
+class ServicePipelines {
+public:
+    ServicePipelines(const PipelineSettings& settings, Reactor& reactor, Timers& timers, Counters& counters,
+                     http_mapping::UpstreamHosts& hosts, std::mt19937_64& random);
+
+    ServicePipeline& pipeline_for(const std::string& service);
+    void set_configuration(std::shared_ptr<const configuration::ConfigurationIndex> configuration_index);
+    // The endpoint lists of these services have changed.
+    void on_servers_changed(const std::set<std::string>& services);
+    // The number of gateways that share the retry budget and the servers.
+    void set_gateway_count(std::uint32_t count);
+    void abandon_all_requests();
+
+private:
+    std::optional<http_mapping::UpstreamCodec::Target> target_of(HostId host) const;
+    decision::Settings initial_engine_settings() const;
+    void set_classes(ServicePipeline& pipeline) const;
+    void configure(ServicePipeline& pipeline);
+
+    PipelineSettings settings_;
+    Reactor& reactor_;
+    Timers& timers_;
+    Counters& counters_;
+    http_mapping::UpstreamHosts& hosts_;
+    std::mt19937_64& random_;
+    http_mapping::UpstreamCodec codec_;
+    ConnectionBudget connection_budget_;
+    std::shared_ptr<const configuration::ConfigurationIndex> configuration_index_;
+    // By service; the routes belong to configuration_index_.
+    std::unordered_map<std::string, std::vector<const configuration::Route*>> routes_by_service_;
+    std::unordered_map<std::string, std::string> health_checks_;    // paths, by service
+    std::unordered_map<std::string, std::unique_ptr<ServicePipeline>> pipelines_;
+    std::uint32_t gateway_count_ = 1;
+};
+
+}    // namespace shaletray::gateway
--- a/testbed/experiments/operations.cpp
+++ b/testbed/experiments/operations.cpp
@@ -21,7 +21,6 @@
 
 #include "gateway_fixture.h"
 #include "live_run.h"
-#include "scratch_directory.h"
 #include "simulator/load.h"
 #include "stand_ins/echo.h"
 #include "test_processes.h"
@@ -116,10 +115,14 @@
           seed_(seed),
           seconds_(seconds),
           rate_(number_from_environment("RATE", 500, 1, 20'000)),
-          long_bytes_(static_cast<std::size_t>(number_from_environment("LONG_MB", 32, 1, 60) * 1024 * 1024)),
-          directory_(fmt::format("shaletray-operations-{}", seed)) {}
+          long_bytes_(static_cast<std::size_t>(number_from_environment("LONG_MB", 32, 1, 60) * 1024 * 1024)) {
+        folder_ = std::filesystem::temp_directory_path() / fmt::format("shaletray-operations-{}", seed);
+        std::filesystem::create_directories(folder_);
+    }
     ~Operations() {
-        gateway_.reset();    // before the directory that it writes to goes
+        gateway_.reset();
+        std::error_code ignored;
+        std::filesystem::remove_all(folder_, ignored);
     }
 
     int run() {
@@ -174,11 +177,11 @@
         admin_ = fmt::format("127.0.0.1:{}", find_free_port());
         auto environment = gateway_environment(path());
         environment["EDGE_ADMIN_ADDR"] = admin_;
-        environment["TMPDIR"] = directory_.path().string();
+        environment["TMPDIR"] = folder_.string();
         return std::make_unique<Process>(std::vector<std::string>{programs_ + "/shaletray"}, environment,
-                                         (directory_.path() / fmt::format("{}.log", ++starts_)).string());
+                                         (folder_ / fmt::format("{}.log", ++starts_)).string());
     }
-    std::string path() const { return (directory_.path() / "n0.json").string(); }
+    std::string path() const { return (folder_ / "n0.json").string(); }
     void write(const Json& config) const { std::ofstream(path()) << config; }
 
     // Under load all the while. True where the machine was too slow.
@@ -350,7 +353,7 @@
     std::uint64_t seed_;
     double seconds_, rate_;
     std::size_t long_bytes_;
-    ScratchDirectory directory_;
+    std::filesystem::path folder_;
     std::unique_ptr<Process> gateway_;
     Json config_;
     std::string address_, admin_;
--- a/tests/cluster/configuration/next_configuration.capnp
+++ b/tests/cluster/configuration/next_configuration.capnp
@@ -1,23 +1,23 @@
 @0xd10f4b6a7c2e8a35;
 
-# The configuration's schema as a later version may have it: fields were added to each struct.
+# The chart's schema as a later version may have it: fields were added to each struct.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::configuration::next");
 
 struct Update {
-  isDelta @0 :Bool;
-  baseDigest @1 :UInt64;
+  patch @0 :Bool;
+  base @1 :UInt64;
   digest @2 :UInt64;
   version @3 :UInt64;
   limits @4 :Limits;
-  hasTenants @5 :Bool;
+  asksForKeys @5 :Bool;
   routes @6 :List(Route);
   services @7 :List(Service);
   tenants @8 :List(Tenant);
-  removedRoutes @9 :List(Text);
-  removedServices @10 :List(Text);
-  removedTenants @11 :List(Text);
+  routesGone @9 :List(Text);
+  servicesGone @10 :List(Text);
+  tenantsGone @11 :List(Text);
   sender @12 :Text;
   digestOfAll @13 :UInt64;
 }
@@ -31,11 +31,11 @@
   timeout @6 :Int64;
   targetLatency @7 :Int64;
   maxAttempts @8 :Int32;
-  targets @9 :List(WeightedService);
-  mirror @10 :WeightedService;
+  to @9 :List(Share);
+  mirror @10 :Share;
   cost @11 :Float64 = 1.5;
 }
-struct WeightedService {
+struct Share {
   service @0 :Text;
   weight @1 :UInt32;
   sticky @2 :Bool;
--- a/tests/cluster/transport/connection_manager_test.cpp
+++ b/tests/cluster/transport/connection_manager_test.cpp
@@ -1,4 +1,4 @@
-// Connection managers on the loopback interface, whose loop runs while a test waits for a condition.
+// Mailers of one process on loopback, driven turn by turn until something holds.
 #include "cluster/transport/connection_manager.h"
 
 #include <Poco/Net/NetException.h>
@@ -44,7 +44,7 @@
 
 }    // namespace
 
-Test(connection_manager, sessions_keep_the_order_and_carry_large_messages) {
+Test(mailer, sessions_keep_the_order_and_carry_large_letters) {
     Loop loop;
     TestNode sender(loop, 1), receiver(loop, 2);
     const std::string large(5 * 1024 * 1024, 'L');
@@ -64,7 +64,7 @@
     cr_assert(sender.manager->counters().dropped == 0 && receiver.manager->counters().malformed == 0);
 }
 
-Test(connection_manager, datagrams_go_both_ways_and_bad_addresses_are_dropped) {
+Test(mailer, datagrams_go_both_ways_and_bad_addresses_are_dropped) {
     Loop loop;
     TestNode first(loop, 1), second(loop, 2);
     first.manager->send_datagram(second.address(), Kind::Membership, "ping");
@@ -72,7 +72,7 @@
     cr_assert(loop.until([&] { return first.received.size() == 1 && second.received.size() == 1; }));
     cr_assert(first.received[0].payload == "pong" && second.received[0].payload == "ping" &&
               first.received[0].incarnation == 2);
-    for (const char* bad_address : {"", "controller:80", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"}) {
+    for (const char* bad_address : {"", "lighthouse:80", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"}) {
         first.manager->send_datagram(bad_address, Kind::Membership, "x");
         first.manager->send_session_message(bad_address, Kind::Membership, "x");
     }
@@ -80,8 +80,8 @@
     cr_assert(first.manager->counters().dropped == 11);
 }
 
-// Messages that are written as a connection fails may be lost; later ones arrive once and in order.
-Test(connection_manager, a_restarted_peer_receives_again) {
+// What is written into a connection as it breaks may be lost; what comes later arrives, once, in order.
+Test(mailer, a_peer_that_restarts_hears_on) {
     Loop loop(20);
     TestNode sender(loop, 1);
     std::optional<TestNode> receiver(std::in_place, loop, 2);
@@ -91,7 +91,7 @@
     for (std::uint64_t incarnation = 3; incarnation < 6; ++incarnation) {
         receiver.reset();
         sender.manager->send_session_message(receiver_address, Kind::Consensus, "perhaps");
-        // The sender notices that the peer is gone, and keeps dialling while messages wait.
+        // It notices that nobody is there, and keeps trying while something waits.
         cr_assert(loop.until([&] {
             const std::uint64_t before = sender.manager->counters().sent;
             sender.manager->send_session_message(receiver_address, Kind::Consensus, "later");
@@ -107,8 +107,8 @@
     }
 }
 
-// A new connection of the same sender replaces the earlier one, whose messages are delivered first.
-Test(connection_manager, messages_of_an_earlier_connection_come_first) {
+// A new connection of the same sender ends the earlier one, whose letters come first.
+Test(mailer, letters_of_an_earlier_connection_never_follow_those_of_a_later) {
     Loop loop;
     TestNode receiver(loop, 2);
     const Poco::Net::SocketAddress receiver_address(receiver.address());
@@ -130,7 +130,7 @@
     cr_assert(connected(later_socket));
 }
 
-Test(connection_manager, malformed_bytes_end_only_their_own_connection) {
+Test(mailer, garbage_ends_only_its_own_connection) {
     Loop loop;
     TestNode sender(loop, 1), receiver(loop, 2);
     sender.manager->send_session_message(receiver.address(), Kind::Consensus, "before");
@@ -155,9 +155,8 @@
     cr_assert(sender.manager->counters().sent == 2 && sender.manager->counters().dropped == 0);
 }
 
-// Neither for a closed port nor for a peer that never reads are more messages kept than the bound, or for
-// long.
-Test(connection_manager, a_dead_peer_holds_a_bounded_queue) {
+// Neither a dead port nor one that never reads may hold more than the bound, or for long.
+Test(mailer, a_dead_peer_holds_a_bounded_queue) {
     Loop loop(20);
     ConnectionManager::Limits limits;
     limits.max_queued_bytes = 100000;
@@ -173,14 +172,14 @@
     for (int i = 0; i < 1000; ++i)
         sender.manager->send_session_message(dead_address, Kind::Consensus, std::string(1000, 'x'));
     cr_assert(sender.manager->counters().dropped >= 890);
-    // In the end no message is kept for it, and none was sent.
+    // In the end nothing is kept for it, and nothing was sent.
     cr_assert(loop.until([&] { return sender.manager->counters().dropped == 1000; }));
     cr_assert(sender.manager->counters().sent == 0);
     sender.manager->send_session_message(silent_address, Kind::Consensus, std::string(64 * 1024 * 1024, 'x'));
     cr_assert(loop.until([&] { return sender.manager->counters().dropped == 1001; }));
 }
 
-Test(connection_manager, the_longest_idle_connection_is_closed_at_the_limit) {
+Test(mailer, the_longest_idle_connection_makes_room) {
     Loop loop;
     ConnectionManager::Limits limits;
     limits.max_inbound_connections = 3;
--- a/tests/gateway/control_plane_client_test.cpp
+++ b/tests/gateway/control_plane_client_test.cpp
@@ -1,12 +1,10 @@
-// What a pilot makes of the lighthouses' words, lost, late, twice and from several at a time.
+// The controllers' updates, lost, late, duplicated and from several controllers at a time.
 #include "gateway/control_plane_client.h"
 
 #include <criterion/criterion.h>
 
 #include <random>
 
-#include "cluster/configuration/configuration_update.h"
-
 namespace {
 
 using namespace std::chrono_literals;
@@ -33,7 +31,7 @@
     std::uint64_t incarnation = 7, version = 0, sequence = 0;
     bool confirmed = true;
 
-    // What it would say to someone who has `have`: a patch where that is the chart before, the whole else.
+    // The update for a client in this state: a delta where it has the version before, otherwise a full one.
     std::string make_update(const subscription::ClientState& client_state, std::uint64_t base_version) const {
         subscription::ControlUpdate update;
         update.incarnation = incarnation;
@@ -72,7 +70,7 @@
 
 }    // namespace
 
-Test(lookout, is_caught_up_by_a_word_that_a_majority_bore_out) {
+Test(control_plane_client, is_caught_up_by_an_update_that_a_quorum_confirmed) {
     ControlPlaneClient client = make_client();
     client.set_controllers({"a"}, {});
     ControlPlaneClient::Actions actions;
@@ -89,7 +87,7 @@
     cr_assert(client.caught_up() && !next_actions.configuration_changed);
 }
 
-Test(lookout, a_chart_never_goes_back) {
+Test(control_plane_client, a_configuration_never_goes_back) {
     ControlPlaneClient client = make_client();
     client.set_controllers({"a", "b"}, {});
     ControlPlaneClient::Actions actions;
@@ -101,7 +99,7 @@
     cr_assert(client.configuration_index()->config().version == 9 && !later.configuration_changed);
 }
 
-Test(lookout, a_patch_to_something_else_is_refused_and_the_whole_asked_for) {
+Test(control_plane_client, a_delta_that_does_not_fit_is_rejected_and_a_full_update_requested) {
     ControlPlaneClient client = make_client();
     client.set_controllers({"a"}, {});
     ControlPlaneClient::Actions actions;
@@ -121,7 +119,7 @@
     cr_assert(recovered.configuration_changed && client.configuration_index()->config().version == 6);
 }
 
-Test(lookout, another_lighthouse_is_watched_in_the_place_of_a_silent_one) {
+Test(control_plane_client, a_silent_controller_is_replaced_by_another_one) {
     ControlPlaneClient client = make_client();
     client.set_controllers({"a", "b", "c", "d", "e"}, {});
     ControlPlaneClient::Actions actions;
@@ -145,9 +143,10 @@
     cr_assert(ever_contacted.size() == 5);
 }
 
-// Four of nine lighthouses are cut off from the others and answer on; whichever this pilot watches, it comes
-// to what the majority says, and not back when it watches a cut-off one again.
-Test(lookout, a_lighthouse_without_its_majority_is_not_taken_for_current) {
+// Four of nine controllers are partitioned from the others and still answer. Whichever the client subscribes
+// to, it reaches the majority's configuration, and doesn't go back when it subscribes to a partitioned one
+// again.
+Test(control_plane_client, a_controller_without_a_quorum_is_not_taken_for_current) {
     for (int self = 0; self < 40; ++self) {
         ControlPlaneClient::Settings settings;
         settings.self = "10.0.0." + std::to_string(self) + ":7101";
@@ -180,7 +179,7 @@
         }
         run(kStart + 3s, 5s);
         cr_assert(client.configuration_index()->config().version == 5,
-                  "pilot %d stays with those that are cut off", self);
+                  "gateway %d stays with the partitioned controllers", self);
         run(kStart + 8s, 5s);
         cr_assert(!client.confirmed_controllers(kStart + 13s, 3s).empty() &&
                   client.configuration_index()->config().version == 5);
@@ -192,8 +191,8 @@
     }
 }
 
-// Any order, loss and repetition of words leads to the newest chart, one by one upwards.
-Test(lookout, comes_to_the_newest_chart_whatever_is_lost) {
+// Any order, loss and repetition of updates leads to the newest configuration, in rising versions.
+Test(control_plane_client, reaches_the_newest_configuration_whatever_is_lost) {
     for (unsigned seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
         ControlPlaneClient client = make_client();
--- a/tests/gateway/http_mapping/request_mapper_test.cpp
+++ b/tests/gateway/http_mapping/request_mapper_test.cpp
@@ -1,10 +1,12 @@
-// What clients' requests and servers' answers mean: fed as bytes, whole and cut anywhere.
+// What clients' requests and servers' answers mean: fed as bytes, complete and cut anywhere.
 #include "gateway/http_mapping/request_mapper.h"
 
 #include <criterion/criterion.h>
 
 #include <string>
 
+#include "gateway/http_mapping/upstream_codec.h"
+
 namespace {
 
 using namespace std::chrono_literals;
@@ -87,7 +89,7 @@
 
 }    // namespace
 
-Test(passage, passes_a_request_on_and_replaces_what_is_the_systems_own) {
+Test(request_mapper, forwards_a_request_and_replaces_the_systems_own_headers) {
     RequestMapper mapper;
     mapper.set_configuration(make_index());
     const std::string text = request_text(
@@ -108,7 +110,7 @@
     }
 }
 
-Test(passage, finds_route_and_key_or_says_which_is_missing) {
+Test(request_mapper, finds_route_and_key_or_says_which_is_missing) {
     RequestMapper mapper;
     cr_assert(read_request(mapper, request_text("/claims/7", "Authorization: Bearer k1\r\n")).status() ==
               503);
@@ -132,7 +134,7 @@
     cr_assert(sur.accepted().incoming.time_budget == 800ms);
 }
 
-Test(passage, a_request_goes_by_the_chart_that_it_came_under) {
+Test(request_mapper, a_request_keeps_the_configuration_under_which_it_arrived) {
     RequestMapper mapper;
     mapper.set_configuration(make_index(1));
     const ReadResult before = read_request(mapper, request_text("/claims/7", "Authorization: Bearer k1\r\n"));
@@ -142,7 +144,7 @@
     cr_assert(after.route_match().configuration_index->config().version == 2);
 }
 
-Test(passage, only_what_has_not_run_is_refused) {
+Test(request_mapper, only_what_was_not_executed_is_rejected) {
     RequestMapper mapper;
     cr_assert(mapper.rejection_answer(RejectionReason::Quota, 1500ms).status_code == 429);
     cr_assert(mapper.rejection_answer(RejectionReason::Quota, 1500ms).headers == "Retry-After: 1.500\r\n");
@@ -151,7 +153,7 @@
     cr_assert(mapper.failure_answer(FailureReason::DeadlineExceeded).status_code == 504);
 }
 
-Test(tongue, names_the_server_and_what_is_left) {
+Test(upstream_codec, names_the_server_and_the_time_left) {
     Payload payload;
     payload.head = "GET /x HTTP/1.1\r\n";
     cr_assert(make_codec().write_request(payload, HostId{7}, 1700us) ==
@@ -160,7 +162,7 @@
               "GET /health HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\r\n");
 }
 
-Test(tongue, an_answer_counts_only_with_its_id_and_its_seal) {
+Test(upstream_codec, an_answer_counts_only_with_its_id_and_its_seal) {
     const UpstreamCodec codec = make_codec();
     const auto fits = [&](const std::string& status, const std::string& headers) {
         const ParsedResponse response("HTTP/1.1 " + status + " X\r\n" + headers +
@@ -183,7 +185,7 @@
     cr_assert(fits("500", "X-Attempt-Id: 9c41\r\nX-Attempt-Id: 9c41\r\n") == AnswerMatch::Mismatch);
 }
 
-Test(tongue, only_the_servers_word_says_that_it_did_not_run) {
+Test(upstream_codec, only_the_servers_statement_proves_that_it_was_not_executed) {
     const UpstreamCodec codec = make_codec();
     const auto outcome = [&](const std::string& status, const std::string& headers) {
         const ParsedResponse response("HTTP/1.1 " + status + " X\r\n" + headers +
@@ -202,7 +204,7 @@
     cr_assert(outcome("204", "") == Outcome::Ok);
 }
 
-Test(tongue, passes_status_and_headers_on_but_for_the_connections_own) {
+Test(upstream_codec, forwards_status_and_headers_but_for_the_connections_own) {
     const ParsedResponse response(
         "HTTP/1.1 206 X\r\nX-Server-Seal: s\r\nConnection: close\r\nKeep-Alive: timeout=10\r\n"
         "Content-Length: 2\r\n\r\nab");
@@ -211,8 +213,8 @@
     cr_assert(make_codec().server_idle_timeout(response.parser, response.buffer) == Duration(10s));
 }
 
-// 503, 429 and 408 promise a client that nothing ran; without X-Not-Executed no server said so.
-Test(tongue, a_promise_that_no_server_gave_is_not_passed_on) {
+// 503, 429 and 408 promise a client that nothing was executed; without X-Not-Executed no server said so.
+Test(upstream_codec, a_promise_that_no_server_gave_is_not_forwarded) {
     for (const char* const status : {"503", "429", "408"}) {
         const ParsedResponse response(
             "HTTP/1.1 " + std::string(status) +
--- a/tests/gateway/http_mapping/upstream_hosts_test.cpp
+++ b/tests/gateway/http_mapping/upstream_hosts_test.cpp
@@ -35,7 +35,7 @@
 
 }    // namespace
 
-Test(fleet, a_server_keeps_its_number_and_grows_to_its_size) {
+Test(upstream_hosts, a_server_keeps_its_number_and_grows_to_its_capacity) {
     UpstreamHosts hosts({{"a", "b"}, 300ms});
     ServerMap all = make_servers(1);
     all["i-1"].slow_start_left = 2s;
@@ -49,7 +49,7 @@
     cr_assert(*hosts.id_of(started.host) == "i-1");
 }
 
-Test(fleet, nothing_begins_at_a_server_that_drains_or_is_gone) {
+Test(upstream_hosts, nothing_starts_at_a_server_that_drains_or_is_gone) {
     UpstreamHosts hosts({{"a", "b"}, 300ms});
     ServerMap all = make_servers(2);
     hosts.update(all, kStart);
@@ -68,8 +68,8 @@
     cr_assert(hosts.update(all, kStart + 3s).empty());
 }
 
-// Where beats of most servers stop coming, it is the beats' way that broke.
-Test(fleet, silence_of_a_few_is_believed_and_silence_of_most_is_not) {
+// Where the heartbeats of most servers stop, it is their way that broke.
+Test(upstream_hosts, silence_of_a_few_is_believed_and_silence_of_most_is_not) {
     UpstreamHosts few_expired({{"a", "b"}, 300ms}), most_expired({{"a", "b"}, 300ms});
     few_expired.update(make_servers(8, 3), kStart);
     cr_assert(few_expired.healthy_count("pay") == 5);
--- a/tests/gateway/quota_lease_test.cpp
+++ b/tests/gateway/quota_lease_test.cpp
@@ -1,5 +1,5 @@
-// All pilots together stay under a tenant's quota however long they are cut off from each other, and the part
-// of one that is gone for good comes back to the others.
+// All gateways together stay within a tenant's quota however long they are partitioned, and the share of one
+// that never returns comes back to the others.
 #include <criterion/criterion.h>
 
 #include "gateway/quota_lease_world.h"
@@ -34,8 +34,8 @@
 
 }    // namespace
 
-// Alone, in groups of unlike sizes, one way, with and without the lighthouses; longer than the failure
-// detector holds anybody for alive, and longer than it keeps who is gone.
+// Partitioned alone, in groups of different sizes, in one direction, with and without the controllers; for
+// longer than the failure detector takes anybody for alive, and longer than it keeps dead members.
 Test(quota, holds_for_any_length_of_a_cut) {
     for (const Duration length : {25s, 65s, 135s}) {
         for (const int alone : {1, 2, 3, 4}) {
@@ -46,21 +46,22 @@
                 wait_until_stable(world);
                 Side side = gateways_between(0, alone);
                 if (direction == 3)
-                    side.insert({world.controllers()[0], world.controllers()[1]});    // they take the quorum
+                    side.insert({world.controllers()[0],
+                                 world.controllers()[1]});    // they take the quorum with them
                 world.is_partitioned = partition_of(side, direction != 1, direction != 2);
                 world.run(length);
                 world.is_partitioned = [](const auto&, const auto&) { return false; };
                 world.run(12s);
-                cr_assert_leq(world.excess(), 0.0, "%d cut off, how %d, for %ld s: %f over", alone, direction,
-                              static_cast<long>(length / 1s), world.excess());
+                cr_assert_leq(world.excess(), 0.0, "%d partitioned, direction %d, for %ld s: %f over", alone,
+                              direction, static_cast<long>(length / 1s), world.excess());
                 cr_assert_gt(world.granted_per_s("large", 5s), 0.95 * 200.0,
-                             "%d cut off, how %d: whole again", alone, direction);
+                             "%d partitioned, direction %d: full rate again", alone, direction);
             }
         }
     }
 }
 
-// So many that touch is estimated.
+// A cluster so large that contact is estimated from samples.
 Test(quota, holds_where_not_each_is_met) {
     for (const int alone : {1, 9, 14}) {
         for (int direction = 0; direction < 3; ++direction) {
@@ -72,16 +73,16 @@
             world.run(40s);
             world.is_partitioned = [](const auto&, const auto&) { return false; };
             world.run(14s);
-            cr_assert_leq(world.excess(), 0.0, "%d cut off, how %d: %f over", alone, direction,
+            cr_assert_leq(world.excess(), 0.0, "%d partitioned, direction %d: %f over", alone, direction,
                           world.excess());
-            cr_assert_gt(world.granted_per_s("large", 4s), 0.95 * 200.0, "%d cut off, how %d: whole again",
-                         alone, direction);
+            cr_assert_gt(world.granted_per_s("large", 4s), 0.95 * 200.0,
+                         "%d partitioned, direction %d: full rate again", alone, direction);
         }
     }
 }
 
-// Those that are cut off hear each other and so hold their parts, and on the side of the lighthouses' quorum
-// newcomers come before or after the last one has left that knew them.
+// The partitioned gateways hear each other and so keep their shares, and on the side of the controllers'
+// quorum newcomers arrive before or after the last gateway that knew them has departed.
 Test(quota, newcomers_leave_room_for_those_that_they_never_met) {
     for (const Duration after : {5s, 15s, 28s, 60s}) {
         for (const bool before_they_leave : {true, false}) {
@@ -102,16 +103,16 @@
             world.start_new();
             world.run(40s);
             world.is_partitioned = [](const auto&, const auto&) { return false; };
-            world.run(40s);    // what the leavers knew is counted without names for kDropAfter
+            world.run(40s);    // what the departed knew is counted without addresses for kDropTimeout
             cr_assert_leq(world.excess(), 0.0, "after %ld s, %d: %f over", static_cast<long>(after / 1s),
                           before_they_leave, world.excess());
-            cr_assert_gt(world.granted_per_s("large", 5s), 0.95 * 200.0, "whole again");
+            cr_assert_gt(world.granted_per_s("large", 5s), 0.95 * 200.0, "full rate again");
         }
     }
 }
 
-// All who hold a part are cut off from the lighthouses and hear each other; newcomers that join there are
-// told of them, and wait.
+// All gateways with a lease are partitioned from the controllers and hear each other; newcomers that join the
+// controllers are told of them, and wait.
 Test(quota, newcomers_wait_where_all_others_are_cut_off) {
     World world(3, 4, 1);
     wait_until_stable(world);
@@ -127,7 +128,7 @@
     cr_assert_gt(world.granted_per_s("large", 5s), 0.95 * 200.0, "by all");
 }
 
-// What happens while some are cut off: newcomers, goodbyes, ends, new lives, freezes, cuts of other shapes.
+// Events during a partition: newcomers, departures, crashes, restarts, freezes, and other partitions.
 Test(quota, holds_through_random_troubles) {
     const char* const more = std::getenv("QUOTA_SEEDS");
     const std::uint64_t seeds = more ? std::strtoull(more, nullptr, 10) : 24 / kSanitizerReduction;
@@ -200,12 +201,12 @@
         cr_assert_lt(world.granted_per_s("large", 3s), (6.0 - dead) / 6.0 * 200.0 * 1.05,
                      "not before they ended");
         world.run(20s);
-        cr_assert_gt(world.granted_per_s("large", 3s), 0.95 * 200.0, "%d are gone", dead);
+        cr_assert_gt(world.granted_per_s("large", 3s), 0.95 * 200.0, "%d are dead", dead);
         cr_assert_leq(world.excess(), 0.0);
     }
 }
 
-// Without the lighthouses' quorum nobody is taken out, and nobody who hears most of the others stops.
+// Without the controllers' quorum nobody is dropped, and nobody that hears most of the others stops.
 Test(quota, goes_on_without_a_quorum_of_lighthouses) {
     World world(3, 6, 1);
     wait_until_stable(world);
@@ -219,7 +220,7 @@
     cr_assert_lt(world.granted_per_s("large", 5s), 5.0 / 6.0 * 1.05 * 200.0);
 }
 
-// All at once, as after a loss of power: each begins as soon as it and a lighthouse know each other.
+// All at once, as after a loss of power: each starts as soon as it and a controller know each other.
 Test(quota, begins_soon_after_all_were_lost) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         World world(3, 14, seed);
@@ -233,7 +234,7 @@
     }
 }
 
-// A goodbye takes nothing from the others, a new life or machine nothing for long.
+// A departure takes nothing from the others, a restart or a replaced machine nothing for long.
 Test(quota, planned_work_costs_little) {
     World world(3, 6, 1);
     wait_until_stable(world);
--- a/tests/gateway/quota_lease_world.h
+++ b/tests/gateway/quota_lease_world.h
@@ -1,5 +1,6 @@
-// Pilots with their real convoy, quota lease and tide, and lighthouses with their convoy, in virtual time:
-// cut off from each other, frozen, killed, replaced; every pilot grants what it may to tenants that want all.
+// Gateways with their real membership, quota lease and balancer, and controllers with their membership, in
+// virtual time: partitioned, frozen, killed, replaced. Every gateway grants all it may to a tenant that wants
+// everything.
 #pragma once
 
 #include <functional>
@@ -19,7 +20,7 @@
 using membership::Network;
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::uint64_t kLess = 24;    // everything takes so much longer
+constexpr std::uint64_t kLess = 24;    // the factor by which everything takes longer
 #else
 constexpr std::uint64_t kSanitizerReduction = 1;
 #endif
@@ -49,7 +50,7 @@
         std::uint64_t incarnation = 0;
         std::unique_ptr<QuotaLease> lease;
         std::unique_ptr<quota::QuotaBalancer> balancer;
-        std::map<std::string, TimePoint> confirmations;    // of lighthouses that a quorum bore out
+        std::map<std::string, TimePoint> confirmations;    // of controllers that a quorum confirmed
         TimePoint next_update{}, next_control_update{};
     };
 
@@ -80,7 +81,7 @@
             count += it->tenant == tenant ? 1.0 : 0.0;
         return count / std::chrono::duration<double>(lately).count();
     }
-    // The most grants in any window above what the rule allows.
+    // The largest number of grants in any window above what the bound permits.
     double excess() const {
         double worst = -1e9;
         for (const auto& [name, quota] : quotas)
@@ -136,8 +137,8 @@
         network.schedule(network.now + kStepInterval, [this] { step_all(); });
     }
     void step(const std::string& address, Gateway& process) {
-        if (network.now >= process.next_control_update) {    // words that come to a frozen process are read
-                                                             // when it wakes, as new
+        if (network.now >= process.next_control_update) {    // messages that come to a frozen process are
+                                                             // read when it resumes, as new
             process.next_control_update = network.now + kControlUpdateInterval;
             for (const std::string& controller_address : controllers_)
                 if (is_connected(address, controller_address) && has_quorum(controller_address))
@@ -146,7 +147,7 @@
         if (frozen(address)) return;
         for (auto& [l, confirmed_at] : process.confirmations)
             if (confirmed_at == TimePoint::max()) confirmed_at = network.now;
-        // Before anything else is looked at: the worst that a process just woken can do.
+        // Before all else: the worst that a process can do which was just resumed.
         for (const auto& [name, quota] : quotas) {
             Duration retry_after{};
             while (saturating && process.balancer->request_unit(name, 0ms, network.now, retry_after) ==
--- a/tests/gateway/request_dispatcher_test.cpp
+++ b/tests/gateway/request_dispatcher_test.cpp
@@ -1,4 +1,5 @@
-// Which answer is whose, what may have run, and what is sent again: from the client's and the servers' side.
+// Which answer belongs to which request, what may have been executed, and what is retried: judged from the
+// clients' and the servers' side.
 #include <random>
 
 #include "gateway/response_test_site.h"
@@ -14,7 +15,7 @@
     int arrivals = 0, executions = 0;
 };
 
-// One request, to whose arrivals the servers do what stands in `acts`, one after the other, and then answer.
+// One request, to whose attempts the servers do the given actions, one after the other, and then answer.
 // `part`: of its bytes so many times less are sent before there is an answer.
 Observation run_scenario(bool unsafe, const std::vector<ServerBehaviour>& behaviours, std::size_t bytes = 2,
                          std::size_t part = 1) {
@@ -35,7 +36,7 @@
         [&] { return (answer = client.next_answer()).has_value() || client.disconnected; }, 3000));
     cr_assert(answer.has_value());
     const int before = site.executions["x"];
-    site.run_until([] { return false; }, 500);    // nothing runs afterwards
+    site.run_until([] { return false; }, 500);    // nothing is executed afterwards
     cr_assert(site.executions["x"] == before);
     cr_assert(!client.next_answer().has_value());
     return {*answer, site.arrivals["x"], site.executions["x"]};
@@ -83,7 +84,7 @@
     }
 }
 
-// What is repeatable goes to another server wherever there is time for it.
+// An idempotent request goes to another server wherever there is time for it.
 Test(answers, what_may_repeat_is_sent_to_another_server) {
     for (const ServerBehaviour act :
          {ServerBehaviour::ResetAfterExecution, ServerBehaviour::ResetBeforeRead,
@@ -95,7 +96,7 @@
                           200, 2, executes_request(act) ? 2 : 1);
 }
 
-// A server cannot have run what it never had whole, nor what it says that it did not.
+// A server cannot have executed what it never received completely, nor what it says that it did not.
 Test(answers, what_did_not_run_is_sent_on_and_refused_in_the_end) {
     check_observation("full", run_scenario(true, {ServerBehaviour::Overloaded}), 200, 2, 1);
     const Observation full = run_scenario(
@@ -105,12 +106,13 @@
     check_observation("full, then a reset",
                       run_scenario(true, {ServerBehaviour::Overloaded, ServerBehaviour::ResetAfterExecution}),
                       502, 2, 1);
-    const std::size_t large = 12 * 1024 * 1024;    // more than the system takes at once, and still held whole
+    const std::size_t large =
+        12 * 1024 * 1024;    // more than the system accepts at once, and still buffered completely
     check_observation("reset within the bytes", run_scenario(true, {ServerBehaviour::ResetDuringRead}, large),
                       200, 2, 1);
     check_observation("reset after many bytes",
                       run_scenario(true, {ServerBehaviour::ResetAfterExecution}, large), 502, 1, 1);
-    // What is passed on as it comes cannot be sent again; half of it runs nowhere.
+    // A streamed request cannot be retried; a part of it is executed nowhere.
     const Observation half = run_scenario(true, {ServerBehaviour::ResetDuringRead}, 24 * 1024 * 1024, 2);
     check_observation("reset within what still comes", half, 503, 1, 0);
 
@@ -123,7 +125,7 @@
     cr_assert(answer->status == 503 && answer->has_retry_after);
 }
 
-// Each of these leaves something behind on a connection that is used again.
+// Each of these leaves something behind on a connection that is reused.
 Test(answers, what_a_connection_still_brings_belongs_to_no_later_request) {
     for (const bool unsafe : {false, true}) {
         for (const ServerBehaviour act :
@@ -141,7 +143,7 @@
                 client.send(request_text(unsafe, id, "bb"));
                 std::optional<ResponseTestClient::Answer> answer;
                 cr_assert(site.run_until([&] { return (answer = client.next_answer()).has_value(); }, 3000));
-                // A copy that comes while the next one is under way is passed over: nothing fails by it.
+                // A copy that arrives while the next request is under way is skipped: nothing fails by it.
                 cr_assert(answer->status == 200 && answer->id == id && answer->body == site.answer_bodies[id],
                           "act %d, %s: %d %s", static_cast<int>(act), id.c_str(), answer->status,
                           answer->body.c_str());
@@ -151,7 +153,7 @@
     }
 }
 
-// A server that has silently forgotten a connection resets it at the next request, whose fate nobody knows.
+// A server that has silently forgotten a connection resets it at the next request, whose outcome is unknown.
 Test(answers, a_forgotten_connection_costs_what_may_not_repeat_and_is_never_a_promise) {
     for (const bool unsafe : {false, true}) {
         ResponseTestSite site(1);
@@ -173,7 +175,7 @@
 
 namespace {
 
-// Clients that keep several requests of both kinds open, leave, and come again, and what they were told.
+// Clients that keep several requests of both kinds open, disconnect and reconnect, and the answers they got.
 class ClientLoad {
 public:
     ClientLoad(ResponseTestSite& site, unsigned seed) : site_(site), random_(seed) {
@@ -195,7 +197,7 @@
                 reconnect(connection);
             if (!connection.client) continue;
             if (!connection.pending.empty()) {
-                if (random_() % 400 == 0) reconnect(connection);    // with bytes under way
+                if (random_() % 400 == 0) reconnect(connection);    // with bytes in flight
             } else if (request_count_ < max_open && random_() % 3 == 0) {
                 send_requests(connection);
             }
@@ -204,7 +206,8 @@
                std::all_of(clients_.begin(), clients_.end(),
                            [](const ClientConnection& connection) { return connection.pending.empty(); });
     }
-    // Nothing that was promised ran, nothing that may not repeat ran twice, and nothing ran unasked.
+    // Nothing that was promised not to run was executed, nothing unsafe was executed twice, and nothing
+    // unrequested.
     void check_results() const {
         for (const auto& [id, times] : site_.executions) {
             cr_assert(unsafe_by_id_.contains(id), "%s was not asked", id.c_str());
@@ -259,7 +262,7 @@
     ResponseTestSite& site_;
     std::mt19937 random_;
     std::vector<ClientConnection> clients_;
-    std::map<std::string, bool> unsafe_by_id_;    // by id: may not repeat
+    std::map<std::string, bool> unsafe_by_id_;    // by id: must not be retried
     std::set<std::string> not_executed_;
     int request_count_ = 0;
 };
@@ -295,13 +298,13 @@
         }
         cr_assert(site.run_until([&] { return load.run_turn(kRequests); }), "seed %u: not all were answered",
                   seed);
-        site.run_until([] { return false; }, 600);    // what may still come
+        site.run_until([] { return false; }, 600);    // what may still arrive
         load.check_results();
         for (const auto& [id, times] : site.executions) repeated += times > 1;
         for (const auto& [what, times] : site.behaviour_counts) done[what] += times;
         for (const auto& [status, times] : load.statuses) statuses[status] += times;
     }
-    // Each trouble came, each kind of answer was given, and what may repeat was.
+    // Each fault occurred, each kind of answer was given, and idempotent requests were retried.
     for (int what = 0; what < static_cast<int>(ServerBehaviour::kCount); ++what)
         cr_assert(done[static_cast<ServerBehaviour>(what)] > 0, "nothing was done %d", what);
     for (const int status : {200, 500, 502, 503, 504}) cr_assert(statuses[status] > 0, "no %d", status);
--- a/tests/gateway/response_test_site.h
+++ b/tests/gateway/response_test_site.h
@@ -1,5 +1,6 @@
-// The whole way of a request, over loopback: clients' sockets, the pilot's door, desk, engines and pools, and
-// servers that do to each request what a script says. One thread and a clock that is stepped: nothing sleeps.
+// The whole way of a request, over loopback: clients' sockets, the gateway's request mapper, dispatcher,
+// engines and pools, and servers that do to each request what a script says. One thread and a clock that is
+// stepped: nothing sleeps.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -23,7 +24,7 @@
 
 namespace shaletray::test {
 
-// What a server does to a request. Those from Answer to Restart have run it, the others have not.
+// What a server does to a request. Those from Answer to Restart have executed it, the others have not.
 enum class ServerBehaviour {
     Answer,
     SlowAnswer,             // answers some turns later
@@ -34,15 +35,15 @@
     ResetOnNextInput,       // answers, and resets at whatever comes next on this connection, unread
     TruncatedAnswer,        // ends the connection in the middle of the answer
     ResetDuringAnswer,      // the same, by a reset
-    ResetAfterExecution,    // after the request was read and run
+    ResetAfterExecution,    // after the request was read and executed
     NoAnswer,               // for good
     ServerError,            // 500
-    Unmarked503,            // a promise that no X-Not-Executed makes true
+    Unmarked503,            // a promise without X-Not-Executed
     Unmarked429,
-    MalformedAnswer,     // no answer in the protocol
-    SuccessWithoutId,    // a whole success without an id
-    FailureWithoutId,    // a whole failure without an id
-    WrongId,             // a whole success of another request that is open, and nothing else
+    MalformedAnswer,     // not HTTP
+    SuccessWithoutId,    // a complete success without an id
+    FailureWithoutId,    // a complete failure without an id
+    WrongId,             // a complete success of another open request, and nothing else
     Restart,             // all its connections are reset, and another server is at its address
     Overloaded,          // 503 with X-Not-Executed
     ResetBeforeRead,     // before any of it was read
@@ -52,7 +53,7 @@
 inline bool executes_request(ServerBehaviour behaviour) { return behaviour <= ServerBehaviour::Restart; }
 
 struct ServerRequest {
-    std::string id, method, target, body, target_instance;    // tells: the server that it names
+    std::string id, method, target, body, target_instance;    // target_instance: the server that it names
 };
 
 // One address. The server there may be followed by another one with another id.
@@ -102,7 +103,7 @@
         try {
             connection.socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
         } catch (const Poco::Exception&) {
-            connection.is_open = false;    // the pool had seen enough
+            connection.is_open = false;    // the pool had closed it
         }
     }
 
@@ -117,10 +118,10 @@
 
 class ResponseTestSite {
 public:
-    // What is to be done to a request of which all, or at least the head, is here.
+    // What to do to a request of which all, or at least the head, was received.
     std::function<ServerBehaviour(const ServerRequest&, bool complete)> choose_behaviour =
         [](const ServerRequest&, bool) { return ServerBehaviour::Answer; };
-    std::function<int()> delay_turns = [] { return 5; };    // that something comes later
+    std::function<int()> delay_turns = [] { return 5; };    // by which something comes later
     std::map<std::string, int> arrivals, executions;        // by id
     std::map<std::string, std::string> answer_bodies;       // of good answers, by id
     std::map<ServerBehaviour, int> behaviour_counts;
@@ -138,7 +139,7 @@
         : balancer(balancer_settings(), loop.clock.now()) {
         gateway::DispatcherSettings dispatcher_settings;
         dispatcher_settings.seed = seed;
-        dispatcher_settings.retry_slack = 5000.0;
+        dispatcher_settings.pipelines.retry_slack = 5000.0;
         dispatcher.emplace(dispatcher_settings, loop.reactor, loop.timers, counters, hosts, balancer, [] {});
         for (int index = 0; index < count; ++index)
             servers.push_back(std::make_unique<ScriptedServer>(fmt::format("i-{}", ++last_server_number_)));
@@ -151,7 +152,7 @@
                          ClientListener::listen("127.0.0.1:0"), 200, [] { return true; });
         loop.reactor.set_busy_polling(true);
     }
-    // The list as it stands, told to the pilot.
+    // Announces the current endpoints to the gateway.
     void publish_servers() {
         std::map<std::string, registry::Server> servers_by_id;
         for (const auto& server : servers) {
@@ -167,7 +168,7 @@
         hosts.update(servers_by_id, loop.clock.now());
         dispatcher->on_servers_changed({"pay"});
     }
-    // False where it did not come true within so many turns, of a millisecond of the clock each.
+    // Runs turns of a millisecond each. False where the condition did not become true within so many.
     bool run_until(const std::function<bool()>& condition, int max_turns = 15000) {
         int turns_left = max_turns;
         bool condition_met = false;
@@ -449,7 +450,7 @@
     http::Buffer input;
     http::Parser parser{http::Parser::Kind::Response};
     std::string unsent;
-    bool disconnected = false, close_announced = false;    // closes: the last answer said so
+    bool disconnected = false, close_announced = false;    // close_announced: by the last answer
 };
 
 inline std::string request_text(bool unsafe, const std::string& id, const std::string& body = "",
