--- a/src/data_plane/engine/engine.cpp
+++ b/src/data_plane/engine/engine.cpp
@@ -11,9 +11,9 @@
 
 using namespace std::chrono_literals;
 
-// The module answers by the deadline; this much later the engine does, whatever went wrong.
+// The decision module ends a request by its deadline; if it did not, the engine does so this much later.
 constexpr Duration kOverdueDelay = 4ms;
-// How long a long request may stand still, by its client's fault or its server's, before its own time begins.
+// How long a streamed upload may stall, because of its client or its server, before its time budget begins.
 constexpr Duration kUploadStallTimeout = 3s;
 
 }    // namespace
@@ -99,20 +99,20 @@
                                                                                   : nullptr;
 }
 
-// ---- what comes in ----
+// ---- requests and events ----
 
 RequestId Engine::submit(DownstreamConnection& downstream, IncomingRequest&& incoming) {
     ++counters_.requests_accepted;
     if (requests_.size() >= max_open_requests_ || state_exported_) {
         ++counters_.requests_rejected;
         count_result(incoming.class_index, RequestResult::Rejected);
-        // All of what may be asked: nothing says when there is room again.
+        // The longest retry time, since nothing tells when there is room again.
         downstream.on_rejected(max_retry_after_, RejectionReason::Capacity);
         return RequestId{};
     }
     RequestId id{++last_request_id_};
     while (last_request_id_ == 0 || requests_.contains(id))
-        id = RequestId{++last_request_id_};    // went round
+        id = RequestId{++last_request_id_};    // the counter wrapped around
     Request& request = requests_[id];
     request.downstream = &downstream;
     ++unanswered_requests_;
@@ -129,7 +129,7 @@
     arrival_event.first_gateway = incoming.first_gateway_index;
     arrival_event.width = incoming.gateway_set_size;
     request.incoming = std::move(incoming);
-    // Told before each request, so that it matters neither what the module forgot nor what ran out meanwhile.
+    // Sent before each request, so that it does not matter what the module evicted or what expired meanwhile.
     request.plan_decision = {arrival_event.customer, arrival_event.plan_index, 0, 0};
     if (plan_service_ != nullptr) {
         std::vector<decision::Allowance> allowances;
@@ -155,13 +155,14 @@
     if (drop_request(id) != nullptr) ++counters_.requests_cancelled;
 }
 
-// Ends a request without the module's answer. Gives the front that is still owed one, if any.
+// Ends a request without a decision of the module. Returns the connection that still awaits a response, if
+// any.
 DownstreamConnection* Engine::drop_request(RequestId id) {
     Request* request = find_request(id);
     if (request == nullptr || request->downstream == nullptr) return nullptr;
     DownstreamConnection* const downstream = detach_downstream(*request);
     process_event(decision::RequestAborted{id});
-    // What is still out serves nobody now.
+    // Attempts still in flight are of no use any more.
     for (std::size_t index = 0; (request = find_request(id)) != nullptr && index < request->attempts.size();
          ++index) {
         if (!request->attempts[index].is_active) continue;
@@ -174,8 +175,8 @@
     return downstream;
 }
 
-// Only an answer that is a stream is told to the module, as the simulator does: its time-out and the client's
-// deadline end there. All other answers are passed on whole.
+// Only streaming responses are reported to the module, as in the simulator: the attempt's time-out and the
+// client's deadline end there. All other responses are forwarded once complete.
 void Engine::on_response_started(AttemptId id) {
     Attempt* attempt = find_active_attempt(id);
     if (attempt == nullptr || attempt->has_started) return;
@@ -193,7 +194,7 @@
         process_event(decision::AttemptStarted{id.request, id.attempt_number, attempt->host});
 }
 
-// What the client took to send a long request says nothing of its server.
+// The time that a client took to upload a request says nothing about the server, so timing begins here.
 void Engine::on_request_written(AttemptId id) {
     Attempt* attempt = find_active_attempt(id);
     if (attempt != nullptr && find_request(id.request)->incoming.payload.upload)
@@ -209,7 +210,7 @@
     attempt->is_streaming = answer.body_stream != nullptr && attempt->response_started_at != TimePoint{};
     if (response_policy_.forwards_failure_answers && outcome == Outcome::Error && is_failure_answer(answer))
         request.last_failure_answer = std::make_unique<Payload>(std::move(answer));
-    // A good answer finishes the request by itself, and so does the break of a stream.
+    // A successful response finishes the request, and so does a broken stream.
     if (outcome == Outcome::Ok) {
         if (DownstreamConnection* const downstream = detach_downstream(request)) {
             count_result(request.incoming.class_index, RequestResult::Served);
@@ -226,12 +227,12 @@
     erase_if_finished(id.request);
 }
 
-// A request's first good answer tells its true units; a later one would tell them again.
+// Only the first successful response settles the units; a hedged attempt would report them again.
 double Engine::settle_units(Request& request, double reported_units) {
     if (!settles_units_ || request.units_settled) return 0.0;
     request.units_settled = true;
     if (!(reported_units > 0.0 &&
-          reported_units <= max_request_units_)) {    // none, no number, or more than one request counts
+          reported_units <= max_request_units_)) {    // none, not a number, or more than a request may cost
         ++counters_.units_unreported;
         static LogRateLimiter log_limiter;
         if (log_limiter.try_acquire())
@@ -241,8 +242,8 @@
         return 0.0;
     }
     ++counters_.units_settled;
-    // The quota counts the true units in the end, charged where admit() charged the guess; the ceiling went
-    // by the guess, and stays so.
+    // The quota is corrected to the settled units, in the account that was charged at admission; the rate
+    // limit keeps the estimate.
     const double difference = reported_units - request.incoming.units;
     if (plan_service_ != nullptr)
         plan_service_->settle_units(request.plan_decision, request.incoming.customer, difference,
@@ -273,7 +274,7 @@
     process_event(decision::PeerBytes{peer, std::move(bytes)});
 }
 
-// ---- the module ----
+// ---- decision module ----
 
 void Engine::process_event(decision::Event&& event) {
     queued_events_.push_back(std::move(event));
@@ -281,11 +282,11 @@
     processing_events_ = true;
     for (std::size_t next_index = 0; next_index < queued_events_.size(); ++next_index) {
         const decision::Event current =
-            std::move(queued_events_[next_index]);    // more may be added meanwhile
+            std::move(queued_events_[next_index]);    // processing it may add more
         try {
             decide_actions(current);
         } catch (const std::exception& error) {
-            // The request it was about is answered as overdue; all others go on.
+            // Its request is answered by the overdue timer; all others continue.
             static LogRateLimiter log_limiter;
             if (log_limiter.try_acquire())
                 log(LogLevel::Error, Event::EngineFailed, {log_field("why", error.what())});
@@ -364,7 +365,7 @@
     erase_if_finished(action.request);
 }
 
-// The module only ever brings its one timer forward, and ignores what that overtakes.
+// The module has one timer, which it only moves to an earlier time.
 void Engine::execute(const decision::SetTimer& action) {
     timers_.cancel(module_timer_);
     module_timer_ = timers_.schedule_at(
@@ -384,7 +385,7 @@
 
 // ---- requests ----
 
-// A request is about to be sent for the first time: it counts from here on, whatever becomes of it.
+// The request is about to be sent for the first time: it is billed from here on, whatever its result.
 void Engine::record_admission(const Request& request, TimePoint now, bool is_sent) {
     const IncomingRequest& incoming = request.incoming;
     if (plan_service_ != nullptr) {
@@ -395,14 +396,14 @@
     } else if (quota_state_table_ != nullptr) {
         quota_state_table_->record_admission(incoming.customer, incoming.units, now);
     }
-    if (usage_recorder_ == nullptr || !is_sent) return;    // nobody is billed for what no server gets
+    if (usage_recorder_ == nullptr || !is_sent) return;    // what reaches no server is not billed
     const plans::PlanService::PlanDecision& plan_decision = request.plan_decision;
     usage_recorder_->record_admission({incoming.customer, incoming.class_index, plan_decision.plan_index,
                                        incoming.units, plan_decision.plan_version,
                                        plan_decision.reservation_version, now});
 }
 
-// The one place where a request stops being owed an answer. Gives the front that is to have it, if any.
+// The only place where a request stops awaiting a response. Returns the connection to respond to, if any.
 DownstreamConnection* Engine::detach_downstream(Request& request) {
     timers_.cancel(request.overdue_timer);
     if (request.downstream != nullptr) --unanswered_requests_;
@@ -447,14 +448,14 @@
 
 void Engine::count_result(int class_index, RequestResult result) {
     const auto index = static_cast<std::size_t>(class_index);
-    if (index >= counters_by_class_.size()) return;    // of no class: the module would not have it
+    if (index >= counters_by_class_.size()) return;    // unknown class: the module rejects the request
     RequestClassCounters& class_counters = *counters_by_class_[index];
     ++(result == RequestResult::Served     ? class_counters.answered
        : result == RequestResult::Rejected ? class_counters.dropped
                                            : class_counters.failed);
 }
 
-// The one place where an attempt ends: each is told to the module exactly once.
+// The only place where an attempt ends, which reports it to the module exactly once.
 void Engine::finish_attempt(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report,
                             bool is_final, double settled_units) {
     timers_.cancel(attempt.timeout_timer);
@@ -463,14 +464,14 @@
                                 outcome == Outcome::Error || outcome == Outcome::Reset;
     --find_request(id.request)->active_attempts;
     ++counters_.outcomes[static_cast<std::size_t>(outcome)];
-    // How long the way of a long answer takes says nothing of how soon its server answers.
+    // The transfer time of a streamed response says nothing about the server's latency.
     const TimePoint started_at = attempt.is_streaming ? attempt.response_started_at : clock_.now();
     process_event(decision::AttemptFinished{id.request, id.attempt_number, attempt.host, outcome,
                                             started_at - attempt.sent_at, settled_units, is_final,
                                             std::move(report)});
 }
 
-// A request's time runs from its last byte (PROTOCOL, Figures).
+// A request's time budget begins with its last received byte (PROTOCOL, Figures).
 TimePoint Engine::request_deadline(const Request& request) {
     const RequestUpload* const upload = request.incoming.payload.upload.get();
     if (upload == nullptr) return request.deadline;
@@ -484,8 +485,8 @@
                                              : std::min(deadline_limit, attempt.sent_at + attempt.time_limit);
 }
 
-// When to look again at what is to end by then: the last byte of a long request may bring that forward, but
-// to no sooner than a budget from now.
+// When to check a deadline again: the end of an upload may bring it forward, but no closer than one time
+// budget from now.
 TimePoint Engine::next_check_time(const Request& request, TimePoint deadline) const {
     return std::min(deadline, clock_.now() + request.incoming.time_budget);
 }
@@ -530,7 +531,7 @@
 }
 
 bool Engine::import_state(std::string_view text) {
-    process_event(decision::TimerFired{});    // its start
+    process_event(decision::TimerFired{});    // the module's first event starts it
     try {
         decision_module_.take_over(text, clock_.now());
         return true;
--- a/src/data_plane/engine/engine.h
+++ b/src/data_plane/engine/engine.h
@@ -1,6 +1,10 @@
-// The engine: owns requests, attempts and timers, feeds the decision module and carries out what it decides.
-// It knows neither HTTP nor sockets nor this platform's names: a front hands requests in and takes answers
-// out, a backend carries attempts, mail carries peer messages.
+// The engine owns requests, attempts and their timers, feeds the decision module with events and carries out
+// its actions. It is independent of HTTP, sockets and a platform's formats: these are behind the interfaces
+// DownstreamConnection, AttemptSender, PeerMessenger and HostListSource.
+//
+// Threading: everything runs on one thread, usually the reactor's, and callbacks may come before a call
+// returns. Invariants: each accepted request gets exactly one response unless it is cancelled, and each
+// attempt is reported to the decision module exactly once.
 #pragma once
 
 #include <cstdint>
@@ -27,56 +31,61 @@
 using decision::PeerId;
 using decision::RequestId;
 
-// Takes a body that is too long to be held, piece by piece.
+// Receives a streamed body in chunks.
 class BodySink {
 public:
     virtual ~BodySink() = default;
     virtual void on_body_chunk(std::string_view bytes) = 0;
-    virtual void on_body_end(bool complete) = 0;    // nothing follows
+    // The last call. `complete`: false if the body was cut short.
+    virtual void on_body_end(bool complete) = 0;
 };
-// Where such a body comes from. To let go of it is to want no more.
+// Source of a body that is too long to be buffered. Releasing it cancels the rest.
 class BodyStream {
 public:
     virtual ~BodyStream() = default;
-    virtual void start(BodySink& sink) = 0;        // pieces follow, the first perhaps before this returns
-    virtual void set_reading(bool enabled) = 0;    // backpressure: none come while they are not wanted
-    virtual std::optional<std::uint64_t> total_length() const = 0;    // bytes in all, where that is known
+    // Begins delivery to `sink`; the first chunk may come before this returns.
+    virtual void start(BodySink& sink) = 0;
+    // Backpressure: no chunks come while disabled.
+    virtual void set_reading(bool enabled) = 0;
+    // Bytes in total, if known.
+    virtual std::optional<std::uint64_t> total_length() const = 0;
 };
 
-// A request's body that is still coming, its first part apart. An attempt is written with that part, and then
-// begins the rest, which only one can.
+// A request body that is still being received. The buffered first part can be sent by several attempts; the
+// rest can be streamed by one attempt only, which rules out retries from then on.
 class RequestUpload : public BodyStream {
 public:
-    virtual std::string_view initial_body() const = 0;    // empty once the rest was begun
+    virtual std::string_view initial_body() const = 0;    // the first part; empty once streaming began
     virtual bool is_streaming() const = 0;                // the rest was begun: no other attempt may follow
-    virtual bool is_complete() const = 0;                 // all of it has come from the client
-    virtual TimePoint last_received_at() const = 0;       // when the last of it came
+    virtual bool is_complete() const = 0;                 // received completely from the client
+    virtual TimePoint last_received_at() const = 0;       // when bytes last arrived
 };
 
-// A request or an answer as front and backend understand it. The engine passes it on and looks at no byte.
+// A request or response in the form that the platform's codecs share. The engine forwards it unread.
 struct Payload {
     std::string head, body;
-    // In place of the body, where that is too long to be held: of an answer, of a request.
+    // In place of `body` if that is too long to be buffered: of a response, of a request.
     std::shared_ptr<BodyStream> body_stream = {};
     std::shared_ptr<RequestUpload> upload = {};
-    int status_code = 200;          // of an answer
-    std::string request_id = {};    // of a request, where servers repeat it in their answers
+    int status_code = 200;          // of a response
+    std::string request_id = {};    // of a request, if servers repeat it in their responses
 };
 
-// A request as its front describes it.
+// A client's request, mapped to the terms of the decision module.
 struct IncomingRequest {
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
-    double units = 1.0;
-    Duration time_budget{0};
+    double units = 1.0;         // cost that its quota is charged
+    Duration time_budget{0};    // until its deadline
+    // The customer's gateway set, over which its quota is divided: first index, and how many follow on.
     int first_gateway_index = 0, gateway_set_size = 1;
-    bool is_streaming = false;                   // its answer begins long before it ends
-    std::string reservation_id;                  // that it draws on, where plans change in service
-    std::shared_ptr<const void> context = {};    // the front's own, kept as long as the request
+    bool is_streaming = false;     // the response begins long before it ends
+    std::string reservation_id;    // the reservation to charge, if a plan service is set; empty: none
+    std::shared_ptr<const void> context = {};    // the mapping's own data, kept as long as the request
     Payload payload;
 };
 
-// A request that was let in, as it is billed.
+// An admitted request as it is billed.
 struct AdmittedRequest {
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
@@ -84,156 +93,168 @@
     std::uint64_t plan_version = 0, reservation_version = 0;
     decision::TimePoint admitted_at{};
 };
-// What keeps a record of use. Told of each request once, before its first attempt is sent.
+// Keeps a usage record: called once for each request, before its first attempt is sent.
 class UsageRecorder {
 public:
     virtual ~UsageRecorder() = default;
     virtual void record_admission(const AdmittedRequest& admission) = 0;
 };
 
-// What a good answer tells of its request's true units, where units are settled afterwards: a number above 0,
-// or one of these.
+// Units that a successful response reports, if units are settled afterwards: a number above 0, or one of
+// these.
 constexpr double kUnitsUnreported = 0.0, kUnitsMalformed = -1.0;
 
+// One send of a request; attempts of a request are numbered from 0.
 struct AttemptId {
     RequestId request{};
     int attempt_number = 0;
 };
 
-enum class RejectionReason { Quota, Capacity };                   // what there was too little of
-enum class FailureReason { UpstreamFailed, DeadlineExceeded };    // Late: its deadline came
+enum class RejectionReason { Quota, Capacity };                   // what was exhausted
+enum class FailureReason { UpstreamFailed, DeadlineExceeded };    // server error; time budget used up
 
-// Where a request came from. Exactly one of these is called for each request taken, unless it was withdrawn.
+// Receives the response to one request. Exactly one of these is called for each submitted request, unless it
+// was cancelled.
 class DownstreamConnection {
 public:
     virtual ~DownstreamConnection() = default;
     virtual void on_answer(Payload&& answer) = 0;
     virtual void on_rejected(Duration retry_after, RejectionReason reason) = 0;
-    // With the last whole answer of a server that said itself that it failed, where such are kept; else one
-    // that tells nothing (says_failure).
+    // `answer` is the last complete error response of a server if ResponsePolicy::forwards_failure_answers is
+    // set and there was one (is_failure_answer tells), else empty.
     virtual void on_failed(FailureReason reason, Payload&& answer) = 0;
 };
+// Whether a payload passed to on_failed is a server's error response.
 inline bool is_failure_answer(const Payload& answer) { return answer.status_code >= 400; }
 
-// Where a front's requests go.
+// Accepts requests from client connections.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
-    // May answer before it returns; 0 then, or any number, of which nothing is asked any more.
+    // Returns a ticket for cancel(). May respond before it returns; the ticket is meaningless then.
     virtual std::uint64_t submit(DownstreamConnection& downstream, IncomingRequest&& incoming) = 0;
-    // No answer is wanted any more. Never for a request that was answered.
+    // Drops a request without a response. Never called for a request that has its response.
     virtual void cancel(std::uint64_t request_ticket) = 0;
 };
 
-// What carries attempts and probes. Each ends with one call of Engine::attempt_ended or probe_ended, which
-// may come before send or probe returns; none comes for an attempt that was called off.
+// Sends attempts and health checks to servers. Each ends with one call of Engine::on_attempt_ended or
+// on_health_check_ended, which may come before send_attempt or check_health returns; none follows
+// cancel_attempt.
 class AttemptSender {
 public:
     virtual ~AttemptSender() = default;
     virtual void send_attempt(AttemptId attempt, HostId host, const Payload& request, Duration time_left) = 0;
     virtual void cancel_attempt(AttemptId attempt) = 0;
     virtual void check_health(HostId host) = 0;
-    // Whether a byte of the attempt, which is out, may have reached its server.
+    // Whether any byte of an attempt in flight may have reached its server.
     virtual bool has_started(AttemptId) const { return true; }
 };
 
+// Sends the decision module's datagrams to other gateways of the installation; losses are tolerated.
 class PeerMessenger {
 public:
     virtual ~PeerMessenger() = default;
     virtual void send_to_peer(PeerId peer, const std::vector<std::uint8_t>& bytes) = 0;
 };
 
-// Where lists of servers come from; asked where the module has to.
+// Source of server lists, which arrive through Engine::on_host_list.
 class HostListSource {
 public:
     virtual ~HostListSource() = default;
+    // Called if the decision module asks for a list.
     virtual void subscribe() = 0;
 };
 
+// Requests of one service, from submission to response. `clock`, `timers` and `counters` outlive it.
 class Engine {
 public:
     Engine(const decision::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
            Counters& counters);
-    // Nothing of it comes due any more. What is owed an answer gets none.
+    // Cancels its timers. Requests in progress get no response.
     ~Engine();
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
+    // Sets the interfaces that actions go to; before any other call. They outlive the engine's use.
     void connect(AttemptSender& attempt_sender, PeerMessenger& peer_messenger, HostListSource& host_lists);
-    // Shares are worked out by this ledger, and not by the module's own mail. It outlives the engine's use.
+    // Quota shares come from this table instead of the module's own peer messages. It outlives the engine's
+    // use.
     void set_quota_state_table(limits::QuotaStateTable& table) { quota_state_table_ = &table; }
-    // Plans change in service: this desk rules on each request, and speaks to that ledger.
+    // Plans may change at runtime: this service decides each request's plan and updates the quota table.
     void set_plan_service(plans::PlanService& service) { plan_service_ = &service; }
     void set_usage_recorder(UsageRecorder& recorder) { usage_recorder_ = &recorder; }
-    // What a platform wants beyond what the module decides. All off unless told.
+    // Platform choices about responses to requests without a successful one.
     struct ResponsePolicy {
-        // The last whole answer with which a server said that it failed goes to the front.
+        // A server's last complete error response is forwarded to the client.
         bool forwards_failure_answers = false;
-        // A front hears `refused` where nothing of its request can have run, and `failed` where it may have,
-        // whatever the module called it.
+        // A request is reported as rejected only if nothing of it can have run, and as failed if it may have,
+        // whatever the decision module says.
         bool rejects_only_unexecuted = false;
     };
     void set_response_policy(const ResponsePolicy& policy) { response_policy_ = policy; }
     bool forwards_failure_answers() const { return response_policy_.forwards_failure_answers; }
-    // Tells the module which of its allowances ran out or changed by now.
+    // Passes allowances that expired or changed by now to the decision module.
     void refresh_allowances();
 
-    // Takes over classes and limits in service. Gives each class's index for arrivals, in the order of
-    // `next.classes`: one that changed gets another, so that requests under way keep theirs. Throws
-    // BadSettings and changes nothing where they make no sense.
+    // Applies classes and limits at runtime. Returns the index of each class of `new_settings.classes` for
+    // later arrivals; a changed class gets another index, so that requests in progress keep theirs. Throws
+    // decision::BadSettings, and changes nothing, if they are invalid.
     std::vector<int> apply_settings(const decision::Settings& new_settings);
 
+    // Accepts a request and decides on it. May respond before it returns; the id is 0 if it rejected the
+    // request for want of room.
     RequestId submit(DownstreamConnection& downstream, IncomingRequest&& incoming);
-    // The client left: no answer is wanted any more.
+    // The client disconnected: drops the request without a response.
     void cancel(RequestId request);
 
-    void on_response_started(AttemptId attempt);    // its answer's first part is here
-    // Its request is passed on while it still comes: nothing can be tried again from here on.
+    // The first part of the response has arrived.
+    void on_response_started(AttemptId attempt);
+    // The request is forwarded while it is still being received: it cannot be retried from here on.
     void on_upload_started(AttemptId attempt);
-    void on_request_written(AttemptId attempt);    // its server has its request whole
-    // `settled_units` counts only on a good answer, where the settings say that units are settled afterwards:
-    // the quota, here and in the ledger, is charged those instead of the guess; where the answer tells none
-    // that can be used, the guess stands, and that is counted and logged.
+    // The request was written completely to its server.
+    void on_request_written(AttemptId attempt);
+    // `settled_units` counts only for a successful response, and only if the settings settle units
+    // afterwards: the quota, here and in the quota table, is charged these instead of the estimate. If the
+    // response reports none that can be used, the estimate stands, which is counted and logged.
     void on_attempt_ended(AttemptId attempt, Outcome outcome, LoadReport&& report = {}, Payload&& answer = {},
                           double settled_units = kUnitsUnreported);
     void on_health_check_ended(HostId host, Outcome outcome, Duration duration, LoadReport&& report = {});
     void on_host_list(decision::HostList&& list);
     void on_peer_message(PeerId peer, std::vector<std::uint8_t>&& bytes);
 
-    // The program ends now: whatever is still owed an answer gets one.
+    // The process is ending: fails every request that has no response yet.
     void abandon_all_requests();
-    // For the process that takes this one's place. New requests are refused from then on.
+    // State for the successor process. New requests are rejected from then on.
     std::string export_state();
-    // What the process before this one held; called before anything else. Where the text cannot be read that
-    // is logged, and this one starts as it would alone. False then.
+    // Takes over the predecessor's state; called before anything else. If the text is malformed, that is
+    // logged, the engine starts afresh and the result is false.
     bool import_state(std::string_view text);
     std::size_t open_requests() const { return requests_.size(); }
-    std::size_t unanswered_requests() const {
-        return unanswered_requests_;
-    }    // requests still owed an answer
-    // Healthy servers of the list that the module keeps requests from by its own choice.
+    // Requests without a response yet; others may remain open until their attempts end.
+    std::size_t unanswered_requests() const { return unanswered_requests_; }
+    // Healthy servers that are ejected by the decision module.
     std::size_t avoided_hosts() const { return decision_module_.avoided(); }
 
 private:
     struct Attempt {
         HostId host{};
         TimePoint sent_at{};
-        Duration time_limit{0};    // 0: as long as the client waits
+        Duration time_limit{0};    // 0: until the client's deadline
         Timers::Id timeout_timer = 0;
-        TimePoint response_started_at{};    // when its answer began
+        TimePoint response_started_at{};
         bool is_active = true, has_started = false, is_streaming = false;
-        bool may_have_executed = false;    // or may have, once it ended
+        bool may_have_executed = false;    // valid once it ended
     };
     struct Request {
-        DownstreamConnection* downstream = nullptr;    // none: answered or withdrawn
+        DownstreamConnection* downstream = nullptr;    // null: answered or cancelled
         IncomingRequest incoming;
-        plans::PlanService::PlanDecision plan_decision;    // whatever changes meanwhile
+        plans::PlanService::PlanDecision plan_decision;    // as at arrival, whatever changes later
         TimePoint deadline{};
         Timers::Id overdue_timer = 0;
         std::vector<Attempt> attempts;
         int active_attempts = 0;
-        bool units_settled = false;                      // its true units were heard, or could not be
-        std::unique_ptr<Payload> last_failure_answer;    // the last
+        bool units_settled = false;                      // settled, or the response had no usable units
+        std::unique_ptr<Payload> last_failure_answer;    // see ResponsePolicy
     };
 
     Request* find_request(RequestId id);
@@ -251,26 +272,26 @@
     void record_admission(const Request& request, TimePoint now, bool is_sent);
     DownstreamConnection* detach_downstream(Request& request);
     enum class RequestResult { Served, Rejected, Failed };
-    // What a front hears that gets no good answer.
+    // The response to a request without a successful one.
     struct UnservedResponse {
         RequestResult result = RequestResult::Failed;
         Duration retry_after{0};
         FailureReason reason = FailureReason::UpstreamFailed;
         Payload answer;
     };
-    // `dropped`: what is still out is called off next.
+    // `attempts_dropped`: attempts in flight are cancelled next.
     UnservedResponse make_unserved_response(RequestId id, Request& request, RequestResult result,
                                             Duration retry_after = Duration(0),
                                             bool attempts_dropped = false) const;
     void deliver_response(DownstreamConnection& downstream, int class_index, UnservedResponse&& response);
     bool may_have_executed(RequestId id, const Request& request, bool attempts_dropped) const;
     void cancel_attempt(AttemptId id, Attempt& attempt);
-    // Counts the answer that a request is about to get.
+    // Counts the response that a request is about to get.
     void count_result(int class_index, RequestResult result);
     DownstreamConnection* drop_request(RequestId id);
     void finish_attempt(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report, bool is_final,
                         double settled_units = 0.0);
-    // The true units of a request that was answered well, or 0 where the guess stands.
+    // The settled units of a successful request, or 0 if the estimate stands.
     double settle_units(Request& request, double reported_units);
     void on_attempt_timeout(AttemptId id);
     void on_request_overdue(RequestId id);
@@ -282,15 +303,16 @@
 
     void apply_limits(const decision::Settings& settings);
 
-    const decision::Settings initial_settings_;    // as at the start
+    const decision::Settings initial_settings_;    // as at construction
     const std::uint64_t seed_;
     decision::Gateway decision_module_;
-    std::vector<decision::ClassSettings> classes_;    // by index; those no longer listed stay until reused
+    std::vector<decision::ClassSettings>
+        classes_;    // by index; removed classes stay until their index is reused
     std::size_t max_open_requests_ = 0;
     std::size_t max_attempts_ = 0;
     Duration max_retry_after_{0};
     bool settles_units_;
-    double max_request_units_;    // that one request counts
+    double max_request_units_;    // the most that one request may cost
     const Clock& clock_;
     Timers& timers_;
     Counters& counters_;
@@ -301,21 +323,20 @@
     plans::PlanService* plan_service_ = nullptr;
     UsageRecorder* usage_recorder_ = nullptr;
     ResponsePolicy response_policy_;
-    std::vector<decision::Allowance> pending_allowances_;    // kept for its memory
+    std::vector<decision::Allowance> pending_allowances_;    // a member only to reuse its memory
     std::unordered_map<RequestId, Request> requests_;
-    Timers::Id module_timer_ = 0;    // the module's
+    Timers::Id module_timer_ = 0;    // the decision module's only timer
     std::uint32_t last_request_id_ = 0;
     std::size_t unanswered_requests_ = 0;
     bool state_exported_ = false;
-    std::vector<RequestClassCounters*> counters_by_class_;    // in counters_
-    // An action's effects wait until all actions before them are done. Kept for their memory.
-    // Held by the module's timers, which outlive the engine.
+    std::vector<RequestClassCounters*> counters_by_class_;    // point into counters_
+    // Events caused by an action wait until all earlier actions are done. Members only to reuse their memory.
     std::vector<decision::Event> queued_events_;
     std::vector<decision::Action> pending_actions_;
     bool processing_events_ = false;
 };
 
-// A front's way to one engine, with nothing in between.
+// Passes requests directly to one engine.
 class EngineRequestHandler : public RequestHandler {
 public:
     explicit EngineRequestHandler(Engine& engine) : engine_(engine) {}
--- a/src/data_plane/limits/quota_row.cpp
+++ b/src/data_plane/limits/quota_row.cpp
@@ -13,7 +13,7 @@
 constexpr double kMaxDemand = 1e9;
 constexpr std::size_t kMaxItems = 1024;
 
-// Takes words apart at single spaces. A value that is not wholly a number of its kind spoils the whole text.
+// Splits text at single spaces. A value that is not entirely a number of its type makes the text invalid.
 class WordReader {
 public:
     explicit WordReader(std::string_view text) : rest_(text) {}
@@ -49,7 +49,7 @@
 private:
     template <class T>
     T read_into(std::string_view word, const char* end, std::errc error, T value, T least, T max_value) {
-        // Written so that a value that is not a number fails too.
+        // Written so that NaN fails as well.
         if (error != std::errc{} || end != word.data() + word.size() ||
             !(value >= least && value <= max_value))
             good_ = false;
@@ -93,7 +93,7 @@
         leased += part.lease_parts;
         row.parts.push_back(part);
     }
-    // More than the whole was never leased by one of ours.
+    // No gateway leases more than its entire baseline.
     if (!words.good() || !words.done() || leased > kFullBaseline) return std::nullopt;
     return row;
 }
--- a/src/data_plane/limits/quota_row.h
+++ b/src/data_plane/limits/quota_row.h
@@ -1,5 +1,5 @@
-// What one gateway says of one customer, and how that is written down. Text, so that an operator can read the
-// store with its own tools. Pure.
+// The rows that gateways exchange through the shared store, and their text form, which an operator can read
+// with the store's own tools. Pure functions and values.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +12,33 @@
 
 namespace shaletray::limits {
 
-// Leases are whole parts of a baseline; each equal division over up to 16 gateways comes out even.
+// A baseline is divided into this many parts, so that leases are integers and an equal division over up to 16
+// gateways is exact.
 constexpr std::uint32_t kFullBaseline = 720720;
-constexpr int kMaxGatewaySet = 64;    // the largest set of gateways that a row can hold
+// The largest gateway set that a row can describe.
+constexpr int kMaxGatewaySet = 64;
 
+// What one gateway states about one customer: its demand, its leases and what it has read of the others.
 struct QuotaRow {
-    struct Part {    // towards the gateway at this place of the set; the writer's own is all nothing
-        std::uint64_t echo_incarnation = 0;    // its life, as last read; 0: never
+    // For the gateway at this position of the set; the writer's own entry is all zero.
+    struct Part {
+        std::uint64_t echo_incarnation = 0;    // its incarnation as last read; 0: never read
         std::uint64_t echo_stamp = 0;          // the stamp of its row that was read last
-        std::uint32_t lease_parts = 0;         // of the writer's baseline, in parts of kWhole
+        std::uint32_t lease_parts = 0;         // leased to it, in kFullBaseline-ths of the writer's baseline
         bool operator==(const Part&) const = default;
     };
     std::uint64_t incarnation = 0;
-    std::uint64_t row_stamp =
-        0;    // microseconds since the writer's start; grows with each row of a customer
+    // Microseconds since the writer's start; grows with each row of a customer.
+    std::uint64_t row_stamp = 0;
     int plan_index = 0, first_gateway = 0, set_size = 1;
-    double demand = 0.0;        // units a second asked for at the writer
-    double fill_level = 0.0;    // how full the writer's part of the quota is, 0 to 1
+    double demand = 0.0;        // units per second requested at the writer
+    double fill_level = 0.0;    // fill of the writer's quota bucket, 0 to 1
     std::vector<Part> parts;
     bool operator==(const QuotaRow&) const = default;
 };
 
-// Customers that the writer newly has requests of, so that the others of their sets begin to exchange rows.
+// Customers that recently began to need an exchange of rows, so that the other gateways of their sets begin
+// it as well.
 struct Announcement {
     struct Item {
         decision::CustomerId customer{};
@@ -41,13 +46,14 @@
         bool operator==(const Item&) const = default;
     };
     std::uint64_t incarnation = 0;
-    std::uint64_t item_count = 0;    // how many there have been in this life, the newest here included
-    std::vector<Item> items;         // the newest last
+    std::uint64_t item_count = 0;    // announced in this incarnation, including these
+    std::vector<Item> items;         // newest last
     bool operator==(const Announcement&) const = default;
 };
 
+// One line of text, without its end.
 std::string serialize_row(const QuotaRow& row);
-// Nothing where the text is not exactly one row with figures that make sense.
+// Empty unless the text is exactly one row with valid values.
 std::optional<QuotaRow> parse_row(std::string_view text);
 std::string serialize_announcement(const Announcement& announcement);
 std::optional<Announcement> parse_announcement(std::string_view text);
--- a/src/data_plane/limits/quota_state_table.h
+++ b/src/data_plane/limits/quota_state_table.h
@@ -1,14 +1,15 @@
-// The allowance ledger: how much of each customer's quota and ceiling this gateway may grant, until when, and
-// what it must assume while nothing is heard of the others. Pure: no I/O and no clock, told the time by its
-// caller, and copyable, so that tests can explore it.
+// How much of each customer's quota (its average rate) and rate limit (its `ceiling`, never exceeded) this
+// gateway may grant, until when, and what it must assume while other gateways are silent. Single-threaded and
+// pure: no I/O and no clock; the caller passes the time, which never goes back. Copyable, so that tests can
+// explore its states. Units are those of the plans, rates are units per second.
 //
 // The algorithm is an escrow with expiring transfers (bounded counters after Balegas et al., "Extending
 // Eventually Consistent Cloud Databases for Enforcing Numeric Invariants", SRDS 2015; leases after Gray and
-// Cheriton, SOSP 1989). Each gateway of a customer's set owns a fixed part of it, its baseline, and is the
-// only one that ever hands any of that on. What it leases to others it stops using before it says so, and
-// uses again only once the other has acknowledged less or cannot hold it any more. Whoever carries the rows
-// between gateways may lose, repeat, reorder, delay or invent old ones: that costs allowance, and never adds
-// any. See docs/design/shared-counter.md.
+// Cheriton, SOSP 1989). Each gateway of a customer's set owns a fixed part of it, its baseline, and alone
+// leases parts of that to others. It stops using what it leases before it publishes the lease, and uses it
+// again only once the holder has acknowledged a smaller lease or the lease has expired. The transport of rows
+// may lose, repeat, reorder or delay them, or return to old ones: that costs allowance, and never adds any.
+// See docs/design/shared-counter.md.
 #pragma once
 
 #include <cstddef>
@@ -29,119 +30,128 @@
 using decision::Duration;
 using decision::TimePoint;
 
+// Fixed for the life of a table.
 struct QuotaTableSettings {
     int own_index = 0, gateway_count = 1;
     std::vector<decision::PlanSettings> plans;
-    double max_request_units = 1.0;        // the largest request
+    double max_request_units = 1.0;        // the most that one request costs
     std::uint64_t incarnation = 1;         // above 0, and larger at each start of the same gateway
-    Duration lease_duration{8'000'000};    // how long what is leased is held at most
-    double reserve_fraction = 0.25;        // part of a baseline's ceiling that is never leased
-    double isolated_quota_share =
-        0.7;    // of a quota, that a gateway may grant which does not hear of all the others
-    Duration isolation_timeout{1'500'000};    // and how long it waits before it does
-    Duration demand_window{2'000'000};        // over which what a customer asks for is averaged, at least
+    Duration lease_duration{8'000'000};    // the longest time that a lease is held
+    double reserve_fraction = 0.25;        // part of a baseline's rate limit that is never leased
+    // Part of a quota that a gateway may grant while it hears not all the others, and how long a customer is
+    // tracked before that applies.
+    double isolated_quota_share = 0.7;
+    Duration isolation_timeout{1'500'000};
+    Duration demand_window{2'000'000};    // the shortest time over which a customer's demand is averaged
     std::size_t max_customers = 100'000;
-    std::size_t max_announced_customers = 64;    // customers in one announcement
+    std::size_t max_announced_customers = 64;    // in one announcement
 
-    // Throws decision::BadSettings with what is wrong.
+    // Throws decision::BadSettings with the reason.
     void validate() const;
 };
 
+// Totals since the start, unless stated otherwise.
 struct QuotaTableStatistics {
     std::uint64_t rows_received = 0, rows_ignored = 0;    // ignored: older than known, or of another set
-    std::uint64_t leases_expired = 0;                     // ran out while held here
-    std::uint64_t leases_reclaimed = 0,
-                  leases_acknowledged = 0;    // what came back: by its time, by the other's word
-    std::uint64_t peer_restarts = 0;          // other gateways' restarts
-    std::uint64_t untracked_customers = 0;    // customers beyond the limit, left to the static share
+    std::uint64_t leases_expired = 0;                     // while held here
+    // Leases that came back: because they expired, or by the holder's acknowledgement.
+    std::uint64_t leases_reclaimed = 0, leases_acknowledged = 0;
+    std::uint64_t peer_restarts = 0;
+    std::uint64_t untracked_customers = 0;    // beyond max_customers; these get the static share
     std::uint64_t announcements_received = 0;
-    std::uint64_t plan_switches = 0;    // customers that went over to other terms
+    std::uint64_t plan_switches = 0;    // changes of a customer's terms
     std::size_t tracked_customers = 0, exchanging_customers = 0, isolated_customers = 0;    // as of now
 };
 
-// Terms beyond the settings' plans, under a number of their own: a version of a plan, or a reservation, which
-// is an account of its own whose units were carved out of its owner's quota.
+// Terms beyond the plans of the settings, with an index of their own: a version of a plan, or a reservation.
+// A reservation is an account of its own whose units were taken from its owner's quota.
 struct CustomTerms {
     decision::PlanSettings plan_settings;
-    int base_plan = 0;    // the settings' plan that the module goes by
+    int base_plan = 0;    // the plan of the settings that the decision module uses
     bool is_account = false;
-    CustomerId owner{};            // of an account: whose ceiling it draws on
-    TimePoint fill_starts_at{};    // of an account: its units come evenly from then on at figures.rate; zero:
-                                   // all are there
-    double spent_units = 0.0;      // of an account: here, in an earlier life
+    CustomerId owner{};    // of an account: whose rate limit it is charged to
+    // Of an account: its units accrue evenly from then on at plan_settings.rate; zero: all are available.
+    TimePoint fill_starts_at{};
+    double spent_units = 0.0;    // of an account: by this gateway in earlier incarnations
 };
 
-// What the caller knows of a customer when it asks.
+// What the caller knows about a customer at a request.
 struct CustomerStanding {
-    double reserved_rate = 0.0;    // units a second that go to its reservations
-    // What its stores would hold had it rested until now; below 0: they would be full.
+    double reserved_rate = 0.0;    // units per second that go to its reservations
+    // What its buckets would hold without requests until now; below 0: they would be full.
     double rested_quota_units = -1.0, rested_rate_units = -1.0;
 };
 
+// Functions that return an Allowance return what the decision module must be given next.
 class QuotaStateTable {
 public:
-    // `now` is the start of this life; what an earlier one handed out is unknown for `lease` from here.
+    // `now` is the start of this incarnation; leases granted by an earlier one are unknown and may remain in
+    // use for `lease_duration` from here.
     QuotaStateTable(QuotaTableSettings settings, TimePoint now);
 
-    // ---- what the gateway sees ----
-    // A request is about to be decided. Gives what the module must know of its customer; nothing where the
-    // customer is not tracked, and the module's static share holds.
-    // Where the plan is another than before, the customer's stores keep their units and debts, up to the
-    // sizes of the new one.
+    // ---- requests ----
+    // A request is about to be decided. Empty if the customer is not tracked; the module's static share
+    // applies then. If the plan has changed, the customer's buckets keep their units and debts, up to the
+    // sizes of the new plan.
     std::optional<Allowance> on_request(CustomerId customer_id, int plan, int first_gateway, int set_size,
                                         double units, TimePoint now, const CustomerStanding& standing = {});
-    // A try was first sent on.
+    // A request is sent for the first time: charges its units.
     void record_admission(CustomerId customer_id, double units, TimePoint now);
-    // Its answer told its true units: the quota is charged `difference` more (less, below 0), the ceiling,
-    // which goes by the guess, nothing.
+    // The response reported the actual units: charges `difference` more (less, if below 0) to the quota. The
+    // rate limit keeps the estimate.
     void settle_units(CustomerId customer_id, double difference, TimePoint now);
 
-    // ---- plans that change in service ----
-    // Terms under a number from settings.plans.size() on. The same number always means the same.
+    // ---- plans that change at runtime ----
+    // Defines terms with an index from the number of the settings' plans on. An index never changes its
+    // meaning.
     void define_terms(int plan, CustomTerms terms);
     bool has_terms(int plan) const { return find_terms(plan) != nullptr; }
-    // The customer goes by these terms from now on. Nothing where it is not tracked.
+    // Applies other terms to a customer from now on; `carved` is its rate in units per second that goes to
+    // reservations. Empty if it is not tracked or nothing changed.
     std::optional<Allowance> set_plan(CustomerId customer_id, int plan, double carved, TimePoint now);
-    // The account is over: what is left of it here goes back to its owner, who is told of it, if known.
+    // Ends an account and returns its remaining units to its owner, whose allowance is the result if it is
+    // tracked.
     std::optional<Allowance> close_account(CustomerId account, TimePoint now);
-    // Units that an account, or a quota, holds here.
+    // Units in the quota bucket of a customer or account at this gateway.
     double quota_level(CustomerId customer_id, TimePoint now);
-    // What the module must know of a customer now, where it is tracked and was told before.
+    // The present allowance of a customer that is tracked and was reported before.
     std::optional<Allowance> refresh_allowance(CustomerId customer_id, TimePoint now);
     std::vector<CustomerId> tracked_customers() const;
     bool is_tracked(CustomerId customer_id) const { return find_customer(customer_id) != nullptr; }
 
-    // ---- what is exchanged with the other gateways ----
-    // Rows that are due to be written, at most so many. Each is owed to all who carry rows.
+    // ---- exchange with the other gateways ----
+    // Rows that are due to be written, at most `max_rows`. Each must go to every store in use.
     std::vector<std::pair<CustomerId, QuotaRow>> rows_due(TimePoint now, std::size_t max_rows);
-    // What is written already and still in force, for a carrier that may have lost it; at most so many, in
-    // turn.
+    // Rows already written and still in force, in rotation, for a store that may have lost them.
     std::vector<std::pair<CustomerId, QuotaRow>> rows_in_force(std::size_t max_rows);
-    // Whose rows are worth reading, in turn; all of them, or those for which something new may be due.
+    // Customers and gateways whose rows to read, in rotation: those for which a change may be due, or all.
     std::vector<std::pair<CustomerId, int>> rows_to_read(TimePoint now, std::size_t max_rows,
                                                          bool include_all = false);
-    // All rows once more: a carrier has come back and may have lost them.
+    // Makes all rows due again: a store has reconnected and may have lost them.
     void rewrite_all_rows();
-    // False where the row brought nothing new.
+    // Takes in a row that was read. False if it brought nothing new.
     bool on_row(CustomerId customer_id, int sender, const QuotaRow& row, TimePoint now);
-    // A gateway of the customer's set is not heard though rows of it should have come by now.
+    // Whether a row of this gateway should have arrived by now.
     bool is_overdue(CustomerId customer_id, int gateway_index, TimePoint now) const;
+    // This gateway's announcement, to be written when it changes.
     Announcement announcement() const;
+    // Takes in another gateway's announcement; one that was read before has no effect.
     void on_announcement(int sender, const Announcement& announcement, TimePoint now);
 
     // ---- time ----
-    // Whatever ran out by now; appends what the module must be told. To be called when `next` is due.
+    // Expires what is due and appends the allowances that changed. To be called at next_deadline().
     void tick(TimePoint now, std::vector<Allowance>& changed);
+    // When tick() is due next, if at all.
     std::optional<TimePoint> next_deadline() const;
 
     QuotaTableStatistics statistics(TimePoint now) const;
-    // This gateway's part of the ceiling (of 1) as it stands, and of the quota, with what it takes when
-    // alone.
+    // This gateway's present part (0 to 1) of the rate limit, and of the quota including what it grants while
+    // isolated.
     double rate_limit_share(CustomerId customer_id, TimePoint now) const;
     double quota_share(CustomerId customer_id, TimePoint now) const;
 
-    // For a plan and set: the bound on what all gateways together admit inside the quota in a time, while
-    // they hear of each other and while they do not.
+    // Upper bound, in units, on what all gateways of a set together admit within the quota of a plan during
+    // `time`, while they hear each other and while they are partitioned.
     struct AdmissionBound {
         double connected = 0.0, partitioned = 0.0;
     };
@@ -149,24 +159,26 @@
                                           Duration time);
 
 private:
-    struct WrittenLease {    // a lease as it was written, which the other may act on until void_at
+    // A lease as it was written, which the holder may use until `expires_at`.
+    struct WrittenLease {
         std::uint64_t row_stamp = 0;
         std::uint32_t lease_parts = 0;
         TimePoint expires_at{};
     };
-    struct PeerState {    // another gateway of the customer's set
+    // Another gateway of the customer's set.
+    struct PeerState {
         int gateway_index = 0, position = 0;
         bool is_known = false;
         std::uint64_t incarnation = 0, row_stamp = 0;
         TimePoint last_heard{}, lease_cap_until{};
         double demand = 0.0, fill_level = 0.0;
-        bool acknowledged_incarnation =
-            false;    // it has seen this life of ours, so holds nothing of an earlier one
+        // It has seen this incarnation of ours, so it holds no lease of an earlier one.
+        bool acknowledged_incarnation = false;
         std::uint32_t lease_received = 0;    // leased by it to us, in force
-        std::uint32_t lease_credited = 0;    // and how much of that has been brought with its units
+        std::uint32_t lease_credited = 0;    // the part of that whose units were added to our bucket
         TimePoint lease_expires_at{};
         std::uint32_t lease_granted = 0;                 // leased by us to it, as last written
-        std::vector<WrittenLease> outstanding_leases;    // what it may still act on, the oldest first
+        std::vector<WrittenLease> outstanding_leases;    // those it may still use, oldest first
     };
     struct Bucket {
         double level = 0.0, max_level = 0.0, rate = 0.0;
@@ -176,11 +188,12 @@
     struct Customer {
         int plan_index = 0, first_gateway = 0, set_size = 1, position = 0;
         TimePoint tracked_since{}, last_request_at{};
-        double demand = 0.0;    // units a second, decayed to demand_at
+        double demand = 0.0;    // units per second, decayed to demand_at
         TimePoint demand_at{};
         Bucket quota_bucket, rate_bucket;
         double reserved_rate = 0.0;
-        double unreported_units = 0.0;    // quota units moved in or out, not yet told to the module
+        double unreported_units =
+            0.0;    // quota units moved in or out, not yet passed to the decision module
         double reported_demand = 0.0;
         TimePoint isolated_until{};                     // it stands in for others, or did until lately
         double isolated_share = 0.0;                    // with this part of the quota
@@ -190,7 +203,7 @@
         TimePoint last_written_at{};
         bool is_dirty = false, is_reported = false;
         TimePoint next_due{};
-        std::vector<PeerState> peers;    // by place, without ourselves
+        std::vector<PeerState> peers;    // by position, without ourselves
         QuotaRow last_row;
     };
 
@@ -226,7 +239,7 @@
                           TimePoint now);
     void announce_customer(CustomerId customer_id, const Customer& customer);
     bool is_forgettable(const Customer& customer, TimePoint now) const;
-    // Brings all that depends on time up to now. True where a share changed.
+    // Applies everything that depends on time. True if a share changed.
     bool update_to_now(Customer& customer, TimePoint now);
     bool update_shares(Customer& customer, TimePoint now);
     void divide_baseline(Customer& customer, TimePoint now);
@@ -239,16 +252,16 @@
 
     QuotaTableSettings settings_;
     TimePoint started_at_{};
-    Duration lease_hold_time_{0};    // how long a lease is used; shorter than the giver reckons with
+    Duration lease_hold_time_{0};    // how long a lease is used: shorter than its grantor assumes
     std::map<int, CustomTerms> custom_terms_;
     std::map<CustomerId, Customer> customers_;
     std::set<std::pair<TimePoint, CustomerId>> schedule_;
     std::set<CustomerId> dirty_customers_;
-    std::set<CustomerId> exchanging_customers_;    // those whose rows are exchanged
+    std::set<CustomerId> exchanging_customers_;    // customers whose rows are exchanged
     CustomerId read_cursor_{}, in_force_cursor_{};
     Announcement announcement_;
-    std::map<int, std::pair<std::uint64_t, std::uint64_t>>
-        announcements_read_;    // by gateway: life, last item
+    // By gateway: incarnation and item count that were read last.
+    std::map<int, std::pair<std::uint64_t, std::uint64_t>> announcements_read_;
     QuotaTableStatistics statistics_;
 };
 
--- a/src/data_plane/proxy/client_connection.cpp
+++ b/src/data_plane/proxy/client_connection.cpp
@@ -7,20 +7,22 @@
 
 using namespace std::chrono_literals;
 
-// In bytes a second: a body may come as slowly, give or take as much time again as there was for the head.
+// Bytes per second: the slowest rate at which a body may arrive, beside the time allowed for the head.
 constexpr double kMinTransferRate = 48.0 * 1024.0;
 constexpr std::size_t kCrowdedSocketDivisor =
-    16;    // of the descriptors: so many connections that pass by are a crowd
-constexpr Duration kAnswerStallTimeout = 15s;    // an answer that is not taken
-constexpr Duration kLingerTimeout = 1s;    // for a client to read an answer before the connection is cut
-constexpr std::size_t kMaxPipelinedBytes = 96 * 1024;    // what a client may send ahead of its answer
-// What is read and thrown away behind the last answer. Where that came in the middle of a body, the rest of
-// it is, at the same pace as before: many clients look for an answer only behind their body.
+    16;    // transient connections beyond this part of the descriptors are crowded
+constexpr Duration kAnswerStallTimeout = 15s;    // for a client that does not read its response
+constexpr Duration kLingerTimeout = 1s;          // for a client to read the last response before the close
+constexpr std::size_t kMaxPipelinedBytes = 96 * 1024;    // that a client may send ahead of its response
+// Bytes read and discarded after the last response. After a response in the middle of a body, the rest of the
+// body is discarded at the same minimum rate, since many clients read a response only after sending their
+// body.
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
-// Of the memory: for long bodies that are held until they are whole, and then for as long as an attempt may
-// need them. For a moment there are two more of one: the client's buffer, and what a server has not taken.
+// Fractions of the memory for long bodies that are buffered until complete, and then as long as an attempt
+// may need them. At times two more copies exist: the client's input buffer, and a server's unsent bytes.
 constexpr double kAllBodiesMemoryFraction = 1.0 / 4, kSingleBodyMemoryFraction = 1.0 / 8;
-constexpr std::size_t kBufferReserveSize = 8 * 1024;    // behind a body, so that its buffer grows once
+constexpr std::size_t kBufferReserveSize =
+    8 * 1024;    // beyond a body's length, so that the buffer grows only once
 constexpr int kReadyStatus = 200, kNotReadyStatus = 503;
 
 GatewayAnswer rejection_answer(const ImmediateRejection& rejection) {
@@ -29,7 +31,7 @@
 
 }    // namespace
 
-// A long request's body on its way. The engine may hold it for longer than there is a client.
+// A request body being streamed. The engine may hold it for longer than the client's connection exists.
 class ClientConnection::StreamedUpload : public RequestUpload {
 public:
     StreamedUpload(ClientConnection& connection, std::string_view initial_body,
@@ -80,7 +82,7 @@
 }
 
 ClientConnection::~ClientConnection() {
-    enter_state(State::Closed);    // nothing here may be found by those that stay
+    enter_state(State::Closed);    // removes it from the shared context
     finish_streamed_answer();
     finish_upload();
     release_body_memory();
@@ -88,7 +90,7 @@
     --context_.counters.open_clients;
 }
 
-// The one place where the state changes, and with it the connection's place among the spare ones.
+// The only place where the state changes, and with it the connection's eviction position.
 void ClientConnection::enter_state(State state) {
     state_ = state;
     head_completed_at_ = TimePoint{};
@@ -111,9 +113,9 @@
         context_.evictable_connections.insert({eviction_position_.first, eviction_position_.second, this});
 }
 
-// Where many clients ask once, or for readiness only, and do not come back, their connections are of no use
-// to them and of harm to others: clients may hold only so many, and those that wait for one are late. The
-// answer then ends the connection, which unlike a later close cannot cross a request.
+// Clients that send one request, or only readiness checks, and do not return use up connections that others
+// wait for. While there are many of them, the response closes the connection, which unlike a later close
+// cannot cross a request.
 bool ClientConnection::is_crowded() const {
     return request_count_ <= 1 &&
            context_.transient_connections * kCrowdedSocketDivisor > context_.capacity.max_sockets;
@@ -127,7 +129,7 @@
                                  : EvictionClass::KeptAlive;
 }
 
-// What was kept for a request that has its answer.
+// Releases what was reserved for a request that has its response.
 void ClientConnection::release_request(PendingRequest& pending_request) {
     context_.buffered_body_bytes -= std::exchange(pending_request.reserved_body_bytes, 0);
     if (pending_request.request_id.empty()) return;
@@ -143,8 +145,8 @@
             stream_.set_reading(false);
         return;
     }
-    // From a request's first byte on: one that trickles in must not begin its time anew with every byte. The
-    // first request's time began with the connection.
+    // The timeout runs from a request's first byte, so that one that trickles in does not renew it with every
+    // byte. For the first request it runs from the connection's start.
     if (state_ == State::Reading && !std::exchange(request_started_, true) && request_count_ > 0)
         enter_state(State::Reading);
     if (active_upload_) forward_upload();
@@ -153,8 +155,8 @@
         stream_.set_reading(false);
 }
 
-// Whether the client's next request may be looked at. While others are open only beside those that overlap;
-// and where the last answer will end the connection, nothing that follows is begun.
+// Whether the client's next request may be parsed. While others are open, only if all of them allow
+// pipelining; and never after a request whose response closes the connection.
 bool ClientConnection::can_read() const {
     if (state_ == State::Reading) return true;
     if ((state_ != State::Waiting && state_ != State::Writing) ||
@@ -164,7 +166,8 @@
            !parked_request_ && !context_.is_closing_down();
 }
 
-// An answer may be written while its request is still being taken: the loop goes on, and never nests.
+// A response may be written while its request is being submitted: the outer loop continues, without
+// recursion.
 void ClientConnection::process_input() {
     if (is_processing_) return;
     is_processing_ = true;
@@ -181,7 +184,7 @@
         } else {
             if (parser_.head_complete() && head_completed_at_ == TimePoint{})
                 head_completed_at_ = context_.reactor.clock().now();
-            // Behind others it would be read as an answer to them.
+            // After pending requests, the client would read it as a response to one of them.
             if (parser_.expects_continue() && pending_requests_.empty() &&
                 !std::exchange(continue_sent_, true) && !stream_.write_bytes(std::string(kContinueResponse)))
                 close_connection();
@@ -206,7 +209,7 @@
                                        is_ready ? "ready\n" : "not ready\n"};
         return set_answer(add_pending_request(keep_alive, http10), std::move(readiness_answer));
     }
-    ++request_count_;    // whoever asks for readiness only must not pass for a usual client
+    ++request_count_;    // readiness checks do not count: they do not make a regular client
     auto request = context_.request_mapping.map_request(parser_, input, context_.reactor.clock().now());
     if (const auto* rejection = std::get_if<ImmediateRejection>(&request)) return reject_request(*rejection);
     MappedRequest& mapped_request = std::get<MappedRequest>(request);
@@ -218,7 +221,7 @@
     prepare_next_message();
 }
 
-// Its time runs on while it waits for its turn.
+// Its time budget includes the time that it was parked.
 void ClientConnection::start_parked_request() {
     const std::unique_ptr<ParkedRequest> parked = std::move(parked_request_);
     IncomingRequest& incoming = parked->request.incoming;
@@ -227,7 +230,7 @@
     start_request(std::move(parked->request), parked->keep_alive, parked->is_http10, true);
 }
 
-// `whole`: it is done with as a message, or else its body is still coming.
+// `complete`: the message was received completely; otherwise its body is still being received.
 void ClientConnection::start_request(MappedRequest&& request, bool keep_alive, bool http10, bool complete) {
     if (!request.request_id.empty() && !context_.open_request_ids.insert(request.request_id).second)
         return reject_request({409, "this id is that of an open request"});
@@ -251,11 +254,11 @@
     pending_request->allows_pipelining = request.allows_pipelining;
     pending_request->body_incomplete = !complete;
     pending_request->is_submitting = true;
-    forwarding_upload_ = true;    // nothing of the rest before the request's number is known
+    forwarding_upload_ = true;    // holds the rest back until the request's ticket is known
     const std::uint64_t request_ticket =
         context_.request_handler.submit(*pending_request, std::move(incoming));
     forwarding_upload_ = false;
-    // Nothing follows it before this loop goes on: where it is not the last, it was answered.
+    // No request is added meanwhile: if it is not the last one, it has its response already.
     if (pending_requests_.empty() || pending_requests_.back().get() != pending_request ||
         pending_request->has_answer)
         return;
@@ -275,7 +278,7 @@
     return pending_request;
 }
 
-// The message is done with: what follows it is another one.
+// The message has been consumed; another one follows.
 void ClientConnection::prepare_next_message() {
     stream_.input_buffer().consume(parser_.message_size());
     parser_.reset();
@@ -284,10 +287,10 @@
     head_completed_at_ = TimePoint{};
 }
 
-// ---- long requests ----
+// ---- streamed requests ----
 
-// A body that comes slowly would hold a place at a server for seconds: it is better whole before its request
-// is decided on, where the memory for that is there.
+// A body that arrives slowly would occupy a server for seconds, so it is buffered completely before its
+// request is submitted, if there is memory for that.
 bool ClientConnection::reserve_body_memory(std::size_t buffered_bytes) {
     const double memory = context_.capacity.max_memory_mb * 1024 * 1024;
     const double body_memory = static_cast<double>(parser_.content_length().value_or(buffered_bytes));
@@ -307,7 +310,8 @@
     context_.buffered_body_bytes -= std::exchange(reserved_body_bytes_, 0);
 }
 
-// Looks at what has come of the rest, and gives it to who takes it. He may stop it, or end the request.
+// Parses what has arrived of the body and passes it to the sink, which may pause the stream or end the
+// request.
 void ClientConnection::forward_upload() {
     if (!active_upload_ || forwarding_upload_) return;
     forwarding_upload_ = true;
@@ -340,7 +344,7 @@
         stream_.set_reading(true);
         return upload->sink()->on_body_end(true);
     }
-    // A client is not to blame while it is kept waiting.
+    // Time in which backpressure stopped the client does not count against it.
     const bool was_paused = !active_upload_->wanted() && input.size() > kMaxPipelinedBytes;
     if (was_paused && reading_paused_at_ == TimePoint{}) reading_paused_at_ = now;
     else if (!was_paused && reading_paused_at_ != TimePoint{})
@@ -355,7 +359,7 @@
     reading_paused_at_ = TimePoint{};
 }
 
-// What is wrong with a request shows after it was taken; it is the only one then.
+// The body turned out to be malformed after its request was submitted; it is the only pending one then.
 void ClientConnection::reject_upload(const ImmediateRejection& rejection) {
     PendingRequest& pending_request = *pending_requests_.front();
     context_.request_handler.cancel(pending_request.request_ticket);
@@ -363,7 +367,7 @@
     set_answer(pending_request, rejection_answer(rejection));
 }
 
-// The message that has just been read, or a part of it, is answered here.
+// Rejects the message that was just parsed, completely or in part.
 void ClientConnection::reject_request(const ImmediateRejection& rejection) {
     GatewayAnswer gateway_answer = rejection_answer(rejection);
     const bool keeps_connection = rejection.keep_alive && parser_.is_complete();
@@ -375,7 +379,7 @@
     set_answer(pending_request, std::move(gateway_answer));
 }
 
-// ---- answers ----
+// ---- responses ----
 
 void ClientConnection::PendingRequest::on_answer(Payload&& payload) {
     client_connection.set_answer(*this, std::move(payload));
@@ -401,7 +405,7 @@
     set_answer(request, std::move(payload));
 }
 
-// It may be gone when this returns.
+// `request` may be destroyed when this returns.
 void ClientConnection::set_answer(PendingRequest& request, Payload&& payload) {
     request.has_answer = true;
     if (state_ == State::Closed) return;
@@ -411,7 +415,7 @@
     write_ready_answers();
 }
 
-// As many as are there, in their order. The loop goes on, and never nests.
+// Writes all responses that are ready, in request order. A nested call leaves the work to the outer loop.
 void ClientConnection::write_ready_answers() {
     if (is_writing_) return;
     is_writing_ = true;
@@ -420,7 +424,7 @@
     is_writing_ = false;
 }
 
-// Where the connection is to end, it does behind the last of what was begun: none of that is lost.
+// A connection that is to close does so after the last pending response, so that none is lost.
 void ClientConnection::write_answer(PendingRequest& request) {
     Payload payload = std::move(request.answer);
     ++context_.counters.answers_by_status[payload.status_code];
@@ -437,7 +441,7 @@
     if (stream_.all_sent()) on_answer_written();
 }
 
-// ---- long answers ----
+// ---- streamed responses ----
 
 void ClientConnection::stream_answer(Payload&& payload, bool http10) {
     const std::optional<std::uint64_t> length = payload.body_stream->total_length();
@@ -451,20 +455,21 @@
     if (!stream_.write_bytes(write_answer_head(payload.status_code, payload.head, answer_framing_,
                                                length.value_or(0), keep_alive_)))
         return close_connection();
-    const std::shared_ptr<BodyStream> answer_stream = answer_stream_;    // which the first piece may end
+    const std::shared_ptr<BodyStream> answer_stream =
+        answer_stream_;    // kept alive, since the first chunk may end it
     answer_stream->start(*this);
 }
 
 void ClientConnection::on_body_chunk(std::string_view bytes) {
     if (state_ != State::Writing) return;
-    state_since_ = context_.reactor.clock().now();    // it is not stuck
+    state_since_ = context_.reactor.clock().now();    // progress renews the stall timeout
     if (!stream_.write_bytes(answer_framing_ == BodyFraming::Chunked ? write_chunk(bytes)
                                                                      : std::string(bytes)))
         return close_connection();
     if (!stream_.all_sent() && answer_stream_) answer_stream_->set_reading(false);
 }
 
-// What was cut short must not look whole: the connection ends in the middle of it.
+// A truncated response must not look complete: the connection is closed in the middle of it.
 void ClientConnection::on_body_end(bool complete) {
     if (state_ != State::Writing) return;
     if (!complete) return close_connection();
@@ -491,7 +496,7 @@
     pending_requests_.erase(pending_requests_.begin());
     if (!keep_alive_) {
         parked_request_.reset();
-        // Closing over bytes that were not read resets the connection, and the client may lose the answer.
+        // Closing a socket with unread input resets the connection, and the client may lose the response.
         enter_state(State::Lingering);
         stream_.shutdown_sending();
         stream_.input_buffer().consume(stream_.input_buffer().size());
@@ -519,8 +524,8 @@
     return true;
 }
 
-// How long the connection may stay as it is. A client that says nothing, or half a request, must not hold a
-// descriptor for long: clients that do are many at times.
+// How long the connection may stay in its state. Silent clients and those with half a request must not hold a
+// descriptor for long, since there are many at times.
 Duration ClientConnection::state_timeout() const {
     if (state_ == State::Lingering && !answered_early_) return kLingerTimeout;
     if (state_ == State::Writing) return kAnswerStallTimeout;
@@ -558,7 +563,7 @@
     stream_.close();
     for (const auto& pending_request : pending_requests_) {
         release_request(*pending_request);
-        pending_request->answer.body_stream.reset();    // of an answer that waited for its turn
+        pending_request->answer.body_stream.reset();    // of a response that waited for earlier ones
         if (!pending_request->has_answer && !pending_request->is_submitting)
             context_.request_handler.cancel(pending_request->request_ticket);
     }
--- a/src/data_plane/proxy/client_connection.h
+++ b/src/data_plane/proxy/client_connection.h
@@ -1,5 +1,6 @@
-// One client's connection: a request in, its answer out, then the next. Requests that may overlap are worked
-// on at the same time, and answered in their order.
+// The server side of one client connection: reads requests, submits them and writes the responses in request
+// order. Requests that allow pipelining are processed concurrently. Only for the reactor's thread; the
+// listener owns the connections.
 #pragma once
 
 #include <cstdint>
@@ -21,16 +22,16 @@
 
 class ClientConnection;
 
-// How readily a connection is given up when room is wanted: the first of these goes first.
+// How readily an idle connection is closed to make room for a new client, the first class first.
 enum class EvictionClass { AfterAnswer, NoRequestYet, AfterOneRequest, KeptAlive, NotEvictable };
 
-// What there is for all clients together.
+// Resources for all clients together.
 struct ClientCapacity {
-    std::size_t max_sockets = 1024;    // descriptors, those for servers among them
-    double max_memory_mb = 32.0;       // of which a quarter may hold long bodies
+    std::size_t max_sockets = 1024;    // file descriptors, including those for servers
+    double max_memory_mb = 32.0;       // a quarter of it may buffer long bodies
 };
 
-// What the connections of one listener share.
+// State shared by the connections of one listener, which owns it.
 struct ClientContext {
     RequestHandler& request_handler;
     RequestMapping& request_mapping;
@@ -38,40 +39,41 @@
     Counters& counters;
     Reactor& reactor;
     std::function<bool()> is_ready;
-    std::function<void(ClientConnection&)>
-        on_connection_closed;    // gives the connection up, to be destroyed later
+    // Removes the connection from the listener and defers its destruction.
+    std::function<void(ClientConnection&)> on_connection_closed;
     bool is_stopping = false, is_draining = false;
-    bool is_closing_down() const {
-        return is_stopping || is_draining;
-    }                                       // answers end their connections, readiness is no
-    std::size_t buffered_body_bytes = 0;    // bytes of long bodies that are held whole, or are to be
-    // Connections that carry no request, the longest standing first in each kind. A connection keeps its own
-    // place up to date.
+    // Connections close after their next response, and readiness checks fail.
+    bool is_closing_down() const { return is_stopping || is_draining; }
+    std::size_t buffered_body_bytes = 0;    // bytes reserved for long bodies that are buffered completely
+    // Connections without a request, oldest first in each class. Each connection updates its own entry.
     std::set<std::tuple<EvictionClass, TimePoint, ClientConnection*>> evictable_connections{};
-    std::size_t transient_connections = 0;    // of those, what has asked once or not at all
-    // Of the requests that are open: one under another's id could be taken for a copy of it by a server.
+    std::size_t transient_connections = 0;    // those of them with one request or none so far
+    // Ids of the open requests: a server could take a second request of the same id for a copy of the first.
     std::unordered_set<std::string> open_request_ids{};
 };
 
+// One connection. Timeouts are enforced by the listener's periodic sweep (close_if_stalled).
 class ClientConnection : public RetiredObject, private StreamOwner, private BodySink {
 public:
     ClientConnection(ClientContext& context, const Poco::Net::StreamSocket& socket);
     ~ClientConnection() override;
 
+    // Nothing of a request has arrived and no response is outstanding.
     bool is_idle() const { return state_ == State::Reading && stream_.input_buffer().empty(); }
-    // Closes it where it only waits; what a client has sent meanwhile is read first.
+    // Closes an idle connection, unless a request has arrived that was not read yet.
     void close_if_idle();
-    // Closes it for a new client, unless it is found to carry a request after all. False where it stays.
+    // Closes it to make room for a new client. False if it turns out to carry a request, and stays.
     bool evict();
-    // Closes a connection that stood still for too long.
+    // Closes a connection that has been in its state for longer than allowed.
     void close_if_stalled(TimePoint now);
 
 private:
     class StreamedUpload;
-    // Reading: nothing is owed. Waiting: for the answer that is to be written next. Writing: that one.
+    // Reading: no response is outstanding. Waiting: for the next response in order. Writing: that response.
+    // Lingering: the last response was sent, and the client's remaining input is discarded.
     enum class State { Reading, Waiting, Writing, Lingering, Closed };
-    static constexpr std::size_t kMaxPendingRequests = 16;    // requests of one connection
-    // A request, or what was answered at the door, until its answer is written.
+    static constexpr std::size_t kMaxPendingRequests = 16;    // pipelined on one connection
+    // A request, rejected ones included, until its response is written.
     struct PendingRequest : DownstreamConnection {
         explicit PendingRequest(ClientConnection& connection) : client_connection(connection) {}
         void on_answer(Payload&& answer) override;
@@ -81,14 +83,14 @@
         ClientConnection& client_connection;
         std::uint64_t request_ticket = 0;
         std::string request_id;
-        std::size_t reserved_body_bytes = 0;    // of context_.held_bodies
+        std::size_t reserved_body_bytes = 0;    // part of context_.buffered_body_bytes
         bool keep_alive = true, is_http10 = false, allows_pipelining = false;
-        bool body_incomplete = false;    // its body was not whole when this began
+        bool body_incomplete = false;    // its body was still being received when it was started
         bool is_submitting = false;      // its ticket is not known yet
-        bool has_answer = false;         // by what follows, which waits for its turn
+        bool has_answer = false;         // `answer` is set and waits for the earlier responses
         Payload answer;
     };
-    // Read, but not to be worked on beside others.
+    // Parsed, but not to be processed concurrently with the requests before it.
     struct ParkedRequest {
         MappedRequest request;
         bool keep_alive, is_http10;
@@ -132,28 +134,29 @@
 
     ClientContext& context_;
     Stream stream_;
-    // Where a longer body cannot be held, its request is taken once so much is here, and what follows is
-    // passed on as it comes.
+    // A request whose body is too long to be buffered is started once so many bytes are here; the rest is
+    // streamed.
     static constexpr std::size_t kUploadStreamingThreshold = 64 * 1024;
     http::Parser parser_;
     State state_ = State::Reading;
-    std::vector<std::unique_ptr<PendingRequest>> pending_requests_;    // in the order of their answers
+    std::vector<std::unique_ptr<PendingRequest>> pending_requests_;    // in request order
     std::unique_ptr<ParkedRequest> parked_request_;
-    std::uint64_t request_count_ = 0;    // whole requests
-    std::size_t discarded_bytes_ = 0;    // bytes behind the last answer
+    std::uint64_t request_count_ = 0;    // complete requests
+    std::size_t discarded_bytes_ = 0;    // input after the last response
     std::pair<EvictionClass, TimePoint> eviction_position_{EvictionClass::NotEvictable, {}};
-    std::size_t reserved_body_bytes_ = 0;              // of context_.held_bodies, for what is being read
-    std::shared_ptr<StreamedUpload> active_upload_;    // of the request that is being passed on
-    std::size_t uploaded_bytes_ = 0;                   // bytes of it that were given
-    TimePoint reading_paused_at_{};                    // since when its client is kept waiting
+    std::size_t reserved_body_bytes_ =
+        0;    // part of context_.buffered_body_bytes, for the message being read
+    std::shared_ptr<StreamedUpload> active_upload_;    // of the request that is being streamed
+    std::size_t uploaded_bytes_ = 0;                   // bytes of it passed to the sink
+    TimePoint reading_paused_at_{};                    // since when backpressure stops its client
     bool forwarding_upload_ = false;
-    std::shared_ptr<BodyStream> answer_stream_;    // of the answer that is being passed on
+    std::shared_ptr<BodyStream> answer_stream_;    // of the response that is being streamed
     BodyFraming answer_framing_ = BodyFraming::ContentLength;
-    bool keep_alive_ = true;    // after the answer that is being written
+    bool keep_alive_ = true;    // after the response that is being written
     bool continue_sent_ = false, is_processing_ = false, is_writing_ = false;
-    bool answered_early_ = false;      // answered in the middle of a body
-    bool request_started_ = false;     // some of a request is here
-    TimePoint head_completed_at_{};    // when the head of the request that is read was whole
+    bool answered_early_ = false;      // responded before the end of the body
+    bool request_started_ = false;     // the first bytes of a request are here
+    TimePoint head_completed_at_{};    // when the head of the request being read was complete
     TimePoint state_since_;            // when the state last changed, or the request began
 };
 
--- a/src/data_plane/proxy/client_listener.cpp
+++ b/src/data_plane/proxy/client_listener.cpp
@@ -11,10 +11,10 @@
 
 constexpr int kBacklog = 512;
 constexpr Duration kSweepInterval = 250ms;
-constexpr Duration kAcceptPause = 20ms;    // out of descriptors: the backlog waits
-constexpr int kMaxAcceptsPerEvent = 16;    // new connections in one go, so that a flood keeps no one waiting
-// What stands for less is not closed to make room: an answer may not be read yet, a request may be under way,
-// and who is promised a kept connection has it for two seconds.
+constexpr Duration kAcceptPause = 20ms;    // before accepting again when descriptors have run out
+constexpr int kMaxAcceptsPerEvent = 16;    // so that a flood of new connections does not delay others
+// Younger idle connections are not closed to make room: the client may not have read the response yet, a
+// request may be on its way, and keep-alive is promised for two seconds.
 constexpr Duration kMinAgeAfterAnswer = 100ms, kMinAgeNoRequest = 20ms, kMinAgeKeptAlive = 2s;
 
 }    // namespace
@@ -59,7 +59,7 @@
     context_.reactor.cancel_timer(sweep_timer_);
     context_.reactor.cancel_timer(pause_timer_);
     clients_.clear();
-    context_.reactor.destroy_retired();    // closed connections refer to what they share here
+    context_.reactor.destroy_retired();    // closed connections refer to context_
 }
 
 void ClientListener::set_accepting(bool enabled) {
@@ -78,10 +78,10 @@
     context_.reactor.update_poll_timeout();
 }
 
-// False where there was nothing more to accept.
+// False if there was nothing more to accept.
 bool ClientListener::accept_one() {
     if (clients_.size() >= max_clients_ && !evict_client()) {
-        // The budget of descriptors is spent: clients wait in the backlog until one leaves, or may be closed.
+        // No descriptor is left: clients wait in the backlog until a connection ends or may be closed.
         ++context_.counters.clients_rejected;
         pause_accepting(kAcceptPause);
         return false;
@@ -92,8 +92,8 @@
         clients_.emplace(key, std::move(client));
         return true;
     } catch (const Poco::Exception& error) {
-        if (error.code() == POCO_EWOULDBLOCK) return false;    // none waits, or it left before that
-        // Out of descriptors, above all: the listener stays readable, and trying on would spin.
+        if (error.code() == POCO_EWOULDBLOCK) return false;    // none is waiting, or it was closed before
+        // Mostly for want of descriptors: the listener stays readable, and retrying at once would spin.
         if (log_limiter_.try_acquire())
             log(LogLevel::Warning, Event::AcceptFailed, {log_field("why", error.displayText())});
         evict_client();
@@ -111,8 +111,7 @@
     });
 }
 
-// Closes a connection that carries no request: first those that were answered for good, then those that never
-// asked, then those that asked once, and a usual client's last. What is too young stays.
+// Closes an idle connection, in the order of EvictionClass. One that is too young stays.
 bool ClientListener::evict_client() {
     const TimePoint now = context_.reactor.clock().now();
     const std::pair<EvictionClass, Duration> eviction_order[] = {
@@ -122,7 +121,7 @@
         {EvictionClass::KeptAlive, kMinAgeKeptAlive},
         {EvictionClass::AfterOneRequest, Duration(0)}};
     for (const auto& [eviction_class, min_age] : eviction_order) {
-        // One that turns out to carry a request leaves the set, so this ends.
+        // A connection that turns out to carry a request leaves the set, so the loop ends.
         while (true) {
             const auto it =
                 context_.evictable_connections.lower_bound({eviction_class, TimePoint::min(), nullptr});
@@ -173,7 +172,7 @@
 
 void ClientListener::stop_accepting() {
     if (!is_open_) return;
-    // What waits in the backlog was accepted by the machine: closing over it would lose its requests.
+    // The kernel has accepted the connections in the backlog: closing the socket would lose their requests.
     while (accept_one()) {
     }
     set_accepting(false);
--- a/src/data_plane/proxy/client_listener.h
+++ b/src/data_plane/proxy/client_listener.h
@@ -1,4 +1,5 @@
-// Accepts clients and owns their connections.
+// Accepts clients and owns their connections, enforces their number and their timeouts, and closes idle ones
+// to make room for new clients. Only for the reactor's thread.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -13,10 +14,11 @@
 
 namespace shaletray {
 
+// `request_handler`, `request_mapping`, `counters` and `reactor` outlive it.
 class ClientListener {
 public:
-    // Throws Poco::Exception where the address cannot be listened on. The processes of one gateway may all
-    // listen there; whoever comes from then on waits until he is accepted.
+    // Throws Poco::Exception if the address cannot be bound. Several processes of one gateway may listen on
+    // it during a handover; clients wait in the backlog until they are accepted.
     static Poco::Net::ServerSocket listen(const std::string& address);
     ClientListener(RequestHandler& request_handler, RequestMapping& request_mapping, ClientCapacity capacity,
                    Counters& counters, Reactor& reactor, Poco::Net::ServerSocket socket,
@@ -25,16 +27,17 @@
     ClientListener(const ClientListener&) = delete;
     ClientListener& operator=(const ClientListener&) = delete;
 
+    // The bound address, with the actual port.
     std::string address() const { return socket_.address().toString(); }
     std::size_t client_count() const { return clients_.size(); }
-    // As begin_stop, for as long as it is wanted.
+    // Like start_shutdown, but reversible.
     void set_draining(bool enabled);
     bool is_draining() const { return context_.is_draining; }
-    // Answers end their connections from now on, and idle ones are closed; new ones are still accepted.
+    // Closes idle connections, and the others after their next response; new ones are still accepted.
     void start_shutdown();
-    // Takes what is still waiting to be accepted, and then nothing more.
+    // Accepts the connections in the backlog and then closes the listening socket.
     void stop_accepting();
-    // After that: takes clients again, from this socket.
+    // Undoes stop_accepting with a new listening socket.
     void resume(Poco::Net::ServerSocket socket);
 
 private:
--- a/src/data_plane/proxy/host_table.h
+++ b/src/data_plane/proxy/host_table.h
@@ -1,4 +1,4 @@
-// Where servers are, and whether anything may be sent there.
+// Interface to the servers' addresses and whether requests may be sent to them.
 #pragma once
 
 #include <string>
@@ -8,15 +8,18 @@
 
 namespace shaletray {
 
+// Implemented by a platform's server list; used on the reactor's thread.
 class HostTable {
 public:
+    // Where a server is now.
     struct Host {
         std::string address;               // numeric, with its port
-        TimePoint process_started_at{};    // its process's start: another one is another process
+        TimePoint process_started_at{};    // differs for each process that runs at the address
     };
     virtual ~HostTable() = default;
-    virtual const Host* find_host(decision::HostId host) const = 0;    // none: not known, or gone
-    // Whether the first byte of a request may still go there.
+    // Null if the server is unknown or was removed. Valid until the table changes.
+    virtual const Host* find_host(decision::HostId host) const = 0;
+    // Whether a request may begin to be written there, on a connection that was just established.
     virtual bool may_send_to(decision::HostId host, TimePoint now) const = 0;
 };
 
--- a/src/data_plane/proxy/server_connection.cpp
+++ b/src/data_plane/proxy/server_connection.cpp
@@ -26,7 +26,7 @@
 
 void ServerConnection::on_connected() {
     if (state_ != State::Dialling) return;
-    // The list may have taken the server out of service while the connection came up.
+    // The server may have been removed from the list while the connection was being established.
     if (!owner_.may_begin(*this)) return finish_exchange(Outcome::ConnectFailed, false);
     write_message();
 }
@@ -42,9 +42,10 @@
     if (state_ == State::Writing) on_message_written();
 }
 
-// All that there is so far is with the system.
+// The system has accepted all bytes so far.
 void ServerConnection::on_message_written() {
-    const std::shared_ptr<RequestUpload> upload = pending_upload_;    // which the next piece may end
+    const std::shared_ptr<RequestUpload> upload =
+        pending_upload_;    // kept alive, since the next chunk may end it
     if (!upload) {
         state_ = State::Reading;
         owner_.on_request_written(*this);
@@ -63,7 +64,7 @@
     if (!stream_.all_sent()) pending_upload_->set_reading(false);
 }
 
-// One that is cut short ends with its request, since the client is gone then.
+// An upload that is cut short needs no action: its client has disconnected, which cancels the request.
 void ServerConnection::on_body_end(bool complete) {
     if (state_ != State::Writing || !complete || !pending_upload_) return;
     const bool chunked = !std::exchange(pending_upload_, nullptr)->total_length();
@@ -80,8 +81,7 @@
 
 void ServerConnection::on_input() {
     if (state_ == State::Idle) {
-        owner_.on_idle_connection_lost(
-            *this);    // nobody asked: whatever it is, the next answer must not be taken for it
+        owner_.on_idle_connection_lost(*this);    // unexpected bytes must not be read as the next response
         return;
     }
     if (state_ == State::Streaming) return read_streamed_body();
@@ -92,13 +92,13 @@
     if (status == http::ParseStatus::Malformed) return finish_malformed();
     http::Buffer& input = stream_.input_buffer();
     if (status == http::ParseStatus::Incomplete) {
-        // The first of a long answer is what its client waits for. Where no length is stated, only what is
-        // here tells how long it is.
+        // A long response is streamed so that its client gets the beginning at once. Without a stated length,
+        // what has arrived so far decides.
         const bool is_streamed =
             state_ == State::Reading && head_examined_ && is_forwardable_ &&
             parser_.content_length().value_or(parser_.body(input).size()) >= kStreamingThreshold;
         if (!is_streamed) {
-            // What is no good answer, or comes before its request was written, is not held at any length.
+            // An error response, or one that precedes the end of its request, is not buffered without bound.
             if (parser_.head_complete() && parser_.body(input).size() >= kStreamingThreshold)
                 finish_malformed();
             return;
@@ -108,15 +108,15 @@
         stream_.set_reading(false);
         return owner_.on_streamed_answer(*this);
     }
-    // A server begins once it has the whole request: what is good before that answers something else.
+    // A server responds once it has the complete request: a success before that belongs to another request.
     if (is_forwardable_ && state_ == State::Writing) return finish_malformed();
     const bool complete = state_ == State::Reading && input.size() == parser_.message_size();
     is_answered_ = true;
     finish_exchange(protocol_.outcome_of(exchange_, parser_, input), complete && parser_.keep_alive());
 }
 
-// Up to the answer that counts, and how far that one is here. Those before it say nothing of the request; but
-// they must not go on for ever, nor lead to another protocol.
+// Skips interim and earlier responses and returns the progress of the one that counts. The number of skipped
+// ones is bounded, and a protocol switch is malformed.
 http::ParseStatus ServerConnection::read_answer() {
     http::Buffer& input = stream_.input_buffer();
     while (true) {
@@ -170,7 +170,7 @@
     if (enabled && !reading_stream_) read_streamed_body();
 }
 
-// Who takes the pieces may stop them, or let go of them, while he is given one.
+// The receiver may pause or release the stream while it is given a chunk.
 void ServerConnection::read_streamed_body() {
     reading_stream_ = true;
     http::Buffer& input = stream_.input_buffer();
@@ -199,8 +199,8 @@
     owner_.on_exchange_ended(*this, outcome, reusable);
 }
 
-// A spoilt answer is a failed attempt that may have run. It is no reset: its server goes on answering, and to
-// take one for a process that ended would put most of the fleet out of use when a few answers spoil.
+// A malformed response is a failed attempt that may have run. It is not reported as Outcome::Reset, which
+// means that the server process ended: a few malformed responses would then eject most servers.
 void ServerConnection::finish_malformed() {
     is_malformed_ = true;
     finish_exchange(Outcome::Error, false);
--- a/src/data_plane/proxy/server_connection.h
+++ b/src/data_plane/proxy/server_connection.h
@@ -1,5 +1,5 @@
-// One connection to a server. It carries one exchange at a time, and is kept for the next where the answer
-// allows that.
+// One connection to a server. It carries one exchange (request and response) at a time and is reused if the
+// response allows that. Only for the reactor's thread; the pool owns the connections.
 #pragma once
 
 #include <string>
@@ -11,26 +11,31 @@
 
 class ServerConnection;
 
-// Told by a connection; the pool decides what follows.
+// Receives the events of a connection; implemented by the pool, which may drop the connection in any of them.
 class ServerConnectionOwner {
 public:
     virtual ~ServerConnectionOwner() = default;
-    // Just dialled and about to carry the first byte: false where it must not go there any more.
+    // The connection was established and would write its first byte: false if it must not any more.
     virtual bool may_begin(ServerConnection& connection) = 0;
-    virtual void on_request_written(ServerConnection& connection) = 0;    // whole
-    virtual void on_upload_started(ServerConnection& connection) = 0;     // its first part is written
+    // The request was written completely.
+    virtual void on_request_written(ServerConnection& connection) = 0;
+    // The first part of a streamed upload was written.
+    virtual void on_upload_started(ServerConnection& connection) = 0;
+    // The head of a response that can be forwarded has arrived.
     virtual void on_answer_started(ServerConnection& connection) = 0;
-    // The exchange has ended, and by its outcome. With a whole answer, that is still in the connection's
-    // buffer.
+    // The exchange has ended. A complete response is still in the connection's buffer.
     virtual void on_exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) = 0;
+    // An idle connection was closed by the server, or received unexpected bytes.
     virtual void on_idle_connection_lost(ServerConnection& connection) = 0;
-    // A good answer is too long to be held: its head and the first of its body are in the buffer. Pieces
-    // follow as they are wanted, and then its end; exchange_ended does not come.
+    // A successful response is too long to be buffered: its head and the beginning of its body are in the
+    // buffer. Chunks follow while streaming is enabled, then on_answer_body_end; on_exchange_ended does not
+    // come.
     virtual void on_streamed_answer(ServerConnection& connection) = 0;
     virtual void on_answer_body(ServerConnection& connection, std::string_view bytes) = 0;
     virtual void on_answer_body_end(ServerConnection& connection, bool complete, bool reusable) = 0;
 };
 
+// Connects on first use; address and host never change.
 class ServerConnection : public RetiredObject, private StreamOwner, private BodySink {
 public:
     ServerConnection(Reactor& reactor, ServerConnectionOwner& owner, const UpstreamProtocol& protocol,
@@ -46,21 +51,21 @@
     const http::Parser& parser() const { return parser_; }
     const http::Buffer& input() const { return stream_.input_buffer(); }
     bool is_dialling() const { return state_ == State::Dialling; }
-    // What came is no answer: nothing in it counts.
+    // What arrived is not a valid response: nothing in it counts.
     bool is_malformed() const { return is_malformed_; }
-    // What came is a whole answer.
+    // A complete response has arrived.
     bool is_answered() const { return is_answered_; }
     const ExchangeContext& exchange() const { return exchange_; }
-    // Fit for another exchange: nothing stray has come in, and it has not been ended.
+    // Fit for another exchange: there is no unexpected input, and the server has not closed it.
     bool is_reusable() { return state_ == State::Idle && stream_.is_quiet(); }
 
-    // Dials first where it is new. May end the exchange at once. What follows the message, if anything, is
-    // passed on as it comes, as fast as the server takes it. `id`: of the request; `probe`: none.
+    // Connects first if it is new. May end the exchange before it returns. An `upload` is streamed after the
+    // message, as fast as the server accepts it. `request_id` is empty for a health check.
     void start_exchange(std::string message, bool is_health_check, std::string request_id = {},
                         std::shared_ptr<RequestUpload> upload = {});
-    // Pieces of a flowing answer are wanted, or not for now.
+    // Backpressure of a streamed response: chunks are delivered while enabled.
     void set_streaming(bool enabled);
-    // The answer has been looked at: ready for the next exchange.
+    // The response has been handled: ready for the next exchange.
     void mark_idle();
     void close();
 
@@ -88,19 +93,19 @@
     ExchangeContext exchange_;
     Stream stream_;
     std::string message_;
-    std::shared_ptr<RequestUpload> pending_upload_;    // what is still to be written
-    // From kFlowFrom bytes on a body is passed on in pieces; one that states more than kLongestBody is
-    // spoilt.
+    std::shared_ptr<RequestUpload> pending_upload_;    // not entirely written yet
+    // A body of kStreamingThreshold bytes or more is streamed; one that states more than kMaxBodySize is
+    // malformed.
     static constexpr std::size_t kStreamingThreshold = 64 * 1024, kMaxHeadSize = 16 * 1024, kMaxHeaders = 100,
                                  kMaxBodySize = std::size_t{1} << 30;
     http::Parser parser_{http::Parser::Kind::Response, {kMaxHeadSize, kMaxBodySize, kMaxHeaders}};
     State state_ = State::New;
     bool answer_started_ = false, is_answered_ = false, is_malformed_ = false, streaming_enabled_ = false,
          reading_stream_ = false;
-    bool head_examined_ = false;    // the head of a final answer is here, and these two are known
+    bool head_examined_ = false;    // a final response's head was parsed, and the next two are set
     AnswerMatch answer_match_ = AnswerMatch::Match;
     bool is_forwardable_ = false;
-    int skipped_answers_ = 0;    // answers before the one that counts
+    int skipped_answers_ = 0;    // responses before the one that counts
 };
 
 }    // namespace shaletray
--- a/src/data_plane/proxy/server_pool.cpp
+++ b/src/data_plane/proxy/server_pool.cpp
@@ -8,15 +8,15 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kSweepInterval = 1s;
-// What a server sends beyond its answer comes right after it. On a connection used again sooner, that would
-// be read as the next request's answer.
+// Excess bytes of a server arrive right after its response. On a connection reused sooner than this, they
+// would be read as the response to the next request.
 constexpr Duration kIdleInputCheckDelay = 200us;
-constexpr double kServerIdleTimeoutFraction =
-    0.6;    // of the time after which a server says that it closes a connection
+constexpr double kServerIdleTimeoutFraction = 0.6;    // of the idle timeout that the server states
 
 }    // namespace
 
-// A long answer on its way. It outlives neither its connection's use nor who takes it: each tells the other.
+// A response being streamed. Owned by its receiver; connection and stream clear each other's pointer when one
+// of them ends first.
 class ServerPool::AnswerStream : public BodyStream {
 public:
     AnswerStream(ServerPool& pool, ServerConnection& connection)
@@ -24,7 +24,7 @@
     ~AnswerStream() override {
         if (connection_ == nullptr) return;
         pool_.connections_.at(connection_).answer_stream = nullptr;
-        pool_.drop_connection(*connection_);    // its server sees that nobody wants the rest
+        pool_.drop_connection(*connection_);    // so that its server stops sending
     }
     AnswerStream(const AnswerStream&) = delete;
     AnswerStream& operator=(const AnswerStream&) = delete;
@@ -72,7 +72,7 @@
     reactor_.destroy_retired();
 }
 
-// An address may pass on to another server, and a server's process may be another one after a restart.
+// An address may be reassigned to another server, and a server may have been restarted.
 bool ServerPool::is_current(const ServerConnection& connection, const PooledConnection& entry) const {
     const HostTable::Host* const known_host = hosts_.find_host(connection.host());
     return known_host != nullptr && known_host->address == connection.address() &&
@@ -85,18 +85,18 @@
         failure = Outcome::ConnectFailed;
         return nullptr;
     }
-    // The most recently used first: the others may then grow old and be closed.
+    // Most recently used first, so that the others reach their idle timeout.
     const TimePoint now = reactor_.clock().now();
     if (const auto host_connections = hosts_connections_.find(host);
         host_connections != hosts_connections_.end()) {
         std::vector<ServerConnection*>& idle =
-            host_connections->second.idle_connections;    // gone with the last that is dropped
+            host_connections->second.idle_connections;    // invalid once the last one is dropped
         for (std::size_t index = idle.size(); index-- > 0;) {
             ServerConnection* const connection = idle[index];
             PooledConnection& entry = connections_.at(connection);
             if (entry.state_since > now - kIdleInputCheckDelay) continue;
-            // Past the limits' own time one is closed at the next sweep; what its server told is kept to the
-            // dot.
+            // The pool's own timeout may be exceeded until the next sweep; one stated by the server must be
+            // kept exactly.
             const bool is_stale =
                 entry.idle_timeout < limits_.idle_timeout && now - entry.state_since > entry.idle_timeout;
             if (!is_stale && connection->is_reusable() && is_current(*connection, entry)) {
@@ -115,7 +115,7 @@
     const auto host_connections = hosts_connections_.find(host);
     const std::size_t connections_there =
         host_connections == hosts_connections_.end() ? 0 : host_connections->second.open_connections;
-    // Our own want of descriptors, or places, which says nothing of the server.
+    // A limit of this gateway, which says nothing about the server.
     if (budget_.open_connections_ >= budget_.max_connections_ ||
         (limits_.max_per_host > 0 && connections_there >= limits_.max_per_host)) {
         failure = Outcome::NotSent;
@@ -156,7 +156,8 @@
 void ServerPool::cancel_attempt(AttemptId attempt) {
     const auto found = connections_by_attempt_.find(attempt_key(attempt));
     if (found != connections_by_attempt_.end())
-        drop_connection(*found->second);    // its server sees the connection end, and so the attempt
+        drop_connection(
+            *found->second);    // closing the connection tells the server that the attempt was cancelled
 }
 
 bool ServerPool::has_started(AttemptId attempt) const {
@@ -177,8 +178,8 @@
     connection->start_exchange(protocol_.write_health_check(host, connection->address()), true);
 }
 
-// Nor where its time to come up is over, which this process may see late: it stood still, and what it
-// believed of the server is as old.
+// Not if the connect timeout has passed either, which a suspended process notices late: its knowledge of the
+// server is as old then.
 bool ServerPool::may_begin(ServerConnection& connection) {
     const TimePoint now = reactor_.clock().now();
     const auto it = connections_.find(&connection);
@@ -203,7 +204,7 @@
     if (it != connections_.end() && it->second.attempt) engine_.on_response_started(*it->second.attempt);
 }
 
-// The one place where an exchange ends by itself; cancel() is the other end that there is.
+// The only place where an exchange ends by itself; the other way is cancel_attempt.
 void ServerPool::on_exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) {
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
@@ -237,14 +238,14 @@
     report_outcome(attempt, host, outcome, duration, std::move(load), std::move(answer), units);
 }
 
-// It has ended, or no decision is left on it.
+// The attempt has ended, or nothing remains to be decided on it.
 void ServerPool::forget_attempt(PooledConnection& entry) {
     if (entry.attempt) connections_by_attempt_.erase(attempt_key(*entry.attempt));
     entry.attempt.reset();
     reactor_.cancel_timer(entry.dial_timer);
 }
 
-// For the next exchange.
+// Keeps the connection for the next exchange.
 void ServerPool::keep_idle(ServerConnection& connection, PooledConnection& entry, Duration max_idle) {
     connection.mark_idle();
     forget_attempt(entry);
@@ -257,7 +258,7 @@
         sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_expired_connections(); });
 }
 
-// Before the answer's buffer is given back.
+// To be called while the response is still in the buffer.
 std::optional<Duration> ServerPool::max_idle_time(const ServerConnection& connection) const {
     const auto server_timeout = protocol_.server_idle_timeout(connection.parser(), connection.input());
     if (!server_timeout) return limits_.idle_timeout;
@@ -267,13 +268,13 @@
     return std::min(limits_.idle_timeout, own_timeout);
 }
 
-// The attempt has ended well as far as anybody decides on it: nothing can be tried again once a part of the
-// answer was passed on.
+// To the engine the attempt has succeeded: no retry is possible once a part of the response was forwarded.
 void ServerPool::on_streamed_answer(ServerConnection& connection) {
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
     PooledConnection& entry = found->second;
-    if (!entry.attempt) return drop_connection(connection);    // no probe's answer is that long
+    if (!entry.attempt)
+        return drop_connection(connection);    // a health check's response must not be that long
     const AttemptId attempt = *entry.attempt;
     const Duration duration = reactor_.clock().now() - entry.state_since;
     auto answer_stream = std::make_shared<AnswerStream>(*this, connection);
@@ -315,7 +316,7 @@
 
 void ServerPool::on_idle_connection_lost(ServerConnection& connection) { drop_connection(connection); }
 
-// The one place where a connection is given back, whatever it was doing.
+// The only place where a connection is released, whatever its state.
 void ServerPool::drop_connection(ServerConnection& connection) {
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
@@ -326,7 +327,7 @@
     --budget_.open_connections_;
     if (std::erase(host_connections.idle_connections, &connection) > 0)
         budget_.idle_connections_.erase(entry.idle_position);
-    // Servers come and go all day: nothing may stay of those that went.
+    // Servers change all the time: no entry may remain for those that were removed.
     if (host_connections.open_connections == 0) hosts_connections_.erase(connection.host());
     connection.close();
     --counters_.open_server_connections;
--- a/src/data_plane/proxy/server_pool.h
+++ b/src/data_plane/proxy/server_pool.h
@@ -1,5 +1,5 @@
-// Carries attempts and probes to servers, and owns the connections for that: busy, dialling or kept for
-// reuse.
+// Sends attempts and health checks to servers over pooled HTTP connections, and owns these connections while
+// they are connecting, busy or idle. Only for the reactor's thread.
 #pragma once
 
 #include <list>
@@ -17,30 +17,30 @@
 
 class ServerPool;
 
-// How many connections there may be in all the pools that share it. It outlives them.
+// Bounds the connections of all pools that share it. It outlives them.
 class ConnectionBudget {
 public:
     explicit ConnectionBudget(std::size_t max_connections) : max_connections_(max_connections) {}
-    void set_limit(std::size_t max_connections) {
-        max_connections_ = max_connections;
-    }    // for what is dialled from now on
+    // Applies to new connections; open ones stay.
+    void set_limit(std::size_t max_connections) { max_connections_ = max_connections; }
     std::size_t open_connections() const { return open_connections_; }
     std::size_t idle_connections() const { return idle_connections_.size(); }
 
 private:
     friend ServerPool;
     std::size_t max_connections_, open_connections_ = 0;
-    std::list<std::pair<ServerPool*, ServerConnection*>> idle_connections_;    // the longest idle first
+    std::list<std::pair<ServerPool*, ServerConnection*>> idle_connections_;    // longest idle first
 };
 
-// One engine's. Numbers of attempts mean nothing beside it.
+// The connections of one engine, whose attempt ids are unique only within it. All references outlive it.
 class ServerPool : public AttemptSender, private ServerConnectionOwner {
 public:
+    // Timeouts and the bound per server.
     struct Limits {
-        Duration dial_timeout{0};
-        Duration idle_timeout{0};    // a connection kept for reuse is closed after this
-        // Most connections to one server; 0: no limit. What comes beyond that is NotSent, as beyond the
-        // budget.
+        Duration dial_timeout{0};    // to establish a connection
+        Duration idle_timeout{0};    // an idle connection is closed after this
+        // Most connections to one server; 0: no limit. Attempts beyond it end with Outcome::NotSent, like
+        // those beyond the budget.
         std::size_t max_per_host = 0;
     };
     ServerPool(Engine& engine, const HostTable& hosts, const UpstreamProtocol& protocol,
@@ -53,26 +53,27 @@
     void cancel_attempt(AttemptId attempt) override;
     void check_health(HostId host) override;
     bool has_started(AttemptId attempt) const override;
-    void set_limits(const Limits& limits) { limits_ = limits; }    // for what follows
-    // Drops what is kept for servers that have gone or moved.
+    // Applies to later exchanges.
+    void set_limits(const Limits& limits) { limits_ = limits; }
+    // Closes idle connections to servers that were removed or changed their address.
     void on_host_list_changed();
 
 private:
     class AnswerStream;
     struct PooledConnection {
         std::unique_ptr<ServerConnection> connection;
-        std::optional<AttemptId> attempt;    // none: a probe, or kept for reuse
-        TimePoint state_since{};             // busy or idle
-        TimePoint process_started_at{};      // the start of the server's process when it was dialled
+        std::optional<AttemptId> attempt;    // none: a health check, or idle
+        TimePoint state_since{};             // since when it is busy or idle
+        TimePoint process_started_at{};      // the server process's start when it was connected
         Timers::Id dial_timer = 0;
-        AnswerStream* answer_stream = nullptr;    // of a long answer; it belongs to who takes the pieces
+        AnswerStream* answer_stream = nullptr;    // of a streamed response; owned by its receiver
         Duration idle_timeout{0};                 // how long it may be idle
-        std::list<std::pair<ServerPool*, ServerConnection*>>::iterator
-            idle_position;    // in the budget, while idle
+        // In the budget's list, while idle.
+        std::list<std::pair<ServerPool*, ServerConnection*>>::iterator idle_position;
     };
-    struct HostConnections {                                // of one server
-        std::vector<ServerConnection*> idle_connections;    // the last used at the end
-        std::size_t open_connections = 0;                   // all of its connections
+    struct HostConnections {
+        std::vector<ServerConnection*> idle_connections;    // most recently used last
+        std::size_t open_connections = 0;                   // idle ones included
     };
     static std::uint64_t attempt_key(AttemptId attempt) {
         return static_cast<std::uint64_t>(attempt.request) << 32 |
@@ -89,13 +90,13 @@
     void on_answer_body(ServerConnection& connection, std::string_view bytes) override;
     void on_answer_body_end(ServerConnection& connection, bool complete, bool reusable) override;
     void keep_idle(ServerConnection& connection, PooledConnection& entry, Duration max_idle);
-    // None: it is not to be kept.
+    // None: it must not be reused.
     std::optional<Duration> max_idle_time(const ServerConnection& connection) const;
     void forget_attempt(PooledConnection& entry);
 
-    // Whether it still leads to the process that the list has there now.
+    // Whether it leads to the process that the host table now has for this server.
     bool is_current(const ServerConnection& connection, const PooledConnection& entry) const;
-    // A connection to the host, kept or new; none, and why, where there can be none.
+    // An idle or new connection to the host; null, with the reason in `failure`, if there can be none.
     PooledConnection* acquire_connection(HostId host, Outcome& failure);
     void report_outcome(const std::optional<AttemptId>& attempt, HostId host, Outcome outcome,
                         Duration duration, LoadReport&& load, Payload&& answer,
@@ -113,7 +114,7 @@
     std::unordered_map<ServerConnection*, PooledConnection> connections_;
     std::unordered_map<std::uint64_t, ServerConnection*> connections_by_attempt_;
     std::unordered_map<HostId, HostConnections> hosts_connections_;
-    Timers::Id sweep_timer_ = 0;    // while any are idle
+    Timers::Id sweep_timer_ = 0;    // set while any connection is idle
     LogRateLimiter log_limiter_;
 };
 
--- a/src/data_plane/proxy/upstream_protocol.h
+++ b/src/data_plane/proxy/upstream_protocol.h
@@ -1,4 +1,5 @@
-// What a platform's messages to and from servers say.
+// Interface between server connections and a platform: writes requests and health checks, and classifies
+// responses. Used on the reactor's thread.
 #pragma once
 
 #include <optional>
@@ -10,30 +11,33 @@
 
 namespace shaletray {
 
-// What the exchange on a connection is about.
+// The request that the exchange on a connection carries.
 struct ExchangeContext {
     HostId host{};
     bool is_health_check = false;
-    std::string request_id = {};    // of the request's payload; none of a probe
+    std::string request_id = {};    // Payload::request_id; empty for a health check
 };
 
-// Whether an answer belongs to what was asked.
+// Whether a response belongs to the request of the exchange.
 enum class AnswerMatch {
     Match,
-    EarlierRequest,    // to something asked before: it is skipped, and the next one is read
-    Mismatch,          // to nothing that is known: spoilt, and the connection with it
+    EarlierRequest,    // belongs to an earlier request: it is skipped, and the next one is read
+    Mismatch,          // belongs to no known request: malformed, and the connection is closed
 };
 
+// Implemented by each platform; without state of an exchange.
 class UpstreamProtocol {
 public:
     virtual ~UpstreamProtocol() = default;
-    // A request of which only the first part is there is written with that part (payload.upload).
+    // The bytes to send. Of a request with Payload::upload, its initial body is included and the rest
+    // follows.
     virtual std::string write_request(const Payload& request, HostId host, Duration time_left) const = 0;
     virtual std::string write_health_check(HostId host, std::string_view address) const = 0;
 
-    // Of final answers only. The first three are asked as soon as the head is whole, and must be answered by
-    // the head alone; outcome_of is asked once more when the answer is whole. Ok and what is `good` is passed
-    // on to the client; ConnectFailed, Full and NotSent say that nothing of the request ran.
+    // The functions below get final responses only, not interim ones (1xx). match_answer, outcome_of and
+    // is_forwardable are called as soon as the head is complete and must depend on the head alone; outcome_of
+    // is called again when the response is complete. Responses with Outcome::Ok, and those that are
+    // forwardable, go to the client; ConnectFailed, Full and NotSent mean that nothing of the request ran.
     virtual AnswerMatch match_answer(const ExchangeContext&, const http::Parser&, const http::Buffer&) const {
         return AnswerMatch::Match;
     }
@@ -43,15 +47,17 @@
                                 const http::Buffer& buffer) const {
         return outcome_of(exchange, parser, buffer) == Outcome::Ok;
     }
+    // Load figures that the response reports.
     virtual LoadReport load_report_of(const http::Parser&, const http::Buffer&) const { return {}; }
-    // Status and headers as the client is to have them, and the body where it is wanted.
+    // Status and headers for the client, with the body if `with_body`.
     virtual Payload answer_of(const http::Parser& parser, const http::Buffer& buffer,
                               bool with_body) const = 0;
+    // The request's actual units as the response reports them, or kUnitsUnreported or kUnitsMalformed.
     virtual double settled_units_of(const http::Parser&, const http::Buffer&) const {
         return kUnitsUnreported;
     }
-    // After how long without a request the server closes the connection, where its answer tells. Kept
-    // connections are closed after 0.6 of it.
+    // The server's own idle timeout, if the response states it. Idle connections are closed after 0.6 of it,
+    // so that the server's close cannot cross a request.
     virtual std::optional<Duration> server_idle_timeout(const http::Parser&, const http::Buffer&) const {
         return std::nullopt;
     }
