--- a/src/base/common/clock.h
+++ b/src/base/common/clock.h
@@ -1,5 +1,5 @@
-// Module time: Unix microseconds, taken once at the start, and carried on by the steady clock from there. A
-// step of the system's clock can so neither turn it back nor make timers fire early.
+// The process's time: Unix microseconds, read once at the start and advanced by the steady clock from there,
+// so that a step of the system clock can neither turn it back nor make timers fire early.
 #pragma once
 
 #include <chrono>
@@ -11,12 +11,14 @@
 using decision::Duration;
 using decision::TimePoint;
 
+// Source of time; tests replace it with virtual time.
 class Clock {
 public:
     virtual ~Clock() = default;
     virtual TimePoint now() const = 0;
 };
 
+// Monotonic time of this machine. Safe from any thread.
 class SystemClock : public Clock {
 public:
     TimePoint now() const override {
--- a/src/base/common/counters.h
+++ b/src/base/common/counters.h
@@ -1,4 +1,5 @@
-// What the gateway took in, sent and answered since its start.
+// Counters of the data plane since the process's start, as the metrics report them. Written and read by the
+// reactor's thread only.
 #pragma once
 
 #include <array>
@@ -8,37 +9,40 @@
 
 namespace shaletray {
 
-// Of one class of requests, by its name: how they were answered.
+// Results of one request class. `dropped`: rejected for lack of quota or capacity.
 struct RequestClassCounters {
     std::uint64_t answered = 0, dropped = 0, failed = 0;
 };
 
+// All counters only grow, apart from those named open_*, which count what is open now.
 struct Counters {
     using Counter = std::uint64_t;
 
-    std::map<std::string, RequestClassCounters> classes;    // none is taken out
+    std::map<std::string, RequestClassCounters>
+        classes;    // by class name; entries are never removed, so pointers to them stay valid
 
     Counter requests_accepted = 0, requests_cancelled = 0, requests_overdue = 0,
-            requests_rejected = 0;                      // requests
-    Counter attempts_sent = 0, attempts_written = 0;    // attempts begun; written whole to a server
-    std::array<Counter, 8> outcomes{};                  // by decision::Outcome
+            requests_rejected = 0;    // requests
+    Counter attempts_sent = 0,
+            attempts_written = 0;         // attempts begun; requests written completely to a server
+    std::array<Counter, 8> outcomes{};    // by decision::Outcome
     Counter attempts_cancelled = 0, health_checks = 0, health_checks_failed = 0;
-    std::map<int, Counter> answers_by_status;    // by the front's status
+    std::map<int, Counter> answers_by_status;    // by HTTP status of the response to the client
     Counter peer_messages_sent = 0, peer_send_failed = 0, peer_messages_received = 0,
             peer_messages_dropped = 0;
     Counter clients_accepted = 0, open_clients = 0, clients_rejected = 0;
-    Counter streamed_uploads = 0;    // requests passed on while they come
+    Counter streamed_uploads = 0;    // requests forwarded while they are received
     Counter streamed_answers = 0, open_streamed_answers = 0,
-            broken_streamed_answers = 0;    // answers passed on in pieces
+            broken_streamed_answers = 0;    // responses forwarded in pieces
     Counter server_connections_dialled = 0, server_dials_failed = 0, server_connections_reused = 0,
             open_server_connections = 0;
     Counter full_lists_received = 0, list_updates_received = 0, discovery_watches = 0,
             malformed_list_lines = 0, malformed_answers = 0;
-    Counter reloads = 0, reloads_failed = 0;            // discovery moved; files turned down
-    Counter configurations_loaded = 0;                  // files taken
-    Counter units_settled = 0, units_unreported = 0;    // good answers that told their true units, or did not
+    Counter reloads = 0, reloads_failed = 0;            // discovery address changed; files rejected
+    Counter configurations_loaded = 0;                  // files applied
+    Counter units_settled = 0, units_unreported = 0;    // successful responses with or without usable units
 
-    // One line a subject.
+    // One line per subject, for the log.
     std::string to_text() const;
 };
 
--- a/src/base/common/log.cpp
+++ b/src/base/common/log.cpp
@@ -48,7 +48,7 @@
     static const std::shared_ptr<spdlog::logger> instance = [] {
         auto created =
             std::make_shared<spdlog::logger>("shaletray", std::make_shared<spdlog::sinks::stderr_sink_mt>());
-        created->set_level(spdlog::level::debug);    // what is below the level does not come here
+        created->set_level(spdlog::level::debug);    // filtered by log() already
         set_pattern(*created, current_format);
         return created;
     }();
@@ -65,7 +65,7 @@
     return spdlog::level::debug;
 }
 
-// How many bytes of a character in UTF-8 begin here; 0: none does.
+// Length in bytes of the UTF-8 character that begins here; 0 if the bytes are not valid.
 std::size_t utf8_sequence_length(std::string_view text) {
     const auto byte_at = [&](std::size_t index) { return static_cast<unsigned char>(text[index]); };
     const std::size_t length = byte_at(0) < 0x80                         ? 1
@@ -79,7 +79,7 @@
     return length;
 }
 
-// What others sent may stand in a value: it must neither end the line nor pass for fields of its own.
+// Values may contain what peers sent, which must neither end the line nor look like further fields.
 std::string quote(std::string_view text) {
     std::string result = "\"";
     while (!text.empty()) {
--- a/src/base/common/log.h
+++ b/src/base/common/log.h
@@ -1,5 +1,6 @@
-// The log: one event a line on standard error, by spdlog; nothing per request. Events have names that do not
-// change (docs/operate/logging.md lists them), and fields; a line is key=value, or JSON where that is set.
+// Structured logging: one event a line on standard error, through spdlog; nothing per request. An event has a
+// stable name (docs/operate/logging.md lists them) and fields; a line is key=value text or JSON. All
+// functions are safe from any thread unless stated otherwise.
 #pragma once
 
 #include <fmt/format.h>
@@ -15,9 +16,10 @@
 enum class LogLevel { Error, Warning, Info, Debug };
 enum class LogFormat { KeyValue, Json };
 
+// Events of the data plane and the balancer; event_name gives the name in the log.
 enum class Event {
     Listening,
-    Failed,    // the program ends by it
+    Failed,    // fatal: the program exits
     ReloadUnchanged,
     ReloadFailed,
     PlanTermsChanged,
@@ -34,8 +36,7 @@
     DiscoveryMalformedEntries,
     DiscoveryConnectionLost,
     ServerMalformedAnswer,
-    ServerUnitsUnreported,    // a good answer where units are settled afterwards tells none, or no such
-                              // number
+    ServerUnitsUnreported,    // a successful response lacks usable units, though units are settled afterwards
     SocketFailed,
     AcceptFailed,
     EngineFailed,
@@ -57,6 +58,7 @@
 };
 std::string_view event_name(Event event);
 
+// One field of a line, its value as text.
 struct LogField {
     std::string_view name;
     std::string value;
@@ -66,29 +68,30 @@
     return {name, fmt::format("{}", value)};
 }
 
-// Both may be changed at any time, and hold for all lines from then on.
+// Level and format may be changed at any time and apply to all later lines.
 void set_log_level(LogLevel level);
 LogLevel log_level();
-// False, and nothing changed, where the name is none of error, warning, info, debug.
+// Returns false and changes nothing unless the name is error, warning, info or debug.
 bool set_log_level(std::string_view name);
 void set_log_format(LogFormat format);
 
-// A line without its time and level, in either form.
+// A line without time and level, in either format.
 std::string format_log_line(LogFormat log_format, Event event, std::initializer_list<LogField> fields);
-// The same for an event of a program that has a list of its own.
+// The same for a program with its own list of events.
 std::string format_log_line(LogFormat log_format, std::string_view event,
                             std::initializer_list<LogField> fields);
-// From now on lines go there, without time and level, and not to standard error; none: as before. To be set
-// while only one thread runs; it is then called from any.
+// Redirects lines, without time and level, from standard error to `sink`; an empty one restores the default.
+// Set it while only one thread runs; it is then called from any thread.
 void set_log_sink(std::function<void(LogLevel, std::string_view line)> sink);
+// Writes a line whatever the level; use log().
 void write_log(LogLevel level, Event event, std::initializer_list<LogField> fields);
 
-// Safe from any thread.
+// Writes a line if the level is enabled. Safe from any thread.
 inline void log(LogLevel level, Event event, std::initializer_list<LogField> fields = {}) {
     if (level <= log_level()) write_log(level, event, fields);
 }
 
-// Lets a message through at most once in a while, so that a stream of bad input cannot fill the log.
+// Allows one message per interval, so that a stream of bad input cannot fill the log. Not thread-safe.
 class LogRateLimiter {
 public:
     explicit LogRateLimiter(std::chrono::milliseconds interval = std::chrono::milliseconds(1000))
--- a/src/base/common/timers.cpp
+++ b/src/base/common/timers.cpp
@@ -14,13 +14,14 @@
 }
 
 void Timers::run_due(TimePoint now) {
-    // Taken out first: what a task adds must neither run in this call nor stand before what was due already.
+    // Due tasks are collected first: a task added by one of them must neither run in this call nor precede
+    // those that were due already.
     std::vector<Id> due_ids;
     for (; !deadlines_.empty() && deadlines_.top().deadline <= now; deadlines_.pop())
         due_ids.push_back(deadlines_.top().id);
     for (const Id id : due_ids) {
         const auto found = tasks_.find(id);
-        if (found == tasks_.end()) continue;    // cancelled, perhaps by a task before it
+        if (found == tasks_.end()) continue;    // cancelled, perhaps by an earlier task
         const Task task = std::move(found->second);
         tasks_.erase(found);
         task();
--- a/src/base/common/timers.h
+++ b/src/base/common/timers.h
@@ -1,4 +1,4 @@
-// Everything that is due at a time, in one heap.
+// Timers in one binary heap, run by the reactor or, in tests, by virtual time. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,18 @@
 
 namespace shaletray {
 
+// Tasks run once, ordered by deadline, and in order of their creation for equal deadlines.
 class Timers {
 public:
-    using Id = std::uint64_t;    // 0 is never given
+    using Id = std::uint64_t;    // 0 is never assigned
     using Task = std::function<void()>;
 
     Id schedule_at(TimePoint deadline, Task task);
-    // An id that is done, cancelled or 0 is ignored. The id is set to 0.
+    // Ignores an id that has run, was cancelled or is 0. Sets the id to 0.
     void cancel(Id& id);
-    // Runs what was due when it was called; what is added meanwhile waits for the next call.
+    // Runs the tasks due by `now`; tasks that they add wait for the next call.
     void run_due(TimePoint now);
+    // The earliest deadline, if there is a task.
     std::optional<TimePoint> next_deadline();
     std::size_t size() const { return tasks_.size(); }
 
--- a/src/base/http/answer.h
+++ b/src/base/http/answer.h
@@ -1,4 +1,4 @@
-// How answers are written.
+// Serialization of HTTP/1.1 responses. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,17 @@
 
 namespace shaletray {
 
+// The interim response to "Expect: 100-continue".
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
-// The head of an answer whose body follows in pieces: of a stated length, or in chunks, or until the end.
+// How the end of a streamed body is marked: by its length, by chunked coding, or by closing the connection.
 enum class BodyFraming { ContentLength, Chunked, UntilClose };
-// `headers`: whole lines, each with its end.
+// The head of a response whose body follows in pieces. `headers`: complete lines, each with its CRLF.
+// `content_length` counts only with BodyFraming::ContentLength.
 std::string write_answer_head(int status, std::string_view headers, BodyFraming framing,
                               std::uint64_t content_length, bool keep_alive);
-std::string write_chunk(std::string_view bytes);    // empty: the last one
+// One chunk of a chunked body; empty `bytes` give the last chunk.
+std::string write_chunk(std::string_view bytes);
+// A complete response with its Content-Length.
 std::string write_answer(int status, std::string_view headers, std::string_view body, bool keep_alive);
 
 }    // namespace shaletray
--- a/src/base/http/buffer.cpp
+++ b/src/base/http/buffer.cpp
@@ -6,7 +6,7 @@
 namespace shaletray::http {
 namespace {
 
-// What a large message needed is given back once it is done, so that idle connections stay small.
+// Memory of a large message is released once it has been consumed, so that idle connections stay small.
 constexpr std::size_t kKept = 4 * 1024;
 
 }    // namespace
--- a/src/base/http/buffer.h
+++ b/src/base/http/buffer.h
@@ -8,6 +8,7 @@
 
 namespace shaletray::http {
 
+// Views of the content are valid until the next call that is not const.
 class Buffer {
 public:
     std::string_view unread() const { return {bytes_.data() + read_offset_, write_offset_ - read_offset_}; }
@@ -15,13 +16,15 @@
     std::size_t size() const { return write_offset_ - read_offset_; }
     bool empty() const { return read_offset_ == write_offset_; }
 
-    // Room for at least `least` more bytes; what was unread may move.
+    // Makes room for at least `min_size` more bytes and returns where they go; unread bytes may move.
     char* reserve(std::size_t min_size);
     std::size_t writable_size() const { return bytes_.size() - write_offset_; }
+    // Adds `count` bytes that were written at reserve()'s result.
     void commit(std::size_t count) { write_offset_ += count; }
     void append(std::string_view bytes);
+    // Drops the first `count` unread bytes.
     void consume(std::size_t count);
-    // Takes bytes out from the middle of what is unread.
+    // Removes bytes from the middle of the unread ones.
     void erase(std::size_t offset, std::size_t count);
 
 private:
--- a/src/base/http/line_protocol.h
+++ b/src/base/http/line_protocol.h
@@ -1,4 +1,5 @@
-// One connection's side of a short talk, fed bytes. It knows no socket.
+// Interface of a connection's protocol state machine for short request/response exchanges. It is fed bytes
+// and independent of sockets; LineProtocolServer runs one for each connection.
 #pragma once
 
 #include <string>
@@ -7,11 +8,13 @@
 
 namespace shaletray {
 
+// One instance serves one connection.
 class LineProtocol {
 public:
-    enum class NextStep { ReadMore, Close };    // for more bytes; once what was said is written
+    // Close: after `output` has been written.
+    enum class NextStep { ReadMore, Close };
     virtual ~LineProtocol() = default;
-    // Consumes what it understood of `in`, and appends what is to be said to `out`.
+    // Consumes complete messages from `input` and appends the replies to `output`.
     virtual NextStep process_input(http::Buffer& input, std::string& output) = 0;
 };
 
--- a/src/base/http/message.cpp
+++ b/src/base/http/message.cpp
@@ -18,11 +18,11 @@
 
 bool is_visible(char c) { return static_cast<unsigned char>(c) > 0x20 && c != 0x7f; }
 
-// Control characters have no place in a value: a bare CR or NUL there may be read as another header
-// elsewhere.
+// Control characters are rejected in values: another parser may read a bare CR or NUL as the start of a
+// further header.
 bool is_value(char c) { return is_visible(c) || c == ' ' || c == '\t'; }
 
-// Whether a comma-separated list holds the word.
+// Whether a comma-separated list contains the token.
 bool lists(std::string_view list, std::string_view word) {
     while (!list.empty()) {
         const std::size_t comma = std::min(list.find(','), list.size());
@@ -128,7 +128,7 @@
     std::vector<Header> headers = std::move(headers_);
     headers.clear();
     *this = Parser(kind_, limits_);
-    headers_ = std::move(headers);    // its memory serves the next message
+    headers_ = std::move(headers);    // keeps its memory for the next message
 }
 
 ParseStatus Parser::fail(ParseError parse_error) {
@@ -139,7 +139,7 @@
 ParseStatus Parser::parse(Buffer& buffer) {
     if (error_ != ParseError::None) return ParseStatus::Malformed;
     if (!head_complete()) {
-        // An empty line before a request is to be passed over.
+        // An empty line before a request is skipped (RFC 9112, 2.2).
         while (kind_ == Kind::Request && buffer.unread().starts_with("\r\n")) {
             buffer.consume(2);
             scanned_size_ = 0;
@@ -158,7 +158,7 @@
     scanned_size_ = all.size();
     if (end == std::string_view::npos) {
         if (all.size() > limits_.max_head_size) return fail(ParseError::HeadTooLarge);
-        // What can be no start line is refused at once: its sender may never send an empty line.
+        // An invalid start line is rejected at once: its sender may never send an empty line.
         if (!all.empty() && !is_token(all.front()) && all != "\r") return fail(ParseError::Malformed);
         return ParseStatus::Incomplete;
     }
@@ -197,7 +197,7 @@
     if (second == std::string_view::npos || !version(line.substr(second + 1))) return false;
     method_ = {0, first};
     std::size_t at = first + 1;
-    // The absolute form names the host once more (RFC 9112, 3.2.2); what counts is the path.
+    // The absolute form repeats the host (RFC 9112, 3.2.2); only the path is used.
     constexpr std::string_view kScheme = "http://";
     if (equals_ignore_case(line.substr(at, kScheme.size()), kScheme))
         at = std::min(line.find('/', at + kScheme.size()), second);
@@ -219,7 +219,8 @@
     return true;
 }
 
-// How long the body is. Two framings, or two lengths, would let two readers see different messages.
+// Determines the body's framing. Conflicting framings or lengths are rejected, since two parsers could see
+// different messages (request smuggling).
 ParseStatus Parser::read_framing(const Buffer& buffer) {
     bool has_length = false;
     keep_alive_ = !is_http10_;
--- a/src/base/http/message.h
+++ b/src/base/http/message.h
@@ -1,6 +1,6 @@
-// HTTP/1.1 messages as state machines over a connection's buffer. They know no socket: bytes are appended to
-// the buffer, then the parser is asked how far it came. The message stays in the buffer until it is consumed,
-// and all views of it are valid until then.
+// An incremental HTTP/1.1 parser over a connection's buffer, independent of sockets: bytes are appended to
+// the buffer, then Parser::parse continues where it stopped. The message stays in the buffer until it is
+// consumed, and views of it are valid until the buffer changes. All sizes are in bytes.
 #pragma once
 
 #include <cstddef>
@@ -14,22 +14,24 @@
 
 namespace shaletray::http {
 
+// Bounds of one message; a larger one is malformed.
 struct Limits {
     std::size_t max_head_size = 16 * 1024, max_body_size = 64 * 1024;
     std::size_t max_headers = 100;
 };
 
+// Progress of a message, and why one was rejected.
 enum class ParseStatus { Incomplete, Complete, Malformed };
 enum class ParseError { None, Malformed, HeadTooLarge, BodyTooLarge, Unsupported };
 
-// Undoes the chunked coding, moving the payload together in place.
+// Decodes the chunked transfer coding in place, moving the payload together.
 class ChunkDecoder {
 public:
     struct Step {
         std::size_t consumed = 0, payload_size = 0;
         ParseStatus status = ParseStatus::Incomplete;
     };
-    // Looks at `length` raw bytes; the payload among them ends up at `bytes`.
+    // Decodes up to `length` raw bytes; the payload among them ends up at `bytes`.
     Step decode(char* bytes, std::size_t length);
 
 private:
@@ -51,30 +53,34 @@
     int size_digits_ = 0;
 };
 
+// Parses one message after another: reset() begins the next. Accessors that take the buffer need the one that
+// was parsed.
 class Parser {
 public:
     enum class Kind { Request, Response };
     explicit Parser(Kind kind, Limits limits = {}) : kind_(kind), limits_(limits) {}
 
+    // Parses what was added to the buffer since the last call.
     ParseStatus parse(Buffer& buffer);
-    // The other side has ended the connection in order: that is the end of an answer that states no length.
-    // Bad where the message was to go on.
+    // The peer has closed the connection in order, which ends a response without a stated length. Malformed
+    // if the message is incomplete.
     ParseStatus finish();
+    // Begins a new message; the buffer must have been consumed up to it.
     void reset();
 
-    // Of messages that begin from now on.
+    // Applies to messages that begin from now on.
     void set_limits(const Limits& limits) { limits_ = limits; }
     const Limits& limits() const { return limits_; }
     ParseError error() const { return error_; }
     bool head_complete() const { return head_size_ > 0; }
-    // Valid once the head is done, as long as the message is in the buffer.
+    // Valid once the head is complete, as long as the message is in the buffer.
     std::string_view method(const Buffer& buffer) const { return view(buffer, method_); }
     std::string_view target(const Buffer& buffer) const { return view(buffer, target_); }
     int status_code() const { return status_code_; }
-    // The first of this name; empty where there is none.
+    // The first header of this name, regardless of case; empty if there is none.
     std::string_view header(const Buffer& buffer, std::string_view name) const;
     std::size_t header_count(const Buffer& buffer, std::string_view name) const;
-    // All of them, in their order: name and value.
+    // All headers in their order, as name and value.
     std::size_t total_headers() const { return headers_.size(); }
     std::pair<std::string_view, std::string_view> header_at(const Buffer& buffer, std::size_t index) const {
         return {view(buffer, headers_[index].name), view(buffer, headers_[index].value)};
@@ -82,17 +88,17 @@
     std::string_view body(const Buffer& buffer) const {
         return buffer.unread().substr(head_size_, body_size_);
     }
-    bool is_complete() const { return is_complete_; }    // the last of it has been parsed
+    bool is_complete() const { return is_complete_; }    // parsed to its end
     bool keep_alive() const { return keep_alive_; }
     bool is_http10() const { return is_http10_; }
-    // Of the body, where its length is stated: what of it is still in the buffer or to come.
+    // For a body with a stated length: how much of it is still in the buffer or to come.
     std::optional<std::uint64_t> content_length() const {
         return framing_ == Framing::Length ? std::optional(content_length_) : std::nullopt;
     }
     bool expects_continue() const { return expects_continue_; }
-    // Of the whole message in the buffer, to be consumed when done with it.
+    // Size of the message in the buffer, to be consumed when it has been handled.
     std::size_t message_size() const { return head_size_ + body_size_; }
-    // Takes the first bytes of the body out, for one that is too long to be held, or never ends.
+    // Removes the first bytes of the body, to stream one that is too long to be buffered.
     void consume_body(Buffer& buffer, std::size_t count);
 
 private:
@@ -128,7 +134,9 @@
     std::vector<Header> headers_;
 };
 
-bool equals_ignore_case(std::string_view a, std::string_view b);    // without regard to case
+// Compares ASCII text regardless of case.
+bool equals_ignore_case(std::string_view a, std::string_view b);
+// Without leading and trailing spaces and tabs.
 std::string_view trim(std::string_view text);
 
 }    // namespace shaletray::http
--- a/src/base/http/rejection.h
+++ b/src/base/http/rejection.h
@@ -1,4 +1,4 @@
-// A request that is answered without being passed on, since its message cannot be taken.
+// Responses to requests that the gateway answers itself, without forwarding them.
 #pragma once
 
 #include <string_view>
@@ -7,16 +7,16 @@
 
 namespace shaletray {
 
-// The answer to a request that is not passed on.
+// An error response to a request that is not forwarded.
 struct ImmediateRejection {
     int status_code = 400;
-    std::string_view reason;    // text that stays
-    // Unless something is wrong with how the message was framed, its connection may serve the next one. Where
-    // its body is still coming, it ends all the same.
+    std::string_view reason;    // of static storage duration
+    // Whether the connection may serve the next request, which needs intact framing. It is closed all the
+    // same if the body has not arrived yet.
     bool keep_alive = false;
 };
 
-// Of a message that cannot be read.
+// The response to a message that could not be parsed.
 ImmediateRejection rejection_for(http::ParseError error);
 
 }    // namespace shaletray
--- a/src/base/net/api_server.cpp
+++ b/src/base/net/api_server.cpp
@@ -15,12 +15,11 @@
 
 constexpr int kBacklog = 512;
 constexpr Duration kSweepInterval = 250ms;
-constexpr Duration kAcceptPause = 20ms;                      // out of descriptors: the backlog waits
-constexpr Duration kLingerTimeout = 1s;                      // for the last answer to be read
-constexpr int kMaxAcceptsPerEvent = 16;                      // new connections in one go
-constexpr std::size_t kAlwaysAllowedCallSize = 64 * 1024;    // bytes that a call may always bring
-constexpr std::size_t kMaxPipelinedBytes =
-    64 * 1024;    // bytes that are read behind a call that is not answered yet
+constexpr Duration kAcceptPause = 20ms;    // before accepting again when descriptors have run out
+constexpr Duration kLingerTimeout = 1s;    // for the peer to read the last response
+constexpr int kMaxAcceptsPerEvent = 16;
+constexpr std::size_t kAlwaysAllowedCallSize = 64 * 1024;    // bytes allowed whatever else is pending
+constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;    // bytes read ahead of a call that has no reply yet
 
 }    // namespace
 
@@ -40,9 +39,9 @@
     Stream stream;
     ConnectionList::iterator position;
     State state = State::Idle;
-    TimePoint state_since{};    // when the state began
+    TimePoint state_since{};    // when the present state began
     std::size_t pending_bytes = 0;
-    std::size_t max_body_size = 0;    // of this call's body
+    std::size_t max_body_size = 0;    // bytes, for the present call
     bool head_complete = false, keep_alive = true, is_processing = false, is_closed = false;
     std::shared_ptr<ApiCaller> caller;
 };
@@ -105,10 +104,10 @@
     });
 }
 
-// False where there was nothing more to accept.
+// False if there was nothing more to accept.
 bool ApiServer::accept_one() {
     if (busy_connections_.size() >=
-        limits_.max_connections) {    // all have a call under way: who comes waits
+        limits_.max_connections) {    // all have a call in progress: new connections wait in the backlog
         pause_accepting();
         return false;
     }
@@ -124,7 +123,8 @@
         ++counters_.accepted;
         return true;
     } catch (const Poco::Exception& error) {
-        if (error.code() == POCO_EWOULDBLOCK) return false;    // none waits, or it left before that
+        if (error.code() == POCO_EWOULDBLOCK)
+            return false;    // none is waiting, or it was closed before it was accepted
         if (log_limiter_.try_acquire())
             log(LogLevel::Warning, Event::AcceptFailed, {log_field("why", error.displayText())});
         if (!idle_connections_.empty()) close_connection(*idle_connections_.front());
@@ -141,7 +141,7 @@
         if (input.size() > kMaxPipelinedBytes) connection.stream.set_reading(false);
         return;
     }
-    // A call may be answered while it is taken: the next one is looked at here, and not within that.
+    // A handler may reply before it returns: the next call is handled by this loop, without recursion.
     connection.is_processing = true;
     while (!connection.is_closed && handle_next_call(connection)) {
     }
@@ -149,7 +149,7 @@
     if (!connection.is_closed) reserve_pending_bytes(connection);
 }
 
-// True where another call may be waiting behind one that was answered at once.
+// True if the call got its reply at once, so that another one may be handled.
 bool ApiServer::handle_next_call(Connection& connection) {
     http::Buffer& input = connection.stream.input_buffer();
     if (input.empty()) return false;
@@ -202,12 +202,12 @@
     input.consume(connection.parser.message_size());
     connection.parser.reset();
     connection.head_complete = false;
-    if (connection.caller != nullptr) return false;    // answered later
+    if (connection.caller != nullptr) return false;    // the reply follows later
     release_pending_bytes(connection);
     return connection.state == Connection::State::Idle;
 }
 
-// What cannot be taken is answered, and ends its connection.
+// Replies to a request that cannot be handled, and closes its connection after that.
 void ApiServer::reject_call(Connection& connection, int status, std::string_view reason) {
     ++counters_.rejected;
     connection.keep_alive = false;
@@ -222,7 +222,7 @@
     connection.caller->connection_ = nullptr;
     connection.caller.reset();
     write_reply(connection, reply);
-    if (connection.is_closed || connection.is_processing) return;    // take_next goes on itself
+    if (connection.is_closed || connection.is_processing) return;    // process_input continues by itself
     release_pending_bytes(connection);
     if (connection.state != Connection::State::Idle) return;
     process_input(connection);
@@ -239,7 +239,7 @@
         close_connection(connection);
 }
 
-// After an answer: waits for the next call, or for the other side to have read the last answer.
+// After a response: waits for the next call, or for the peer to read the last response.
 void ApiServer::release_pending_bytes(Connection& connection) {
     connection.state_since = reactor_.clock().now();
     if (connection.keep_alive) {
@@ -252,7 +252,7 @@
     if (connection.stream.all_sent()) on_all_sent(connection);
 }
 
-// Closing over bytes that were not read resets a connection, and its caller may lose the answer.
+// Closing a socket with unread input resets the connection, and the peer may lose the response.
 void ApiServer::on_all_sent(Connection& connection) {
     if (connection.state == Connection::State::Closing) connection.stream.shutdown_sending();
 }
@@ -270,7 +270,7 @@
     }
     pending_bytes_ -= connection.pending_bytes;
     connection.stream.close();
-    struct RetiredConnection : RetiredObject {    // it may be on the call stack
+    struct RetiredConnection : RetiredObject {    // the connection may be on the call stack
         explicit RetiredConnection(std::unique_ptr<Connection> retired) : connection(std::move(retired)) {}
         std::unique_ptr<Connection> connection;
     };
--- a/src/base/net/api_server.h
+++ b/src/base/net/api_server.h
@@ -1,5 +1,7 @@
-// Calls over HTTP/1.1: each whole request goes to a taker, which answers it at once or at any later time. A
-// connection's calls are taken one after the other, so those that were sent ahead are answered in order.
+// An HTTP/1.1 server for control and admin calls. Each complete request is passed to a handler, which replies
+// at once or later. The calls of one connection are handled one at a time, so pipelined requests are answered
+// in order. All functions are for the reactor's thread; connection count, request sizes and buffered bytes
+// are bounded by ApiServer::Limits.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -17,23 +19,28 @@
 
 namespace shaletray {
 
-struct ApiCall {    // its views hold while it is taken
+// One complete request. The views are valid only during the call to the handler.
+struct ApiCall {
     std::string_view method, target, body;
 };
+// The response to an ApiCall.
 struct ApiReply {
     int status_code = 200;
     std::string body = {};
     std::string_view content_type = "application/json";
-    std::string extra_headers = {};    // further ones, each with its line's end
+    std::string extra_headers = {};    // further header lines, each with its CRLF
 };
 
 class ApiServer;
 
-// Who waits for an answer. Kept by whoever is to answer; only for the reactor's thread.
+// Reply handle of one call, kept by whoever is to reply. It may outlive the connection and the server. Only
+// for the reactor's thread.
 class ApiCaller {
 public:
-    bool is_abandoned() const { return connection_ == nullptr; }    // or answered already
-    void send_reply(ApiReply reply);                                // nothing, where the caller is gone
+    // True once the client has disconnected, or a reply was sent.
+    bool is_abandoned() const { return connection_ == nullptr; }
+    // Does nothing for an abandoned call.
+    void send_reply(ApiReply reply);
 
 private:
     friend class ApiServer;
@@ -41,37 +48,43 @@
     ApiServer* server_ = nullptr;
 };
 
+// Listens on a socket and owns its connections. Requests that exceed a limit get an error response, after
+// which their connection is closed.
 class ApiServer {
 public:
+    // Bounds that keep slow or hostile clients from exhausting memory and descriptors.
     struct Limits {
-        std::size_t max_connections = 256;       // connections; the one that is idle longest makes room
-        std::size_t max_head_size = 8 * 1024;    // bytes
-        std::size_t max_body_size = 64 * 1024 * 1024;    // bytes, unless `body_of` says less
-        std::size_t max_pending_bytes =
-            96 * 1024 * 1024;    // bytes of all calls together that were not taken yet
+        std::size_t max_connections = 256;               // the longest idle connection is closed to make room
+        std::size_t max_head_size = 8 * 1024;            // bytes
+        std::size_t max_body_size = 64 * 1024 * 1024;    // bytes, unless BodySizeLimit returns less
+        // Bytes of all requests together that have not been passed to the handler yet.
+        std::size_t max_pending_bytes = 96 * 1024 * 1024;
         Duration read_timeout = std::chrono::seconds(3);    // for a head, from its first byte on
-        std::size_t min_body_rate = 64 * 1024;    // bytes a second that a body has to bring, after `patience`
+        // Bytes per second: a body of n bytes has `read_timeout` and n / min_body_rate seconds to arrive.
+        std::size_t min_body_rate = 64 * 1024;
         Duration idle_timeout = std::chrono::seconds(30);    // between two calls
     };
-    // What a call's body may be, by its method and target; asked as soon as its head is there.
+    // Maximum body size in bytes for a method and target; evaluated as soon as the head is parsed.
     using BodySizeLimit = std::function<std::size_t(std::string_view method, std::string_view target)>;
+    // Receives each complete request with its reply handle.
     using CallHandler = std::function<void(const ApiCall&, std::shared_ptr<ApiCaller>)>;
 
-    // Throws Poco::Exception where the address cannot be listened on.
+    // Throws Poco::Exception if the address cannot be bound.
     static Poco::Net::ServerSocket listen(const std::string& address);
-    // The descriptors are the caller's to keep back: `limits.most` and one.
+    // The caller reserves the file descriptors: `limits.max_connections` and one for the listener.
     ApiServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits, CallHandler handle_call,
               BodySizeLimit body_size_limit = {});
     ~ApiServer();
     ApiServer(const ApiServer&) = delete;
     ApiServer& operator=(const ApiServer&) = delete;
 
+    // The bound address, with the actual port.
     std::string address() const { return socket_.address().toString(); }
-    // Answers end their connections from now on, idle ones are closed, and no new ones are accepted.
+    // Accepts no new connections, closes idle ones, and closes the others after their next response.
     void start_shutdown();
-    std::size_t active_calls() const {
-        return busy_connections_.size();
-    }    // connections with a call or a part of one
+    // Connections with a call in progress or a partly received request.
+    std::size_t active_calls() const { return busy_connections_.size(); }
+    // Totals since the start.
     struct Counters {
         std::uint64_t accepted = 0, calls = 0, rejected = 0, abandoned = 0;
     };
@@ -102,7 +115,7 @@
     Limits limits_;
     CallHandler handle_call_;
     BodySizeLimit body_size_limit_;
-    ConnectionList busy_connections_, idle_connections_;    // the longest standing first
+    ConnectionList busy_connections_, idle_connections_;    // oldest first
     std::size_t pending_bytes_ = 0;
     bool is_accepting_ = false, is_stopping_ = false;
     Timers::Id sweep_timer_ = 0, pause_timer_ = 0;
@@ -110,7 +123,7 @@
     Counters counters_;
 };
 
-// Answers GET /readiness, and nothing else, by 200 or 503.
+// Serves GET /readiness with 200 or 503, for load balancers; every other request is rejected.
 std::unique_ptr<ApiServer> serve_readiness(Reactor& reactor, const std::string& address,
                                            std::function<bool()> is_ready);
 
--- a/src/base/net/line_protocol_server.cpp
+++ b/src/base/net/line_protocol_server.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kSweepInterval = 250ms;
-constexpr Duration kLingerTimeout = 1s;    // for the last answer to be read
+constexpr Duration kLingerTimeout = 1s;    // for the peer to read the last response
 constexpr int kMaxAcceptsPerEvent = 16;
 
 }    // namespace
@@ -51,8 +51,7 @@
         new_connection.stream.attach(accepted,
                                      accepted.address().family() == Poco::Net::SocketAddress::UNIX_LOCAL);
         return true;
-    } catch (
-        const Poco::Exception&) {    // none waits, it went away before it was taken, or no descriptor is left
+    } catch (const Poco::Exception&) {    // none is waiting, it was closed before, or no descriptor is left
         return false;
     }
 }
@@ -69,7 +68,7 @@
     if (connection.stream.all_sent()) on_all_sent(connection);
 }
 
-// Closing over bytes that were not read resets a connection, and its caller may lose the answer.
+// Closing a socket with unread input resets the connection, and the peer may lose the response.
 void LineProtocolServer::on_all_sent(Connection& connection) {
     if (!connection.is_closing) return;
     connection.last_active_at = reactor_.clock().now();
@@ -79,7 +78,7 @@
 void LineProtocolServer::close_connection(Connection& connection) {
     for (auto position = connections_.begin(); position != connections_.end(); ++position) {
         if (position->get() != &connection) continue;
-        struct RetiredConnection : RetiredObject {    // it may be on the call stack
+        struct RetiredConnection : RetiredObject {    // the connection may be on the call stack
             explicit RetiredConnection(std::unique_ptr<Connection> retired)
                 : connection(std::move(retired)) {}
             std::unique_ptr<Connection> connection;
--- a/src/base/net/line_protocol_server.h
+++ b/src/base/net/line_protocol_server.h
@@ -1,6 +1,6 @@
-// Few, short talks beside the clients': operators' calls and the like. The connections are of a stated
-// number; when all are taken, the one that waited longest for its caller makes room, so none can keep others
-// out.
+// A server for short exchanges of a LineProtocol (admin calls, the control socket, the handover), apart from
+// the clients' traffic. The number of connections is bounded; when all are in use, the oldest one is
+// closed, so that no peer can lock others out. Only for the reactor's thread.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -16,21 +16,24 @@
 
 namespace shaletray {
 
+// Owns its connections and one protocol object for each of them.
 class LineProtocolServer {
 public:
+    // Bounds on connections and their inactivity.
     struct Limits {
-        std::size_t max_connections = 8;    // connections
-        Duration idle_timeout{0};           // since a connection was taken or last brought bytes
-        bool renews_on_input = true;        // bytes begin its time anew
+        std::size_t max_connections = 8;
+        Duration idle_timeout{0};       // since the connection was accepted or last received bytes
+        bool renews_on_input = true;    // false: `idle_timeout` bounds the whole connection
     };
-    // `socket` listens; nothing is accepted of more than `limits.most` at once. The descriptors are the
-    // caller's to keep back: `limits.most` and one.
+    // `socket` is already listening. The caller reserves the file descriptors: `limits.max_connections` and
+    // one for the listener.
     LineProtocolServer(Reactor& reactor, Poco::Net::ServerSocket socket, Limits limits,
                        std::function<std::unique_ptr<LineProtocol>()> make_protocol);
     ~LineProtocolServer();
     LineProtocolServer(const LineProtocolServer&) = delete;
     LineProtocolServer& operator=(const LineProtocolServer&) = delete;
 
+    // The bound address, with the actual port.
     std::string address() const { return socket_.address().toString(); }
 
 private:
@@ -58,7 +61,7 @@
     Poco::Net::ServerSocket socket_;
     Limits limits_;
     std::function<std::unique_ptr<LineProtocol>()> make_protocol_;
-    std::list<std::unique_ptr<Connection>> connections_;    // the longest standing first
+    std::list<std::unique_ptr<Connection>> connections_;    // oldest first
     Timers::Id sweep_timer_ = 0;
 };
 
--- a/src/base/net/reactor.cpp
+++ b/src/base/net/reactor.cpp
@@ -9,10 +9,10 @@
 namespace shaletray {
 namespace {
 
-// Signals are looked at once a turn, and one may come just before the wait: it is never longer than this.
+// Signals are checked once an iteration, and one may arrive just before the wait, which this bounds.
 constexpr Duration kLongestWait = std::chrono::milliseconds(100);
 
-// What no one caught while a socket was served. The reactor goes on with the next socket.
+// Logs exceptions that a socket's handler did not catch. The reactor continues with the next socket.
 class LoggingErrorHandler : public Poco::ErrorHandler {
 public:
     void exception(const Poco::Exception& error) override { tell(error.displayText()); }
@@ -40,8 +40,8 @@
     return id;
 }
 
-// POCO cuts the wait down to whole milliseconds: rounded up here, so that it neither spins in the last one
-// nor wakes before anything is due.
+// POCO truncates the wait to whole milliseconds: it is rounded up here, so that the loop neither spins during
+// the last millisecond nor wakes before anything is due.
 void Reactor::update_poll_timeout() {
     Duration wait = kLongestWait;
     if (const auto next = timers_.next_deadline()) wait = std::clamp(*next - clock_.now(), Duration(0), wait);
--- a/src/base/net/reactor.h
+++ b/src/base/net/reactor.h
@@ -1,4 +1,6 @@
-// POCO's SocketReactor with our timers: one thread, one turn after another.
+// The event loop: POCO's SocketReactor together with Timers. One thread runs it; each iteration runs the due
+// timers first, then serves the sockets that are ready. Nothing here is safe to call from another thread
+// (see Waker).
 #pragma once
 
 #include <Poco/Net/SocketReactor.h>
@@ -11,33 +13,39 @@
 
 namespace shaletray {
 
-// What is closed during a turn may still be on the call stack: it is handed over here and destroyed later.
+// Base of objects that are closed in a callback of their own: they may still be on the call stack, so their
+// destruction is deferred with Reactor::destroy_later.
 class RetiredObject {
 public:
     virtual ~RetiredObject() = default;
 };
 
+// Clock and timers are the caller's and outlive the reactor.
 class Reactor : public Poco::Net::SocketReactor {
 public:
     Reactor(const Clock& clock, Timers& timers);
 
-    // Runs first in each turn; it is told whether sockets are about to be served.
+    // Runs first in each iteration; its argument says whether sockets are about to be served.
     void set_pre_poll_task(std::function<void(bool)> task) { pre_poll_task_ = std::move(task); }
+    // Takes ownership of an object and destroys it at a later iteration.
     void destroy_later(std::unique_ptr<RetiredObject> object) {
         retired_objects_.push_back(std::move(object));
     }
-    // Destroys what was handed over. Only while nothing of it is on the call stack.
+    // Destroys the retired objects. Only while none of them is on the call stack.
     void destroy_retired() { retired_objects_.clear(); }
     const Clock& clock() const { return clock_; }
 
+    // Runs `task` once on the reactor's thread; see Timers.
     Timers::Id schedule_at(TimePoint deadline, Timers::Task task);
     Timers::Id schedule_after(Duration delay, Timers::Task task) {
         return schedule_at(clock_.now() + delay, std::move(task));
     }
     void cancel_timer(Timers::Id& timer) { timers_.cancel(timer); }
-    // The engine adds timers behind our back: to be called when a turn's work is done.
+    // Adapts the wait to the next deadline. Called at the end of an iteration, since the engine adds to the
+    // timers without passing through the reactor.
     void update_poll_timeout();
-    // Never sleeps: for who has to be on time within less than the millisecond that a wait is counted in.
+    // Polls without ever sleeping, for callers that need timers more precise than the poll's resolution of a
+    // millisecond.
     void set_busy_polling(bool enabled) { busy_polling_ = enabled; }
 
 protected:
--- a/src/base/net/stream.cpp
+++ b/src/base/net/stream.cpp
@@ -69,7 +69,7 @@
         sent_bytes_ = 0;
         return true;
     } catch (const Poco::Exception& error) {
-        return error.code() == POCO_EWOULDBLOCK;    // thrown, where the system takes nothing more for now
+        return error.code() == POCO_EWOULDBLOCK;    // POCO throws when the send buffer is full
     }
 }
 
@@ -133,9 +133,9 @@
 
 void Stream::set_reading(bool enabled) { update_interest(enabled, watches_writes_); }
 
-// POCO 1.11 goes on polling for what a removed handler wanted while the socket has another handler: left in
-// place after a dial, a writable socket would wake every turn and keep a whole core busy. Only the removal of
-// the last handler ends the polling, so all are removed before those still wanted are added.
+// POCO 1.11 keeps polling for the event of a removed handler while the socket has another handler: after a
+// connect, a writable socket would wake every iteration and keep a core busy. Only the removal of the last
+// handler ends the polling, so all are removed before those still needed are added.
 void Stream::update_interest(bool watch_reads, bool watch_writes) {
     if (!is_open_ || (watch_reads == watches_reads_ && watch_writes == watches_writes_)) return;
     const Poco::NObserver<Stream, Poco::Net::ReadableNotification> read_observer(*this, &Stream::on_readable);
@@ -153,7 +153,7 @@
     try {
         if (is_open_) socket_.shutdownSend();
     } catch (const Poco::Exception&) {
-        // It broke meanwhile, which reading will tell.
+        // The connection failed meanwhile, which the next read reports.
     }
 }
 
--- a/src/base/net/stream.h
+++ b/src/base/net/stream.h
@@ -1,5 +1,5 @@
-// A thin driver of one TCP connection: reads into the connection's buffer, writes what it is given, and tells
-// its owner. What the bytes mean is the owner's matter.
+// A non-blocking stream connection: reads into its input buffer, writes what it is given and notifies its
+// owner. The owner interprets the bytes. Only for the reactor's thread.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -13,15 +13,17 @@
 
 namespace shaletray {
 
+// Receives the events of a Stream. It outlives the stream and may close it in any of these callbacks.
 class StreamOwner {
 public:
     virtual ~StreamOwner() = default;
-    virtual void on_connected() {}
-    virtual void on_input() = 0;           // there is more in the buffer
-    virtual void on_all_sent() {}          // all that waited to be written is with the system now
-    virtual void on_disconnected() = 0;    // the other side ended the connection, or it broke
+    virtual void on_connected() {}         // connect() succeeded
+    virtual void on_input() = 0;           // the input buffer has more bytes
+    virtual void on_all_sent() {}          // the system has accepted all bytes that waited to be written
+    virtual void on_disconnected() = 0;    // the peer closed the connection, or it failed
 };
 
+// One connection, accepted or opened by us. Destruction closes it.
 class Stream {
 public:
     Stream(Reactor& reactor, StreamOwner& owner) : reactor_(reactor), owner_(owner) {}
@@ -29,26 +31,31 @@
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
 
-    void attach(const Poco::Net::StreamSocket& accepted, bool is_local = false);    // local: of no TCP
-    // False where it failed at once. Otherwise on_connected or on_broken follows.
+    // Takes over an accepted socket. `is_local`: a Unix domain socket, on which TCP options are not set.
+    void attach(const Poco::Net::StreamSocket& accepted, bool is_local = false);
+    // False if it failed at once; otherwise on_connected or on_disconnected follows.
     bool connect(const std::string& address);
-    // False where the connection broke. What the system does not take now is written later, then on_sent
-    // comes.
+    // False if the connection failed. Bytes that the system does not accept now are written later, followed
+    // by on_all_sent.
     bool write_bytes(std::string bytes);
     bool all_sent() const { return sent_bytes_ == unsent_buffer_.size(); }
-    std::size_t unsent_bytes() const { return unsent_buffer_.size() - sent_bytes_; }    // bytes
-    Poco::Net::StreamSocket& socket() { return socket_; }                               // for its options
+    std::size_t unsent_bytes() const { return unsent_buffer_.size() - sent_bytes_; }
+    Poco::Net::StreamSocket& socket() { return socket_; }    // to set its options
+    // Received bytes that the owner has not consumed yet.
     http::Buffer& input_buffer() { return input_buffer_; }
     const http::Buffer& input_buffer() const { return input_buffer_; }
-    // Reads what is there now, without waiting to be told.
+    // Reads what has arrived by now, without waiting for an event.
     void read_available();
-    // Nothing has come in that nobody has read, and the other side has not ended the connection.
+    // True if there is no unread input and the peer has not closed the connection.
     bool is_quiet();
+    // Backpressure: while disabled, nothing is read and the peer is slowed down by TCP.
     void set_reading(bool enabled);
+    // Closes the sending direction only; the peer can still be read.
     void shutdown_sending();
-    void close();    // the one place where the socket is given back
+    // Releases the socket; the only place that does. No callbacks follow.
+    void close();
     bool is_open() const { return is_open_; }
-    // The other side ended the connection in order, after all that it had to send.
+    // The peer closed its sending direction in order, after all its bytes.
     bool is_ended() const { return peer_ended_; }
 
 private:
@@ -63,13 +70,13 @@
     StreamOwner& owner_;
     Poco::Net::StreamSocket socket_;
     http::Buffer input_buffer_;
-    std::string unsent_buffer_;    // the message being written
+    std::string unsent_buffer_;    // bytes accepted by write_bytes and not entirely sent
     std::size_t sent_bytes_ = 0;
     bool peer_ended_ = false;
     bool is_open_ = false, is_connecting_ = false, watches_reads_ = false, watches_writes_ = false;
 };
 
-// Closes a connection that may still be on the call stack; it is destroyed later.
+// Closes a stream that may still be on the call stack and defers its destruction.
 void destroy_stream_later(Reactor& reactor, std::unique_ptr<Stream> stream);
 
 }    // namespace shaletray
--- a/src/base/net/unix_socket.cpp
+++ b/src/base/net/unix_socket.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Nobody answers at a socket that a killed process left behind.
+// A socket that a killed process left behind refuses connections.
 bool answered(const std::string& path) {
     try {
         Poco::Net::StreamSocket probe;
@@ -37,7 +37,7 @@
         if (answered(path)) throw std::runtime_error(path + ": another process listens there");
         ::unlink(path.c_str());
     }
-    // Nobody may come in before the mode is what it should be.
+    // No peer may connect before the file mode is set.
     Poco::Net::ServerSocket socket;
     const mode_t before = ::umask(0177);
     try {
--- a/src/base/net/unix_socket.h
+++ b/src/base/net/unix_socket.h
@@ -1,4 +1,4 @@
-// Sockets in the file system, whose mode says who may come.
+// Unix domain sockets at a path of the file system, where the file mode controls who may connect.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -7,9 +7,11 @@
 
 namespace shaletray {
 
-// Takes over the path from a process that is gone. Throws std::runtime_error where another one listens there
-// or the path is no socket, and Poco::Exception where it cannot be used.
+// Listens at `path` with file permissions `mode`, and replaces a socket that a dead process left behind.
+// Throws std::runtime_error if another process listens there or the path is not a socket, and Poco::Exception
+// if the path cannot be used.
 Poco::Net::ServerSocket listen_at(const std::string& path, int mode, int backlog);
+// The socket address of a path, to connect to it.
 Poco::Net::SocketAddress unix_address(const std::string& path);
 
 }    // namespace shaletray
--- a/src/base/net/waker.cpp
+++ b/src/base/net/waker.cpp
@@ -21,7 +21,7 @@
     if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe can be made");
     read_descriptor_ = ends[0];
     write_descriptor_ = ends[1];
-    poll_socket_ = PipeEnd(read_descriptor_);    // closes it in the end
+    poll_socket_ = PipeEnd(read_descriptor_);    // owns the descriptor from here on
     reactor_.addEventHandler(
         poll_socket_, Poco::NObserver<Waker, Poco::Net::ReadableNotification>(*this, &Waker::on_readable));
 }
@@ -35,7 +35,7 @@
 void Waker::wake() {
     if (wake_pending_.exchange(true)) return;
     const char byte = 0;
-    // A full pipe wakes as well.
+    // A failed write to a full pipe is harmless: its bytes wake the reactor.
     if (::write(write_descriptor_, &byte, 1) < 0) return;
 }
 
@@ -43,7 +43,7 @@
     char bytes[16];
     while (::read(read_descriptor_, bytes, sizeof bytes) > 0) {
     }
-    wake_pending_ = false;    // before the task looks: what is done from now on wakes anew
+    wake_pending_ = false;    // cleared before the task runs, so that work added during it wakes again
     task_();
     reactor_.update_poll_timeout();
 }
--- a/src/data_plane/limits/quota_state_table.cpp
+++ b/src/data_plane/limits/quota_state_table.cpp
@@ -8,32 +8,33 @@
 
 using namespace std::chrono_literals;
 
-// A holder stops this much before the giver counts on it: for clocks that run unlike, and for a busy turn.
+// A holder stops using a lease this much before its grantor assumes so, to allow for clock drift and for a
+// slow event loop iteration.
 constexpr double kClockDrift = 0.02;
 constexpr Duration kLeaseTurnMargin = 50ms;
-constexpr int kRenewsPerLease = 4;           // rows of customers in use are written anew so often in a lease
-constexpr int kOverdueLeaseEighths = 3;      // of a lease: by then a row should have come
-constexpr int kFreshLeaseDivisor = 2;        // of a lease: who was not heard for so long is not leased to
-constexpr int kExchangeDemandWindows = 5;    // demand windows after the last request, in which rows go on
-constexpr Duration kQuietReadDelay = 3s;     // without news of a customer, after which its rows are read less
-constexpr Duration kForgetDelay = 30s;       // after the last request, once nothing is owed any more
-constexpr double kMinShareWeight = 0.05;    // of an even part of the rate: a foot in the door for new traffic
-constexpr double kMinBaselineShift = 0.02;    // of a baseline: smaller moves are not worth what they lose,
-constexpr double kMinCalmBaselineShift =
-    0.12;                                    // and while no store of the quota runs low, neither are these
-constexpr double kLowLevelFraction = 0.5;    // of a store: below it, it runs low
+constexpr int kRenewsPerLease = 4;           // rows of active customers are rewritten so often within a lease
+constexpr int kOverdueLeaseEighths = 3;      // of a lease: a row should have arrived by then
+constexpr int kFreshLeaseDivisor = 2;        // of a lease: a peer silent for that long gets no new lease
+constexpr int kExchangeDemandWindows = 5;    // how long the exchange goes on after the last request
+constexpr Duration kQuietReadDelay = 3s;     // rows without a change for that long are read less often
+constexpr Duration kForgetDelay = 30s;       // after the last request, once no lease is outstanding
+constexpr double kMinShareWeight =
+    0.05;    // of an equal part of the rate, so that new traffic finds some allowance
+constexpr double kMinBaselineShift = 0.02;    // of a baseline: smaller moves cost more units than they gain,
+constexpr double kMinCalmBaselineShift = 0.12;    // and so do these while no quota bucket is low
+constexpr double kLowLevelFraction = 0.5;         // of a bucket: at or below it, it is low
 constexpr double kPressureRateFraction =
-    0.8;    // of the rate that is owned: who asks for more needs the others
+    0.8;    // of the gateway's own rate: a larger demand needs leases from others
 constexpr double kMinDemandChangeFraction =
-    0.25;    // told anew before its time where it moved by this part of itself,
+    0.25;    // demand is published early if it moved by this part of itself
 constexpr double kMinDemandChangeUnits =
-    0.3;    // and by so many units a second, or by this part of the plan's rate
+    0.3;    // and by so many units per second or this part of the plan's rate
 constexpr double kMinDemandChangeRateFraction = 0.1;
-constexpr int kMaxAveragedWindows = 4;    // demand windows, over which a deep store's demand is averaged
-constexpr double kCurrentHolderWeight =
-    3.0;    // advantage in weight of those who hold a small ceiling already
+constexpr int kMaxAveragedWindows =
+    4;    // demand windows over which the demand on a large bucket is averaged
+constexpr double kCurrentHolderWeight = 3.0;    // weight of gateways that hold a small rate limit already
 constexpr double kSmallShareRequests =
-    2.0;    // largest requests in an even part of a ceiling: below it, it is small
+    2.0;    // a rate limit is small if an equal part holds fewer of the largest requests
 
 double seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -139,8 +140,8 @@
                              std::max(0.0, plan_settings.rate - customer.reserved_rate) * quota_limit, now};
     if (account != nullptr)
         customer.quota_bucket.level = std::max(0.0, customer.quota_bucket.level - account->spent_units);
-    // An earlier life may have spent the ceiling: it counts from this start, and for the first lease's time
-    // only as far as nobody can hold any of it.
+    // An earlier incarnation may have used up the rate limit, so it accrues from this start; during the first
+    // lease duration only the reserve that nobody can hold a lease on.
     const double own_share = baseline_share(customer, customer.position);
     const double early = seconds(std::min(now - started_at_, settings_.lease_duration));
     const double late = seconds(std::max(Duration(0), now - started_at_ - settings_.lease_duration));
@@ -155,8 +156,8 @@
     return &customer;
 }
 
-// Where an even part of the ceiling has hardly room for a large request, parts are kept whole: only so many
-// gateways hold any at a time, each as much as the others.
+// If an equal part of the rate limit would barely hold a large request, only some gateways hold any of it at
+// a time, in equal parts.
 bool QuotaStateTable::has_small_quota(const Customer& customer) const {
     const decision::PlanSettings& plan_settings = customer_plan(customer);
     return plan_settings.ceiling_rate > 0.0 &&
@@ -164,7 +165,7 @@
                kSmallShareRequests * std::max(1.0, settings_.max_request_units);
 }
 
-// As the module has it where no ledger is: the first gateways of the set hold a ceiling that is small.
+// As in the decision module without this table: the first gateways of the set hold a small rate limit.
 int QuotaStateTable::quota_holders(const Customer& customer) const {
     const decision::PlanSettings& plan_settings = customer_plan(customer);
     if (plan_settings.ceiling_rate <= 0.0) return customer.set_size;
@@ -182,7 +183,8 @@
     return has_small_quota(customer) ? 0.0 : settings_.reserve_fraction;
 }
 
-// What an earlier life leased may still be in use, until its time is over or each other has seen this life.
+// Leases granted by an earlier incarnation may still be in use until they expire or every peer has
+// acknowledged this incarnation.
 bool QuotaStateTable::is_confined(const Customer& customer, TimePoint now) const {
     if (customer_plan(customer).ceiling_rate <= 0.0 || now - started_at_ >= settings_.lease_duration)
         return false;
@@ -207,7 +209,7 @@
     return peer.is_known && now - peer.last_heard < settings_.lease_duration / kFreshLeaseDivisor;
 }
 
-// Some gateway of the set is not heard: it may be gone, or apart from us and granting.
+// Whether a gateway of the set is silent: it may be down, or partitioned from us and still granting.
 bool QuotaStateTable::has_silent_peer(const Customer& customer, TimePoint now) const {
     if (now >= customer.exchange_until || now - customer.tracked_since < settings_.isolation_timeout)
         return false;
@@ -215,7 +217,7 @@
                        [&](const PeerState& peer) { return !is_fresh(peer, now); });
 }
 
-// A little longer than that: when all are heard again it takes a few rows until parts are leased by demand.
+// Lasts a little longer than the silence, since it takes a few rows until leases follow demand again.
 bool QuotaStateTable::is_isolated(const Customer& customer, TimePoint now) const {
     return now < customer.isolated_until || has_silent_peer(customer, now);
 }
@@ -241,7 +243,7 @@
     return share;
 }
 
-// A gateway that does not hear of all others stands in for them as far as the operator allows.
+// A gateway that does not hear all the others grants part of their quota, as far as the operator allows.
 double QuotaStateTable::quota_share(const Customer& customer, TimePoint now) const {
     const double share = base_quota_share(customer);
     if (!has_silent_peer(customer, now))
@@ -263,7 +265,7 @@
     return customer == nullptr ? 0.0 : quota_share(*customer, now);
 }
 
-// As long as the store of the quota lasts: what it evens out need not move shares.
+// The time that the quota bucket covers: variations that it absorbs need not move shares.
 double QuotaStateTable::demand_window(const Customer& customer) const {
     const decision::PlanSettings& plan_settings = customer_plan(customer);
     const double least = seconds(settings_.demand_window);
@@ -281,8 +283,8 @@
     return customer.demand * std::exp(-seconds(now - customer.demand_at) / demand_window(customer));
 }
 
-// What this gateway owns may not do for what is asked of it: rows must travel. Where it does, nothing is
-// exchanged at all, and each gateway keeps to its baseline.
+// Whether the gateway's own part may not satisfy its demand, so that rows must be exchanged. Without pressure
+// nothing is exchanged, and each gateway keeps to its baseline.
 bool QuotaStateTable::is_under_pressure(Customer& customer, TimePoint now) const {
     const decision::PlanSettings& plan_settings = customer_plan(customer);
     customer.quota_bucket.refill(now);
@@ -297,7 +299,7 @@
            kPressureRateFraction * baseline_share(customer, customer.position) * plan_settings.rate;
 }
 
-// Ends what ran out. A holder's end comes before its giver's, by the margins above.
+// Expires leases. A holder's lease expires before the grantor's record of it, by the margins above.
 bool QuotaStateTable::update_to_now(Customer& customer, TimePoint now) {
     for (PeerState& peer : customer.peers) {
         if (peer.lease_received > 0 && now >= peer.lease_expires_at) {
@@ -323,7 +325,7 @@
     const double quota_limit = quota_share(customer, now), ceiling = rate_limit_share(customer, now);
     const double burst = plan_settings.burst * quota_limit;
     if (burst < customer.quota_bucket.max_level &&
-        customer.quota_bucket.level > 0.0) {    // units go with the part that goes
+        customer.quota_bucket.level > 0.0) {    // units move with the part that is leased out
         const double level = customer.quota_bucket.level * burst / customer.quota_bucket.max_level;
         customer.unreported_units += level - customer.quota_bucket.level;
         customer.quota_bucket.level = level;
@@ -358,7 +360,7 @@
             ceiling.level};
 }
 
-// ---- what the gateway sees ----
+// ---- requests ----
 
 std::optional<Allowance> QuotaStateTable::on_request(CustomerId customer_id, int plan_index,
                                                      int first_gateway, int set_size, double units,
@@ -401,7 +403,7 @@
         }
         return;
     }
-    // Where there is no ceiling, nothing is owed to one that comes with a later plan.
+    // Without a rate limit no debt accrues that a later plan's rate limit would have to pay.
     if (customer_plan(*customer).ceiling_rate > 0.0) customer->rate_bucket.level -= units;
 }
 
@@ -409,12 +411,12 @@
     Customer* customer = find_customer(customer_id);
     if (customer == nullptr) return;
     customer->quota_bucket.refill(now);
-    // Given back, it holds no more than it could have held.
+    // Units that are returned cannot exceed the bucket.
     customer->quota_bucket.level =
         std::min(customer->quota_bucket.level - difference, customer->quota_bucket.max_level);
 }
 
-// ---- plans that change in service ----
+// ---- plans that change at runtime ----
 
 void QuotaStateTable::define_terms(int plan, CustomTerms terms) {
     if (plan >= 0 && static_cast<std::size_t>(plan) < settings_.plans.size())
@@ -422,8 +424,8 @@
     custom_terms_.emplace(plan, std::move(terms));
 }
 
-// Units only ever come from rate x time: whatever sequence of plans a customer goes through, it gets no more
-// than the largest of their stores once, and the largest rate.
+// Units accrue from rate x time only: whatever sequence of plans a customer goes through, it gets no more
+// than the largest burst once and the largest rate.
 void QuotaStateTable::switch_plan(CustomerId customer_id, Customer& customer, int target_plan,
                                   TimePoint now) {
     customer.quota_bucket.refill(now);
@@ -431,7 +433,7 @@
     const int before = quota_holders(customer);
     customer.plan_index = target_plan;
     ++statistics_.plan_switches;
-    // A lease is a part of a baseline. Where those are others now, it means nothing any more.
+    // A lease is a part of a baseline, and meaningless once the baselines have changed.
     if (quota_holders(customer) != before) {
         for (PeerState& peer : customer.peers) peer.lease_received = peer.lease_credited = 0;
     }
@@ -463,13 +465,12 @@
     Customer* const customer = find_customer(customer_id);
     if (customer == nullptr) return std::nullopt;
     customer->quota_bucket.refill(now);
-    const double remaining =
-        customer->quota_bucket.level;    // below nothing: the owner's quota makes up for it
+    const double remaining = customer->quota_bucket.level;    // if below 0, the owner's quota pays the debt
     const CustomTerms* const more = find_custom_terms(customer->plan_index);
     Customer* const owner = more == nullptr ? nullptr : find_customer(more->owner);
     const CustomerId owner_id = more == nullptr ? CustomerId{} : more->owner;
     erase_customer(customer_id);
-    if (owner == nullptr) return std::nullopt;    // not tracked: its own store is full
+    if (owner == nullptr) return std::nullopt;    // not tracked: its bucket is full anyway
     owner->quota_bucket.refill(now);
     const double back =
         std::min(remaining, std::max(0.0, owner->quota_bucket.max_level - owner->quota_bucket.level));
@@ -542,11 +543,11 @@
 
 // ---- rows ----
 
-// Each gateway leases out of its own baseline by what all of the set have asked for, as far as it hears of
-// them: as all do so, each one's parts add up to its part of the demand.
+// Each gateway leases out its own baseline in proportion to the demands of the set that it knows of: as all
+// do so, the parts that a gateway holds add up to its part of the total demand.
 void QuotaStateTable::divide_baseline(Customer& customer, TimePoint now) {
     struct Share {
-        PeerState* member;    // none: ourselves
+        PeerState* member;    // null: ourselves
         double weight, demand;
         std::uint32_t lease = 0;
     };
@@ -580,7 +581,7 @@
         for (Share& share : shares)
             share.lease = static_cast<std::uint32_t>((share.demand + base) / total_weight * kFullBaseline);
     }
-    // What is not leased on purpose stays here. Small moves wait, but not those that begin or end a lease.
+    // The rest stays here. Small changes are skipped, except those that begin or end a lease.
     std::map<PeerState*, std::uint32_t> target_leases;
     bool moves = false,
          is_low = customer.quota_bucket.level <= kLowLevelFraction * customer.quota_bucket.max_level;
@@ -605,9 +606,9 @@
     for (PeerState& peer : customer.peers) {
         const std::uint32_t target_lease = target_leases.contains(&peer) ? target_leases[&peer] : 0;
         if (target_lease <= peer.lease_granted) continue;
-        // What another may still act on is not given twice: the rest follows with a later row.
+        // Parts that another gateway may still use are not leased twice: the rest follows with a later row.
         const std::uint32_t free = lease_liability(peer) + retained_baseline(customer);
-        std::uint32_t others = 0;    // raised in this same row, and not posted yet
+        std::uint32_t others = 0;    // increases in this same row, not recorded yet
         for (const PeerState& other : customer.peers)
             others += &other != &peer && other.lease_granted > lease_liability(other)
                           ? other.lease_granted - lease_liability(other)
@@ -633,16 +634,17 @@
     for (PeerState& peer : customer.peers) {
         QuotaRow::Part& part = row.parts[static_cast<std::size_t>(peer.position)];
         if (peer.is_known) part = {peer.incarnation, peer.row_stamp, peer.lease_granted};
-        else peer.lease_granted = 0;    // it could not tell how old this is
+        else peer.lease_granted = 0;    // an unknown peer could not tell the lease's age
         if (!peer.outstanding_leases.empty() &&
             peer.outstanding_leases.back().lease_parts == peer.lease_granted)
             peer.outstanding_leases.pop_back();
-        // Nothing to remember where nothing was leased and nothing is.
+        // Nothing to record if nothing was or is leased.
         if (peer.lease_granted > 0 || !peer.outstanding_leases.empty())
             peer.outstanding_leases.push_back(
                 {customer.last_row_stamp, peer.lease_granted, now + settings_.lease_duration});
     }
-    update_shares(customer, now);    // before the row is out: from here on the others may act on it
+    update_shares(customer,
+                  now);    // before the row is published, since others may use its leases from then on
     row.fill_level = customer.quota_bucket.max_level > 0.0
                          ? std::clamp(customer.quota_bucket.level / customer.quota_bucket.max_level, 0.0, 1.0)
                          : 0.0;
@@ -653,7 +655,7 @@
 std::vector<std::pair<CustomerId, QuotaRow>> QuotaStateTable::rows_due(TimePoint now, std::size_t max_rows) {
     std::vector<std::pair<CustomerId, QuotaRow>> rows;
     while (rows.size() < max_rows && !dirty_customers_.empty()) {
-        // In turn, so that a crowd of new customers cannot keep another's leases from being renewed.
+        // In rotation, so that many new customers cannot keep another's leases from being renewed.
         auto found = dirty_customers_.upper_bound(in_force_cursor_);
         if (found == dirty_customers_.end()) found = dirty_customers_.begin();
         const CustomerId customer_id = in_force_cursor_ = *found;
@@ -687,7 +689,7 @@
         if (found == exchanging_customers_.end()) found = exchanging_customers_.begin();
         read_cursor_ = *found;
         Customer& customer = customers_.at(*found);
-        // Where nothing has moved for a while, rows come anew once in a renewal only.
+        // Rows that have not changed for a while are read twice per renewal only.
         const bool still = now - customer.last_changed_at > kQuietReadDelay &&
                            now - customer.last_read_at < settings_.lease_duration / (2 * kRenewsPerLease);
         if (still && !include_all) continue;
@@ -712,7 +714,8 @@
     const QuotaRow::Part& part = row.parts[static_cast<std::size_t>(customer->position)];
     const bool ours = part.echo_incarnation == settings_.incarnation;
     const auto row_age = static_cast<std::uint64_t>(std::max(Duration(0), now - started_at_).count());
-    if (ours && part.echo_stamp > row_age + 1'000'000) {    // we never said that: the store is spoilt
+    if (ours &&
+        part.echo_stamp > row_age + 1'000'000) {    // we never wrote that: the store's content is invalid
         ++statistics_.rows_ignored;
         return false;
     }
@@ -722,13 +725,14 @@
     }
     const bool other_life = !m.is_known || row.incarnation != m.incarnation;
     if (m.is_known && other_life) {
-        // A row of an earlier life, from a store that fell back. Only where the later one is long gone may
-        // the clock of that machine have been set back; all that the earlier one leased has run out by then.
+        // A row of an earlier incarnation, from a store that lost newer data. It is accepted only after a
+        // lease duration of silence, as after a clock of that machine was set back; all earlier leases have
+        // expired by then.
         if (row.incarnation < m.incarnation && now - m.last_heard < settings_.lease_duration) {
             ++statistics_.rows_ignored;
             return false;
         }
-        // And once a lower one was taken for the later, what the other wrote last must not come into force.
+        // After a lower incarnation was accepted, the last row of the higher one must not come into force.
         if (row.incarnation > m.incarnation && now < m.lease_cap_until) {
             ++statistics_.rows_ignored;
             return false;
@@ -750,7 +754,7 @@
     m.lease_received = 0;
     if (ours) {
         m.acknowledged_incarnation = true;
-        // Its lease is no older than our own row that it had read: by our own clock.
+        // Its lease is no older than our own row that it echoes, whose time is known by our own clock.
         m.lease_expires_at =
             started_at_ + Duration(static_cast<std::int64_t>(part.echo_stamp)) + lease_hold_time_;
         if (now < m.lease_expires_at) m.lease_received = part.lease_parts;
@@ -777,13 +781,13 @@
     customer->quota_bucket.level += moved;
     if (row.demand > 0.0)
         request_exchange(customer_id, *customer, now + settings_.lease_duration / kFreshLeaseDivisor, now);
-    // Said back soon where the other waits for it, or where it changes how our part is divided.
+    // Acknowledged soon if the peer waits for that, or if it changes how our part is divided.
     if (news || m.lease_received != previous_lease || lease_liability(m) != outstanding) {
         customer->last_changed_at = now;
         mark_dirty(customer_id, *customer);
     }
     schedule_customer(customer_id, *customer, now);
-    // The module is told with the next request or tick, whichever comes first.
+    // The decision module gets the change with the next request or tick.
     schedule_.erase({customer->next_due, customer_id});
     customer->next_due = now;
     schedule_.emplace(now, customer_id);
@@ -828,8 +832,7 @@
 // ---- time ----
 
 bool QuotaStateTable::is_forgettable(const Customer& customer, TimePoint now) const {
-    // Rows that could still be answered to are older than any lease by then: an old one can bring nothing
-    // back.
+    // By then every row of ours is older than any lease, so an echo of one cannot revive a lease.
     if (now < customer.exchange_until || now - customer.last_request_at < kForgetDelay ||
         now - customer.last_written_at <= settings_.lease_duration + kLeaseTurnMargin)
         return false;
@@ -840,7 +843,7 @@
            customer.rate_bucket.level >= customer.rate_bucket.max_level - 1e-9;
 }
 
-// Leases run out unless they are written anew; and who of the set does not speak is called once more.
+// Rewrites rows before their leases expire, and announces the customer again if a peer is silent.
 void QuotaStateTable::renew_leases(CustomerId customer_id, Customer& customer, TimePoint now) {
     if (now < customer.last_written_at + settings_.lease_duration / kRenewsPerLease) return;
     mark_dirty(customer_id, customer);
@@ -916,7 +919,7 @@
                                                                  Duration time) {
     const decision::PlanSettings& plan_settings = settings.plans.at(static_cast<std::size_t>(plan_index));
     const double quota_limit = plan_settings.rate * seconds(time) + plan_settings.burst;
-    // A full store passes any request, at each gateway.
+    // A bucket that is not in debt admits one request of any size, at each gateway.
     const double last = set_size * settings.max_request_units;
     return {quota_limit + last, quota_limit * (1.0 + (set_size - 1) * settings.isolated_quota_share) + last};
 }
--- a/src/data_plane/limits/quota_state_table.h
+++ b/src/data_plane/limits/quota_state_table.h
@@ -38,8 +38,8 @@
     std::uint64_t incarnation = 1;         // above 0, and larger at each start of the same gateway
     Duration lease_duration{8'000'000};    // the longest time that a lease is held
     double reserve_fraction = 0.25;        // part of a baseline's rate limit that is never leased
-    // Part of a quota that a gateway may grant while it hears not all the others, and how long a customer is
-    // tracked before that applies.
+    // Part of a quota that a gateway may grant while it does not hear all the others. That applies once a
+    // customer was tracked for `isolation_timeout`, and for as long again after all were heard.
     double isolated_quota_share = 0.7;
     Duration isolation_timeout{1'500'000};
     Duration demand_window{2'000'000};    // the shortest time over which a customer's demand is averaged
@@ -195,10 +195,10 @@
         double unreported_units =
             0.0;    // quota units moved in or out, not yet passed to the decision module
         double reported_demand = 0.0;
-        TimePoint isolated_until{};                     // it stands in for others, or did until lately
-        double isolated_share = 0.0;                    // with this part of the quota
-        TimePoint last_read_at{}, last_changed_at{};    // its rows last, and when they last brought something
-        TimePoint exchange_until{};                     // rows of it are exchanged until then
+        TimePoint isolated_until{};                     // it grants for silent peers, or did until recently
+        double isolated_share = 0.0;                    // this part of the quota
+        TimePoint last_read_at{}, last_changed_at{};    // when its rows were read, and last brought a change
+        TimePoint exchange_until{};                     // its rows are exchanged until then
         std::uint64_t last_row_stamp = 0;               // of our last row; 0: none yet
         TimePoint last_written_at{};
         bool is_dirty = false, is_reported = false;
--- a/src/data_plane/plans/change_replicator.cpp
+++ b/src/data_plane/plans/change_replicator.cpp
@@ -8,7 +8,7 @@
 namespace shaletray::plans {
 namespace {
 
-constexpr std::uint64_t kMaxPublishedEntries = 16;    // entries that are on the board at once
+constexpr std::uint64_t kMaxPublishedEntries = 16;    // entries in the store at the same time
 
 std::string progress_field_name(int gateway_index) { return fmt::format("bookat:{}", gateway_index); }
 std::string entry_field_name(std::uint64_t version) { return fmt::format("book:{}", version); }
@@ -35,7 +35,7 @@
     return fmt::format("{}:{:016x}", plan_table_.version(), plan_table_.chain_hash());
 }
 
-// The first entry that a gateway lacks which has said where it is, or has said nothing.
+// The first entry that some gateway lacks; one without published progress lacks all.
 std::uint64_t ChangeReplicator::first_missing_version() const {
     std::uint64_t least = plan_table_.version();
     for (int index = 0; index < gateway_count_; ++index) {
@@ -104,7 +104,7 @@
             published_progress_ = value;
             return;
         }
-        // Further than the keeper, or the same place with other entries: that is another book.
+        // Ahead of the owner, or at the same version with other entries: that is another change log.
         const std::uint64_t at = version.value_or(0), of = chain.value_or(0);
         const bool ours =
             at <= plan_table_.version() && (at == 0 || plan_table_.change_log()[at - 1].chain_hash == of);
--- a/src/data_plane/plans/change_replicator.h
+++ b/src/data_plane/plans/change_replicator.h
@@ -1,5 +1,6 @@
-// How the book's entries reach all gateways over the board: the keeper puts up what somebody still lacks,
-// each says how far it is, and all of it is written again where it does not stand there. Pure.
+// Replicates the plan table's change log to all gateways through fields of the shared store. The owner writes
+// the entries that a gateway still lacks, each gateway publishes its progress, and fields that were lost are
+// written again. Pure: no I/O; for one thread.
 #pragma once
 
 #include <functional>
@@ -13,18 +14,21 @@
 
 namespace shaletray::plans {
 
+// Totals since the start, apart from gateways_behind.
 struct ReplicationStatistics {
     std::uint64_t entries_written = 0, entries_received = 0;
-    std::uint64_t foreign_entries = 0;    // entries or states of another book
+    std::uint64_t foreign_entries = 0;    // entries or progress of another change log
     std::uint64_t bad_values = 0;
-    std::size_t gateways_behind = 0;    // gateways that are not where this one is, as they last said
+    std::size_t gateways_behind = 0;    // gateways whose published version differs from this one's
 };
 
+// The replication of one gateway, the owner's or another's.
 class ChangeReplicator : public plans::FieldExchange {
 public:
-    using ApplyChange = std::function<void(const PlanChange&)>;    // throws BadChange
+    // Appends an entry to the plan table. Throws InvalidChange.
+    using ApplyChange = std::function<void(const PlanChange&)>;
 
-    // `book` outlives it; `take` puts an entry into that book.
+    // `plan_table` outlives it, and is what `apply_change` appends to.
     ChangeReplicator(int own_index, int gateway_count, bool is_owner, const PlanTable& plan_table,
                      ApplyChange apply_change);
 
@@ -33,8 +37,8 @@
     void on_field_read(const std::string& field, const std::string& value, TimePoint now) override;
     void on_field_absent(const std::string& field) override;
     ReplicationStatistics statistics() const;
-    // Nothing newer stood on the board when it was last read; a keeper has all there is. Until then a gateway
-    // that starts may hold an old book.
+    // The store had nothing newer when it was last read; true for the owner. A gateway that has just started
+    // may hold old plans until then.
     bool is_current() const { return is_owner_ || is_current_; }
 
 private:
@@ -49,9 +53,9 @@
     const PlanTable& plan_table_;
     ApplyChange apply_change_;
     std::map<int, Progress> progress_by_gateway_;
-    std::string published_progress_;    // our own place as it stands on the board
-    std::map<std::uint64_t, std::uint64_t>
-        published_entries_;    // entries that were read back, by their chain
+    std::string published_progress_;    // our own progress as read back from the store
+    // Chain hashes of the entries that were read back, by version.
+    std::map<std::uint64_t, std::uint64_t> published_entries_;
     ReplicationStatistics statistics_;
 };
 
--- a/src/data_plane/plans/field_exchange.h
+++ b/src/data_plane/plans/field_exchange.h
@@ -1,5 +1,6 @@
-// What others than the ledger put on the board and read from it, in the same calls as the rows. Whatever
-// stands there may be lost, old or somebody else's: a notice is written again until it is read back.
+// Interface for further fields of the shared store, exchanged in the same calls as the quota rows. The store
+// may lose fields, return old ones or hold another installation's: a field is written again until it is read
+// back.
 #pragma once
 
 #include <string>
@@ -10,12 +11,14 @@
 
 namespace shaletray::plans {
 
+// Called by the store's session on the reactor's thread.
 class FieldExchange {
 public:
     virtual ~FieldExchange() = default;
+    // Names and values to write, and names to read, in the next exchange.
     virtual std::vector<std::pair<std::string, std::string>> fields_to_write() = 0;
     virtual std::vector<std::string> fields_to_read() = 0;
-    // Of each wanted field that was there; the others are told as absent.
+    // Called for each requested field that exists; on_field_absent for the others.
     virtual void on_field_read(const std::string& field, const std::string& value,
                                decision::TimePoint now) = 0;
     virtual void on_field_absent(const std::string& field) = 0;
--- a/src/data_plane/plans/plan_change.cpp
+++ b/src/data_plane/plans/plan_change.cpp
@@ -15,7 +15,7 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMaxTextLength = 4096;    // of one change: nothing that an operator means is longer
+constexpr std::size_t kMaxTextLength = 4096;    // bytes of one change, beyond any legitimate one
 
 std::int64_t to_microseconds(TimePoint t) { return t.time_since_epoch().count(); }
 
@@ -55,7 +55,7 @@
     return std::visit(Write{}, body);
 }
 
-// Reads fields of one object; whatever was not asked for is wrong, as it would be lost without a word.
+// Reads the fields of one object. Unknown fields are an error, since ignoring them would lose data silently.
 class FieldReader {
 public:
     explicit FieldReader(std::string_view text) {
@@ -182,7 +182,7 @@
         rest = end;
     }
     if (std::string_view(rest) != "Z") return std::nullopt;
-    // strptime takes the 31st of February for a day; the calendar does not.
+    // strptime accepts days like the 31st of February, which the calendar does not have.
     const int day = tm.tm_mday;
     const std::int64_t seconds = timegm(&tm);
     const std::time_t again = seconds;
--- a/src/data_plane/plans/plan_service.cpp
+++ b/src/data_plane/plans/plan_service.cpp
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kFirstAccountId = 1ULL << 63;    // no customer's number is as high
-constexpr std::size_t kMaxCustomersPerTurn = 2000;       // customers that are looked at in a turn
+constexpr std::uint64_t kFirstAccountId = 1ULL << 63;    // above all customer ids
+constexpr std::size_t kMaxCustomersPerTurn = 2000;       // bounds the time of one event loop iteration
 constexpr std::size_t kMaxKnownCustomers = 200'000;
 constexpr double kRoundingTolerance = 1e-9;
 
@@ -48,7 +48,7 @@
     limits::CustomTerms custom_terms;
     custom_terms.plan_settings = plan_table_.platform_plan(base_plan);
     custom_terms.plan_settings.ceiling_rate = custom_terms.plan_settings.ceiling_burst =
-        0.0;    // its owner's is drawn on
+        0.0;    // the owner's rate limit is charged
     custom_terms.plan_settings.burst = reservation.definition.units;
     const bool ahead = reservation.fully_reserved_at <= reservation.definition.starts_at;
     custom_terms.plan_settings.rate = ahead ? 0.0 : reservation.reservation_rate();
@@ -66,7 +66,7 @@
     limits::CustomerStanding customer_state;
     customer_state.reserved_rate = plan_table_.reserved_rate(customer_id, now);
     if (quota_state_table_.is_tracked(customer_id))
-        return customer_state;    // its stores are known; the rest is for one that begins
+        return customer_state;    // the rest initializes buckets, which it has already
     const PlanTable::RestedLevels rested = plan_table_.rested_levels(customer_id, asked_plan, now);
     customer_state.rested_quota_units = rested.quota_units;
     customer_state.rested_rate_units = rested.rate_units;
@@ -103,7 +103,7 @@
             }
         }
     }
-    // It is judged as its customer's other requests are.
+    // It is charged like the customer's other requests.
     ++statistics_.failed_redemptions;
     return decision;
 }
@@ -112,7 +112,7 @@
                                    TimePoint now, std::vector<Allowance>& allowances) {
     if (decision.reservation_version == 0) {
         quota_state_table_.record_admission(customer_id, units, now);
-        // Accounts of it go by the same ceiling.
+        // The customer's accounts share its rate limit.
         for (const Reservation* reservation : plan_table_.customer_reservations(customer_id)) {
             if (!open_reservations_.contains(reservation->definition.reservation_id)) continue;
             if (const auto a = quota_state_table_.refresh_allowance(reservation_account(*reservation), now))
@@ -134,7 +134,7 @@
         now);
 }
 
-// Where the account was closed meanwhile, what was left of it is back with its owner, who pays.
+// If the account was closed meanwhile, its remaining units went back to its owner, who pays.
 CustomerId PlanService::paying_customer(const PlanDecision& decision, CustomerId customer_id) const {
     return open_reservations_.contains(plan_table_.reservation_name(decision.reservation_version))
                ? decision.account
@@ -145,7 +145,7 @@
     plan_table_.append(change);
     ++statistics_.applied_changes;
     if (change.effective_at > effects_queued_until_)
-        return;    // its time is still to come, and is in the book's schedule
+        return;    // takes effect later, by the plan table's schedule
     ++statistics_.late_changes;
     statistics_.max_lateness = std::max(statistics_.max_lateness, now - change.effective_at);
     queue_effects(plan_table_.effects_of(change));
@@ -154,7 +154,7 @@
 void PlanService::queue_effects(const PlanTable::Effects& effects) {
     for (const CustomerId customer_id : effects.customers) queued_customers_.push_back(customer_id);
     if (effects.plans.empty()) return;
-    // Whoever has the plan, by whatever way: all that are tracked are looked at anew.
+    // A customer may have the plan in several ways, so all tracked customers are determined again.
     for (const CustomerId customer_id : quota_state_table_.tracked_customers()) {
         if ((static_cast<std::uint64_t>(customer_id) & kFirstAccountId) == 0)
             queued_customers_.push_back(customer_id);
@@ -202,7 +202,8 @@
         statistics_.max_delay = std::max(statistics_.max_delay, now - processing_since_);
         processing_since_ = {};
     }
-    if (known_customers_.size() >= kMaxKnownCustomers) {    // those that the ledger forgot
+    if (known_customers_.size() >=
+        kMaxKnownCustomers) {    // drops those that the quota table no longer tracks
         std::set<CustomerId> tracked;
         for (const CustomerId customer_id : quota_state_table_.tracked_customers())
             tracked.insert(customer_id);
--- a/src/data_plane/plans/plan_service.h
+++ b/src/data_plane/plans/plan_service.h
@@ -1,5 +1,5 @@
-// Where a request meets the plan book: which plan it is judged under, which account it draws on, and what the
-// decisions must know of that. Pure; it holds the book and speaks to the ledger.
+// Decides which plan and account a request is charged to, and keeps the quota table in step with the plan
+// table as changes take effect. Pure: no I/O and no clock; for one thread. It owns the plan table.
 #pragma once
 
 #include <deque>
@@ -16,63 +16,69 @@
 using decision::Allowance;
 using limits::QuotaStateTable;
 
+// Totals since the start, apart from open_reservations.
 struct PlanServiceStatistics {
-    std::uint64_t applied_changes = 0;       // taken into the book in this life
-    std::uint64_t late_changes = 0;          // heard of after their time
-    Duration max_lateness{0};                // by how much, at most
-    Duration max_delay{0};                   // from a change's time until it was acted on here, at most
-    std::uint64_t redemptions = 0;           // tries that drew on a reservation
-    std::uint64_t failed_redemptions = 0;    // tries that named one which is not open, not theirs or used up
-    std::size_t open_reservations = 0;       // reservations that may be drawn on now
+    std::uint64_t applied_changes = 0;    // appended to the plan table
+    std::uint64_t late_changes = 0;       // received after their effective time
+    Duration max_lateness{0};             // the largest such delay
+    Duration max_delay{0};                // the longest from a change's effective time until it was applied
+    std::uint64_t redemptions = 0;        // requests charged to a reservation
+    std::uint64_t failed_redemptions = 0;    // requests whose reservation is closed, foreign or used up
+    std::size_t open_reservations = 0;       // reservations that may be charged now
 };
 
+// Functions that append allowances append what the decision module must be given next.
 class PlanService {
 public:
-    // `redeemed`: units that this gateway drew on reservations in earlier lives, by version.
+    // `quota_state_table` outlives it. `redeemed_units`: units that this gateway charged to reservations in
+    // earlier incarnations, by the reservation's version.
     PlanService(PlanTable plan_table, QuotaStateTable& quota_state_table, TimePoint now,
                 std::map<std::uint64_t, double> redeemed_units = {});
 
-    // How a request is judged and billed, for all of its attempts.
+    // How a request is charged and billed, for all of its attempts.
     struct PlanDecision {
-        CustomerId account{};    // the module's customer: the customer, or its reservation's account
-        int plan_index = 0;      // the module's
+        CustomerId account{};    // for the decision module: the customer, or its reservation's account
+        int plan_index = 0;      // for the decision module
         std::uint64_t plan_version = 0, reservation_version = 0;
     };
-    // Appends what the module must be told before the request.
+    // Decides on a request that arrived.
     PlanDecision decide_plan(CustomerId customer_id, int asked_plan, int first_gateway, int set_size,
                              double units, const std::string& reservation, TimePoint now,
                              std::vector<Allowance>& allowances);
-    // It is about to be sent for the first time. Appends what others must be told.
+    // The request is about to be sent for the first time: charges its units.
     void record_admission(const PlanDecision& decision, CustomerId customer_id, double units, TimePoint now,
                           std::vector<Allowance>& allowances);
-    // Its answer told its true units: whoever paid at admission is charged `difference` more, as
-    // Ledger::settled. What was redeemed of a reservation stays counted by the guess.
+    // The response reported the actual units: the account that was charged at admission is charged
+    // `difference` more, see QuotaStateTable::settle_units. The redeemed units of a reservation keep the
+    // estimate.
     void settle_units(const PlanDecision& decision, CustomerId customer_id, double difference, TimePoint now);
 
-    // Told of each sum that is raised, before the attempt is sent.
+    // `handler` gets each new total of a reservation's redeemed units before the attempt is sent, to persist
+    // it.
     void set_redemption_handler(std::function<void(std::uint64_t version, double units)> handler) {
         redemption_handler_ = std::move(handler);
     }
 
     const PlanTable& plan_table() const { return plan_table_; }
-    // The next entry of the book, made here or heard of. Throws BadChange.
+    // Appends the next change, made here or received. Throws InvalidChange.
     void apply_change(const PlanChange& change, TimePoint now);
 
-    // What has taken effect by now; appends what the module must be told. To be called when `next` is due; a
-    // large change is carried out in several calls.
+    // Applies changes that have taken effect by now. To be called at next_deadline(); a change that affects
+    // many customers takes several calls.
     void apply_due_effects(TimePoint now, std::vector<Allowance>& changed);
     std::optional<TimePoint> next_deadline() const;
 
-    // Units drawn on a reservation here, in this life and earlier ones, by its version.
+    // Units charged to reservations by this gateway, in this incarnation and earlier ones, by version.
     const std::map<std::uint64_t, double>& redeemed_units() const { return redeemed_units_; }
     PlanServiceStatistics statistics(TimePoint now) const;
 
 private:
-    struct KnownCustomer {    // customers that the ledger may track: what their requests said
+    // A customer that the quota table may track, with the plan that its requests name.
+    struct KnownCustomer {
         int asked_plan = 0;
     };
     static CustomerId reservation_account(const Reservation& reservation);
-    // Whose quota pays for a request drawn on a reservation: its account, or its owner once it was closed.
+    // Who pays for a request charged to a reservation: its account, or its owner once that was closed.
     CustomerId paying_customer(const PlanDecision& decision, CustomerId customer_id) const;
     int define_terms(const EffectivePlan& effective_plan);
     void open_account(const Reservation& reservation, int base_plan);
@@ -84,10 +90,10 @@
 
     PlanTable plan_table_;
     QuotaStateTable& quota_state_table_;
-    TimePoint effects_queued_until_{};    // effects up to here are queued
+    TimePoint effects_queued_until_{};    // effects up to this time were queued
     std::map<CustomerId, KnownCustomer> known_customers_;
-    std::deque<CustomerId> queued_customers_;    // to be looked at anew
-    std::set<std::string> open_reservations_;    // reservations whose accounts are open
+    std::deque<CustomerId> queued_customers_;    // whose plan must be determined again
+    std::set<std::string> open_reservations_;    // ids of reservations whose accounts are open
     std::map<std::uint64_t, double> redeemed_units_;
     std::function<void(std::uint64_t, double)> redemption_handler_;
     TimePoint processing_since_{};
--- a/src/data_plane/plans/plan_table.cpp
+++ b/src/data_plane/plans/plan_table.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t kMaxNameLength = 64;
 constexpr int kMaxSuccessors = 8;
 constexpr double kRoundingTolerance = 1e-9;
-constexpr Duration kFullRefillTime = 1h;         // after which any store is taken for full,
-constexpr std::size_t kMaxRefillChanges = 64;    // and how many changes are gone through for less
+constexpr Duration kFullRefillTime = 1h;         // after which any bucket is assumed to be full
+constexpr std::size_t kMaxRefillChanges = 64;    // changes of a rate that are followed up to then
 
 double to_seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -90,7 +90,7 @@
     return found == subject_versions_.end() ? 0 : found->second;
 }
 
-// ---- what holds ----
+// ---- effective state ----
 
 std::optional<EffectivePlan> PlanTable::resolve_terms(const std::string& plan, TimePoint time,
                                                       int depth) const {
@@ -104,7 +104,7 @@
                     return successor_terms;
             }
         }
-        // The newest terms whose time has come; a withdrawal has none of its own.
+        // The newest terms in effect; a withdrawal has none of its own.
         const auto& entries = found->second.entries;
         for (auto entry = entries.rbegin(); entry != entries.rend(); ++entry) {
             const auto* defined = std::get_if<DefinePlan>(&entry->value);
@@ -180,7 +180,7 @@
                                 time - std::prev(found)->first <= kFullRefillTime;
          ++index)
         --found;
-    // From before the first of those on, by the rule that a change goes by.
+    // Starts just before the first of these changes and refills as the buckets do at each change.
     EffectivePlan effective_plan = effective_plan_for(customer_id, asked_plan, found->first - 1us);
     RestedLevels r{effective_plan.terms.burst, effective_plan.terms.ceiling_burst};
     const auto grow = [&](TimePoint from, TimePoint to) {
@@ -223,7 +223,7 @@
     return count;
 }
 
-// ---- what is asked for ----
+// ---- proposals ----
 
 std::variant<PlanChange, ChangeRejection> PlanTable::validate_proposal(const ChangeProposal& p,
                                                                        TimePoint now) const {
@@ -260,8 +260,7 @@
     change.version = version() + 1;
     change.expected_version = p.expected_version;
     change.made_at = now;
-    // Never before all can have heard of it; what was meant for an earlier time takes effect as soon as it
-    // can.
+    // Not before all gateways can have received it; an earlier time is moved to that.
     change.effective_at = std::max(p.effective_at.value_or(now), now + settings_.lead_time);
     if (change.effective_at > now + settings_.max_lead_time)
         return reject_change(Why::TooFarAhead, "the effective time is too far ahead");
@@ -297,7 +296,7 @@
     if (!figure(terms_value.rate) || !figure(terms_value.burst) || !figure(terms_value.ceiling_rate) ||
         !figure(terms_value.ceiling_burst) || !figure(terms_value.ceiling_slack))
         return reject_change(Why::Invalid, "figures must be 0 to 1e9");
-    // What the platform's plan has not, the decisions do not look at.
+    // The decision module ignores limits that the base plan does not have.
     if ((terms_value.rate > 0.0) != (base.rate > 0.0) ||
         (terms_value.rate > 0.0) != (terms_value.burst > 0.0))
         return reject_change(Why::Invalid,
@@ -322,7 +321,7 @@
     if (!is_known_plan(withdrawal.plan))
         return reject_change(Why::Unknown, fmt::format("plan: there is no plan \"{}\"", withdrawal.plan));
     if (withdrawal.successor.empty()) return std::nullopt;
-    // Successors must end somewhere, now and whenever one of them is withdrawn.
+    // The chain of successors must end, now and whenever one of them is withdrawn.
     std::string successor = withdrawal.successor;
     for (int depth = 0; depth < kMaxSuccessors; ++depth) {
         if (!is_known_plan(successor))
@@ -363,7 +362,7 @@
 
 Reservation PlanTable::make_reservation(const MakeReservation& definition, TimePoint effective_at,
                                         std::uint64_t version) {
-    // Ahead of its window where there is time for that, else along with it.
+    // Units accumulate before the window if there is time, else during it.
     return {definition, version, effective_at,
             effective_at < definition.starts_at ? definition.starts_at : definition.ends_at,
             definition.ends_at};
@@ -374,7 +373,7 @@
     return assigned_plan.empty() ? reservation.plan : assigned_plan;
 }
 
-// The times at which what may be carved, or what is, changes while it is carved.
+// The times at which the available or the reserved rate may change while a reservation accumulates.
 std::vector<TimePoint> PlanTable::rate_change_times(const Reservation& reservation) const {
     std::vector<TimePoint> times{reservation.starts_at};
     for (auto found = schedule_.upper_bound(reservation.starts_at);
@@ -383,8 +382,8 @@
     return times;
 }
 
-// Units a second that may still be carved over all of its time, other reservations but `but` left as they
-// are.
+// Units per second that may still be reserved during all of the candidate's accumulation, given all other
+// reservations except `excluded_id`.
 double PlanTable::available_rate(const Reservation& candidate, const std::string& excluded_id) const {
     double least = kMaxFigure;
     for (const TimePoint time : rate_change_times(candidate)) {
@@ -392,7 +391,7 @@
             const auto terms = resolve_terms(reservation_plan(of, time), time);
             return terms ? terms->terms.rate : 0.0;
         };
-        // Where the book assigns no plan, each names its own: they must all fit into the least of them.
+        // Without an assigned plan each reservation names its own: all must fit into the smallest rate.
         double out = 0.0, of = rate(candidate.definition);
         for (const Reservation* other : customer_reservations(candidate.definition.customer)) {
             if (other->definition.reservation_id == excluded_id || !other->is_accumulating(time)) continue;
@@ -458,7 +457,7 @@
     return std::nullopt;
 }
 
-// No change may take from under a reservation what is being carved for it.
+// No change may reduce a rate below what its reservations need.
 std::optional<ChangeRejection> PlanTable::check_reserved_total(const PlanChange& change) const {
     if (reservations_.empty() || std::holds_alternative<MakeReservation>(change.body) ||
         std::holds_alternative<ReleaseReservation>(change.body))
@@ -473,7 +472,7 @@
             concerned.push_back(&reservation);
     }
     if (concerned.empty()) return std::nullopt;
-    // The book as it would be, as far as those look at it.
+    // The table after the change, as far as the checks below read it.
     PlanTable after{settings_};
     after.plans_ = plans_;
     after.schedule_ = schedule_;
@@ -551,7 +550,7 @@
 bool PlanTable::matches_latest(const ChangeBody& body) const {
     const std::uint64_t newest = subject_version(subject_of(body));
     if (newest > 0) return change_log_[newest - 1].body == body;
-    // Nobody ever said anything: the platform's own plans are as they are, and customers have none.
+    // No entry exists: the platform's plans are unchanged, and customers have no assigned plan.
     if (const auto* definition = std::get_if<DefinePlan>(&body)) {
         const int own = find_platform_plan(definition->plan_name);
         if (own < 0) return false;
--- a/src/data_plane/plans/plan_table.h
+++ b/src/data_plane/plans/plan_table.h
@@ -1,7 +1,7 @@
-// The plan book: plans, customers' assignments and reservations as versions with an effective time and an
-// author, all kept. Pure: no I/O and no clock. What holds at a time follows from the entries alone: of those
-// of a subject whose time has come, the newest. So gateways that have the same entries hold the same, in
-// whatever order and however late they heard of them. See docs/design/plans.md.
+// Plans, customers' assignments and reservations, derived from an append-only log of changes, each with a
+// version, an effective time and an author. Pure: no I/O and no clock; for one thread. What applies at a time
+// follows from the entries alone: for each subject the newest entry that has taken effect. So gateways with
+// the same entries agree, however late they received them. See docs/design/plans.md.
 #pragma once
 
 #include <map>
@@ -13,107 +13,117 @@
 
 namespace shaletray::plans {
 
+// The platform's plans and the bounds of the table.
 struct PlanTableSettings {
     std::vector<decision::PlanSettings> platform_plans;
-    bool table_overrides_request = false;              // over the plan that a request names
+    bool table_overrides_request = false;              // an assigned plan overrides the one a request names
     Duration lead_time{2'000'000};                     // from a change to its effect, at least
-    Duration max_lead_time{86'400'000'000LL * 400};    // of an effect or the end of a window
-    double max_reserved_fraction = 0.5;    // of a customer's rate, by all its reservations at once
+    Duration max_lead_time{86'400'000'000LL * 400};    // to an effect or the end of a reservation, at most
+    double max_reserved_fraction = 0.5;    // of a customer's rate, by all its reservations together
     std::size_t max_plans = 1000, max_customers = 1'000'000, max_reservations = 100'000;
-    std::size_t max_reservations_per_customer = 16;    // reservations of one customer that are not over
+    std::size_t max_reservations_per_customer = 16;    // that have not ended
 };
 
+// Why a proposal is rejected, with what the operator needs to correct it.
 struct ChangeRejection {
     enum class Reason { Stale, Unknown, Invalid, Closed, OverCapacity, TooFarAhead, Full };
     Reason reason{};
     std::string text;
-    std::uint64_t latest_version = 0;    // version of the subject
+    std::uint64_t latest_version = 0;    // of the subject
     std::string latest_author;
-    std::optional<double> max_acceptable;    // TooMuch: the largest amount that would
+    std::optional<double> max_acceptable;    // OverCapacity: the largest amount that would be accepted
 };
+// The reason as it is written in replies.
 const char* reason_name(ChangeRejection::Reason reason);
 
-// A plan as it is for a customer at a time.
+// The plan that applies to a customer at a time.
 struct EffectivePlan {
-    int terms_index =
-        0;    // of the platform: its index; of the book: kBookTerms + the version that defined them
-    int base_plan = 0;    // the platform's plan behind it
+    // A platform plan's own index, or kFirstTableTerms + the version that defined the terms.
+    int terms_index = 0;
+    int base_plan = 0;    // index of the platform's plan that it is based on
     PlanTerms terms;
     std::string plan_name;
-    std::uint64_t terms_version = 0;         // that defined the terms; 0: the platform's own
-    std::uint64_t assignment_version = 0;    // that assigned the plan; 0: the request named it
+    std::uint64_t terms_version = 0;         // the change that defined the terms; 0: the platform's own
+    std::uint64_t assignment_version = 0;    // the change that assigned the plan; 0: the request named it
     bool operator==(const EffectivePlan&) const = default;
 };
+// Smallest terms index of this table; larger than the number of the platform's plans.
 constexpr int kFirstTableTerms = 1024;
 
+// A reservation with the times that follow from its change.
 struct Reservation {
     MakeReservation definition;
     std::uint64_t version = 0;
-    TimePoint starts_at{}, fully_reserved_at{};    // carved evenly from start until full
-    TimePoint ends_at{};                // it takes nothing from then on: the window's end, or its release
-    double reservation_rate() const;    // units a second
-    // Of its units, carved by then.
+    TimePoint starts_at{}, fully_reserved_at{};    // units are taken evenly between these
+    TimePoint ends_at{};                           // the end of its window, or its release
+    double reservation_rate() const;               // units per second, while it accumulates
+    // Units taken from the quota by `time`.
     double reserved_units(TimePoint time) const;
     bool is_accumulating(TimePoint time) const {
         return time >= starts_at && time < std::min(fully_reserved_at, ends_at);
     }
-    // Not before its change is in effect, however early its window begins.
+    // Not before its change takes effect, however early its window begins.
     bool is_open(TimePoint time) const {
         return time >= std::max(definition.starts_at, starts_at) && time < ends_at;
     }
     bool operator==(const Reservation&) const = default;
 };
 
+// The change log and the state that follows from it. Copyable.
 class PlanTable {
 public:
     // Throws decision::BadSettings.
     explicit PlanTable(PlanTableSettings settings);
 
-    // What would become of it, without doing it. The same request once more gives the same change.
+    // The change or rejection that a proposal results in, without appending it. A repeated request key gives
+    // the change that was made before.
     std::variant<PlanChange, ChangeRejection> validate_proposal(const ChangeProposal& proposal,
                                                                 TimePoint now) const;
-    // The next entry. Throws BadChange where it does not follow on from what is here, or makes no sense; the
-    // book is as before then.
+    // Appends the next entry. Throws InvalidChange, and changes nothing, if it does not follow the last one
+    // or is not valid.
     void append(const PlanChange& change);
 
-    // Throws as apply would, and changes nothing: for who must keep the entry before it counts.
+    // Throws as append would and changes nothing, for callers that persist an entry before appending it.
     static void validate_next(const PlanTable& plan_table, const PlanChange& change) {
         plan_table.validate_entry(change);
     }
 
+    // The version of the last entry; 0: none.
     std::uint64_t version() const { return change_log_.size(); }
     std::uint64_t chain_hash() const { return change_log_.empty() ? 0 : change_log_.back().chain_hash; }
     const std::vector<PlanChange>& change_log() const { return change_log_; }
     // The newest version of a subject; 0: none.
     std::uint64_t subject_version(const std::string& subject) const;
 
+    // `asked_plan`: the platform's plan that the request names.
     EffectivePlan effective_plan_for(CustomerId customer_id, int asked_plan, TimePoint time) const;
-    // Whether the newest word on a body's subject is just that, in force already or not.
+    // Whether the newest entry of the body's subject is equal to it, in effect already or not.
     bool matches_latest(const ChangeBody& body) const;
-    // A plan's own terms, or its successor's; nothing where it has none at that time.
+    // A plan's own terms, or its successor's; empty if it has none at that time.
     std::optional<EffectivePlan> plan_terms(const std::string& plan, TimePoint time) const {
         return resolve_terms(plan, time);
     }
-    // What the book assigns, where the file lets it win or not.
+    // The assigned plan, whether or not it overrides the one that requests name; empty: none.
     std::string assigned_plan_name(CustomerId customer_id, TimePoint time) const;
-    // Units a second that are carved out of the customer's quota.
+    // Units per second that are taken from the customer's quota for reservations.
     double reserved_rate(CustomerId customer_id, TimePoint time) const;
+    // Null if there is none. Valid until the next append.
     const Reservation* find_reservation(const std::string& reservation_id) const;
-    std::string reservation_name(std::uint64_t version) const;    // empty where that version made none
+    std::string reservation_name(std::uint64_t version) const;    // empty if that version made none
     const decision::PlanSettings& platform_plan(int plan) const {
         return settings_.platform_plans.at(static_cast<std::size_t>(plan));
     }
-    // What a customer's stores would hold, over all gateways, had it drawn nothing lately: after a change to
+    // Units that a customer's buckets would hold over all gateways without recent requests: after a change to
     // a larger plan they are not full at once. Below 0: full.
     struct RestedLevels {
         double quota_units = -1.0, rate_units = -1.0;
     };
     RestedLevels rested_levels(CustomerId customer_id, int asked_plan, TimePoint time) const;
     std::vector<const Reservation*> customer_reservations(CustomerId customer_id) const;
-    std::vector<std::string> plan_names() const;    // names, the platform's first
+    std::vector<std::string> plan_names() const;    // the platform's first
     std::size_t customer_count(const std::string& plan, TimePoint time) const;
 
-    // What takes effect after `from` and by `to`.
+    // Subjects for which a change takes effect after `from` and by `to`.
     struct Effects {
         std::set<std::string> plans;
         std::set<CustomerId> customers;
@@ -122,12 +132,12 @@
     };
     Effects effects_between(TimePoint from, TimePoint to) const;
     std::optional<TimePoint> next_effect_after(TimePoint time) const;
-    // What the entry changes wherever its time lies: for gateways that hear of it late.
+    // Subjects that an entry affects at any time, for gateways that receive it late.
     Effects effects_of(const PlanChange& change) const;
 
 private:
     template <class T>
-    struct Versions {    // of one subject, by version
+    struct Versions {    // the entries of one subject, by version
         struct Entry {
             std::uint64_t version;
             TimePoint effective_at;
@@ -169,7 +179,7 @@
     std::map<std::string, Reservation> reservations_;
     std::unordered_map<CustomerId, std::vector<std::string>> reservations_by_customer_;
     std::unordered_map<std::string, std::uint64_t> subject_versions_, versions_by_request_;
-    std::multimap<TimePoint, std::string> schedule_;    // subjects whose state may change then
+    std::multimap<TimePoint, std::string> schedule_;    // subjects whose state may change at that time
 };
 
 }    // namespace shaletray::plans
