--- a/testbed/cost_series.h
+++ b/testbed/cost_series.h
@@ -1,4 +1,5 @@
-// Measured cost against size: series, the line through each, and what a thread and the heap have used.
+// Measures cost as a function of size: series with a fitted line, CPU time of the calling thread and heap
+// use.
 #pragma once
 
 #include <functional>
@@ -8,15 +9,15 @@
 
 namespace shaletray::testbed {
 
-// Seconds that this thread ran on a core.
+// CPU time of the calling thread, in seconds.
 double thread_cpu_seconds();
-// Bytes of the heap in use, with those that were mapped for large pieces.
+// Bytes of the heap in use, including large blocks that are mapped separately.
 double heap_bytes_in_use();
 
-// By how much the memory that is in use at once grows at most while it runs, in bytes.
+// The largest growth of the memory in use while `what` runs, in bytes.
 double peak_memory_of(const std::function<void()>& what);
 
-// Runs it and gives its CPU time in seconds.
+// Runs `what` and returns its CPU time in seconds.
 template <class F>
 double cpu_seconds_of(F&& what) {
     const double began = thread_cpu_seconds();
@@ -24,22 +25,22 @@
     return thread_cpu_seconds() - began;
 }
 
-// One cost at several sizes, with the least squares' line through them.
+// One cost at several sizes, with the least-squares line through the values.
 class Series {
 public:
     Series(std::string name, std::string unit, std::string size_name)
         : name_(name), unit_(unit), size_name_(size_name) {}
     void add(double size, double value);
     double slope() const;
-    double intercept() const;    // where the line begins
-    double value_at(
-        double size) const;      // as measured where it was, else by the line, and not below nothing
-    double max_value() const;    // of the values, where they do not follow a line
-    // The largest distance of a value from the line, as a part of the largest value.
+    double intercept() const;
+    // As measured if `size` was measured, else by the line, but not below 0.
+    double value_at(double size) const;
+    double max_value() const;    // the largest measured value, for costs that do not follow a line
+    // The largest distance of a value from the line, as a fraction of the largest value.
     double residual() const;
     const std::string& name() const { return name_; }
     nlohmann::json to_json() const;
-    std::string summary_line() const;    // for reading
+    std::string summary_line() const;    // for people
 
 private:
     std::string name_, unit_, size_name_;
--- a/testbed/experiment_host.h
+++ b/testbed/experiment_host.h
@@ -1,5 +1,5 @@
-// The ground of an experiment with real processes: a folder, and a thread for the reactor to which all but
-// the experiment's own steps belongs.
+// Base of experiments with real processes: a temporary directory, and a reactor on a thread of its own on
+// which everything but the experiment's own steps runs.
 #pragma once
 
 #include <Poco/Thread.h>
@@ -18,16 +18,18 @@
 
 namespace shaletray::testbed {
 
+// Derived classes use run_on_reactor to reach objects of the reactor's thread.
 class ExperimentHost {
 public:
-    // The folder is a new one with this in its name, removed in the end, unless KEEP is in the environment.
+    // Creates a directory with `name` in its name, and removes it at the end unless KEEP is in the
+    // environment.
     explicit ExperimentHost(const std::string& name);
     virtual ~ExperimentHost();
     ExperimentHost(const ExperimentHost&) = delete;
     ExperimentHost& operator=(const ExperimentHost&) = delete;
 
 protected:
-    // Runs it on the reactor's thread and waits until it is done.
+    // Runs `task` on the reactor's thread, waits for it and returns its result or throws what it threw.
     template <class F>
     auto run_on_reactor(F task) {
         std::unique_lock lock(mutex_);
@@ -56,7 +58,7 @@
         reactor_.schedule_after(from_secs(seconds), std::move(task));
     }
     static void sleep_for(double seconds);
-    // Until it holds, at most so long. False where it did not.
+    // Waits until `condition` holds; false if it does not in time.
     bool wait_until(const std::function<bool()>& condition, double timeout_seconds);
 
     std::filesystem::path directory_;
@@ -67,8 +69,8 @@
 private:
     std::mutex mutex_;
     std::condition_variable task_done_;
-    std::deque<std::function<void()>> pending_tasks_;    // to be done on the reactor's thread
-    Poco::Thread thread_;    // POCO lets a reactor without sockets sleep on its own threads only
+    std::deque<std::function<void()>> pending_tasks_;    // for the reactor's thread
+    Poco::Thread thread_;    // a POCO thread: on others a POCO reactor without sockets cannot sleep
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/live_run.h
+++ b/testbed/live_run.h
@@ -1,7 +1,7 @@
-// A scenario on real sockets: emulated servers, a discovery for each gateway, a network between gateways that
-// delays and loses, a counter where one is asked for, clients of the scenario's fronts, and gateways as
-// processes of the program under test. The same servers and clients as in virtual time, so that model and
-// reality can be held against each other.
+// Runs a scenario of the simulator on real sockets: gateways as processes of the program under test, emulated
+// servers, a discovery service for each gateway, a network between gateways with delay and loss, a shared
+// counter if the scenario has one, and clients. Servers and clients are those of the simulator, so that its
+// results can be compared with real ones.
 #pragma once
 
 #include <functional>
@@ -11,31 +11,34 @@
 
 namespace shaletray::testbed {
 
+// Where and how to run.
 struct LiveSettings {
-    std::string programs;    // the folder of the program under test
-    std::string folder;      // for its files and logs; empty: one of its own, which is removed
-    // Once a second while it runs, on the reactor's thread: seconds since the start, and what came by then.
+    std::string programs;    // directory of the program under test
+    std::string folder;      // for its files and logs; empty: a temporary one, which is removed
+    // Called once a second on the reactor's thread, with the seconds since the start and the results so far.
     std::function<void(double, const RunStatistics&)> progress{};
 };
 
+// The results of a run.
 struct LiveFigures {
     RunStatistics figures;
     double cpu_s = 0.0;        // of the gateways
-    std::uint64_t late = 0;    // turns of this program that were later than kLate: the machine was too slow
+    std::uint64_t late = 0;    // timer ticks of this program that were too late: the machine was too slow
+    // Whether so many were late that the results cannot be trusted.
     bool ran_late() const;
 };
 
-// Takes the scenario's own time and some seconds more. Throws std::invalid_argument for what cannot be had on
-// sockets (more than kMostLive gateways, servers or requests), std::runtime_error where a gateway does not
-// come up.
+// The largest scenario that can run on sockets; the rate in requests per second.
 constexpr int kMostLiveGateways = 16, kMostLiveServers = 400;
 constexpr double kMostLiveRate = 5000.0;
+// Takes the scenario's own time and some seconds more. Throws std::invalid_argument for scenarios that cannot
+// run on sockets or exceed the limits above, and std::runtime_error if a gateway does not start.
 LiveFigures run_live(const Scenario& scenario, const LiveSettings& settings);
 
-// What the program under test is configured with; the same figures as gateway_settings() has.
+// The configuration of the program under test, with the values of the simulator's gateway_settings().
 std::string settings_json(const Scenario& s, int me);
-// A whole configuration, JSON, of a gateway alone before these servers. Nobody speaks for discovery: what is
-// known at the start stays.
+// A complete JSON configuration of a single gateway before these servers. There is no discovery service: the
+// initial server list stays.
 std::string lone_config(const Scenario& s, const std::vector<std::string>& servers, const std::string& listen,
                         std::size_t sockets, double memory_mb);
 
--- a/testbed/operation_history.h
+++ b/testbed/operation_history.h
@@ -1,18 +1,18 @@
-// Whether what operators saw can be told as one order of effects (linearizability) of a register in which the
-// highest version wins and one version has one body. Pure, and of nothing but the standard library: for the
-// model tests and for experiments with real processes.
+// Checks whether a history of operators' calls is linearizable for a register in which the highest version
+// wins and a version has one body. Pure, and independent of the other code: for model tests and for
+// experiments with real processes.
 //
-// The register begins empty (version 0). A replace that takes effect with a version over the one held is then
-// what is held; one that is not over it alters nothing. Each operation has its effect at one moment between
-// its invocation and its return; one without a clear answer at any later moment, or never.
-//   Replace, Ok        by its return the version held is at least its own, and where its version was ever
-//                      held, that was with this body
-//   Replace, Conflict  (409) by its return its version had been held, with another body
-//   Replace, Refused   (any other 4xx) this body was never held under this version, nor acknowledged
-//   Read, Ok           version and body were held at a moment within it; version 0: none yet
-//   Unclear            a replace may have had its effect; a read says nothing
-// Two unlike bodies may both be acknowledged where their version was never held, since both were overtaken
-// before; once held, a version has one body for good.
+// The register begins empty (version 0). A replace with a version above the one held replaces it; any other
+// replace has no effect. Each operation takes effect at one moment between its invocation and its return; one
+// without a definite response at any later moment, or never.
+//   Replace, Succeeded      at its return the version held is at least its own, and if its version was ever
+//                           held, that was with this body
+//   Replace, Conflict       (409) at its return its version had been held, with another body
+//   Replace, Rejected       (any other 4xx) this body was never held under this version, nor acknowledged
+//   Read, Succeeded         version and body were held at a moment within it; version 0: none yet
+//   Indeterminate           a replace may have taken effect; a read says nothing
+// Two different bodies may both be acknowledged if their version was never held, since both were stale; once
+// held, a version has one body for good.
 #pragma once
 
 #include <algorithm>
@@ -26,18 +26,19 @@
 
 namespace shaletray::history {
 
+// One call of an operator.
 struct Operation {
     enum class Kind { Replace, Read };
     enum class Outcome { Succeeded, Conflict, Rejected, Indeterminate };
     Kind kind = Kind::Replace;
-    std::uint64_t version = 0;        // of a replace: as sent; of a read: as it came back
-    std::uint64_t body_digest = 0;    // a digest, likewise
-    // Of one clock, in any unit. What returns when another is invoked counts as overlapping it.
-    std::int64_t invoked_at = 0, returned_at = 0;    // the latter has no meaning where the answer is unclear
+    std::uint64_t version = 0;        // of a replace: as sent; of a read: as returned
+    std::uint64_t body_digest = 0;    // likewise
+    // By one clock, in any unit. Operations that return when another is invoked count as concurrent with it.
+    std::int64_t invoked_at = 0, returned_at = 0;    // `returned_at` is ignored for indeterminate outcomes
     Outcome outcome = Outcome::Indeterminate;
 };
 
-// Why there is no such order; none: there is one. Takes time with the square of the number of versions.
+// Why the history is not linearizable; empty if it is. Takes time quadratic in the number of versions.
 inline std::optional<std::string> find_violation(const std::vector<Operation>& history) {
     using Kind = Operation::Kind;
     using Outcome = Operation::Outcome;
@@ -46,14 +47,13 @@
     const auto version_name = [](std::uint64_t version) { return "r" + std::to_string(version); };
 
     struct Version {
-        std::map<std::uint64_t, std::int64_t> first_sent_at;    // body: when first
-        std::set<std::uint64_t> acknowledged_bodies;            // bodies that were acknowledged
+        std::map<std::uint64_t, std::int64_t> first_sent_at;    // by body
+        std::set<std::uint64_t> acknowledged_bodies;            // bodies with a successful replace
         std::set<std::uint64_t> read_bodies, conflicting_bodies, rejected_bodies;
-        std::int64_t known_held_by = kNever;    // by when it, or a later one, was held
-        std::int64_t last_read_at = kBefore;    // the latest invocation of a read of it
-        std::int64_t earliest_held = kNever;    // it can have been held; never: it cannot
-        std::int64_t earliest_in_order =
-            kNever;    // the earliest in any order of effects that leads up to it
+        std::int64_t known_held_by = kNever;        // by then it, or a later version, was held
+        std::int64_t last_read_at = kBefore;        // the latest invocation of a read of it
+        std::int64_t earliest_held = kNever;        // from then on it can have been held; kNever: it cannot
+        std::int64_t earliest_in_order = kNever;    // the same, in any order of effects that leads up to it
         bool was_held() const { return !read_bodies.empty() || !conflicting_bodies.empty(); }
     };
     std::map<std::uint64_t, Version> versions;
@@ -79,8 +79,8 @@
             version_record.known_held_by = std::min(version_record.known_held_by, operation.returned_at);
     }
 
-    // Which body a version can have had, and from when on.
-    std::int64_t read_before = kBefore;    // a lower version: this one came later
+    // Determines which body each version can have had, and from when on.
+    std::int64_t read_before = kBefore;    // the last read of a lower version, which this one must follow
     for (auto& [number, version_record] : versions) {
         for (const std::uint64_t body : version_record.acknowledged_bodies)
             if (version_record.rejected_bodies.contains(body))
@@ -110,10 +110,10 @@
         read_before = std::max(read_before, version_record.last_read_at);
     }
 
-    // The earliest moment at which each version can have been held, over all choices of those held before.
-    // By `due` a version over the one held before must have been.
+    // Computes the earliest moment at which each version can have been held, over all choices of the versions
+    // held before. A version above the previous one must have been held by `due`.
     std::int64_t due = kNever;
-    std::map<std::uint64_t, std::int64_t> due_over;    // by version: of all later ones
+    std::map<std::uint64_t, std::int64_t> due_over;    // by version: the same over all higher versions
     for (auto version_record = versions.rbegin(); version_record != versions.rend(); ++version_record) {
         due_over[version_record->first] = due;
         due = std::min(due, version_record->second.known_held_by);
@@ -129,7 +129,8 @@
                 if (at <= due_over[from->first])
                     to->second.earliest_in_order = std::min(to->second.earliest_in_order, at);
             }
-            if (from->second.was_held()) break;    // it was held, so none before it is the last one before
+            if (from->second.was_held())
+                break;    // it was held, so no earlier version can be the predecessor
         }
         if (to->second.earliest_in_order != kNever) reached = to->first;
         else if (to->second.was_held()) break;
--- a/testbed/simulated_membership.h
+++ b/testbed/simulated_membership.h
@@ -1,6 +1,6 @@
-// A convoy of any size around a few of its members. The few are the real thing; the others are a crowd that
-// does what the calm protocol says and no more: it answers pings and pages, and pings as often as it is
-// pinged. Virtual time.
+// A membership group of any size in virtual time, of which a few members are real Membership objects. The
+// others are simulated cheaply and follow the protocol of a stable group only: they answer pings and sync
+// pages, and ping as often as they are pinged. Single-threaded.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,30 @@
 
 namespace shaletray::testbed {
 
+// Deterministic for a seed, apart from measured CPU time.
 class SimulatedMembership {
 public:
-    // `real` of `members` processes are convoys, the first `lighthouses` of the crowd lighthouses. Where
-    // `real` is all, nothing is stood in for.
+    // `real` of `member_count` members are real, and the first `controller_count` members are controllers. If
+    // `real` is `member_count`, nothing is simulated.
     SimulatedMembership(int member_count, int real, int controller_count, std::uint64_t seed);
     void run_for(Duration span);
-    struct TrafficFigures {    // of one real process, on average
-        double packets_sent = 0.0, bytes_out = 0.0, bytes_in = 0.0, cpu_seconds = 0.0;    // a second
+    // Averages of one real member, per second.
+    struct TrafficFigures {
+        double packets_sent = 0.0, bytes_out = 0.0, bytes_in = 0.0, cpu_seconds = 0.0;
     };
     TrafficFigures measure_traffic(Duration span);
-    bool is_complete() const;               // every real one has joined, and knows all
-    void replace_member(int real_index);    // that one ends without a word, and starts anew at once
+    // Whether every real member has joined and knows all members.
+    bool is_complete() const;
+    // Crashes a real member and restarts it at once as a new incarnation.
+    void replace_member(int real_index);
     std::size_t real_count() const { return real_members_.size(); }
 
 private:
     struct Event {
         TimePoint due_at;
         std::uint64_t order = 0;
-        int recipient = 0;            // of the members
-        std::string sender, bytes;    // none: time passes for a real one
+        int recipient = 0;            // index of a member
+        std::string sender, bytes;    // empty: a timer of a real member
         bool operator<(const Event& other) const {
             return std::tie(due_at, order) > std::tie(other.due_at, other.order);
         }
@@ -55,7 +59,7 @@
     int member_count_, first_real_;
     int controller_count_;
     std::uint64_t last_event_order_ = 0;
-    double cpu_seconds_ = 0.0;    // of the real ones
+    double cpu_seconds_ = 0.0;    // of the real members
     std::priority_queue<Event> events_;
     std::vector<std::string> addresses_;
     std::vector<std::uint64_t> incarnations_;
--- a/testbed/system/clients.cpp
+++ b/testbed/system/clients.cpp
@@ -15,14 +15,14 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kPollEvery = 1s, kPollPatience = 1s;
-constexpr Duration kDial = 1s;       // for a new connection to come up
-constexpr Duration kKept = 5s;       // an idle connection is not used after that
-constexpr Duration kLeast = 20ms;    // of time left, for a further try
-constexpr Duration kPause = 10ms;    // before one that nobody told when to come
+constexpr Duration kDial = 1s;       // to establish a connection
+constexpr Duration kKept = 5s;       // idle connections are not reused after that
+constexpr Duration kLeast = 20ms;    // remaining time that a retry needs
+constexpr Duration kPause = 10ms;    // before a retry without a stated retry time
 constexpr int kMostTries = 4;
 
 bool is_promise(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
-// After these nobody comes again.
+// Status codes that are never retried.
 bool is_last(int status) {
     return status == 400 || status == 401 || status == 404 || status == 413 || status == 431 ||
            (status >= 200 && status < 300);
@@ -30,7 +30,7 @@
 
 }    // namespace
 
-// ---- the platform ----
+// ---- load balancer ----
 
 GatewaySelector::GatewaySelector(HttpCalls& calls, std::vector<GatewayEndpoint> endpoints) : calls_(calls) {
     for (GatewayEndpoint& gate : endpoints) gateways_.push_back({std::move(gate)});
@@ -60,7 +60,8 @@
         kept.is_removed = kept.is_removed || kept.endpoint.frontend_address == frontend;
 }
 
-// With fewer than half of the zone's gateways in, all of them count; with none, those of other zones.
+// If fewer than half of the zone's gateways are ready, all of them are used; if none is, those of other
+// zones.
 std::vector<int> GatewaySelector::ready_gateways(const std::string& zone) const {
     std::vector<int> in, here, anywhere;
     for (std::size_t i = 0; i < gateways_.size(); ++i) {
@@ -79,12 +80,12 @@
     std::vector<int> from = ready_gateways(zone);
     if (from.size() > 1) std::erase(from, excluded);
     if (from.empty()) return -1;
-    // By the hash of a client: uneven.
+    // Uneven on purpose, like a hash over few clients.
     return from[std::min(from.size() - 1, static_cast<std::size_t>(std::pow(random_value, 1.3) *
                                                                    static_cast<double>(from.size())))];
 }
 
-// ---- figures ----
+// ---- statistics ----
 
 ClientStatistics::RouteCounters ClientStatistics::totals() const {
     RouteCounters sum;
@@ -178,7 +179,7 @@
 
 std::string Clients::make_request_id() { return fmt::format("{:016x}", random_()); }
 
-// Begins with a wait: the first one is not due at once either.
+// Begins with a wait, so that the first request is not due at once.
 void Clients::on_request_due(std::size_t r) {
     const double wait =
         std::exponential_distribution<double>(settings_.routes[r].rate * load_factor_)(random_);
@@ -349,7 +350,7 @@
 }
 
 void Clients::remove_connection(Connection& connection) {
-    struct Gone : RetiredObject {    // it may be on the call stack
+    struct Gone : RetiredObject {    // the connection may be on the call stack
         explicit Gone(std::unique_ptr<Connection> of) : line(std::move(of)) {}
         std::unique_ptr<Connection> line;
     };
--- a/testbed/system/clients.h
+++ b/testbed/system/clients.h
@@ -1,5 +1,5 @@
-// The platform before the gateways, and the clients that it passes on: connections that are kept or opened
-// anew, tries with ids of their own, promises that are heeded.
+// The load balancer before the gateways, and simulated clients: they use kept or new connections, give each
+// attempt its own id, and retry only as the responses allow. Everything runs on the reactor's thread.
 #pragma once
 
 #include <deque>
@@ -17,21 +17,24 @@
 
 namespace shaletray::testbed {
 
-// Asks every gateway each second whether it is ready, and chooses one for each new connection.
+// Polls the readiness of every gateway once a second, and chooses one for each new connection.
 class GatewaySelector {
 public:
+    // The addresses of one gateway.
     struct GatewayEndpoint {
         std::string zone, frontend_address, readiness_address;
     };
     GatewaySelector(HttpCalls& calls, std::vector<GatewayEndpoint> endpoints);
     ~GatewaySelector();
     void add_gateway(GatewayEndpoint endpoint) { gateways_.push_back({std::move(endpoint)}); }
-    void remove_gateway(const std::string& frontend);    // it is not chosen or asked any more
-    // Below 0: there is none. Another one than `not_this`, where there is one. `draw` in 0 to 1.
+    void remove_gateway(const std::string& frontend);    // it is no longer chosen or polled
+    // The number of a gateway, below 0 if there is none; not `excluded` if there is another. `random_value`
+    // is uniform in 0 to 1.
     int choose_gateway(const std::string& zone, int excluded, double random_value) const;
     const GatewayEndpoint& endpoint_at(int number) const {
         return gateways_[static_cast<std::size_t>(number)].endpoint;
     }
+    // Whether all that were not removed are ready.
     bool all_ready() const;
     bool is_ready(int number) const {
         return gateways_[static_cast<std::size_t>(number)].missed_polls < kMaxMissedPolls;
@@ -41,60 +44,66 @@
     static constexpr int kMaxMissedPolls = 2;
     struct GatewayRecord {
         GatewayEndpoint endpoint;
-        int missed_polls = kMaxMissedPolls;    // out until it says that it is ready
+        int missed_polls = kMaxMissedPolls;    // not ready before its first positive reply
         bool is_removed = false;
     };
     void poll_readiness();
     std::vector<int> ready_gateways(const std::string& zone) const;
 
     HttpCalls& calls_;
-    std::deque<GatewayRecord> gateways_;    // polls hold on to theirs
+    std::deque<GatewayRecord> gateways_;    // a deque, since polls hold references to entries
     Timers::Id poll_timer_ = 0;
 };
 
+// A route and the requests that clients send to it.
 struct RoutePlan {
     std::string name, host, prefix, service;
-    bool is_repeatable = true, is_public = false;    // open: needs no key
-    double rate = 10.0;                              // a second
+    bool is_repeatable = true, is_public = false;    // idempotent; public: needs no API key
+    double rate = 10.0;                              // requests per second
     Duration service_time{0}, latency_target{0}, deadline{0}, attempt_timeout{0};
     int priority = 1, max_attempts = 2;
-    std::size_t body_size = 0;    // bytes that its requests carry
+    std::size_t body_size = 0;    // of its requests, in bytes
 };
+// A tenant with its share of the load and its quota.
 struct TenantPlan {
     std::string name, key;
     double weight = 1.0, rate = 0.0, burst = 0.0;    // rate 0: no limit
     int priority = 1;
 };
 
+// Results of all clients since the last reset.
 struct ClientStatistics {
+    // Requests of one route; attempts count each send.
     struct RouteCounters {
         std::uint64_t due = 0, served = 0, within_target = 0, rejected = 0, failed = 0, attempts = 0;
-        std::vector<float> latency_ms;    // of what was served, from when it was due
+        std::vector<float> latency_ms;    // of served requests, from their due time
     };
     std::vector<RouteCounters> by_route;
     struct SecondCounters {
         std::uint64_t due = 0, served = 0, rejected = 0, failed = 0;
     };
-    std::vector<SecondCounters> by_second;    // by when they were due
+    std::vector<SecondCounters> by_second;    // by the second in which they were due
     std::uint64_t connections_opened = 0;
     RouteCounters totals() const;
 };
-// 0 where there is none.
+// The quantile (0 to 1) of latencies; 0 if there are none.
 double latency_quantile(std::vector<float> latencies, double quantile);
 
+// Open-loop load: requests are due at random times, whatever happens to the earlier ones.
 class Clients {
 public:
+    // What the clients send, and how.
     struct Settings {
         std::vector<RoutePlan> routes;
         std::vector<TenantPlan> tenants;
         std::vector<std::string> zones;
-        double new_connection_fraction = 0.2;    // the share of requests that come on one of their own
+        double new_connection_fraction = 0.2;    // part of the requests that open a connection
         std::uint64_t seed = 1;
     };
     Clients(Reactor& reactor, Board& board, const GatewaySelector& front, Settings settings);
     ~Clients();
-    void start_load(double load_factor = 1.0);    // as many requests
-    void stop_load();                             // no more are due; those under way go on
+    void start_load(double load_factor = 1.0);    // multiplies all routes' rates
+    void stop_load();                             // no more are due; pending ones go on
     std::size_t open_requests() const { return pending_requests_.size(); }
     const ClientStatistics& statistics() const { return statistics_; }
     void reset_statistics();
@@ -107,7 +116,7 @@
         TimePoint due_at{}, deadline{};
         std::size_t second_index = 0;
         int attempts = 0, gateway_index = -1;
-        bool was_rejected = false;    // by the last try
+        bool was_rejected = false;    // by the last attempt
         Connection* connection = nullptr;
         Timers::Id retry_timer = 0, deadline_timer = 0;
     };
@@ -128,7 +137,7 @@
     const GatewaySelector& front_;
     Settings settings_;
     std::mt19937_64 random_;
-    std::list<std::unique_ptr<Connection>> connections_;    // the last used at the end
+    std::list<std::unique_ptr<Connection>> connections_;    // most recently used last
     std::list<std::unique_ptr<PendingRequest>> pending_requests_;
     std::vector<Timers::Id> arrival_timers_;
     double load_factor_ = 1.0;
--- a/testbed/system/demo.cpp
+++ b/testbed/system/demo.cpp
@@ -1,7 +1,7 @@
-// The whole system on this machine for twenty seconds: three pilots, lighthouses, emulated servers, an
-// operator and clients. Ends with 1 where a request that may not be repeated ran twice, another rule was
-// broken, or less than 99% was served; the last line is JSON. From the environment: SEED, SECONDS_PER_PHASE,
-// LIGHTHOUSES (1 to 3), LOAD (a multiple of the usual).
+// Runs the entire system on this machine for twenty seconds: three gateways, controllers, emulated servers,
+// an operator and clients. Exits with 1 if a request that must not be repeated ran twice, another rule was
+// violated or less than 99% was served; the last line is JSON. Environment: SEED, SECONDS_PER_PHASE,
+// LIGHTHOUSES (the number of controllers, 1 to 3), LOAD (multiplies the usual load).
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -66,7 +66,7 @@
     if (!rig.wait_servers_registered(20.0))
         return report_failure(rig, "not every server's beat was acknowledged");
     if (!rig.wait_ready(20.0)) return report_failure(rig, "not every pilot says that it is ready");
-    rig.run_for(1.0);    // for news of the last servers to arrive
+    rig.run_for(1.0);    // until the gateways know the last servers
     fmt::print("all are ready; clients come for {:.0f} s\n", seconds);
     std::fflush(stdout);
     rig.start_load(number_from_environment("LOAD", 1.0, 0.01, 20.0));
--- a/testbed/system/fixture.cpp
+++ b/testbed/system/fixture.cpp
@@ -282,7 +282,7 @@
     const auto file =
         directory_ / fmt::format("{}.{}.conf", machines_[target_node.machine_index].name, target_node.role);
     std::ofstream(file) << settings_text(target_node);
-    // The build leaves a package's program in the package's folder, or beside us.
+    // The build puts a program into its package's directory, or beside this one.
     std::filesystem::path program = std::filesystem::path(plan_.program_directory) / target_node.role;
     if (!std::filesystem::is_regular_file(program))
         program =
@@ -384,7 +384,7 @@
 }
 
 void SystemFixture::stop_all() {
-    // All at once, so that the waits do not add up.
+    // All are signalled first, so that the waits do not add up.
     for (auto& [name, of] : nodes_) {
         if (!of.process || of.process->pid() <= 0) continue;
         if (of.is_frozen) unfreeze_node(name);
@@ -454,7 +454,7 @@
     return false;
 }
 
-// ---- the operator ----
+// ---- operators ----
 
 Json SystemFixture::make_configuration(int revision) const {
     Json routes = Json::array(), services = Json::array(), tenants = Json::array();
@@ -520,7 +520,7 @@
             calls_,
             OperatorGroup::Settings{count, plan_.seed + 3, [this](std::uint64_t version, std::uint64_t body) {
                                         Json text = make_configuration(static_cast<int>(version));
-                                        // Bodies differ by a burst that nobody reaches.
+                                        // Bodies differ by a burst that no tenant reaches.
                                         text["tenants"]["rows"].back().back() = 1'000'000 + body;
                                         return text.dump();
                                     }});
--- a/testbed/system/fixture.h
+++ b/testbed/system/fixture.h
@@ -1,6 +1,7 @@
-// The whole system on loopback: pilots and lighthouses as processes on machines of their own addresses, each
-// with its settings file and its disk in a folder of the rig; emulated servers, an operator and clients. An
-// experiment calls the handles one after another from its own thread; all of the rest runs on the rig's.
+// The entire system on loopback: gateways and controllers as processes, each machine with an address of its
+// own, a settings file and a disk in the fixture's directory; emulated servers, operators and clients. An
+// experiment calls the functions from its own thread, one at a time; everything else runs on the fixture's
+// reactor thread.
 #pragma once
 
 #include <map>
@@ -20,109 +21,119 @@
 
 namespace shaletray::testbed {
 
+// Which processes run on a machine.
 struct MachinePlan {
     std::string zone;
     bool has_gateway = true, has_controller = false, has_disk = false;
 };
+// A service and its emulated servers; see ServerPlan.
 struct ServicePlan {
     std::string name;
     int server_count = 4, concurrency_limit = 6;
     std::size_t max_connections = 130;
     Duration mean_service_time{0};
 };
+// Everything that a fixture starts with.
 struct SystemPlan {
-    std::string name, program_directory;    // the folder of the programs under test
+    std::string name, program_directory;    // where the programs under test are
     std::uint64_t seed = 1;
     std::vector<MachinePlan> machines;
     std::vector<ServicePlan> services;
     std::vector<RoutePlan> routes;
     std::vector<TenantPlan> tenants;
     double new_connection_fraction = 0.2;                      // see Clients
-    std::map<std::string, std::string> extra_settings = {};    // of the settings file, over the rig's
+    std::map<std::string, std::string> extra_settings = {};    // override lines of the settings file
 };
-// Three zones with four services, as many machines as `lighthouses` keep control, all with a pilot.
+// Three zones and four services; the first `controller_count` machines have a controller, all have a gateway.
 SystemPlan make_small_system(const std::string& name, const std::string& program_directory,
                              std::uint64_t seed, int machine_count, int controller_count);
 
+// Nodes are named "machine/role". Destruction kills all processes.
 class SystemFixture : public ExperimentHost {
 public:
     explicit SystemFixture(SystemPlan plan);
     ~SystemFixture() override;
 
     // ---- the system's processes, by name: "north-1/gateway", "north-1/controller" ----
+    // All nodes, or those of a role.
     std::vector<std::string> node_names(const std::string& role = {}) const;
-    // Starts all of them: the first start of the whole system, on empty disks.
+    // The first start of the system, on empty disks.
     void start_all();
-    // False where not every pilot says in time that it is ready.
+    // False if not every gateway is ready in time.
     bool wait_ready(double timeout_seconds);
     bool is_gateway_ready(const std::string& gateway_name);
     void start_node(const std::string& node);
     void kill_node(const std::string& node);    // SIGKILL
-    int stop_node(
-        const std::string& node);    // SIGTERM and the grace; its exit status, -1 where it was killed
-    void freeze_node(const std::string& node);    // SIGSTOP
-    void unfreeze_node(const std::string& node);
-    void wipe_disk(const std::string& node);    // empties its disk; it does not run
+    // SIGTERM with the grace period; the exit status, or -1 if it had to be killed.
+    int stop_node(const std::string& node);
+    void freeze_node(const std::string& node);      // SIGSTOP
+    void unfreeze_node(const std::string& node);    // SIGCONT
+    void wipe_disk(const std::string& node);        // of a node that does not run
     void restart_node(const std::string& node) {
         kill_node(node);
         start_node(node);
     }
     bool is_running(const std::string& node);
-    // Nodes that ended though nobody ended them, since the start.
+    // Nodes that ended by themselves since the start.
     std::vector<std::string> unexpectedly_ended();
-    std::string log_text(const std::string& node) const;    // all its lives'
+    std::string log_text(const std::string& node) const;    // of all its processes so far
+    // Of all processes of a node so far; the memory is the largest peak.
     struct ResourceUsage {
         double cpu_seconds = 0.0, peak_mb = 0.0;
     };
-    ResourceUsage resource_usage(const std::string& node) const;    // of all its lives
-    // Ends all that runs, in order.
+    ResourceUsage resource_usage(const std::string& node) const;
+    // Stops all nodes in an orderly way.
     void stop_all();
 
     // ---- machines, during a run ----
-    // An empty one at an address of its own; its nodes start with start(). Its name. Newer settings name the
-    // first three machines with control that are there as seeds; callers learn of it after `seed_lag`.
+    // Adds a machine with empty disks at its own address and returns its name; start_node starts its nodes.
+    // Settings written later name the first three existing machines with a controller as seeds; servers and
+    // operators learn of it after a delay.
     std::string add_machine(const MachinePlan& plan);
-    // It does not come back: its nodes do not run.
+    // Removes a machine for good; its nodes must not run.
     void remove_machine(const std::string& name);
-    std::vector<std::string> machine_names() const;    // those that are there
+    std::vector<std::string> machine_names() const;    // without removed ones
     std::vector<std::string> nodes_of(const std::string& machine) const;
 
     // ---- servers ----
-    std::size_t add_server(const std::string& service);    // its number
+    std::size_t add_server(const std::string& service);    // returns its number
+    // See ApplicationServer for these.
     void crash_server(std::size_t number);
     void drain_server(std::size_t number);
     void set_server_frozen(std::size_t number, bool frozen);
-    std::vector<std::size_t> live_servers_of(const std::string& service);    // those not ended
+    std::vector<std::size_t> live_servers_of(const std::string& service);    // those that have not ended
+    // False if not all live servers are registered in time.
     bool wait_servers_registered(double timeout_seconds);
 
-    // ---- the operator ----
+    // ---- operators ----
+    // The reply to a call of the control API; status 0: none in time.
     struct CommandResult {
         int status_code = 0;
         double seconds_taken = 0.0;
         std::string body;
     };
-    nlohmann::json make_configuration(int revision) const;    // of the plan's routes, services and tenants
+    nlohmann::json make_configuration(int revision) const;    // from the plan's routes, services and tenants
     CommandResult replace_configuration(const nlohmann::json& new_configuration,
                                         double timeout_seconds = 10.0);
     CommandResult read_configuration(double timeout_seconds = 5.0);
-    // Several at once; their orders are of the plan's configuration.
+    // Concurrent operators, whose changes are variants of the plan's configuration.
     void start_operators(int count);
-    void stop_operators();    // and until all their calls are over
-    // Whether an order that is newer than all others is acknowledged in that time, by a caller who waits for
-    // his answers; the seconds that it took, below 0 where it was not.
+    void stop_operators();    // returns when all their calls are over
+    // Seconds until a change newer than all others was acknowledged to a caller that waits for each reply;
+    // below 0 if it was not in time.
     double measure_acknowledgement(double timeout_seconds);
-    bool verify_operator_read(double timeout_seconds);    // goes into the history
+    bool verify_operator_read(double timeout_seconds);    // recorded in the history
     OperatorGroup::Statistics operator_statistics();
     std::vector<history::Operation> operation_history();
 
     // ---- clients ----
     void start_load(double load_factor = 1.0);
-    void stop_load(double timeout_seconds = 12.0);    // and until the last has its answer
+    void stop_load(double timeout_seconds = 12.0);    // returns when all requests are answered
     ClientStatistics client_statistics();
     Board::Breaches violations();
-    // Of the figures since the load began, of the rules, and of the processes.
+    // Statistics since the load began, violations of the rules, and resources of the processes.
     nlohmann::json make_report();
-    // Waits; throws std::runtime_error where SIGINT or SIGTERM asked for an end.
+    // Waits; throws std::runtime_error after SIGINT or SIGTERM.
     void run_for(double seconds);
 
 private:
@@ -137,7 +148,7 @@
         std::unique_ptr<Process> process;
         int start_count = 0;
         bool should_run = false, is_frozen = false;
-        ResourceUsage earlier_usage;    // by earlier lives
+        ResourceUsage earlier_usage;    // by its earlier processes
     };
     Node& node(const std::string& name);
     const Node& node(const std::string& name) const;
@@ -145,7 +156,7 @@
     std::vector<std::string> control_addresses() const;
     Machine& place_machine(const MachinePlan& plan);
     GatewaySelector::GatewayEndpoint endpoint_of(const Machine& machine) const;
-    void update_control_addresses();    // the control addresses, after `seed_lag`
+    void update_control_addresses();    // passes them to servers and operators after a delay
     double run_until_done(const std::function<void(std::function<void(bool)>)>& begin);
     void launch_process(Node& target_node);
     CommandResult call_control_api(const std::string& method, const std::string& path,
@@ -155,9 +166,9 @@
     std::vector<Machine> machines_;
     std::map<std::string, Node> nodes_;
     std::map<std::string, int> machines_by_zone_;    // machines placed so far
-    int address_prefix_ = 0;                         // second number of all our addresses
+    int address_prefix_ = 0;                         // second octet of all addresses
     bool needs_bootstrap_ = true;
-    // Of the reactor's thread, as they use each other.
+    // Used on the reactor's thread only; in the order of their dependencies.
     HttpCalls calls_{reactor_};
     Board scoreboard_;
     std::unique_ptr<ControlClient> control_client_;
@@ -167,7 +178,7 @@
     std::unique_ptr<Clients> clients_;
 };
 
-// From now on SIGINT and SIGTERM end run_for() and its like.
+// From now on SIGINT and SIGTERM end run_for() and other waits.
 void install_signal_handlers();
 
 }    // namespace shaletray::testbed
--- a/testbed/system/http_calls.cpp
+++ b/testbed/system/http_calls.cpp
@@ -81,7 +81,7 @@
 }
 
 void HttpCalls::on_call_ended(Call& call, const HttpReply& answer) {
-    struct Gone : RetiredObject {    // it may be on the call stack
+    struct Gone : RetiredObject {    // the call may be on the call stack
         explicit Gone(std::unique_ptr<Call> of) : call(std::move(of)) {}
         std::unique_ptr<Call> call;
     };
@@ -151,7 +151,7 @@
     Reactor& reactor = calls_.reactor();
     if (clear || reactor.clock().now() + retry_delay_ >= deadline_) {
         current_call_.reset();
-        const ReplyCallback done = on_done_;    // it may call again
+        const ReplyCallback done = on_done_;    // a copy, since it may start another call
         return done(answer);
     }
     retry_timer_ = reactor.schedule_after(retry_delay_, [this] {
--- a/testbed/system/http_calls.h
+++ b/testbed/system/http_calls.h
@@ -1,4 +1,5 @@
-// Single calls over HTTP, and the way servers and operators call whoever serves control_plane.
+// HTTP calls of the testbed, and the retrying client with which servers and operators call the control API.
+// Everything runs on the reactor's thread.
 #pragma once
 
 #include <functional>
@@ -14,17 +15,20 @@
 
 namespace shaletray::testbed {
 
+// A response, as far as the testbed needs it.
 struct HttpReply {
-    int status_code = 0;    // 0: none came in time
+    int status_code = 0;    // 0: none arrived in time
     std::string location, body;
 };
 
+// Destruction ends all calls without callbacks.
 class HttpCalls {
 public:
     using ReplyCallback = std::function<void(const HttpReply&)>;
     explicit HttpCalls(Reactor& reactor);
     ~HttpCalls();
-    // One request on a connection of its own; a 307 is followed twice. `done` is called once, later.
+    // Sends one request on its own connection; up to two redirects (307) are followed. `on_reply` is called
+    // once, after this returns.
     void send_request(const std::string& address, const std::string& method, const std::string& path,
                       const std::string& body, Duration timeout, ReplyCallback on_reply);
     Reactor& reactor() { return reactor_; }
@@ -39,7 +43,7 @@
     std::list<std::unique_ptr<Call>> active_calls_;
 };
 
-// Calls one gateway after another, with a pause that grows, until one gives a clear answer.
+// Calls one gateway after another, with growing backoff, until one gives a definite response.
 class ControlClient {
 public:
     using ReplyCallback = HttpCalls::ReplyCallback;
@@ -48,13 +52,14 @@
     ControlClient(const ControlClient&) = delete;
     ControlClient& operator=(const ControlClient&) = delete;
 
-    // `body` is asked for anew at each try. Ends with a 2xx, a 400, 409, 412, 413 or 422, any other 4xx at
-    // the third try, or with what came last after `most`. One call at a time: another one takes its place.
+    // `make_body` is called for each attempt. Ends with a 2xx, 400, 409, 412, 413 or 422, with any other 4xx
+    // at the third attempt, or with the last response after `timeout`. One call at a time: a new call
+    // replaces the one in progress.
     void start_call(const std::string& method, const std::string& path,
                     std::function<std::string()> make_body, Duration timeout, ReplyCallback on_done);
     void cancel_call();
     void set_gateways(std::vector<std::string> addresses) { gateways_ = std::move(addresses); }
-    // Asked first from now on, until it fails once. Empty: nobody.
+    // Called first from now on, until it fails once. Empty: none.
     void set_preferred(std::string address) { preferred_ = std::move(address); }
 
 private:
@@ -71,7 +76,7 @@
     Duration retry_delay_{0};
     int denial_count_ = 0;
     std::size_t next_gateway_ = 0;
-    std::shared_ptr<int> current_call_;    // what an answer has to belong to
+    std::shared_ptr<int> current_call_;    // replies to earlier calls are ignored
     Timers::Id retry_timer_ = 0;
 };
 
--- a/testbed/system/operators.cpp
+++ b/testbed/system/operators.cpp
@@ -13,14 +13,14 @@
 using Kind = Operation::Kind;
 
 constexpr Duration kPatience = 1s, kFirstPause = 50ms, kLongestPause = 1s;
-constexpr Duration kMost = 5s;                   // for a call of an operator, all tries together
-constexpr std::size_t kLeavesAfterMs = 40;       // at most, where the answer is not waited for
+constexpr Duration kMost = 5s;                   // for a call of an operator, with all its attempts
+constexpr std::size_t kLeavesAfterMs = 40;       // before an abandoned attempt is closed, at most
 constexpr std::size_t kLongestTurnMs = 250;      // between an operator's calls
-constexpr std::size_t kTroubleEveryMs = 1500;    // at most, for one relay
+constexpr std::size_t kTroubleEveryMs = 1500;    // between two faults, at most
 constexpr Duration kCutFor = 400ms;
 constexpr std::size_t kMostCalls = 4000;    // bounds the history
 
-// As the same text would be written by anyone.
+// The same for equal configurations, however their text is formatted.
 std::uint64_t digest(const nlohmann::json& text) { return std::hash<std::string>()(text.dump()); }
 
 }    // namespace
@@ -29,7 +29,7 @@
     Operation operation;
     std::string text;
     TimePoint end{};
-    bool leaves = false;    // some of its tries do not wait for their answer
+    bool leaves = false;    // some of its attempts do not wait for the response
     Duration pause = kFirstPause;
     std::string last;
     OutcomeCallback ended;
@@ -68,8 +68,8 @@
         .count();
 }
 
-// A relay is cut for a while, or has its connections ended at once: an order that has passed loses its
-// answer.
+// Partitions one proxy for a while or for an instant; its connections are closed at the end, so that changes
+// that were delivered lose their response.
 void OperatorGroup::inject_fault() {
     fault_timer_ =
         calls_.reactor().schedule_after(std::chrono::milliseconds(100 + draw_index(kTroubleEveryMs)), [this] {
@@ -85,7 +85,7 @@
         });
 }
 
-// Mostly over all that were sent; else one that races under a number in use, or one that comes too late.
+// Mostly a change with a new highest version; else one that races under the highest one, or a stale one.
 Operation OperatorGroup::draw_change() {
     Operation order;
     const std::size_t kind = draw_index(10);
@@ -113,7 +113,7 @@
             if (!is_running_ || draw_index(5) != 0) return start_next_call(operator_index);
             start_call(order, text, kMost, true, [this, operator_index](Answer) {
                 start_next_call(operator_index);
-            });    // once more, unchanged
+            });    // repeated unchanged
         });
     };
     call_timers_[static_cast<std::size_t>(operator_index)] =
@@ -171,11 +171,12 @@
 void OperatorGroup::on_reply(const std::shared_ptr<Call>& call, const HttpReply& reply) {
     const int s = reply.status_code;
     if (call->operation.kind == Kind::Read && (s == 200 || s == 404)) {
-        call->operation.version = call->operation.body_digest = 0;    // 404: none was taken yet
+        call->operation.version = call->operation.body_digest =
+            0;    // 404: no configuration was accepted yet
         if (s == 200) {
             const auto read = nlohmann::json::parse(reply.body, nullptr, false);
             const std::string revision = read.is_object() ? read.value("revision", "") : "";
-            // What cannot be read has a body that nobody sent.
+            // An unreadable text counts as a body that nobody sent.
             call->operation.version =
                 std::strtoull(revision.c_str() + (revision.empty() ? 0 : 1), nullptr, 10);
             call->operation.body_digest = digest(read);
--- a/testbed/system/operators.h
+++ b/testbed/system/operators.h
@@ -1,7 +1,7 @@
-// Several operators at once, each with one call under way: orders that race under one number or come too
-// late, reads, answers that get lost on their way, orders sent again to others. They reach each gateway by a
-// relay that can be cut and reset. What they saw is kept for testbed/operation_history.h. Everything of one
-// thread.
+// Concurrent operators, each with one call at a time: changes that race under one version or are stale,
+// reads, lost responses, and changes that are repeated at another gateway. They reach each gateway through a
+// fault proxy. The calls are recorded for the check of testbed/operation_history.h. Everything runs on the
+// reactor's thread.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,17 @@
 
 namespace shaletray::testbed {
 
+// Owns the fault proxies and the history.
 class OperatorGroup {
 public:
+    // What the operators send.
     struct Settings {
         int operator_count = 3;
         std::uint64_t seed = 1;
-        // The text of a configuration; two bodies under one version differ.
+        // The text of a configuration; it differs for each body.
         std::function<std::string(std::uint64_t version, std::uint64_t body)> make_configuration_text;
     };
+    // Results of the calls; resets count injected faults.
     struct Statistics {
         std::uint64_t changes = 0, acknowledged = 0, conflicts = 0, rejected = 0, indeterminate = 0;
         std::uint64_t reads = 0, attempts = 0, abandoned_replies = 0, resets = 0;
@@ -36,14 +39,15 @@
     OperatorGroup(const OperatorGroup&) = delete;
     OperatorGroup& operator=(const OperatorGroup&) = delete;
 
-    // Whom they call from now on; calls under way go on.
+    // Replaces the addresses to call; calls in progress go on.
     void set_gateways(const std::vector<std::string>& addresses);
     void start_operators();
-    void stop_operators();    // no further calls; those under way go on
+    void stop_operators();    // no further calls; those in progress go on
     bool is_quiet() const { return active_calls_ == 0; }
-    // One more order, over all numbers so far and under one that no other uses, by a caller who waits for
-    // each answer. `done` is told whether it was acknowledged within `most`.
+    // Submits a change with a new highest version that no other change uses, and waits for each response.
+    // `on_done` gets whether it was acknowledged within `timeout`.
     void submit_change(Duration timeout, std::function<void(bool)> on_done);
+    // Reads once; `on_done` gets whether that succeeded.
     void read_configuration(Duration timeout, std::function<void(bool)> on_done);
     const Statistics& statistics() const { return statistics_; }
     const std::vector<history::Operation>& history() const { return history_; }
@@ -65,11 +69,11 @@
     HttpCalls& calls_;
     Settings settings_;
     std::mt19937_64 random_;
-    std::map<std::string, std::unique_ptr<FaultProxy>> proxies_;    // by the gateway's address
+    std::map<std::string, std::unique_ptr<FaultProxy>> proxies_;    // by gateway address
     std::vector<std::string> gateways_;
     std::vector<history::Operation> history_;
     std::uint64_t last_version_ = 0, last_body_ = 0;
-    std::set<std::uint64_t> uncontested_versions_;    // versions that no other order races with
+    std::set<std::uint64_t> uncontested_versions_;    // versions for which no second change is sent
     Statistics statistics_;
     int active_calls_ = 0;
     bool is_running_ = false;
--- a/testbed/system/server.cpp
+++ b/testbed/system/server.cpp
@@ -17,8 +17,8 @@
 using Json = nlohmann::json;
 
 constexpr Duration kIdleTimeout = 10s, kLingerTimeout = 1s, kSweepInterval = 500ms, kMaxServiceTime = 20s;
-constexpr Duration kUnacknowledgedTimeout = 6s;    // then it ends all the same
-constexpr Duration kDrainMargin = 300ms;           // beyond `drain`
+constexpr Duration kUnacknowledgedTimeout = 6s;    // it ends without an acknowledgement after this
+constexpr Duration kDrainMargin = 300ms;           // beyond `drain_time`
 constexpr double kSlowStartSpeed = 0.4;
 constexpr int kAnswersPerClose = 200;
 constexpr std::size_t kMinBodySize = 100, kMaxBodySize = 3000, kMaxAcknowledgementSize = 4096;
@@ -95,7 +95,7 @@
     control_client_.set_gateways(std::move(addresses));
 }
 
-// ---- beats ----
+// ---- heartbeats ----
 
 std::string ApplicationServer::heartbeat_body() {
     const Duration left = std::max(Duration(0), started_at_ + plan_.slow_start - reactor_.clock().now());
@@ -137,7 +137,7 @@
                 reactor_.schedule_after(plan_.drain_time + kDrainMargin, [this] { send_deregistration(); });
         }
     }
-    // A little apart, so that not all beat at once for ever.
+    // With jitter, so that the servers' heartbeats do not stay synchronized.
     const auto spread = static_cast<Duration::rep>(random_() % 100) - 50;
     heartbeat_timer_ = reactor_.schedule_after(
         plan_.heartbeat_interval + plan_.heartbeat_interval * spread / 1000, [this] { send_heartbeat(); });
@@ -172,7 +172,7 @@
 }
 
 void ApplicationServer::remove_connection(Connection& connection) {
-    struct Gone : RetiredObject {    // it may be on the call stack
+    struct Gone : RetiredObject {    // the connection may be on the call stack
         explicit Gone(std::unique_ptr<Connection> of) : peer(std::move(of)) {}
         std::unique_ptr<Connection> peer;
     };
@@ -304,7 +304,7 @@
     if (closes) {
         connection.is_closing = true;
         connection.last_used_at = reactor_.clock().now() + kLingerTimeout -
-                                  kIdleTimeout;    // closed by a sweep, should the caller not
+                                  kIdleTimeout;    // closed by a sweep if the caller does not
         connection.stream.shutdown_sending();
         return;
     }
--- a/testbed/system/server.h
+++ b/testbed/system/server.h
@@ -1,4 +1,5 @@
-// An emulated application server: what PROTOCOL says of a server's side, and its beats.
+// An emulated application server: the server's side of PROTOCOL, with heartbeats to the control API.
+// Everything runs on the reactor's thread.
 #pragma once
 
 #include <deque>
@@ -16,19 +17,21 @@
 
 namespace shaletray::testbed {
 
+// How a server behaves.
 struct ServerPlan {
     std::string service, address, zone, revision = "v1";
-    int concurrency_limit = 6;            // requests at once; as many wait
-    std::size_t max_connections = 130;    // from all callers; those beyond are reset
-    Duration mean_service_time{0};        // mean
-    double speed = 1.0;                   // of this one: its work takes work / speed
-    Duration slow_start{0};               // slow for so long from its start
+    int concurrency_limit = 6;            // concurrent requests; as many more are queued
+    std::size_t max_connections = 130;    // from all callers; further ones are reset
+    Duration mean_service_time{0};
+    double speed = 1.0;        // service times are divided by this
+    Duration slow_start{0};    // how long it is slow after its start
     Duration heartbeat_interval{1'500'000};
-    Duration drain_time{2'000'000};                // how long it goes on after its end was acknowledged
-    std::vector<std::string> control_addresses;    // who takes its beats
+    Duration drain_time{2'000'000};                // how long it serves after its draining was acknowledged
+    std::vector<std::string> control_addresses;    // where heartbeats go
     std::uint64_t seed = 1;
 };
 
+// One server instance with an id of its own; a restart is a new object.
 class ApplicationServer {
 public:
     ApplicationServer(Reactor& reactor, HttpCalls& calls, Board& board, ServerPlan plan);
@@ -38,15 +41,15 @@
 
     const std::string& id() const { return id_; }
     const ServerPlan& plan() const { return plan_; }
-    // Leaves in order: says so, serves on for a while, deregisters, ends.
+    // Graceful shutdown: announces it, serves on for `drain_time`, deregisters and ends.
     void start_drain();
-    // Ends at once; nothing is said.
+    // Ends at once without an announcement.
     void crash_now();
-    // Takes connections and answers nothing, as a machine that is frozen.
+    // While frozen it accepts connections and answers nothing, like a suspended machine.
     void set_frozen(bool frozen);
     void set_speed(double speed) { plan_.speed = speed; }
     void set_control_addresses(std::vector<std::string> addresses);
-    bool is_registered() const { return is_registered_; }    // its first beat was acknowledged
+    bool is_registered() const { return is_registered_; }    // its first heartbeat was acknowledged
     bool is_ended() const { return is_ended_; }
     int running_requests() const { return running_requests_; }
 
--- a/testbed/test_processes.h
+++ b/testbed/test_processes.h
@@ -1,5 +1,6 @@
-// What experiments with real gateways are made of, all on loopback and on one reactor: processes, stand-in
-// workers with their discovery, relays that can be cut, and open-loop callers.
+// Building blocks of experiments with real gateways on loopback: child processes, stand-in workers with a
+// discovery service, fault proxies and open-loop load clients. Apart from Process, everything runs on one
+// reactor's thread.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -19,7 +20,7 @@
 
 namespace shaletray::testbed {
 
-// A child process; killed with this object. Its standard error goes to a file.
+// A child process, killed when this object is destroyed. Its standard error goes to a file.
 class Process {
 public:
     Process(std::vector<std::string> arguments, std::map<std::string, std::string> environment,
@@ -29,13 +30,13 @@
     Process& operator=(const Process&) = delete;
 
     void send_signal(int signal_number);
-    // SIGKILL, and until it is gone.
+    // Sends SIGKILL and waits for its end.
     void kill();
-    // SIGTERM, and until it is gone; its exit status, or -1 where it ended otherwise or had to be killed.
+    // Sends SIGTERM and waits for its end; the exit status, or -1 if it ended otherwise or had to be killed.
     int terminate();
-    // Time on a core since its start, in seconds.
+    // CPU time since its start, in seconds.
     double cpu_seconds() const;
-    double peak_mb() const;    // of memory that was resident at a time
+    double peak_mb() const;    // peak resident memory
     bool is_alive();
     pid_t pid() const { return pid_; }
     std::string log_text() const;
@@ -46,16 +47,18 @@
     std::string log_path_;
 };
 
+// A TCP port on loopback that is free now.
 int find_free_port();
 
-// What a gateway under test is started with; nothing of ours may stand in its way.
+// The environment of a gateway under test, without variables of this process that would affect it.
 std::map<std::string, std::string> gateway_environment(const std::string& config,
                                                        const std::string& settings = {});
 
+// Accepts connections and passes them to a handler.
 class TestListener {
 public:
     using ConnectionHandler = std::function<void(const Poco::Net::StreamSocket&)>;
-    // Port 0: any.
+    // Port 0: any free one.
     TestListener(Reactor& reactor, int port, ConnectionHandler handle_connection);
     TestListener(Reactor& reactor, const std::string& address, ConnectionHandler handle_connection);
     ~TestListener();
@@ -72,7 +75,7 @@
 // One HTTP connection of a stand-in server.
 class HttpServerConnection;
 
-// Workers that answer each request after a while with its id, and a discovery that lists them.
+// Workers that answer each request with its id after a service time, and a discovery service that lists them.
 class StandInWorkers {
 public:
     using RequestObserver = std::function<void(int worker, std::string_view target, TimePoint at)>;
@@ -80,7 +83,7 @@
     ~StandInWorkers();
 
     std::string discovery_address() const { return discovery_->address(); }
-    std::string host_list() const;    // as discovery gives it
+    std::string host_list() const;    // as the discovery service sends it
 
 private:
     friend class HttpServerConnection;
@@ -96,14 +99,14 @@
     std::list<std::unique_ptr<HttpServerConnection>> connections_;
 };
 
-// Between a gateway and a store. Cut, it swallows all that comes, and new connections stay silent.
+// A TCP proxy before a server. While partitioned, it discards all bytes, and new connections stay silent.
 class FaultProxy {
 public:
     FaultProxy(Reactor& reactor, std::string target_address);
     ~FaultProxy();
     std::string address() const { return acceptor_->address(); }
-    // Connections that stand are ended where it is cut and where it is joined: as a network does that lost
-    // them.
+    // Connections stay open and silent while partitioned; when the partition ends, they are closed, like
+    // those that a network has lost.
     void set_partitioned(bool partitioned);
 
 private:
@@ -118,16 +121,16 @@
     std::list<std::unique_ptr<ConnectionPair>> pairs_;
 };
 
-// Asks one gateway, each request when it is due, on as many connections as it takes.
+// Sends requests to one gateway when they are due (open loop), on as many connections as that takes.
 class HttpLoadClient {
 public:
-    // 0: the connection ended without an answer.
+    // Status 0: the connection ended without a response.
     using AnswerCallback = std::function<void(int status, Duration retry_after)>;
     HttpLoadClient(Reactor& reactor, std::string address);
     ~HttpLoadClient();
-    // A ticket, for who may leave before the answer.
+    // Returns a ticket for abandon_request.
     std::uint64_t send_request(const std::string& request, AnswerCallback on_answer);
-    // Closes the connection on which that is asked; nothing is told of it.
+    // Closes the connection of that request; its callback is not called.
     void abandon_request(std::uint64_t ticket);
     std::size_t open_requests() const { return busy_connections_; }
 
