--- a/src/balancer/command/completion.h
+++ b/src/balancer/command/completion.h
@@ -1,5 +1,5 @@
-// What may follow on a command line, from the program's own description of it, for the shells' completion
-// (share/completion). A hidden word, `__complete`, followed by the words so far.
+// Shell completion (share/completion): lists what may follow on a command line, from the program's own CLI11
+// description. Shells run the hidden command `__complete` followed by the words so far.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,9 +8,9 @@
 
 namespace shaletray::command {
 
-// Sub-commands and options that may come after these words.
+// Subcommands and options that may follow these words.
 std::vector<std::string> completion_candidates(const CLI::App& app, const std::vector<std::string>& words);
-// True where the line asked for that, which is printed then, a line each.
+// If the command line asks for completion, prints the candidates, one a line, and returns true.
 bool run_completion(const CLI::App& app, int argc, char** argv);
 
 }    // namespace shaletray::command
--- a/src/balancer/control_socket/control_server.h
+++ b/src/balancer/control_socket/control_server.h
@@ -1,5 +1,5 @@
-// The operators' way in by the file system: a socket whose mode says who may use it. A line each way; few
-// connections, short lines, and none that says nothing for long.
+// Serves operators' plan commands on a Unix domain socket, whose file mode controls access. Each request and
+// reply is one line of JSON; connections are few, and closed when idle. Only for the reactor's thread.
 #pragma once
 
 #include <memory>
@@ -10,15 +10,17 @@
 
 namespace shaletray::control_socket {
 
+// Removes the socket when destroyed.
 class ControlServer {
 public:
-    // Takes over the path from a process that is gone. Throws std::runtime_error where another one listens
-    // there, and Poco::Exception where the path cannot be used.
+    // Replaces a socket that a dead process left behind. Throws std::runtime_error if another process listens
+    // there, and Poco::Exception if the path cannot be used.
     ControlServer(PlanCommandHandler office, Reactor& reactor, std::string path, int mode);
     ~ControlServer();
     ControlServer(const ControlServer&) = delete;
     ControlServer& operator=(const ControlServer&) = delete;
 
+    // Lines received since the start.
     std::uint64_t commands_received() const { return commands_received_; }
 
 private:
--- a/src/balancer/control_socket/plan_command_handler.h
+++ b/src/balancer/control_socket/plan_command_handler.h
@@ -1,4 +1,5 @@
-// What an operator may ask of a running gateway and how it is answered: a line of JSON each way. Pure.
+// Executes operators' plan commands, one line of JSON each, and writes the replies. Independent of sockets;
+// for one thread.
 #pragma once
 
 #include <functional>
@@ -12,18 +13,23 @@
 
 using decision::TimePoint;
 
+// Bytes of a command.
 constexpr std::size_t kMaxLineLength = 16 * 1024;
-constexpr std::size_t kMaxListedEntries = 1000;    // in one answer; the next page is asked for by `after`
+// Entries in one reply; the field `after` of a command requests the next page.
+constexpr std::size_t kMaxListedEntries = 1000;
 
+// Reads the plan service, which outlives it; changes go through the ChangeMaker.
 class PlanCommandHandler {
 public:
-    // Puts a change into the book and where it lasts. Throws with what stands in the way; nothing is changed
-    // then.
+    // Persists a change and appends it to the plan table. Throws with the reason, and changes nothing, if
+    // that fails.
     using ChangeMaker = std::function<void(const plans::PlanChange&)>;
 
+    // `keeper`: whether this gateway owns the plan table; only the owner accepts changes.
     PlanCommandHandler(const plans::PlanService& desk, bool keeper, ChangeMaker make);
 
-    // {"do": "list|show|history|propose|status", ...}. Always one line without its end.
+    // Executes {"do": "list|show|history|propose|status", ...}. Returns one line without its end, for errors
+    // too.
     std::string handle_line(std::string_view line, TimePoint now);
 
 private:
--- a/src/balancer/control_socket/plans_command.h
+++ b/src/balancer/control_socket/plans_command.h
@@ -1,4 +1,5 @@
-// The command line's side: `shaletray plans ...` asks a running gateway and prints what it says.
+// The client side of the control socket: the subcommand `shaletray plans ...` sends a command to a running
+// gateway and prints the reply.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,7 +7,7 @@
 
 namespace shaletray::control_socket {
 
-// Adds the sub-command. What is chosen on the line ends up in `run`, which gives the exit status.
+// Adds the subcommand. Parsing the command line sets `run`, which executes it and returns the exit status.
 void add_plans_command(CLI::App& app, std::function<int()>& run);
 
 }    // namespace shaletray::control_socket
--- a/src/balancer/handover/handover_server.h
+++ b/src/balancer/handover/handover_server.h
@@ -1,6 +1,6 @@
-// Where the processes of one gateway meet: a socket in $TMPDIR, named after the gateway's address. A new
-// process asks the old one to let go of the clients' address, and then for what it holds. A driver only: what
-// is handed over is in handover.h.
+// Hands a gateway's state from a process to its successor over a Unix domain socket in $TMPDIR, named after
+// the gateway's address. The successor first asks the old process to stop accepting clients, then for its
+// state, whose format is in handover_state.h.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,19 @@
 
 namespace shaletray::handover {
 
-// Empty where there is no such place: TMPDIR is not set, the port is any, or the path would be too long.
+// The socket's path; empty if there can be none: TMPDIR is not set, the port is 0, or the path is too long.
 std::string socket_path_for(const std::string& listen_address);
 
-// Asks the process that serves now, and waits for at most two seconds in all. Empty where there is none or it
-// does not answer. To be called once the clients' address is listened on, so that nobody is turned away
-// meanwhile.
+// Requests the state of the running process and blocks for at most two seconds in total. Empty if there is
+// none or it does not reply. To be called after listening on the clients' address, so that no client is
+// refused meanwhile.
 std::string request_predecessor_state(const std::string& place);
 
-// Answers a successor, once.
+// Serves one successor. Only for the reactor's thread.
 class HandoverServer {
 public:
-    // `release` stops taking clients; `state` gives what is handed over, and ends the rest; `resume` undoes
-    // the first, where the successor is gone before it asked for the second. Throws as listen_at.
+    // `release` stops accepting clients; `state` returns the state and ends the service; `resume` undoes
+    // `release` if the successor disconnects before it requested the state. Throws like listen_at.
     HandoverServer(Reactor& reactor, std::string place, std::function<void()> release,
                    std::function<std::string()> state, std::function<void()> resume);
     ~HandoverServer();
--- a/src/balancer/handover/handover_state.h
+++ b/src/balancer/handover/handover_state.h
@@ -1,5 +1,5 @@
-// What the process of a gateway that leaves hands to the one that takes its place, beside the module's state.
-// Pure: text in, text out. The first line names the form, its version and how many bytes follow.
+// The state that a gateway's process hands to its successor, and its text form. Pure functions and values.
+// The first line has the format's name, its version and the number of bytes that follow.
 #pragma once
 
 #include <string>
@@ -12,14 +12,15 @@
 
 constexpr int kFormatVersion = 1;
 
+// What the successor must know to continue the service.
 struct HandoverState {
     bool is_draining = false;
-    std::vector<EjectedHost> ejected_hosts;    // servers taken out by hand
-    std::string module_state;                  // as the module wrote it
+    std::vector<EjectedHost> ejected_hosts;    // ejected by operators
+    std::string module_state;                  // text of the decision module, Engine::export_state
 };
 
 std::string serialize_state(const HandoverState& handover);
-// Throws std::invalid_argument with what is wrong.
+// Throws std::invalid_argument with the reason.
 HandoverState parse_state(std::string_view text);
 
 }    // namespace shaletray::handover
--- a/src/balancer/operations/metrics.h
+++ b/src/balancer/operations/metrics.h
@@ -1,4 +1,4 @@
-// The figures that a gateway reports, in the Prometheus text format. Pure.
+// A gateway's metrics in the Prometheus text format. Pure.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,14 @@
 
 namespace shaletray::operations {
 
-// Beside what is counted: how things stand now.
+// Gauges beside the counters.
 struct ServiceStatus {
-    std::size_t in_progress = 0;        // requests taken and not ended
+    std::size_t in_progress = 0;        // requests accepted and not ended
     std::size_t known_servers = 0;      // in the list
-    std::size_t skipped_servers = 0;    // of those, avoided now: taken out by hand, or ejected
+    std::size_t skipped_servers = 0;    // those ejected now, by operators or by the decision module
 };
 
+// The complete text of a scrape.
 std::string format_metrics(const Counters& counters, const ServiceStatus& standing);
 
 }    // namespace shaletray::operations
--- a/src/balancer/operations/router.h
+++ b/src/balancer/operations/router.h
@@ -1,5 +1,5 @@
-// What operators may ask of a running gateway over its second address, and how each call is answered. Pure:
-// the only place that knows the calls' names. What they do is behind Operations.
+// The admin API of a running gateway on its second address: routes and replies. Pure, and the only place with
+// the paths; AdminOperations carries the calls out.
 #pragma once
 
 #include <memory>
@@ -11,30 +11,32 @@
 
 namespace shaletray::operations {
 
+// What the admin API can do; implemented by the service and called on the reactor's thread.
 class AdminOperations {
 public:
     virtual ~AdminOperations() = default;
     virtual bool is_ready() const = 0;
     virtual std::string metrics_text() const = 0;    // Prometheus text format
-    // False where no such server is known. Either may come twice.
+    // False if the server is unknown. Both are idempotent.
     virtual bool eject_server(const std::string& server) = 0;
     virtual bool reinstate_server(const std::string& server) = 0;
     virtual void set_draining(bool wanted) = 0;
 };
 
+// The response to an admin call.
 struct AdminReply {
     int status_code = 200;
     std::string text;
     std::string_view content_type = "text/plain; charset=utf-8";
-    std::string_view allowed_methods = {};    // with 405: the method that the call takes
+    std::string_view allowed_methods = {};    // for status 405
 };
 
-// `target` may carry a query, which says nothing. Unknown paths 404, other methods 405, no or a malformed id
-// 400, an unknown one 404.
+// Carries out a call. A query in `target` is ignored. Status 404 for unknown paths and servers, 405 for other
+// methods, 400 for a missing or malformed id.
 AdminReply answer_call(AdminOperations& operations, std::string_view method, std::string_view target,
                        std::string_view body);
 
-// One call a connection; what is no HTTP, or larger than a call may be, is answered and closed.
+// One call per connection; malformed or oversized requests get an error response.
 class AdminProtocol : public LineProtocol {
 public:
     static constexpr std::size_t kMaxHeadSize = 8 * 1024, kMaxBodySize = 4 * 1024;
--- a/src/balancer/platform/discovery_watch.h
+++ b/src/balancer/platform/discovery_watch.h
@@ -1,4 +1,5 @@
-// Watches discovery's list of servers, and starts anew where the watch breaks.
+// Watches the discovery service's list of servers over a long-lived HTTP response, and reconnects with
+// backoff. Only for the reactor's thread.
 #pragma once
 
 #include <memory>
@@ -10,18 +11,20 @@
 
 namespace shaletray {
 
+// Passes each change to the host directory and the engine. All references outlive it.
 class DiscoveryWatch : public HostListSource, private StreamOwner {
 public:
-    // `heard` is called after each change.
+    // `on_change` is called after each change of the list.
     DiscoveryWatch(Engine& engine, HostDirectory& hosts, const GatewayConfig& config, Counters& counters,
                    Reactor& reactor, std::function<void()> on_change);
     ~DiscoveryWatch() override;
 
+    // Applies the configuration's own list, and connects unless the decision module requests lists itself.
     void start();
     void subscribe() override { connect(); }
-    // Goes on at another address, at once. What was heard stays until that one speaks.
+    // Reconnects to another address at once. The present list stays until the new one arrives.
     void set_address(const std::string& address);
-    // Takes in what has come, so that it counts before anything is sent in this turn.
+    // Processes what has arrived, so that it applies before anything is sent in this event loop iteration.
     void read_available();
 
 private:
@@ -42,7 +45,7 @@
     std::function<void()> on_change_;
     std::unique_ptr<Stream> stream_;
     http::Parser parser_;
-    std::size_t scanned_bytes_ = 0;    // of the line that has begun
+    std::size_t scanned_bytes_ = 0;    // of the incomplete line
     std::int64_t revision_ = 0;
     Duration backoff_{0};
     TimePoint last_received_at_{};
--- a/src/balancer/platform/gateway_config.h
+++ b/src/balancer/platform/gateway_config.h
@@ -1,4 +1,4 @@
-// What a gateway is told when it starts: the configuration file and the settings in it.
+// The platform's configuration file of a gateway, with the decision module's settings in it.
 #pragma once
 
 #include <cstdint>
@@ -13,41 +13,45 @@
 
 namespace shaletray {
 
-// What is wrong, in one plain line.
+// An invalid configuration, with the reason in one line.
 class ConfigError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+// The smallest accepted `max_sockets`.
 constexpr std::size_t kMinSockets = 64;
 
+// A parsed configuration, checked for consistency.
 struct GatewayConfig {
     std::string name, listen_address, discovery_address, peer_listen_address, all_peer_addresses;
-    std::string admin_address;         // the second address; empty: none
-    std::vector<std::string> peers;    // by their numbers, our own included
+    std::string admin_address;         // of the admin API; empty: none
+    std::vector<std::string> peers;    // addresses by gateway index, our own included
     std::uint64_t seed = 0;
     std::size_t max_sockets = 1024;
     double max_memory_mb = 32.0;
     decision::Settings settings;
-    // What the settings say beyond what the module reads.
+    // Values of the settings that the decision module does not use.
     LocationNames locations;
-    std::vector<bool> streams_by_class;       // by class, as the settings list them
-    std::vector<int> engine_class_indexes;    // the engine's, likewise
-    bool reservations_enabled = false;        // requests may name one; set where plans change in service
+    std::vector<bool> streams_by_class;       // by class, in the order of the settings
+    std::vector<int> engine_class_indexes;    // the engine's index of each class, likewise
+    bool reservations_enabled = false;        // requests may name a reservation; needs a plan service
     Duration connection_idle_timeout{0}, dial_timeout{0};
     HostMemberList known_hosts;
-    // Every field that the file holds, as a path; of a list's entries those that all have.
+    // Paths of all fields in the file; of a list's entries, the fields that all of them have.
     std::set<std::string> present_fields;
 
+    // The longest deadline of any class.
     Duration max_deadline() const;
 };
 
+// Throws ConfigError.
 GatewayConfig parse_config(const std::string& text);
-// A file that lacks what the running one holds was cut, or belongs to something else: throws BadConfig.
+// Throws ConfigError if the new file lacks fields of the running one: it was truncated, or is another file.
 void check_reloadable(const GatewayConfig& next, const GatewayConfig& running);
-// Reads the file that EDGE_CONFIG names; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY go before what it says.
+// Reads the file named by EDGE_CONFIG; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override its values.
 GatewayConfig config_from_environment();
-// The same file once more, for a reload: what it says now is newer than the environment, and goes before it.
+// Reads the same file for a reload, without these overrides: its content is newer than the environment.
 GatewayConfig config_from_file();
 
 }    // namespace shaletray
--- a/src/balancer/platform/messages.h
+++ b/src/balancer/platform/messages.h
@@ -1,4 +1,5 @@
-// What this platform's HTTP messages mean, and how ours are written.
+// This platform's HTTP messages: parses requests of clients and responses of servers, and writes the
+// gateway's own. Pure functions, and the classes that offer them to the data plane.
 #pragma once
 
 #include <string>
@@ -14,35 +15,36 @@
 
 namespace shaletray {
 
-// Of a request whose body is still coming the body is left to the caller, as its `upload`.
+// Parses a client's request. If its body is still being received, the caller sets the payload's `upload`.
 std::variant<IncomingRequest, ImmediateRejection> read_request(const http::Parser& parser,
                                                                const http::Buffer& buffer,
                                                                const GatewayConfig& config);
+// The request's id for logs; empty if it has none.
 std::string_view correlation_id(const http::Parser& parser, const http::Buffer& buffer);
 bool is_readiness_check(const http::Parser& parser, const http::Buffer& buffer);
 
-// "480m" or "480000u"; nothing below zero.
+// Parses "480m" (milliseconds) or "480000u" (microseconds); false for anything else and below 0.
 bool parse_time_left(std::string_view text, Duration& left);
-// "inflight=7,queue=2,util=0.61", under the names the module's settings use. What cannot be read is left out.
+// Parses "inflight=7,queue=2,util=0.61", under the names of the decision module. Malformed items are skipped.
 LoadReport parse_load(std::string_view text);
 
-// To a server.
+// Requests to servers and discovery.
 std::string write_request(const Payload& request, Duration left);
 std::string write_health_check(std::string_view host);
 std::string write_list_watch(std::string_view host, std::int64_t revision);
 
-// From a server.
+// Responses of servers; see UpstreamProtocol.
 Outcome outcome_of(const http::Parser& parser, const http::Buffer& buffer);
 LoadReport load_report_of(const http::Parser& parser, const http::Buffer& buffer);
 Payload answer_of(const http::Parser& parser, const http::Buffer& buffer, bool with_body = true);
-// The true units that a good answer tells where units are settled afterwards ("X-Cost-Units: 3"): above 0.
-// kUnitsUntold where it tells none; kUnitsMalformed where it tells anything else, or twice.
+// The actual units, above 0, that a successful response reports ("X-Cost-Units: 3"). kUnitsUnreported if it
+// has none; kUnitsMalformed for other values or several headers.
 double settled_units_of(const http::Parser& parser, const http::Buffer& buffer);
 
-// To a client.
+// The value of a Retry-After header for a client.
 std::string format_retry_after(Duration wait);
 
-// The above, as the parts on sockets ask for it.
+// The platform's request mapping. `config` outlives it; changes of it apply to later messages.
 class PlatformRequestMapping : public RequestMapping {
 public:
     explicit PlatformRequestMapping(const GatewayConfig& config) : config_(config) {}
@@ -62,6 +64,7 @@
     const GatewayConfig& config_;
 };
 
+// The platform's upstream protocol; stateless.
 class PlatformUpstreamProtocol : public UpstreamProtocol {
 public:
     std::string write_request(const Payload& request, HostId host, Duration left) const override;
--- a/src/balancer/platform/peer_socket.h
+++ b/src/balancer/platform/peer_socket.h
@@ -1,4 +1,5 @@
-// Datagrams between gateways.
+// UDP datagrams between the gateways of one installation. Lost or dropped datagrams are not repeated. Only
+// for the reactor's thread.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -14,18 +15,19 @@
 
 namespace shaletray {
 
+// Accepts datagrams only from the configured peers.
 class PeerSocket : public PeerMessenger {
 public:
-    static constexpr std::size_t kMaxDatagramSize = 256;
+    static constexpr std::size_t kMaxDatagramSize = 256;    // bytes
 
-    // Throws Poco::Exception where an address is no good.
+    // Throws Poco::Exception if an address is not valid.
     PeerSocket(Engine& engine, const GatewayConfig& config, Counters& counters, Reactor& reactor);
     ~PeerSocket() override;
     PeerSocket(const PeerSocket&) = delete;
     PeerSocket& operator=(const PeerSocket&) = delete;
 
     void send_to_peer(PeerId recipient, const std::vector<std::uint8_t>& bytes) override;
-    void close();    // neither hears nor tells from now on
+    void close();    // neither receives nor sends from now on
     std::string address() const { return is_open_ ? socket_.address().toString() : std::string(); }
 
 private:
--- a/src/balancer/service/gateway_service.h
+++ b/src/balancer/service/gateway_service.h
@@ -1,4 +1,5 @@
-// All parts of one gateway, wired together.
+// The stand-alone gateway: owns and connects all its parts, and runs the reactor. Everything happens on the
+// thread that calls run(), apart from the threads that wait for disks.
 #pragma once
 
 #include <memory>
@@ -25,10 +26,10 @@
 
 namespace shaletray {
 
-// Puts what was admitted into the journal, and the units that reservations gave beside it.
+// Writes admitted requests to the usage log.
 class UsageLogRecorder : public UsageRecorder {
 public:
-    // Throws what the journal throws where it cannot begin.
+    // Throws like usage_log::UsageRecorder.
     UsageLogRecorder(const settings::UsageSettings& settings, int gateway_index, TimePoint now);
     void record_admission(const AdmittedRequest& admission) override;
     const usage_log::WriterStatistics& statistics() const { return recorder_.statistics(); }
@@ -38,22 +39,24 @@
     LogRateLimiter log_limiter_{std::chrono::minutes(1)};
 };
 
+// One gateway from construction, which opens its sockets and takes over a predecessor's state, to the end of
+// run().
 class GatewayService : private operations::AdminOperations {
 public:
-    // Throws BadSettings, or Poco::Exception where an address cannot be used.
+    // Throws decision::BadSettings, or Poco::Exception if an address cannot be used.
     explicit GatewayService(GatewayConfig config, settings::OperatorSettings settings = {});
     ~GatewayService() override;
 
-    // Until stopped. `look` runs once a turn, and at least ten times a second.
+    // Serves until stopped. `look` runs once per event loop iteration, and at least ten times a second.
     void run(std::function<void()> look);
-    // Finishes what was taken, then ends run().
+    // Graceful shutdown: accepted requests are answered, then run() returns.
     void request_stop();
-    // Takes over what may change in service: discovery's address, the classes and the limits of requests.
-    // False where nothing differs. Throws BadConfig or BadSettings and changes nothing where the file is not
-    // whole.
+    // Applies what may change at runtime: discovery's address, the classes and the limits of requests. False
+    // if nothing differs. Throws ConfigError or decision::BadSettings, and changes nothing, if the file is
+    // incomplete or invalid.
     bool apply_reload(const GatewayConfig& changed);
-    // Takes over what the operator's file wants of plans, where this gateway keeps the book; everything else
-    // in it takes a restart. How many changes were made.
+    // Applies the plans of the operator's file if this gateway owns the plan table; everything else in it
+    // needs a restart. Returns the number of changes.
     std::size_t apply_reload(const settings::OperatorSettings& changed);
     void record_reload_accepted() { ++counters_.configurations_loaded; }
     void record_reload_failed() { ++counters_.reloads_failed; }
@@ -62,13 +65,13 @@
     std::string admin_address() const { return admin_server_ ? admin_server_->address() : std::string(); }
     std::string peer_address() const { return peer_socket_->address(); }
     const Counters& counters() const { return counters_; }
-    // All counters as they are printed, those of the shared counter too where one is used.
+    // All counters as text, including those of the shared counter if there is one.
     std::string counters_text() const;
     const shared_counter::SharedCounterClient* shared_counter_client() const { return shared_counter_.get(); }
 
 private:
     bool is_list_received() const;
-    // What operators ask over the second address.
+    // The admin API.
     bool is_ready() const override;
     std::string metrics_text() const override;
     bool eject_server(const std::string& server) override;
@@ -118,7 +121,7 @@
     bool list_received_ = false;
     TimePoint started_at_ = clock_.now();
     TimePoint stopping_since_{};
-    bool stop_logged_ = false;    // and not only asked by a successor
+    bool stop_logged_ = false;    // by request_stop, not only because of a successor
 };
 
 }    // namespace shaletray
--- a/src/balancer/service/plan_table_file.h
+++ b/src/balancer/service/plan_table_file.h
@@ -1,4 +1,5 @@
-// Where the plan book lasts: one line of JSON for each change, written before the change counts.
+// Persists the plan table: an append-only file with one line of JSON per change, written before the change
+// takes effect. Used on the reactor's thread; a thread of its own syncs the file.
 #pragma once
 
 #include <condition_variable>
@@ -12,26 +13,27 @@
 
 namespace shaletray {
 
+// Holds a lock on the file, so that one process at a time writes it.
 class PlanTableFile {
 public:
+    // The result of reading the file.
     struct Loaded {
         std::size_t change_count = 0;
-        bool is_torn = false;    // the last line was cut short by a kill: it had not counted, and is gone
-        std::string
-            damage_reason;    // what stands in the way of the rest, where the operator lets that be served
+        bool is_torn = false;    // the last line was truncated by a kill: it had no effect and was removed
+        std::string damage_reason;    // why the rest is not readable, if damaged files are served
     };
 
-    // Reads it into the book; a file that is not there is an empty one. Throws std::runtime_error where
-    // another process has it, where it cannot be read or written, and, unless `serve_damaged`, where a line
-    // in it is spoilt.
+    // Reads the file into the table `book`; a missing file is empty. Throws std::runtime_error if another
+    // process has it open, if it cannot be read or written, and, unless `serve_damaged`, if a line is
+    // damaged.
     PlanTableFile(std::string path, plans::PlanTable& book, bool serve_damaged,
                   usage_log::FileSystem& files = usage_log::real_file_system());
     ~PlanTableFile();
     PlanTableFile(const PlanTableFile&) = delete;
     PlanTableFile& operator=(const PlanTableFile&) = delete;
 
-    // Once this returns the line survives a kill of the process, and soon after that the loss of the machine.
-    // Throws std::runtime_error, and then nothing of it stays.
+    // When this returns, the line survives a kill of the process; after the next sync, a crash of the
+    // machine. Throws std::runtime_error, and leaves nothing of the line behind.
     void append_change(const plans::PlanChange& change);
     const Loaded& load_result() const { return load_result_; }
 
@@ -46,7 +48,7 @@
     std::mutex mutex_;
     std::condition_variable wake_condition_;
     bool has_unsynced_ = false, is_stopping_ = false;
-    std::thread thread_;    // waits for the disk, so that no request does
+    std::thread thread_;    // syncs, so that no request waits for the disk
 };
 
 }    // namespace shaletray
--- a/src/balancer/settings/record.h
+++ b/src/balancer/settings/record.h
@@ -1,4 +1,4 @@
-// Reading a file that was unified with its schema, record by record.
+// Typed access to a settings file that was unified with its schema.
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,8 @@
 
 namespace shaletray::settings {
 
-// Reads a settled record. What the schema promises is not checked again.
+// Reads the fields of a resolved record. What the schema guarantees is not checked again: accessors of a
+// field require that it exists with that type, apart from has() and text_at().
 class Record {
 public:
     explicit Record(const ValuePtr& value) : value_(value) {}
@@ -28,6 +29,7 @@
         return static_cast<T>(number_at(name));
     }
     bool bool_at(const std::string& name) const { return value_at(name)->bool_value; }
+    // In bytes, from a number or a text like "64KiB".
     std::uint64_t size_at(const std::string& name) const {
         const Value& v = *value_at(name);
         return static_cast<std::uint64_t>(v.kind == Value::Kind::Text ? parse_size(v.text_value).value()
@@ -47,10 +49,10 @@
     ValuePtr value_;
 };
 
-// The file unified with a schema, defaults taken. Throws BadSettingsFile with all that is wrong.
+// The file unified with a schema, with defaults applied. Throws SettingsFileError with all problems.
 ValuePtr resolve_settings(std::string_view text, const std::string& file, const char* schema,
                           const char* schema_name);
-// Throws BadSettingsFile where it cannot be read.
+// Throws SettingsFileError if the file cannot be read.
 std::string read_file(const std::string& path);
 
 }    // namespace shaletray::settings
--- a/src/balancer/shared_counter/resp.h
+++ b/src/balancer/shared_counter/resp.h
@@ -1,5 +1,5 @@
-// The Redis protocol, RESP2: commands as bytes and bytes as replies, both by hiredis. Knows no socket.
-// hiredis's own asynchronous connection is not used: it would own a socket that the reactor has to own.
+// The Redis protocol, RESP2, by hiredis: serializes commands and parses replies. Independent of sockets:
+// hiredis's own asynchronous connection is not used, since it would own a socket that the reactor has to own.
 #pragma once
 
 #include <cstdint>
@@ -14,6 +14,7 @@
 
 namespace shaletray::shared_counter {
 
+// A parsed reply.
 struct RespReply {
     enum class Kind { Nil, Text, Status, Error, Integer, List };
     Kind kind = Kind::Nil;
@@ -22,23 +23,24 @@
     std::vector<RespReply> items;    // List
 };
 
-// The bytes are no RESP: nothing that follows can be read.
+// The bytes are not RESP: nothing after them can be parsed.
 class RespProtocolError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
+// A command as an array of bulk strings.
 std::string serialize_command(const std::vector<std::string>& words);
 
-// Takes replies (or, for a server, commands, which have the form of a list) out of a stream of bytes.
+// Parses replies (or, for a server, commands, which are lists) from a stream of bytes.
 class RespReader {
 public:
-    // What a peer may make us hold: a longer reply is none of ours.
+    // Bounds the memory that a peer can make us use; no legitimate reply is longer.
     static constexpr std::size_t kMaxReplySize = 16 * 1024 * 1024;
 
     RespReader();
     void feed(std::string_view bytes);
-    // Nothing until a whole one is there. Throws NotResp.
+    // Empty until a complete reply has arrived. Throws RespProtocolError.
     std::optional<RespReply> next_reply();
 
 private:
@@ -46,7 +48,7 @@
         void operator()(redisReader* reader) const;
     };
     std::unique_ptr<redisReader, Free> reader_;
-    std::size_t pending_bytes_ = 0;    // bytes since the last whole reply
+    std::size_t pending_bytes_ = 0;    // bytes since the last complete reply
 };
 
 }    // namespace shaletray::shared_counter
--- a/src/balancer/shared_counter/shared_counter_client.h
+++ b/src/balancer/shared_counter/shared_counter_client.h
@@ -1,4 +1,5 @@
-// The driver of the shared counter: one connection to each store on the reactor, and the ledger's time.
+// Runs the shared counter: connects to each store, drives its session, and passes time to the quota state
+// table. Only for the reactor's thread.
 #pragma once
 
 #include <memory>
@@ -12,6 +13,7 @@
 
 namespace shaletray::shared_counter {
 
+// All references outlive it.
 class SharedCounterClient {
 public:
     SharedCounterClient(StoreExchangeSettings settings, QuotaStateTable& quota_state_table, Engine& engine,
@@ -20,6 +22,7 @@
     SharedCounterClient(const SharedCounterClient&) = delete;
     SharedCounterClient& operator=(const SharedCounterClient&) = delete;
 
+    // Further fields to exchange with the stores; before start().
     void set_field_exchange(plans::FieldExchange& field_exchange) {
         exchange_.set_field_exchange(field_exchange);
     }
--- a/src/balancer/shared_counter/store_exchange.h
+++ b/src/balancer/shared_counter/store_exchange.h
@@ -1,5 +1,5 @@
-// Several stores for one ledger: when each is written to and read, and which of them carries the rows for
-// now. Pure, as its sessions are.
+// Schedules the exchange of one quota state table with several stores: all get every row, and the preferred
+// reachable one is read most often. Pure, like its sessions.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,15 @@
 
 namespace shaletray::shared_counter {
 
+// The stores and how often they are used.
 struct StoreExchangeSettings {
-    std::vector<StoreSessionSettings> stores;    // in the order of preference
-    Duration interval{500'000}, standby_interval{5'000'000};
-    std::size_t max_rows_per_call = 1024;    // in a call; the rest waits its turn
+    std::vector<StoreSessionSettings> stores;                   // in order of preference
+    Duration interval{500'000}, standby_interval{5'000'000};    // of the active store; of the others
+    std::size_t max_rows_per_call = 1024;                       // the rest follows in later calls
     std::uint64_t random_seed = 1;
 };
 
+// Owns the sessions; the caller owns their connections.
 class StoreExchange {
 public:
     StoreExchange(StoreExchangeSettings settings, QuotaStateTable& quota_state_table,
@@ -27,7 +29,7 @@
     void set_field_exchange(plans::FieldExchange& field_exchange) {
         for (Store& store : stores_) store.session->set_field_exchange(&field_exchange);
     }
-    // What is due: time-outs, and calls to the stores whose turn it is.
+    // Handles time-outs and makes the calls that are due.
     void tick(TimePoint now);
     std::optional<TimePoint> next_deadline() const;
 
@@ -35,7 +37,8 @@
     struct Store {
         std::unique_ptr<StoreSession> session;
         TimePoint next_due{};
-        TimePoint active_until{};    // asked as often as the first: somebody is heard only there
+        TimePoint
+            active_until{};    // used as often as the active one, since some gateway is heard only there
         bool was_up = false;
     };
 
@@ -43,7 +46,7 @@
     QuotaStateTable& quota_state_table_;
     SharedCounterStatistics& statistics_;
     std::vector<Store> stores_;
-    int immediate_exchanges_ = 0;    // exchanges that may follow at once
+    int immediate_exchanges_ = 0;    // exchanges that may follow without a pause
     TimePoint immediate_allowed_at_{};
 };
 
--- a/src/balancer/usage/collector.h
+++ b/src/balancer/usage/collector.h
@@ -1,6 +1,6 @@
-// From segments of use records to batches for billing, each unit once: what is read, the place up to where it
-// was read, what was sealed and what was handed on change in one transaction each. A kill between any two
-// steps leaves what was committed, and the next run goes on from there.
+// Turns segments of usage records into batches for billing, counting each unit exactly once: records and the
+// read position, sealed batches, and export positions each change in one transaction. After a kill between
+// any two steps the next run continues from what was committed. For one thread and one process at a time.
 #pragma once
 
 #include <functional>
@@ -19,65 +19,70 @@
 using decision::TimePoint;
 using usage_log::CustomerId;
 
-// Called before each step that leaves a trace, by its name: where a test lets it fail.
+// Called with the name of each step before its effect, so that tests can make it fail.
 using StepHook = std::function<void(const char* step)>;
 
+// Where to read and store, and the bounds.
 struct CollectorSettings {
-    std::string journal_directory;    // folder of segments
+    std::string journal_directory;    // where the segments are
     std::string store_path;           // SQLite file
     std::uint64_t max_store_bytes = 0;
     Duration settling_time{5'000'000};                // after a minute's end, before it is sealed
-    std::uint32_t max_batch_lines = 5000;             // in a batch, at most
-    std::uint32_t records_per_transaction = 65536;    // read in one transaction
-    int retained_batches = 10000;                     // that all have, for a sink that was set back
+    std::uint32_t max_batch_lines = 5000;             // of one batch
+    std::uint32_t records_per_transaction = 65536;    // bounds a transaction
+    int retained_batches = 10000;                     // acknowledged ones, kept for sinks that lost data
 };
 
-// One line of a batch: what a customer used in a minute under one version of its plan.
+// One line of a batch: a customer's usage in one minute under one version of its plan.
 struct UsageLine {
     std::int64_t minute = 0;    // Unix time in minutes
     CustomerId customer{};
     std::uint32_t plan_index = 0, plan_version = 0, class_index = 0, gateway_index = 0;
     std::uint64_t reservation_version = 0;
-    bool is_unrecorded = false;    // tries that were admitted and not recorded one by one
+    bool is_unrecorded = false;    // admitted requests that were counted, but not recorded
     std::uint64_t record_count = 0;
-    std::int64_t unit_millionths = 0;    // millionths
+    std::int64_t unit_millionths = 0;    // of a unit, so that sums are exact
     bool operator==(const UsageLine&) const = default;
 };
 
+// A sealed batch, which never changes.
 struct UsageBatch {
-    std::string exporter_name;     // the store's own name: two stores never number the same batch
-    std::uint64_t batch_id = 0;    // from 1, without holes
+    std::string exporter_name;     // of the store: with it a batch id is unique among stores
+    std::uint64_t batch_id = 0;    // consecutive from 1
     std::vector<UsageLine> lines;
 };
 
+// Sums of records, to reconcile what was read and exported.
 struct UsageTotals {
     std::uint64_t record_count = 0, unrecorded_count = 0;
     std::int64_t unit_millionths = 0;
     bool operator==(const UsageTotals&) const = default;
 };
 
+// Owns the database.
 class UsageCollector {
 public:
     // Throws usage_store::StoreError.
     UsageCollector(CollectorSettings settings, usage_log::FileSystem& files, StepHook step = {});
 
     const std::string& exporter_name() const { return exporter_name_; }
-    // Reads what is new in all segments, and removes those that are whole and safe in the store. How many
-    // rows came in. Segments that cannot be read are told and left where they are.
+    // Reads new records of all segments, and removes segments that are complete and committed to the store.
+    // Returns the number of records. Unreadable segments stay, with a warning.
     std::uint64_t ingest_records();
-    // Seals what is older than the settling time, or all; in batches. How many batches.
+    // Seals records older than the settling time, or all of them, and returns the number of batches.
     std::uint64_t seal_batches(TimePoint now, bool all);
 
     std::uint64_t last_sealed_batch() const;
+    // Empty if there is none of this id, or no longer.
     std::optional<UsageBatch> read_batch(std::uint64_t id);
-    // How far a sink has been served; kept by name.
+    // The last batch that a sink has; stored by the sink's name.
     std::uint64_t acknowledged_batch(const std::string& sink);
     void set_acknowledged(const std::string& sink, std::uint64_t upto);
-    // Drops batches that all sinks have, but for the newest.
+    // Removes batches that all sinks have, except the newest (retained_batches).
     void prune_batches(const std::vector<std::string>& sinks);
     std::uint64_t oldest_batch();
 
-    // What was read, by gateway and life; what waits to be sealed; what was sealed.
+    // Totals read, by gateway and incarnation; waiting to be sealed; sealed.
     std::map<std::pair<std::uint32_t, std::uint64_t>, UsageTotals> stored_totals();
     UsageTotals pending_totals();
     UsageTotals exported_totals();
@@ -85,7 +90,7 @@
         std::uint64_t damaged_slots = 0, torn_segments = 0;
     };
     ReadErrors read_errors();
-    // Of segments that are there and not read yet.
+    // Records in segments that were not read yet.
     UsageTotals unread_totals();
     const std::vector<std::string>& warnings() const { return warnings_; }
     usage_store::Database& database() { return database_; }
@@ -112,12 +117,14 @@
         add_total_statement_;
 };
 
-// The schema, step by step.
+// The schema's migrations, in order.
 std::vector<const char*> database_schema();
-// Each line a whole record: "jsonl" or "csv" (with one line of names first).
+// "jsonl", or "csv" with a header line.
 enum class ExportFormat { JsonLines, Csv };
+// The text of a batch, one usage line a line; plans and classes are written by name.
 std::string write_batch(const UsageBatch& batch, ExportFormat form, const std::vector<std::string>& plans,
                         const std::vector<std::string>& classes);
+// A Unix minute as ISO 8601 text.
 std::string format_minute(std::int64_t minute);
 
 }    // namespace shaletray::usage
--- a/src/balancer/usage/export.h
+++ b/src/balancer/usage/export.h
@@ -1,6 +1,6 @@
-// Batches handed on: put in place as sealed files, or posted to a billing endpoint. Each batch has one name
-// for good, so that whatever is repeated after a kill or a lost answer is the same one. The cursor of a place
-// moves in a transaction of the store, after the place has the batch.
+// Exports sealed batches to files or to a billing endpoint (sinks). The name of a batch never changes, so
+// that a repetition after a kill or a lost reply is recognized. A sink's position advances in a transaction
+// of the store, after the sink has the batch.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,17 @@
 
 namespace shaletray::usage {
 
-struct ExportNames {    // of the platform's plans and classes, for those who read the lines
+// Names of the platform's plans and classes, by index, for the exported lines.
+struct ExportNames {
     std::vector<std::string> plans, classes;
 };
 
+// Writes each batch to a file that appears under its name only when it is complete.
 class FileExport {
 public:
     FileExport(UsageCollector& collector, usage_log::FileSystem& files, std::string folder, ExportFormat form,
                ExportNames names);
-    // Puts all batches in place that are not there. How many. Throws usage_log::FileError.
+    // Writes all batches that are missing and returns their number. Throws usage_log::FileError.
     std::uint64_t export_batches();
     std::string sink_name() const { return "files:" + directory_; }
     std::string file_name_of(std::uint64_t batch) const;
@@ -32,26 +34,26 @@
     ExportNames names_;
 };
 
-// What a billing endpoint says to a batch.
+// A billing endpoint's reply.
 struct SinkReply {
-    bool received = false;                   // an answer came and could be read
-    std::uint64_t acknowledged_batch = 0;    // it has all batches up to this one
+    bool received = false;                   // a valid reply arrived
+    std::uint64_t acknowledged_batch = 0;    // the endpoint has all batches up to this one
     std::string error_text;
 };
-// POST of one batch; batch 0: asks only how far it is.
+// Posts one batch; batch 0 only queries the position.
 using SinkPost =
     std::function<SinkReply(const std::string& exporter, std::uint64_t batch, const std::string& body)>;
 
+// Posts batches in order to a billing endpoint.
 class SinkExport {
 public:
-    enum class State { Done, RetryLater, Stopped };    // Stopped: an operator must look
+    enum class State { Done, RetryLater, Stopped };    // Stopped: needs an operator, see last_error()
 
     SinkExport(UsageCollector& collector, std::string url, SinkPost post, ExportNames names);
-    // Sends until all is there or something stands in the way.
+    // Posts until the endpoint has all batches or an error occurs.
     State export_batches();
-    // Asks how far it is, where nothing is to be sent: it may have forgotten since.
+    // Queries the position when nothing is to be sent, to notice an endpoint that has lost batches.
     State check_sink();
-    // What stood in the way.
     const std::string& last_error() const { return last_error_; }
     std::string sink_name() const { return "http:" + url_; }
     std::uint64_t post_count() const { return post_count_; }
@@ -68,7 +70,7 @@
     std::uint64_t post_count_ = 0;
 };
 
-// {"have": 12}. Nothing where it is anything else.
+// Parses {"have": 12}. Empty for anything else.
 std::optional<std::uint64_t> parse_acknowledged_batch(const std::string& body);
 
 }    // namespace shaletray::usage
--- a/src/balancer/usage_log/file_system.h
+++ b/src/balancer/usage_log/file_system.h
@@ -1,6 +1,5 @@
-// The few things that are done to files here, behind one interface, so that a test can let each of them fail
-// or end the process at it, one step after another. Errors are thrown as FileError with what was done to
-// what.
+// The file operations of the usage log and the plan table's file, behind an interface, so that tests can make
+// each of them fail or end the process there. Errors are thrown as FileError with the operation and the path.
 #pragma once
 
 #include <cstddef>
@@ -14,12 +13,13 @@
 
 namespace shaletray::usage_log {
 
+// A failed file operation, with the system's error code.
 class FileError : public std::system_error {
 public:
     FileError(int code, const std::string& what) : std::system_error(code, std::generic_category(), what) {}
 };
 
-// An open file; closed with this object, and with it a lock that it holds.
+// An open file. Destruction closes it and releases its lock.
 class File {
 public:
     explicit File(int handle) : handle_(handle) {}
@@ -32,7 +32,7 @@
     int handle_;
 };
 
-// Memory that is a file's; it stays with the system when this process is killed.
+// A shared mapping of a file, whose content survives a kill of this process. Destruction unmaps it.
 class Mapping {
 public:
     Mapping(void* address, std::size_t size) : address_(address), size_(size) {}
@@ -47,12 +47,15 @@
     std::size_t size_;
 };
 
+// Safe from several threads, on different files.
 class FileSystem {
 public:
     virtual ~FileSystem() = default;
+    // `flags` as for open(2).
     virtual std::unique_ptr<File> open(const std::string& path, int flags) = 0;
     virtual void write(File& file, std::string_view bytes) = 0;
-    // Room that is really there, so that a full disk is told here and not at a store to memory.
+    // Reserves disk blocks, so that a full disk is an error here and not a signal at a write to mapped
+    // memory.
     virtual void allocate(File& file, std::size_t size) = 0;
     virtual std::unique_ptr<Mapping> map_file(File& file, std::size_t size, bool writable) = 0;
     virtual void sync(File& file) = 0;
@@ -60,15 +63,16 @@
     virtual void rename(const std::string& from, const std::string& to) = 0;
     virtual void remove(const std::string& path) = 0;
     virtual void truncate(File& file, std::size_t size) = 0;
-    // False where another process holds it.
+    // False if another process holds the lock.
     virtual bool lock(File& file) = 0;
 
-    // These change nothing.
+    // Read-only operations.
     virtual std::vector<std::string> list_directory(const std::string& directory);
     virtual std::string read_file(const std::string& path);
     virtual bool file_exists(const std::string& path);
 };
 
+// The operating system's files.
 FileSystem& real_file_system();
 
 }    // namespace shaletray::usage_log
--- a/src/balancer/usage_log/persistent_counters.h
+++ b/src/balancer/usage_log/persistent_counters.h
@@ -1,4 +1,5 @@
-// A few figures by number that survive a kill: sums that are raised in place, in memory that is a file's.
+// Counters by key that survive a kill of the process: they are updated in place in a mapped file. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +11,17 @@
 
 namespace shaletray::usage_log {
 
+// Locks its file, so that one process at a time uses it.
 class PersistentCounters {
 public:
-    static constexpr std::size_t kSlots = 4096;
+    static constexpr std::size_t kSlots = 4096;    // most keys
 
-    // Throws FileError, or std::runtime_error where another process has it or it is something else.
+    // Throws FileError, or std::runtime_error if another process has the file or it is not such a file.
     explicit PersistentCounters(std::string path, FileSystem& file_system = real_file_system());
 
-    // As they were read at the start, by key.
+    // The values at the start, by key.
     const std::map<std::uint64_t, std::int64_t>& initial_values() const { return initial_values_; }
-    // False where there is no room for another key.
+    // False if there is no free slot for another key.
     bool set_value(std::uint64_t key, std::int64_t value);
     void remove_key(std::uint64_t key);
 
--- a/src/balancer/usage_log/segment.h
+++ b/src/balancer/usage_log/segment.h
@@ -1,6 +1,7 @@
-// Segments: files of so many slots, mapped into memory while they are written. What is in them stays with the
-// system when the gateway is killed; a lock that ends with the writer tells a reader whether more may come.
-// One writer a gateway, any number of readers, and nobody ever writes to a segment of another life.
+// Segments of the usage log: files with a fixed number of slots, mapped into memory while they are written,
+// so that their records survive a kill of the gateway. A lock that the writer holds tells readers whether
+// more records may follow. There is one writer per gateway and any number of readers; a segment is written by
+// one incarnation only.
 #pragma once
 
 #include <condition_variable>
@@ -14,25 +15,28 @@
 
 namespace shaletray::usage_log {
 
+// What identifies a writer, and the sizes of its segments.
 struct WriterSettings {
     std::string folder;
     std::uint32_t gateway_index = 0;
     std::uint64_t incarnation = 1;
-    std::uint32_t slot_count = 8192;      // of a segment; the last one tells what could not be written
-    std::uint64_t max_segments = 2048;    // of this gateway that may wait to be read: the bound on the disk
+    std::uint32_t slot_count = 8192;      // of a segment; the last one counts requests without a record
+    std::uint64_t max_segments = 2048;    // of this gateway that are not read yet: bounds the disk space
 
-    // Throws std::invalid_argument.
+    // Throws std::invalid_argument with the reason.
     void validate() const;
 };
 
+// Totals since the start; failures count segments that could not be created.
 struct WriterStatistics {
     std::uint64_t records = 0, unrecorded_requests = 0, segments = 0, failures = 0;
-    std::int64_t unrecorded_units = 0;    // millionths
+    std::int64_t unrecorded_units = 0;    // in millionths
 };
 
+// A segment that is being written. Destruction releases its lock.
 class Segment {
 public:
-    // Makes and locks the file. Throws FileError; nothing is left behind then.
+    // Creates and locks the file. Throws FileError, and leaves nothing behind then.
     Segment(FileSystem& file_system, const std::string& directory, const SegmentHeader& header);
     std::span<std::byte, kSlotSize> slot(std::size_t index) const {
         return std::span<std::byte, kSlotSize>(mapping_->data() + (index + 1) * kSlotSize, kSlotSize);
@@ -48,20 +52,20 @@
     std::unique_ptr<Mapping> mapping_;
 };
 
-// Writes uses where it has room for them, and counts those for which it has none. Knows no thread: the next
-// segment is handed to it.
+// Writes records while it has free slots, and counts those without one. Single-threaded: the next segment is
+// prepared elsewhere and passed to it.
 class SegmentWriter {
 public:
     SegmentWriter(WriterSettings settings, std::unique_ptr<Segment> first_segment);
-    // Gives it its sequence. False where it could only be counted.
+    // Assigns the record's sequence number. False if the record could only be counted.
     bool append(UsageRecord record);
     bool needs_next_segment() const { return next_segment_ == nullptr; }
-    // Which one that must be.
+    // The header that the next segment must have.
     SegmentHeader next_segment_header() const;
     void set_next_segment(std::unique_ptr<Segment> next_segment);
     std::uint64_t last_sequence() const { return last_sequence_; }
     const WriterStatistics& statistics() const { return statistics_; }
-    // Done with: an empty segment that was only prepared is removed.
+    // Ends writing; a prepared segment without records is removed.
     void close_segments(FileSystem& file_system);
 
 private:
@@ -75,19 +79,21 @@
     WriterStatistics statistics_;
 };
 
-// The writer with a thread of its own that makes segments ahead, so that a slow disk is waited for there.
+// A writer with a thread that prepares segments in advance, so that a slow disk does not delay requests.
+// append() is for one thread.
 class UsageRecorder {
 public:
-    // Removes what an earlier life left half made. Throws FileError or std::invalid_argument where it cannot
-    // begin.
+    // Removes incomplete segments of earlier incarnations. Throws FileError or std::invalid_argument if it
+    // cannot start.
     UsageRecorder(WriterSettings settings, FileSystem& file_system = real_file_system());
     ~UsageRecorder();
     UsageRecorder(const UsageRecorder&) = delete;
     UsageRecorder& operator=(const UsageRecorder&) = delete;
 
+    // As SegmentWriter::append.
     bool append(const UsageRecord& record);
     const WriterStatistics& statistics() const { return writer_->statistics(); }
-    // Why the last segment could not be made; empty where the last could.
+    // Why the last segment could not be created; empty if it could.
     std::string last_error() const;
 
 private:
@@ -108,14 +114,15 @@
 
 // ---- reading ----
 
+// How far a segment was read.
 struct ReadResult {
-    std::uint32_t next_slot = 0;        // the slot to go on from
-    bool is_ended = false;              // nothing more will ever come
-    std::uint32_t damaged_slots = 0;    // slots that were written and cannot be read any more
-    bool is_torn = false;               // the writer was killed within one, whose attempt was never sent
+    std::uint32_t next_slot = 0;        // where to continue
+    bool is_ended = false;              // no further records will follow
+    std::uint32_t damaged_slots = 0;    // written slots that are not readable any more
+    bool is_torn = false;    // the writer was killed while writing a record; its request was not sent
 };
-// Gives what stands in a segment from a slot on, at most so many. Throws FileError, or std::runtime_error
-// where the file is no segment.
+// Passes at most `max_slots` records, from `first_slot` on, to `on_record`. Throws FileError, or
+// std::runtime_error if the file is not a segment.
 ReadResult read_segment(FileSystem& file_system, const std::string& path, std::uint32_t first_slot,
                         std::uint32_t max_slots,
                         const std::function<void(const SegmentHeader&, const UsageRecord&)>& on_record);
--- a/src/balancer/usage_log/usage_record.h
+++ b/src/balancer/usage_log/usage_record.h
@@ -1,5 +1,5 @@
-// One admitted try, as it is written down before its first attempt is sent: sixty-four bytes, in a segment of
-// many. Pure. Little-endian, as all machines are that this runs on.
+// The record of one admitted request, which is written before its first attempt is sent: a slot of 64 bytes
+// in a segment. Pure. The format is little-endian, like all supported machines.
 #pragma once
 
 #include <array>
@@ -17,45 +17,46 @@
 using decision::CustomerId;
 using decision::TimePoint;
 
+// A request, or a number of requests that could not be recorded.
 struct UsageRecord {
-    enum class Kind : std::uint16_t {
-        Request,
-        Unrecorded
-    };                             // Gap: `rows` tries of `units` in all could not be written
-    std::uint64_t sequence = 0;    // from 1 in each life of a gateway
+    // Unrecorded: `record_count` requests with `unit_millionths` in total could not be written.
+    enum class Kind : std::uint16_t { Request, Unrecorded };
+    std::uint64_t sequence = 0;    // from 1 in each incarnation of a gateway
     TimePoint admitted_at{};
     CustomerId customer{};
-    std::int64_t unit_millionths = 0;    // in millionths, so that sums are exact
+    std::int64_t unit_millionths = 0;    // of a unit, so that sums are exact
     std::uint32_t plan_version = 0, record_count = 1;
-    std::uint16_t plan_index = 0, class_index = 0;    // the platform's numbers
+    std::uint16_t plan_index = 0, class_index = 0;    // the platform's indexes
     Kind kind = Kind::Request;
-    std::uint64_t reservation_version = 0;    // its version in the plan book; 0: none
+    std::uint64_t reservation_version = 0;    // its version in the plan table; 0: none
     bool operator==(const UsageRecord&) const = default;
 };
 constexpr double kMillionths = 1e6;
 std::int64_t to_millionths(double units);
 
+// Bytes of a record or header.
 constexpr std::size_t kSlotSize = 64;
 using Slot = std::array<std::byte, kSlotSize>;
 
+// The first slot of a segment.
 struct SegmentHeader {
-    std::uint32_t gateway_index = 0, capacity = 0;    // slots behind the head
+    std::uint32_t gateway_index = 0, capacity = 0;    // slots after the header
     std::uint64_t incarnation = 0;
-    std::uint64_t segment_number = 0;    // of the segment in this life, from 0
-    std::uint64_t first_sequence = 0;    // the sequence of its first slot
+    std::uint64_t segment_number = 0;    // within this incarnation, from 0
+    std::uint64_t first_sequence = 0;    // sequence number of its first record
     bool operator==(const SegmentHeader&) const = default;
 };
 
-// `incarnation` goes into the check, so that a slot of another life is none.
+// `incarnation` is part of the checksum, so that a slot of another incarnation is not accepted.
 void write_record(const UsageRecord& record, std::uint64_t incarnation, std::span<std::byte, kSlotSize> slot);
-// What stands in a slot. Empty: nothing was written. Torn: it was not written to its end.
+// The content of a slot. Empty: nothing was written. Torn: it was not written completely.
 enum class SlotState { Record, Empty, Torn };
 SlotState read_record(std::span<const std::byte, kSlotSize> slot, std::uint64_t incarnation,
                       UsageRecord& record);
 void write_header(const SegmentHeader& header, std::span<std::byte, kSlotSize> slot);
 std::optional<SegmentHeader> read_header(std::span<const std::byte, kSlotSize> slot);
 
-// "use-<gateway>-<incarnation, hexadecimal>-<number>.seg"
+// File name: "use-<gateway>-<incarnation, hexadecimal>-<number>.seg"
 std::string segment_name(const SegmentHeader& header);
 struct SegmentName {
     std::uint32_t gateway_index = 0;
--- a/src/balancer/usage_store/database.h
+++ b/src/balancer/usage_store/database.h
@@ -1,5 +1,5 @@
-// SQLite, owned: connections, prepared statements and transactions that each end in one place, errors that
-// say what an operator can do, a schema that only moves forward, and one writer to a file.
+// RAII wrapper of SQLite: connections, prepared statements and transactions, errors that tell operators what
+// to do, migrations of the schema, and a lock that allows one writer per file. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,6 +15,7 @@
 
 namespace shaletray::usage_store {
 
+// A failed database operation; the text says what an operator can do.
 class StoreError : public std::runtime_error {
 public:
     enum class Kind { Corrupt, Full, ReadOnly, NewerSchema, InUse, Unreadable, Other };
@@ -27,7 +28,7 @@
 
 class Database;
 
-// A prepared statement; bound and stepped by its owner, and reset after each use.
+// A prepared statement, reset after each use. The database outlives it.
 class Statement {
 public:
     Statement(Database& database, std::string_view sql);
@@ -36,11 +37,12 @@
     Statement(const Statement&) = delete;
     Statement& operator=(const Statement&) = delete;
 
-    // Runs it with these; rows are given to `row`.
+    // Binds the arguments, executes the statement and ignores its rows. Throws StoreError.
     template <class... Args>
     void run(const Args&... args) {
         for_each_row([] {}, args...);
     }
+    // The same, calling `row` for each row; the column functions read the present one.
     template <class Row, class... Args>
     void for_each_row(Row row, const Args&... args) {
         const Reset reset{*this};
@@ -71,31 +73,34 @@
     sqlite3_stmt* statement_ = nullptr;
 };
 
+// How to open a database.
 struct OpenSettings {
     std::string path;
-    bool is_writer = true;              // takes the lock; readers look on
-    std::uint64_t max_bytes = 0;        // of the file; 0: no bound
-    std::vector<const char*> schema;    // step by step; how many were taken is kept in the file
+    bool is_writer = true;              // takes the lock; otherwise read-only
+    std::uint64_t max_bytes = 0;        // of the file; 0: no limit
+    std::vector<const char*> schema;    // migrations in order; the file stores how many were applied
 };
 
+// An open database; all functions throw StoreError.
 class Database {
 public:
-    // Throws StoreError with a line an operator can use.
+    // Opens the file. A writer applies missing migrations; a reader needs them applied.
     explicit Database(OpenSettings settings);
     ~Database();
     Database(const Database&) = delete;
     Database& operator=(const Database&) = delete;
 
     void execute(const char* sql);
+    // The first column of the first row.
     std::int64_t query_integer(const char* sql);
-    std::int64_t changed_rows() const;
-    // All of it holds, or none.
+    std::int64_t changed_rows() const;    // by the last statement
+    // Runs `what` atomically: an exception rolls it back.
     void run_transaction(const std::function<void()>& what);
-    // What was committed is on the disk from here on, and the log is folded into the file.
+    // Syncs everything committed to disk and merges the write-ahead log into the file.
     void checkpoint_log();
-    // A whole copy that can be opened, made while this is in use.
+    // Makes a consistent copy while the database is in use.
     void backup_to(const std::string& to);
-    // All that SQLite finds wrong, nothing where it is sound.
+    // The problems that SQLite's integrity check finds; empty if there are none.
     std::vector<std::string> check_integrity();
     void compact();
     const std::string& path() const { return settings_.path; }
