--- a/src/base/runtime/capnp_codec.h
+++ b/src/base/runtime/capnp_codec.h
@@ -1,60 +1,145 @@
-// Messages of Cap'n Proto as packed bytes, and back. The one place where its exceptions become errors. Header
-// only: a library that includes it links Cap'n Proto by its schema.
+// Encoding and decoding of Cap'n Proto messages, in the packed form (`pack`, `unpack`) and in the plain one
+// (`serialize`, `deserialize`). Exceptions of Cap'n Proto become errors here and nowhere else. Bytes that are
+// decoded may come from anyone: whatever they are, the outcome is a message or an error.
+//
+// Header only: a library that includes it links Cap'n Proto through its schema.
 #pragma once
 
 #include <capnp/message.h>
 #include <capnp/serialize-packed.h>
+#include <capnp/serialize.h>
 #include <kj/exception.h>
 #include <kj/io.h>
 
-#include <algorithm>
 #include <boost/leaf/error.hpp>
 #include <boost/leaf/result.hpp>
 #include <cstdint>
+#include <cstring>
 #include <string>
 #include <string_view>
 #include <utility>
 
 namespace shaletray::runtime {
 
-// Bytes that are no message of the kind they were taken for.
+// The error of bytes that are not a valid message of the expected type.
 struct MalformedMessage {
     std::string reason;
 };
 
-inline std::string pack(capnp::MessageBuilder& message) {
-    kj::VectorOutputStream stream;
+// How far a reader follows a message, so that a small message cannot cost much memory or time.
+struct ReadLimits {
+    std::uint64_t max_words = 0;    // read in all; a word counts each time that it is visited
+    int max_depth = 0;              // of structs and lists within each other
+};
+
+// Text and data are converted without a copy: the result is valid as long as the argument.
+inline std::string_view text_of(capnp::Data::Reader data) {
+    return {reinterpret_cast<const char*>(data.begin()), data.size()};
+}
+inline std::string_view text_of(capnp::Text::Reader text) { return {text.begin(), text.size()}; }
+inline capnp::Data::Reader data_of(std::string_view bytes) {
+    return {reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()};
+}
+inline capnp::Text::Reader text_reader_of(const std::string& text) { return {text.c_str(), text.size()}; }
+
+namespace detail {
+
+// Appends what is written to a string.
+class StringOutputStream : public kj::OutputStream {
+public:
+    explicit StringOutputStream(std::string& output) : output_(output) {}
+    void write(const void* bytes, std::size_t size) override {
+        output_.append(static_cast<const char*>(bytes), size);
+    }
+
+private:
+    std::string& output_;
+};
+
+inline capnp::ReaderOptions reader_options(const ReadLimits& limits) {
+    capnp::ReaderOptions options;
+    options.traversalLimitInWords = limits.max_words;
+    options.nestingLimit = limits.max_depth;
+    return options;
+}
+
+inline auto malformed(const kj::Exception& error) {
+    return boost::leaf::new_error(MalformedMessage{error.getDescription().cStr()});
+}
+
+}    // namespace detail
+
+// The message in the packed form, behind `header_bytes` zero bytes that the caller fills.
+inline std::string pack(capnp::MessageBuilder& message, std::size_t header_bytes = 0) {
+    std::string bytes;
+    bytes.reserve(header_bytes + capnp::computeSerializedSizeInWords(message) * sizeof(capnp::word));
+    bytes.resize(header_bytes);
+    detail::StringOutputStream stream(bytes);
     capnp::writePackedMessage(stream, message);
-    const auto bytes = stream.getArray();
-    return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
+    return bytes;
+}
+
+// The message in the plain form, behind `header_bytes` zero bytes that the caller fills.
+inline std::string serialize(capnp::MessageBuilder& message, std::size_t header_bytes = 0) {
+    const auto segments = message.getSegmentsForOutput();
+    const std::size_t size = capnp::computeSerializedSizeInWords(segments) * sizeof(capnp::word);
+    std::string bytes(header_bytes + size, '\0');
+    kj::byte* const body = reinterpret_cast<kj::byte*>(bytes.data()) + header_bytes;
+    kj::ArrayOutputStream stream(kj::arrayPtr(body, size));
+    capnp::writeMessage(stream, segments);
+    return bytes;
+}
+
+// How many words a packed message has once unpacked. Errors: MalformedMessage.
+inline boost::leaf::result<std::uint64_t> unpacked_word_count(std::string_view bytes) {
+    try {
+        return std::uint64_t{capnp::computeUnpackedSizeInWords(data_of(bytes))};
+    } catch (const kj::Exception& error) {
+        return detail::malformed(error);
+    }
 }
 
-// Calls `read` with the message's root, which is valid during the call only. Errors: Spoilt, and what `read`
-// returns as one.
+// Calls `handler` with the root of a packed message, which is valid during the call only. Errors:
+// MalformedMessage, and those that `handler` returns.
 template <class Root, class Handler>
-auto unpack(std::string_view bytes, Handler&& handler)
+auto unpack(std::string_view bytes, const ReadLimits& limits, Handler&& handler)
     -> decltype(handler(std::declval<typename Root::Reader>())) {
     try {
-        kj::ArrayInputStream stream(
-            kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
-        // Packing shortens ours to a sixteenth at the most; what claims to unfold to more is not believed.
-        capnp::ReaderOptions options;
-        options.traversalLimitInWords = 1024 + 2 * static_cast<std::uint64_t>(bytes.size());
-        options.nestingLimit = 16;
-        capnp::PackedMessageReader message(stream, options);
-        return handler(message.getRoot<Root>());
+        kj::ArrayInputStream stream(data_of(bytes));
+        capnp::PackedMessageReader reader(stream, detail::reader_options(limits));
+        return handler(reader.getRoot<Root>());
     } catch (const kj::Exception& error) {
-        return boost::leaf::new_error(MalformedMessage{error.getDescription().cStr()});
+        return detail::malformed(error);
     }
 }
 
-inline std::string_view text_of(capnp::Data::Reader data) {
-    return {reinterpret_cast<const char*>(data.begin()), data.size()};
+// The same with limits that suit the system's messages: packing shortens them to a sixteenth at the most, so
+// a message that claims to unpack to more than that is rejected.
+template <class Root, class Handler>
+auto unpack(std::string_view bytes, Handler&& handler)
+    -> decltype(handler(std::declval<typename Root::Reader>())) {
+    const ReadLimits limits{.max_words = 1024 + 2 * std::uint64_t{bytes.size()}, .max_depth = 16};
+    return unpack<Root>(bytes, limits, std::forward<Handler>(handler));
 }
-inline std::string_view text_of(capnp::Text::Reader text) { return {text.begin(), text.size()}; }
-inline capnp::Data::Reader data_of(std::string_view bytes) {
-    return {reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()};
+
+// Calls `handler` with the root of a plain message, which is valid during the call only. The message takes up
+// all of `bytes`. Errors: MalformedMessage, and those that `handler` returns.
+template <class Root, class Handler>
+auto deserialize(std::string_view bytes, const ReadLimits& limits, Handler&& handler)
+    -> decltype(handler(std::declval<typename Root::Reader>())) {
+    if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
+        return boost::leaf::new_error(MalformedMessage{"not a number of whole words"});
+    // The reader needs words at their alignment, which `bytes` need not have.
+    auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
+    std::memcpy(words.asBytes().begin(), bytes.data(), bytes.size());
+    try {
+        capnp::FlatArrayMessageReader reader(words, detail::reader_options(limits));
+        if (reader.getEnd() != words.end())
+            return boost::leaf::new_error(MalformedMessage{"bytes behind the message"});
+        return handler(reader.getRoot<Root>());
+    } catch (const kj::Exception& error) {
+        return detail::malformed(error);
+    }
 }
-inline capnp::Text::Reader text_reader_of(const std::string& text) { return {text.c_str(), text.size()}; }
 
 }    // namespace shaletray::runtime
--- a/src/cluster/configuration/configuration.capnp
+++ b/src/cluster/configuration/configuration.capnp
@@ -1,26 +1,26 @@
 @0xb4c7c0a1d35e9f62;
 
-# How a chart travels between the system's processes. Fields are only ever added, at the end of their struct,
-# and a process leaves out what it does not know. `base` and `digest` are taken over the fields of this first
-# form for good: were later ones to enter them, older processes would take every update for a damaged one.
+# How a configuration travels between the system's processes. Fields are only ever added, at the end of their
+# struct, and a process ignores the fields that it does not know. `baseDigest` and `digest` cover only the
+# fields of this first version: if later fields entered them, older processes would reject every update.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::configuration::form");
+$Cxx.namespace("shaletray::configuration::wire");
 
 struct Update {
-  patch @0 :Bool;                   # else whole: onto nothing
-  base @1 :UInt64;                  # of a patch: the digest of what it changes
-  digest @2 :UInt64;                # of what it leads to
+  isDelta @0 :Bool;                 # otherwise the update holds a complete configuration
+  baseDigest @1 :UInt64;            # of the configuration that a delta applies to
+  digest @2 :UInt64;                # of the configuration that results
   version @3 :UInt64;
   limits @4 :Limits;
-  asksForKeys @5 :Bool;             # there are tenants, if only an empty list
-  # New and changed rows, and the names of those that go: in a patch each list by rising names.
+  hasTenants @5 :Bool;              # the configuration has a tenant list, though it may be empty
+  # New and changed entries, and the names of removed ones. In a delta each list ascends by name.
   routes @6 :List(Route);
   services @7 :List(Service);
   tenants @8 :List(Tenant);
-  routesGone @9 :List(Text);
-  servicesGone @10 :List(Text);
-  tenantsGone @11 :List(Text);
+  removedRoutes @9 :List(Text);
+  removedServices @10 :List(Text);
+  removedTenants @11 :List(Text);
 }
 
 # Times are microseconds.
@@ -34,10 +34,10 @@
   timeout @6 :Int64;
   targetLatency @7 :Int64;
   maxAttempts @8 :Int32;
-  to @9 :List(Share);
+  targets @9 :List(WeightedService);
 }
 
-struct Share {
+struct WeightedService {
   service @0 :Text;
   weight @1 :UInt32;
 }
--- a/src/cluster/configuration/configuration_digest.cpp
+++ b/src/cluster/configuration/configuration_digest.cpp
@@ -1,16 +1,18 @@
-// What two processes compare to know that they hold the same. Sums of the rows' hashes, so that the order of
-// rows does not matter. What enters here is fixed for good (see chart.capnp).
+// The digest adds up the hashes of entries, so that their order does not matter. Processes of all versions
+// compare it: the fields that enter it, and their encoding, never change (see configuration.capnp).
+#include "cluster/configuration/configuration_digest.h"
+
 #include <xxhash.h>
 
 #include <bit>
 
-#include "cluster/configuration/configuration.h"
-#include "cluster/configuration/entry_list_builder.h"
-#include "cluster/configuration/lookup_keys.h"
-
 namespace shaletray::configuration {
 namespace {
 
+// Hash seeds, so that different kinds of entries with equal fields have different hashes.
+enum class HashSeed : std::uint64_t { Configuration = 0, Route = 1, Service = 2, Tenant = 3 };
+
+// Encodes fields one after another and hashes the encoding.
 class FieldHasher {
 public:
     void add_text(std::string_view text) {
@@ -25,10 +27,12 @@
         }
         bytes_.append(encoded, sizeof encoded);
     }
-    void add_int64(std::int64_t number) { this->add_uint64(static_cast<std::uint64_t>(number)); }
-    void add_double(double number) { this->add_uint64(std::bit_cast<std::uint64_t>(number)); }
-    std::uint64_t finish(std::uint64_t seed) {
-        const std::uint64_t hash = XXH3_64bits_withSeed(bytes_.data(), bytes_.size(), seed);
+    void add_int64(std::int64_t number) { add_uint64(static_cast<std::uint64_t>(number)); }
+    void add_double(double number) { add_uint64(std::bit_cast<std::uint64_t>(number)); }
+    // The hash of the fields that were added; starts anew.
+    std::uint64_t finish(HashSeed seed) {
+        const std::uint64_t hash =
+            XXH3_64bits_withSeed(bytes_.data(), bytes_.size(), static_cast<std::uint64_t>(seed));
         bytes_.clear();
         return hash;
     }
@@ -67,8 +71,8 @@
 }
 
 template <class Entry>
-std::uint64_t compute_hash(const Entry& entry, std::uint64_t seed) {
-    // Kept from row to row, so that its memory is.
+std::uint64_t compute_hash(const Entry& entry, HashSeed seed) {
+    // Shared by all entries, so that its memory is allocated once.
     thread_local FieldHasher hasher;
     add_fields(hasher, entry);
     return hasher.finish(seed);
@@ -76,18 +80,21 @@
 template <class Entry>
 std::uint64_t sum_hashes(const EntryList<Entry>& entries) {
     std::uint64_t total = 0;
-    for (const auto& chunk : entries.chunks())
-        if (chunk->has_hash_sum) total += chunk->hash_sum;
-        else
+    for (const auto& chunk : entries.chunks()) {
+        if (chunk->has_hash_sum) {
+            total += chunk->hash_sum;
+        } else {
             for (const Entry& entry : chunk->entries) total += entry_hash(entry);
+        }
+    }
     return total;
 }
 
 }    // namespace
 
-std::uint64_t entry_hash(const Route& route) { return compute_hash(route, 1); }
-std::uint64_t entry_hash(const Service& service) { return compute_hash(service, 2); }
-std::uint64_t entry_hash(const Tenant& tenant) { return compute_hash(tenant, 3); }
+std::uint64_t entry_hash(const Route& route) { return compute_hash(route, HashSeed::Route); }
+std::uint64_t entry_hash(const Service& service) { return compute_hash(service, HashSeed::Service); }
+std::uint64_t entry_hash(const Tenant& tenant) { return compute_hash(tenant, HashSeed::Tenant); }
 
 std::uint64_t digest_of(const Configuration& config) {
     FieldHasher hasher;
@@ -99,9 +106,7 @@
     hasher.add_uint64(config.limits.max_body_bytes);
     hasher.add_int64(config.limits.header_timeout.count());
     hasher.add_int64(config.limits.idle_timeout.count());
-    return hasher.finish(0);
+    return hasher.finish(HashSeed::Configuration);
 }
 
-std::uint64_t api_key_hash(std::string_view key) { return XXH3_64bits(key.data(), key.size()); }
-
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/entry_list.h
+++ b/src/cluster/configuration/entry_list.h
@@ -1,5 +1,4 @@
-// Rows of one kind, in pieces that charts share. What leads from one chart to the next changes few rows: only
-// their pieces are made anew, and what is known of the others stays true.
+// A list of entries that is cheap to copy and to change in a few places.
 #pragma once
 
 #include <cstddef>
@@ -12,15 +11,20 @@
 
 namespace shaletray::configuration {
 
+// A sequence of entries in chunks that copies of the list share (copy on write). One configuration leads to
+// the next by few changes: only the chunks of changed entries are made anew, and what was computed of the
+// others (hash sums, order) stays valid. Lists that share chunks may be read from several threads, but
+// changed only while no other thread copies or changes one of them.
 template <class Entry>
 class EntryList {
 public:
-    static constexpr std::size_t kTypicalChunkSize = 64, kMaxChunkSize = 96;    // rows of a piece
+    static constexpr std::size_t kTypicalChunkSize = 64, kMaxChunkSize = 96;    // entries of a chunk
     struct Chunk {
         std::vector<Entry> entries;
-        // Told by who made it, and true until a row is touched:
-        bool has_hash_sum = false, is_sorted = false;    // in_order: by rising names
-        std::uint64_t hash_sum = 0;                      // of the rows' hashes
+        // Set by whoever builds the chunk, and reset once an entry may have changed:
+        bool has_hash_sum = false;
+        bool is_sorted = false;        // the entries ascend by name
+        std::uint64_t hash_sum = 0;    // of the entries' hashes
     };
     using Chunks = std::vector<std::shared_ptr<Chunk>>;
 
@@ -68,10 +72,10 @@
     iterator end() const { return iterator(chunks_.data() + chunks_.size()); }
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
-    const Entry& front() const { return chunks_.front()->rows.front(); }
+    const Entry& front() const { return chunks_.front()->entries.front(); }
     const Entry& back() const { return chunks_.back()->entries.back(); }
-    // These look the row's piece up: to see many rows, go from begin() to end(). What is not const takes it
-    // that the row is changed.
+    // These search for the entry's chunk: to visit many entries, iterate. The non-const form assumes that the
+    // entry is changed.
     const Entry& operator[](std::size_t index) const {
         const std::size_t chunk_index = locate_chunk(index);
         return chunks_[chunk_index]->entries[index];
@@ -94,21 +98,23 @@
         return true;
     }
 
-    // None of them empty, nor above kMost.
+    // None of them is empty or larger than kMaxChunkSize.
     const Chunks& chunks() const { return chunks_; }
+    // Appends a chunk, shared with its other owners.
     void push_back(std::shared_ptr<Chunk> chunk) {
         size_ += chunk->entries.size();
         chunks_.push_back(std::move(chunk));
     }
 
 private:
-    // The piece of a row, whose place becomes that in its piece.
+    // The chunk of the entry at `index`, which becomes the entry's index within that chunk.
     std::size_t locate_chunk(std::size_t& index) const {
         std::size_t chunk_index = 0;
         for (; index >= chunks_[chunk_index]->entries.size(); ++chunk_index)
             index -= chunks_[chunk_index]->entries.size();
         return chunk_index;
     }
+    // The chunk as this list's own: a copy where it is shared.
     Chunk& writable_chunk(std::size_t chunk_index) {
         std::shared_ptr<Chunk>& chunk = chunks_[chunk_index];
         if (chunk.use_count() > 1) chunk = std::make_shared<Chunk>(*chunk);
--- a/src/cluster/configuration/entry_list_builder.h
+++ b/src/cluster/configuration/entry_list_builder.h
@@ -1,4 +1,4 @@
-// Puts rows together into pieces, and tells of each what is to be known of it.
+// Building and sorting of entry lists.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,21 @@
 #include <utility>
 #include <vector>
 
-#include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_digest.h"
+#include "cluster/configuration/entry_list.h"
 
 namespace shaletray::configuration {
 
-std::uint64_t entry_hash(const Route& route);
-std::uint64_t entry_hash(const Service& service);
-std::uint64_t entry_hash(const Tenant& tenant);
+// Whether the names of the entries ascend, each name once.
+template <class Entry>
+bool is_strictly_ascending(const std::vector<Entry>& entries) {
+    for (std::size_t i = 1; i < entries.size(); ++i)
+        if (!(entries[i - 1].name < entries[i].name)) return false;
+    return true;
+}
 
+// Makes an entry list of single entries and of chunks of other lists, in the order in which they are added,
+// and computes what chunks record of their entries.
 template <class Entry>
 class EntryListBuilder {
 public:
@@ -24,61 +31,66 @@
         pending_.push_back(std::move(entry));
         if (pending_.size() == kMaxPending) flush_pending(kMaxPending / 2);
     }
-    // As it stands, shared with the chart that it comes from.
+    // Adds a chunk unchanged, shared with the list that it comes from.
     void add(const std::shared_ptr<Chunk>& chunk) {
         flush_pending(0);
         entries_.push_back(chunk);
     }
+    // The list of all that was added. The builder is not used after that.
     EntryList<Entry> build() {
         flush_pending(0);
         return std::move(entries_);
     }
 
 private:
-    // Enough to end with pieces of no more than kMost rows, none of them much smaller than the others.
+    // Enough to split the last entries into chunks of at most kMaxChunkSize that are about equally large.
     static constexpr std::size_t kMaxPending = 2 * EntryList<Entry>::kTypicalChunkSize;
 
-    // Makes pieces of what is loose, but for so many.
+    // Makes chunks of the pending entries, except the last `keep_count`.
     void flush_pending(std::size_t keep_count) {
         std::size_t remaining = pending_.size() - keep_count;
         auto first = pending_.begin();
         while (remaining > 0) {
             const std::size_t chunk_size =
                 remaining <= EntryList<Entry>::kMaxChunkSize ? remaining : remaining / 2;
-            const auto chunk = std::make_shared<Chunk>();
-            chunk->entries.assign(std::make_move_iterator(first),
-                                  std::make_move_iterator(first + static_cast<std::ptrdiff_t>(chunk_size)));
-            chunk->has_hash_sum = chunk->is_sorted = true;
-            for (std::size_t i = 0; i < chunk_size; ++i) {
-                chunk->hash_sum += entry_hash(chunk->entries[i]);
-                if (i > 0 && !(chunk->entries[i - 1].name < chunk->entries[i].name)) chunk->is_sorted = false;
-            }
-            entries_.push_back(chunk);
-            first += static_cast<std::ptrdiff_t>(chunk_size);
+            const auto last = first + static_cast<std::ptrdiff_t>(chunk_size);
+            entries_.push_back(make_chunk(first, last));
+            first = last;
             remaining -= chunk_size;
         }
         pending_.erase(pending_.begin(), first);
     }
 
+    // A chunk of the entries from `first` to `last`, which are moved from.
+    template <class Iterator>
+    static std::shared_ptr<Chunk> make_chunk(Iterator first, Iterator last) {
+        const auto chunk = std::make_shared<Chunk>();
+        std::vector<Entry>& entries = chunk->entries;
+        entries.assign(std::make_move_iterator(first), std::make_move_iterator(last));
+        chunk->has_hash_sum = true;
+        chunk->is_sorted = is_strictly_ascending(entries);
+        for (const Entry& entry : entries) chunk->hash_sum += entry_hash(entry);
+        return chunk;
+    }
+
     EntryList<Entry> entries_;
     std::vector<Entry> pending_;
 };
 
-// Whether all rows come by rising names.
+// Whether the names of all entries ascend, each name once.
 template <class Entry>
 bool is_sorted_by_name(const EntryList<Entry>& entries) {
     const std::string* last_name = nullptr;
     for (const auto& chunk : entries.chunks()) {
         if (last_name != nullptr && !(*last_name < chunk->entries.front().name)) return false;
-        if (!chunk->is_sorted)
-            for (std::size_t i = 1; i < chunk->entries.size(); ++i)
-                if (!(chunk->entries[i - 1].name < chunk->entries[i].name)) return false;
+        if (!chunk->is_sorted && !is_strictly_ascending(chunk->entries)) return false;
         last_name = &chunk->entries.back().name;
     }
     return true;
 }
 
-// The same rows by rising names; pieces that are in order are shared.
+// The same entries in ascending order of their names. A list in that order is returned as it is, with its
+// chunks shared.
 template <class Entry>
 EntryList<Entry> sorted_by_name(const EntryList<Entry>& entries) {
     if (is_sorted_by_name(entries)) return entries;
--- a/src/cluster/configuration/hash_index.h
+++ b/src/cluster/configuration/hash_index.h
@@ -1,5 +1,4 @@
-// Rows found by a hash of what they are known by: one flat piece of memory, eight bytes a place, and the rows
-// stay where they are.
+// A hash table of entry numbers.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +7,16 @@
 
 namespace shaletray::configuration {
 
+// Finds the numbers of entries by 64-bit hashes of their keys. The entries themselves are kept by the caller.
+// Open addressing with linear probing in one block of memory, eight bytes a slot. It never grows: the caller
+// asks `fits` before it adds more entries than the table was made for.
 class HashIndex {
 public:
-    static constexpr std::uint32_t kNone = 0xffffffff;
+    static constexpr std::uint32_t kNone = 0xffffffff;    // the number of no entry
 
     explicit HashIndex(std::size_t capacity) : slots_(capacity + capacity / 2 + 1) {}
 
-    // `same` tells of a row whether it is the one sought: two may hash alike.
+    // The number of the entry with that hash for which `matches` is true, since hashes may collide; or kNone.
     template <class Predicate>
     std::uint32_t find(std::uint64_t hash, Predicate matches) const {
         for (std::size_t slot = home_slot(fingerprint_of(hash)); slots_[slot].entry != kNone;
@@ -23,18 +25,19 @@
                 return slots_[slot].entry;
         return kNone;
     }
+    // Adds an entry; there has to be a free slot besides.
     void add(std::uint64_t hash, std::uint32_t entry) {
         std::size_t slot = home_slot(fingerprint_of(hash));
         while (slots_[slot].entry != kNone) slot = next_slot(slot);
         slots_[slot] = {fingerprint_of(hash), entry};
         ++count_;
     }
-    // What was added so.
+    // Removes an entry that was added with that hash.
     void remove(std::uint64_t hash, std::uint32_t entry) {
         std::size_t gap = home_slot(fingerprint_of(hash));
         while (slots_[gap].entry != entry || slots_[gap].fingerprint != fingerprint_of(hash))
             gap = next_slot(gap);
-        // Those behind that found their own place taken close the gap.
+        // Entries behind the gap move into it unless that would put them before their home slot.
         for (std::size_t slot = next_slot(gap); slots_[slot].entry != kNone; slot = next_slot(slot))
             if (probe_distance(home_slot(slots_[slot].fingerprint), slot) >= probe_distance(gap, slot)) {
                 slots_[gap] = slots_[slot];
@@ -44,13 +47,14 @@
         --count_;
     }
     std::size_t count() const { return count_; }
-    // Neither too crowded for so many nor far too large.
+    // Whether the table suits so many entries: at most three quarters full, and not far too large.
     bool fits(std::size_t entry_count) const {
         return entry_count <= slots_.size() / 4 * 3 &&
                (entry_count >= slots_.size() / 4 || slots_.size() < 64);
     }
 
 private:
+    // A fingerprint is the lower half of a hash: it decides the home slot and spares most calls of `matches`.
     struct Slot {
         std::uint32_t fingerprint = 0, entry = kNone;
     };
@@ -63,7 +67,7 @@
         return to >= from ? to - from : to + slots_.size() - from;
     }
 
-    std::vector<Slot> slots_;    // never full
+    std::vector<Slot> slots_;    // at least one is free, so that a search ends
     std::size_t count_ = 0;
 };
 
--- a/src/cluster/configuration/json_values.cpp
+++ b/src/cluster/configuration/json_values.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-constexpr double kMaxMicroseconds = 1e15;    // microseconds; thirty years
+constexpr double kMaxMicroseconds = 1e15;    // thirty years; sums of a few times do not overflow
+constexpr double kMaxByteCount = 1e15;       // larger counts are limited to it, so that they fit a size_t
 
 class ValueErrorCategory : public boost::system::error_category {
 public:
-    const char* name() const noexcept override { return "chart"; }
+    const char* name() const noexcept override { return "configuration"; }
     std::string message(int error) const override {
         switch (ValueError{error}) {
             case ValueError::NotText: return "is not a text";
@@ -33,6 +34,17 @@
         return "is wrong";
     }
 };
+
+// Whichever way the parser represents the number.
+json::result<double> integral_number(const json::value& value) {
+    double number = 0.0;
+    if (const std::int64_t* const i = value.if_int64()) number = static_cast<double>(*i);
+    else if (const std::uint64_t* const u = value.if_uint64()) number = static_cast<double>(*u);
+    else if (const double* const d = value.if_double(); d != nullptr && std::trunc(*d) == *d) number = *d;
+    else return to_error_code(ValueError::NotInteger);
+    return number;
+}
+
 }    // namespace
 
 boost::system::error_code to_error_code(ValueError error) {
@@ -40,11 +52,14 @@
     return {static_cast<int>(error), category};
 }
 
+std::string message_of(ValueError error) { return to_error_code(error).message(); }
+
 json::result<TextValue> tag_invoke(ConversionTag<TextValue>, const json::value& value) {
     const json::string* const text = value.if_string();
     if (text == nullptr) return to_error_code(ValueError::NotText);
     return TextValue{{text->data(), text->size()}};
 }
+
 json::result<HeaderText> tag_invoke(ConversionTag<HeaderText>, const json::value& value) {
     const json::result<TextValue> text = json::try_value_to<TextValue>(value);
     if (!text) return text.error();
@@ -53,6 +68,7 @@
             return to_error_code(ValueError::InvalidCharacter);
     return HeaderText{text->value};
 }
+
 json::result<DurationValue> tag_invoke(ConversionTag<DurationValue>, const json::value& value) {
     const json::result<TextValue> text = json::try_value_to<TextValue>(value);
     if (!text) return to_error_code(ValueError::NotDuration);
@@ -62,12 +78,14 @@
     const std::string_view unit(parsed_end, static_cast<std::size_t>(end - parsed_end));
     if (error != std::errc{} || (unit != "ms" && unit != "s")) return to_error_code(ValueError::NotDuration);
     const double microseconds = number * (unit == "s" ? 1e6 : 1e3);
-    // Written so that a value that is not a number fails too.
+    // Negated so that it holds for NaN too.
     if (!(std::abs(microseconds) <= kMaxMicroseconds)) return to_error_code(ValueError::NotDuration);
-    // What is above 0 does not become it.
-    return DurationValue{Duration(microseconds > 0.0 ? std::max(1LL, std::llround(microseconds))
-                                                     : std::llround(microseconds))};
+    long long rounded = std::llround(microseconds);
+    // A time above 0 is not rounded to 0, which has a meaning of its own.
+    if (microseconds > 0.0) rounded = std::max(1LL, rounded);
+    return DurationValue{Duration(rounded)};
 }
+
 json::result<RevisionValue> tag_invoke(ConversionTag<RevisionValue>, const json::value& value) {
     const json::result<TextValue> text = json::try_value_to<TextValue>(value);
     if (!text || !text->value.starts_with('r')) return to_error_code(ValueError::InvalidRevision);
@@ -78,32 +96,28 @@
         return to_error_code(ValueError::InvalidRevision);
     return revision;
 }
-static json::result<double> integral_number(const json::value& value) {
-    double number = 0.0;
-    if (const std::int64_t* i = value.if_int64()) number = static_cast<double>(*i);
-    else if (const std::uint64_t* u = value.if_uint64()) number = static_cast<double>(*u);
-    else if (const double* d = value.if_double(); d != nullptr && std::trunc(*d) == *d) number = *d;
-    else return to_error_code(ValueError::NotInteger);
-    return number;
-}
+
 json::result<IntegerValue> tag_invoke(ConversionTag<IntegerValue>, const json::value& value) {
     const json::result<double> number = integral_number(value);
     if (!number) return number.error();
-    constexpr double kLeast = std::numeric_limits<int>::min(), kMost = std::numeric_limits<int>::max();
-    return IntegerValue{static_cast<int>(std::clamp(*number, kLeast, kMost))};
+    constexpr double kMinValue = std::numeric_limits<int>::min(), kMaxValue = std::numeric_limits<int>::max();
+    return IntegerValue{static_cast<int>(std::clamp(*number, kMinValue, kMaxValue))};
 }
+
 json::result<NonNegativeInteger> tag_invoke(ConversionTag<NonNegativeInteger>, const json::value& value) {
     const json::result<IntegerValue> number = json::try_value_to<IntegerValue>(value);
     if (!number) return number.error();
     if (number->value < 0) return to_error_code(ValueError::Negative);
     return NonNegativeInteger{number->value};
 }
+
 json::result<ByteCount> tag_invoke(ConversionTag<ByteCount>, const json::value& value) {
     const json::result<double> number = integral_number(value);
     if (!number) return number.error();
     if (*number < 0.0) return to_error_code(ValueError::Negative);
-    return ByteCount{static_cast<std::size_t>(std::min(*number, 1e15))};
+    return ByteCount{static_cast<std::size_t>(std::min(*number, kMaxByteCount))};
 }
+
 json::result<NonNegativeNumber> tag_invoke(ConversionTag<NonNegativeNumber>, const json::value& value) {
     if (!value.is_number()) return to_error_code(ValueError::NotNumber);
     const double number = value.to_number<double>();
@@ -119,4 +133,9 @@
     return to_error_code(ValueError::InvalidRouteKind);
 }
 
+const json::value* find_member(const json::object& fields, std::string_view name) {
+    const json::value* const value = fields.if_contains({name.data(), name.size()});
+    return value == nullptr || value->is_null() ? nullptr : value;
+}
+
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/json_values.h
+++ b/src/cluster/configuration/json_values.h
@@ -1,9 +1,11 @@
-// What the values of a configuration can be asked to be, by Boost.JSON's try_value_to; what is wrong with one
-// is an error code that reads as the end of a sentence about it.
+// Types of values in the operator's configuration text, converted by Boost.JSON's try_value_to. An error code
+// of a conversion reads as the end of a sentence about the value, as "is not a number".
 #pragma once
 
+#include <boost/json/object.hpp>
 #include <boost/json/value_to.hpp>
 #include <cstdint>
+#include <string>
 #include <string_view>
 
 #include "cluster/configuration/configuration.h"
@@ -24,29 +26,38 @@
     NotObject
 };
 boost::system::error_code to_error_code(ValueError error);
+std::string message_of(ValueError error);
 
+// A time as "1500ms" or "2.5s", which may be negative.
 struct DurationValue {
     Duration value{0};
 };
+// A revision as "r7", above 0.
 struct RevisionValue {
     std::uint64_t value = 0;
 };
-struct IntegerValue {    // cut to what an int can hold
+// An integer, limited to the range of int.
+struct IntegerValue {
     int value = 0;
 };
-struct NonNegativeInteger {    // likewise, and not below 0
+// An integer of at least 0, limited to the range of int.
+struct NonNegativeInteger {
     int value = 0;
 };
+// A number of bytes.
 struct ByteCount {
     std::size_t value = 0;
 };
-struct NonNegativeNumber {    // not below 0
+// A finite number of at least 0.
+struct NonNegativeNumber {
     double value = 0.0;
 };
+// A string, which refers to the JSON value.
 struct TextValue {
     std::string_view value;
 };
-struct HeaderText {    // fit to stand in a header or a request line
+// A string without control characters, which a header or a request line can carry.
+struct HeaderText {
     std::string_view value;
 };
 
@@ -65,4 +76,7 @@
                                                   const boost::json::value& value);
 boost::json::result<RouteKind> tag_invoke(ConversionTag<RouteKind>, const boost::json::value& value);
 
+// The member of that name; nullptr where there is none or it is null.
+const boost::json::value* find_member(const boost::json::object& fields, std::string_view name);
+
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/lookup_keys.h
+++ b/src/cluster/configuration/lookup_keys.h
@@ -1,4 +1,5 @@
-// What rows are looked up by, the same for the checks of a new chart and for its table.
+// The keys by which routes and tenants are looked up, and their hashes. Validation of a new configuration and
+// its index use the same ones.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +8,7 @@
 
 namespace shaletray::configuration {
 
-// A hash that can be asked for after every character, for the prefixes of a path. FNV-1a, stirred at the end.
+// A hash whose value can be read after every character, for the prefixes of a path: FNV-1a, with a final mix.
 class RunningHash {
 public:
     void append(char c) { state_ = (state_ ^ static_cast<unsigned char>(c)) * 0x100000001b3; }
@@ -22,32 +23,36 @@
     std::uint64_t state_ = 0xcbf29ce484222325;
 };
 
-// A host without its port.
+// A host, as in a Host header, without its port.
 inline std::string_view host_without_port(std::string_view host) {
     const std::size_t colon = host.rfind(':');
     // Colons inside the brackets of an IPv6 address start no port.
     if (colon == std::string_view::npos || host.find(']', colon) != std::string_view::npos) return host;
     return host.substr(0, colon);
 }
+// ASCII only.
 inline char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+// Whether two hosts are the same without regard to case.
 inline bool hosts_equal(std::string_view a, std::string_view b) {
     if (a.size() != b.size()) return false;
     for (std::size_t i = 0; i < a.size(); ++i)
         if (to_lower(a[i]) != to_lower(b[i])) return false;
     return true;
 }
-// Of a bare host; a path's characters are taken after it.
+// The state of a route's hash after its host (without port); the path's characters are appended to it.
 inline RunningHash begin_route_hash(std::string_view host) {
     RunningHash hash;
     for (const char c : host) hash.append(to_lower(c));
     hash.append('\0');
     return hash;
 }
+// The hash of a route's key: host (without port) and path prefix.
 inline std::uint64_t route_hash(std::string_view host, std::string_view prefix) {
     RunningHash hash = begin_route_hash(host);
     for (const char c : prefix) hash.append(c);
     return hash.value();
 }
+// The hash of an API key.
 std::uint64_t api_key_hash(std::string_view key);
 
 }    // namespace shaletray::configuration
--- a/src/controller/configuration_publisher.cpp
+++ b/src/controller/configuration_publisher.cpp
@@ -2,6 +2,9 @@
 
 #include <algorithm>
 
+#include "cluster/configuration/configuration_digest.h"
+#include "cluster/configuration/configuration_update.h"
+
 namespace shaletray::controller {
 
 void ConfigurationPublisher::publish(configuration::Configuration new_configuration) {
--- a/src/controller/configuration_validator.cpp
+++ b/src/controller/configuration_validator.cpp
@@ -3,6 +3,8 @@
 #include <boost/leaf/handle_errors.hpp>
 #include <utility>
 
+#include "cluster/configuration/configuration_parser.h"
+
 namespace shaletray::controller {
 namespace {
 
--- a/src/controller/configuration_validator.h
+++ b/src/controller/configuration_validator.h
@@ -12,6 +12,7 @@
 
 #include "base/net/waker.h"
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_error.h"
 
 namespace shaletray::controller {
 
--- a/src/gateway/control_plane_client.h
+++ b/src/gateway/control_plane_client.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_index.h"
 #include "cluster/registry/service_registry.h"
 #include "cluster/subscription/subscription.h"
 
--- a/src/gateway/http_mapping/request_mapper.h
+++ b/src/gateway/http_mapping/request_mapper.h
@@ -9,6 +9,7 @@
 
 #include "base/http/answer.h"
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_index.h"
 #include "data_plane/proxy/request_mapping.h"
 
 namespace shaletray::http_mapping {
--- a/testbed/experiments/capacity_slopes.cpp
+++ b/testbed/experiments/capacity_slopes.cpp
@@ -20,6 +20,10 @@
 
 #include "base/http/message.h"
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_digest.h"
+#include "cluster/configuration/configuration_index.h"
+#include "cluster/configuration/configuration_parser.h"
+#include "cluster/configuration/configuration_update.h"
 #include "cluster/consensus/replicated_register.h"
 #include "cluster/quota/quota_balancer.h"
 #include "cluster/registry/service_registry.h"
--- a/tests/cluster/configuration/configuration_index_test.cpp
+++ b/tests/cluster/configuration/configuration_index_test.cpp
@@ -1,3 +1,5 @@
+#include "cluster/configuration/configuration_index.h"
+
 #include <criterion/criterion.h>
 
 #include "cluster/configuration/random_configurations.h"
@@ -17,7 +19,7 @@
     return config;
 }
 
-Test(chart_table, finds_routes_as_requests_name_them) {
+Test(configuration_index, finds_routes_by_host_and_path) {
     const ConfigurationIndex index(with_routes({{"hulo84.example", "/a/"},
                                                 {"hulo84.example", "/a/b/"},
                                                 {"HULO84.example", "/c"},
@@ -42,8 +44,8 @@
     cr_assert_eq(route_name("", "/"), "none");
 }
 
-// Against the plain reading of the rule, over tables of a few words so that prefixes nest and collide.
-Test(chart_table, agrees_with_a_search_of_all_routes) {
+// Compares with a linear search by the rule, over few different segments so that prefixes nest and collide.
+Test(configuration_index, agrees_with_a_search_of_all_routes) {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         RandomSource random(seed);
         const char* const hosts[] = {"a.example", "b.example", "ab.example"};
@@ -78,7 +80,7 @@
     }
 }
 
-Test(chart_table, finds_tenants_by_any_of_their_keys) {
+Test(configuration_index, finds_tenants_by_any_of_their_keys) {
     Configuration config;
     const ConfigurationIndex open_index(config);
     cr_assert(!open_index.requires_api_key() && open_index.find_tenant("k") == nullptr);
@@ -97,9 +99,9 @@
         cr_assert(index.find_tenant(key) == nullptr, "%s", key);
 }
 
-// One change after another, so that pieces of rows come and go: what a table makes of the one before it finds
-// the same as one made from nothing, and what is gone is not found.
-Test(chart_table, follows_changes_as_if_made_anew) {
+// One change after another, so that chunks of entries come and go: an index that was made from the previous
+// one finds the same entries as one that was built from nothing, and no removed ones.
+Test(configuration_index, follows_changes_like_a_rebuilt_one) {
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         RandomSource random(seed);
         const int max_entries = 20 + random.up_to(2000);
@@ -133,11 +135,11 @@
     }
 }
 
-Test(chart_table, picks_services_by_their_weights) {
+Test(configuration_index, picks_services_by_their_weights) {
     Route route;
     route.targets = {{"one", 1}, {"most", 4'000'000'000}, {"some", 250'000'000}};
     const std::uint64_t total_weight = 4'250'000'001;
-    // The draws at which one service ends and the next begins, as exactly as 64 bits can tell.
+    // The random values at which one service ends and the next begins, as exactly as 64 bits allow.
     const auto first_beyond = [&](std::uint64_t weight) {
         std::uint64_t low = 0, high = ~std::uint64_t{0};
         while (low < high) {
--- a/tests/cluster/configuration/configuration_parser_test.cpp
+++ b/tests/cluster/configuration/configuration_parser_test.cpp
@@ -39,7 +39,7 @@
 }
 const std::string kGood = full_text(json_table(kRouteColumns, kRouteB + "," + kRouteA));
 
-Test(chart_read, takes_all_that_the_page_shows) {
+Test(configuration_parser, reads_the_documented_example) {
     const Configuration config = parse_configuration(kGood).value();
     Route route_a;
     route_a.name = "r-a";
@@ -69,8 +69,8 @@
     cr_assert(config == expected);
 }
 
-// A valid configuration that is refused costs dearly: what the page leaves open is taken.
-Test(chart_read, takes_what_is_unusual_but_valid) {
+// To reject a valid configuration is costly: whatever the documentation leaves open is accepted.
+Test(configuration_parser, accepts_unusual_but_valid_text) {
     const std::string routes = json_table(kRouteColumns, kRouteA + "," + kRouteB);
     const Configuration usual = parse_configuration(kGood).value();
     cr_assert(parse_configuration(full_text(routes)).value() == usual, "another order of rows");
@@ -99,7 +99,7 @@
     cr_assert_eq(routes_with("\"/leny950/\"", "\"/leny950\"")[0].path_prefix, "/leny950");
     cr_assert_eq(routes_with("hulo84.example\",\"/leny950/", "jepu9.example\",\"/puka1111/").size(), 2);
     cr_assert_eq(routes_with("2,false,null]", "2,false,\"wuno96b\"]")[0].targets.size(), 2,
-                 "a split goes before a service");
+                 "a split overrides a service");
     cr_assert_eq(routes_with("1,null,2,true", "1,[],2,true")[1].targets.size(), 1,
                  "an empty split beside a service");
 
@@ -117,8 +117,8 @@
     cr_assert_eq(parse_configuration(full_text(json_table("[]", ""))).value().routes.size(), 0);
 }
 
-Test(chart_read, names_the_field_of_what_is_invalid) {
-    // Route B is routes[0] here, and route A routes[1]: places are the operator's.
+Test(configuration_parser, names_the_invalid_field) {
+    // Route B is routes[0] here, and route A routes[1]: errors name rows in the operator's order.
     const struct {
         const char *from, *to, *field;
     } cases[] = {
@@ -188,7 +188,7 @@
     };
     for (const auto& invalid : cases) {
         const std::string field = rejected_text_field(replaced(kGood, invalid.from, invalid.to));
-        cr_expect(field == invalid.field, "%s -> %s: refused \"%s\"", invalid.from, invalid.to,
+        cr_expect(field == invalid.field, "%s -> %s: rejected \"%s\"", invalid.from, invalid.to,
                   field.c_str());
     }
     for (std::size_t length = 0; length < kGood.size(); ++length)
--- a/tests/cluster/configuration/configuration_update_test.cpp
+++ b/tests/cluster/configuration/configuration_update_test.cpp
@@ -5,13 +5,15 @@
 
 #include <algorithm>
 
+#include "base/runtime/capnp_codec.h"
+#include "cluster/configuration/configuration_digest.h"
 #include "cluster/configuration/next_configuration.capnp.h"
 #include "cluster/configuration/random_configurations.h"
 
 namespace shaletray::configuration {
 namespace {
 
-Test(chart_update, leads_from_any_chart_to_any_other) {
+Test(configuration_update, leads_from_any_configuration_to_any_other) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         RandomSource random(seed);
         const Configuration from = random.one_in(10) ? Configuration{} : random_configuration(random, 20);
@@ -23,7 +25,7 @@
         cr_assert(apply_update(from, write_delta(from, from)).value() == from, "seed %lu", seed);
         if (digest_of(from) != digest_of(to))
             cr_assert_eq(rejected_update_field(to, delta), "base", "seed %lu", seed);
-        // Rows in another order are the same chart, to the digest and to a patch.
+        // The order of entries matters neither to the digest nor to a delta.
         Configuration reordered = from;
         reordered.routes = reversed(reordered.routes);
         if (reordered.tenants) reordered.tenants = reversed(*reordered.tenants);
@@ -33,46 +35,10 @@
     }
 }
 
-Test(chart_update, a_digest_tells_of_each_field) {
-    RandomSource random(5);
-    Configuration config = random_configuration(random, 5);
-    config.routes = {random_route(random, "r")};
-    config.services = {{"s", "/health", 5}};
-    config.tenants = {random_tenant(random, "t")};
-    std::set<std::uint64_t> seen{digest_of(config)};
-    const auto expect_new_digest = [&](auto change) {
-        Configuration other = config;
-        change(other);
-        cr_expect(seen.insert(digest_of(other)).second);
-    };
-    expect_new_digest([](Configuration& modified) { ++modified.version; });
-    expect_new_digest([](Configuration& modified) { modified.routes[0].hostname += 'x'; });
-    expect_new_digest([](Configuration& modified) { modified.routes[0].path_prefix += 'x'; });
-    expect_new_digest(
-        [](Configuration& modified) { modified.routes[0].is_public = !modified.routes[0].is_public; });
-    expect_new_digest([](Configuration& modified) {
-        modified.routes[0].kind = RouteKind{modified.routes[0].kind == RouteKind::Idempotent};
-    });
-    expect_new_digest([](Configuration& modified) { modified.routes[0].timeout += Duration(1); });
-    expect_new_digest([](Configuration& modified) { modified.routes[0].target_latency += Duration(1); });
-    expect_new_digest([](Configuration& modified) { ++modified.routes[0].max_attempts; });
-    expect_new_digest([](Configuration& modified) { ++modified.routes[0].targets[0].weight; });
-    expect_new_digest([](Configuration& modified) { modified.routes.clear(); });
-    expect_new_digest([](Configuration& modified) { ++modified.services[0].max_connections; });
-    expect_new_digest([](Configuration& modified) { modified.services[0].health_check += 'x'; });
-    expect_new_digest([](Configuration& modified) { (*modified.tenants)[0].api_keys.push_back("k"); });
-    expect_new_digest([](Configuration& modified) { (*modified.tenants)[0].priority = 99; });
-    expect_new_digest([](Configuration& modified) { (*modified.tenants)[0].rate_per_s += 0.25; });
-    expect_new_digest([](Configuration& modified) { (*modified.tenants)[0].burst += 0.25; });
-    expect_new_digest([](Configuration& modified) { modified.tenants->clear(); });
-    expect_new_digest([](Configuration& modified) { modified.tenants.reset(); });
-    expect_new_digest([](Configuration& modified) { ++modified.limits.max_header_bytes; });
-    expect_new_digest([](Configuration& modified) { modified.limits.idle_timeout += Duration(1); });
-}
-
-// Cut anywhere, or with bits turned, an update is refused, or leads to what it was to lead to (where what was
-// hit says nothing). Under the sanitizers this also shows that nothing is read beyond the bytes.
-Test(chart_update, what_is_damaged_is_refused) {
+// Truncated anywhere, or with bits flipped, an update is rejected, or leads to the same configuration (where
+// the damaged bytes carry no information). Under the sanitizers this also shows that nothing is read out of
+// bounds.
+Test(configuration_update, damaged_updates_are_rejected) {
     RandomSource random(11);
     const Configuration from = random_configuration(random, 12), to = random_change(random, from, 12);
     for (const std::string& good : {write_full(to), write_delta(from, to)}) {
@@ -90,7 +56,7 @@
                 damaged.insert(random.random_bits() % damaged.size(),
                                std::string(1 + random.random_bits() % 20, '\0'));
             if (rejected_update_field(from, damaged).empty())
-                cr_assert(apply_update(from, damaged).value() == to, "damage %d was taken", i);
+                cr_assert(apply_update(from, damaged).value() == to, "damage %d was accepted", i);
         }
     }
     for (int i = 0; i < 5000; ++i) {
@@ -100,17 +66,9 @@
     }
 }
 
-class StringOutputStream : public kj::OutputStream {
-public:
-    std::string bytes;
-    void write(const void* from, std::size_t size) override {
-        bytes.append(static_cast<const char*>(from), size);
-    }
-};
-
-// An update of this version is read by the next one, which fills its new fields, and writes it out again:
-// this version reads that as if nothing were there that it does not know.
-Test(chart_update, versions_read_each_other) {
+// The next version reads an update of this one, fills its new fields and encodes it again: this version reads
+// the result, and ignores what it does not know.
+Test(configuration_update, versions_read_each_other) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         RandomSource random(seed);
         const Configuration from = random_configuration(random, 8), to = random_change(random, from, 8);
@@ -143,19 +101,17 @@
                 next_routes[i].setTimeout(routes[i].getTimeout());
                 next_routes[i].setTargetLatency(routes[i].getTargetLatency());
                 next_routes[i].setMaxAttempts(routes[i].getMaxAttempts());
-                auto next_targets = next_routes[i].initTo(routes[i].getTo().size());
+                auto next_targets = next_routes[i].initTargets(routes[i].getTargets().size());
                 for (unsigned j = 0; j < next_targets.size(); ++j) {
-                    next_targets[j].setService(routes[i].getTo()[j].getService());
-                    next_targets[j].setWeight(routes[i].getTo()[j].getWeight());
+                    next_targets[j].setService(routes[i].getTargets()[j].getService());
+                    next_targets[j].setWeight(routes[i].getTargets()[j].getWeight());
                     next_targets[j].setSticky(true);
                     next_targets[j].setZone("b");
                 }
                 next_routes[i].initMirror().setService("elsewhere");
                 next_routes[i].setCost(9.0);
             }
-            StringOutputStream output;
-            ::capnp::writePackedMessage(output, message);
-            cr_assert(apply_update(from, output.bytes).value() == to, "seed %lu", seed);
+            cr_assert(apply_update(from, runtime::pack(message)).value() == to, "seed %lu", seed);
         }
     }
 }
--- a/tests/cluster/configuration/next_configuration.capnp
+++ b/tests/cluster/configuration/next_configuration.capnp
@@ -1,23 +1,23 @@
 @0xd10f4b6a7c2e8a35;
 
-# The chart's schema as a later version may have it: fields were added to each struct.
+# The configuration's schema as a later version may have it: fields were added to each struct.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::configuration::next");
 
 struct Update {
-  patch @0 :Bool;
-  base @1 :UInt64;
+  isDelta @0 :Bool;
+  baseDigest @1 :UInt64;
   digest @2 :UInt64;
   version @3 :UInt64;
   limits @4 :Limits;
-  asksForKeys @5 :Bool;
+  hasTenants @5 :Bool;
   routes @6 :List(Route);
   services @7 :List(Service);
   tenants @8 :List(Tenant);
-  routesGone @9 :List(Text);
-  servicesGone @10 :List(Text);
-  tenantsGone @11 :List(Text);
+  removedRoutes @9 :List(Text);
+  removedServices @10 :List(Text);
+  removedTenants @11 :List(Text);
   sender @12 :Text;
   digestOfAll @13 :UInt64;
 }
@@ -31,11 +31,11 @@
   timeout @6 :Int64;
   targetLatency @7 :Int64;
   maxAttempts @8 :Int32;
-  to @9 :List(Share);
-  mirror @10 :Share;
+  targets @9 :List(WeightedService);
+  mirror @10 :WeightedService;
   cost @11 :Float64 = 1.5;
 }
-struct Share {
+struct WeightedService {
   service @0 :Text;
   weight @1 :UInt32;
   sticky @2 :Bool;
--- a/tests/cluster/configuration/random_configurations.h
+++ b/tests/cluster/configuration/random_configurations.h
@@ -1,4 +1,4 @@
-// Charts for the tests: by chance from a seed, and ways to take a result apart.
+// Random configurations from a seed, and helpers that examine results.
 #pragma once
 
 #include <algorithm>
@@ -9,10 +9,13 @@
 #include <string>
 
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_error.h"
+#include "cluster/configuration/configuration_parser.h"
+#include "cluster/configuration/configuration_update.h"
 
 namespace shaletray::configuration {
 
-// The field that was refused; "" where nothing was.
+// The field that was rejected; empty where the attempt succeeded.
 template <class Attempt>
 std::string rejected_field(Attempt attempt) {
     return boost::leaf::try_handle_all(
@@ -67,14 +70,14 @@
     tenant.burst = random.up_to(3);
     return tenant;
 }
-// In another order.
+// The same entries in reverse order.
 template <class Entry>
 EntryList<Entry> reversed(const EntryList<Entry>& entries) {
     std::vector<Entry> result(entries.begin(), entries.end());
     std::reverse(result.begin(), result.end());
     return result;
 }
-// With rows in the order of their names.
+// A configuration whose entries ascend by name.
 inline Configuration random_configuration(RandomSource& random, int max_entries) {
     Configuration config;
     config.version = 1 + static_cast<unsigned>(random.up_to(1000));
@@ -95,7 +98,7 @@
     return config;
 }
 
-// Some of each table's rows changed, taken away and added.
+// A configuration in which some entries of each list are changed, removed or added.
 inline Configuration random_change(RandomSource& random, const Configuration& from, int max_entries) {
     const Configuration other = random_configuration(random, max_entries);
     Configuration target = other;
--- a/tests/compatibility/configuration_samples.cpp
+++ b/tests/compatibility/configuration_samples.cpp
@@ -1,5 +1,7 @@
 // Updates of the configuration: wholes, and patches from one to the next.
 #include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_digest.h"
+#include "cluster/configuration/configuration_update.h"
 #include "compatibility/field_list.h"
 #include "compatibility/samples.h"
 
--- a/tests/controller/configuration_publisher_test.cpp
+++ b/tests/controller/configuration_publisher_test.cpp
@@ -3,6 +3,10 @@
 
 #include <criterion/criterion.h>
 
+#include "cluster/configuration/configuration_digest.h"
+#include "cluster/configuration/configuration_parser.h"
+#include "cluster/configuration/configuration_update.h"
+
 using namespace shaletray;
 using namespace std::chrono_literals;
 using controller::ConfigurationPublisher;
--- a/tests/gateway/control_plane_client_test.cpp
+++ b/tests/gateway/control_plane_client_test.cpp
@@ -5,6 +5,8 @@
 
 #include <random>
 
+#include "cluster/configuration/configuration_update.h"
+
 namespace {
 
 using namespace std::chrono_literals;
