--- a/src/cluster/transport/connection_manager.h
+++ b/src/cluster/transport/connection_manager.h
@@ -1,7 +1,4 @@
-// Messages between the system's own processes: datagrams and sessions on one internal address. A session is a
-// TCP connection that the sender dials; what is sent is delivered in order or lost with the connection, and
-// never twice. Queues are bounded: beyond `most_queued` bytes the oldest session messages to a peer are
-// dropped, counted. Bytes that are no message of ours end that connection, counted.
+// Messages between the system's own processes.
 #pragma once
 
 #include <cstdint>
@@ -11,42 +8,36 @@
 #include <string_view>
 
 #include "base/net/reactor.h"
+#include "cluster/transport/limits.h"
+#include "cluster/transport/message.h"
 
 namespace shaletray::transport {
 
-enum class Kind : std::uint8_t { Membership = 1, Consensus, Registry, Subscription, Quota };
-
-struct Message {
-    Kind kind{};
-    std::string sender;               // the sender's internal address, as it says
-    std::uint64_t incarnation = 0;    // the sender's
-    std::string payload;
-};
-
+// Sends and receives datagrams and session messages on one internal address. A session is a TCP connection
+// that the sender dials once there is something to send; its messages are delivered in order and never twice,
+// or lost with the connection. Queues are bounded: beyond `max_queued_bytes` the oldest session messages to a
+// peer are dropped. What is dropped is counted and not reported otherwise. Bytes that are not a message end
+// their connection and are counted. To be used by the reactor's thread only.
 class ConnectionManager {
 public:
-    struct Limits {
-        std::size_t max_queued_bytes = 8 * 1024 * 1024;      // bytes waiting for one peer
-        std::size_t max_message_bytes = 80 * 1024 * 1024;    // of one session message
-        std::size_t max_inbound_connections = 512;           // taken in at once
-        Duration dial_timeout = std::chrono::milliseconds(1000);
-        Duration peer_timeout = std::chrono::milliseconds(2000);    // TCP_USER_TIMEOUT and keep-alive
-    };
-    // Throws Poco::Exception where the address cannot be used.
+    using Limits = ConnectionLimits;
+    using Counters = ConnectionCounters;
+
+    // Binds `address`; with port 0 the system chooses one. `on_message` is called from the reactor's loop,
+    // and must not destroy the manager. Throws Poco::Exception where the address cannot be used.
     ConnectionManager(Reactor& reactor, const std::string& address, std::uint64_t incarnation, Limits limits,
                       std::function<void(Message&&)> on_message);
     ~ConnectionManager();
-    // `to` is numeric. What cannot be sent (longer than 60,000 bytes, or the system refuses) is dropped,
-    // counted. Letters to oneself are heard in a later turn.
+
+    // Destinations are numeric addresses. Messages to our own address are delivered in a later turn of the
+    // loop. Drops what cannot be sent: more than 60,000 bytes, or what the system refuses.
     void send_datagram(const std::string& destination, Kind kind, std::string_view payload);
-    // While the peer cannot be reached, what waited for 3 s is dropped, counted.
+    // While the peer cannot be reached, messages that have waited for 3 s are dropped.
     void send_session_message(const std::string& destination, Kind kind, std::string_view payload);
+    // The incarnation that messages state from now on.
     void set_incarnation(std::uint64_t incarnation);
-    // Our own, with the port that the system chose where 0 was asked for.
+    // Our own address, with the port that is in use.
     const std::string& address() const;
-    struct Counters {
-        std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0, dropped = 0, malformed = 0;
-    };
     const Counters& counters() const;
 
 private:
--- a/src/cluster/transport/envelope.capnp
+++ b/src/cluster/transport/envelope.capnp
@@ -2,12 +2,12 @@
 # What one process of the system sends to another, as a datagram or as a frame of a session.
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("shaletray::transport::schema");
+$Cxx.namespace("shaletray::transport::wire");
 
 struct Envelope {
-  version @0 :UInt16;    # of what the kinds' bytes mean; another one is not read
-  kind @1 :UInt8;
-  from @2 :Text;         # the sender's internal address
-  life @3 :UInt64;
-  bytes @4 :Data;
+  version @0 :UInt16;       # of the protocol; messages of other versions are rejected
+  kind @1 :UInt8;           # transport::Kind
+  sender @2 :Text;          # the sender's internal address
+  incarnation @3 :UInt64;   # the sender's
+  payload @4 :Data;         # the message itself, in the encoding of its kind
 }
--- /dev/null
+++ b/src/cluster/transport/outbound_session.h
@@ -0,0 +1,61 @@
+// A session to one peer, on the sender's side.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+
+#include "base/net/reactor.h"
+#include "base/net/stream.h"
+#include "cluster/transport/backoff.h"
+#include "cluster/transport/limits.h"
+#include "cluster/transport/send_queue.h"
+
+namespace shaletray::transport {
+
+// Sends frames to a peer in order. The connection is dialled while frames wait, and dialled again after it
+// failed, with a growing delay. Nothing is ever received on it. Frames that were being written when the
+// connection failed are lost, since it is not known how much of them was read; frames that wait are kept for
+// a limited time.
+class OutboundSession : public StreamOwner {
+public:
+    // `seed` decides the jitter of the delays.
+    OutboundSession(Reactor& reactor, const ConnectionLimits& limits, ConnectionCounters& counters,
+                    std::string destination, std::uint32_t seed);
+    ~OutboundSession() override;
+    OutboundSession(const OutboundSession&) = delete;
+    OutboundSession& operator=(const OutboundSession&) = delete;
+
+    void enqueue(std::string frame);
+    // Closes the connection if it was not used since then. True where the session has nothing left to keep.
+    bool close_if_idle(TimePoint unused_since);
+
+private:
+    void on_connected() override;
+    void on_input() override;
+    void on_all_sent() override;
+    void on_disconnected() override { handle_failure(); }
+
+    void dial();
+    void set_socket_options();
+    void send_pending();
+    void watch_progress();
+    void check_progress();
+    void handle_failure();
+    void close();
+
+    Reactor& reactor_;
+    const ConnectionLimits& limits_;
+    ConnectionCounters& counters_;
+    std::string destination_;
+    SendQueue send_queue_;
+    Backoff backoff_;
+    std::unique_ptr<Stream> stream_;    // while it is dialled or connected
+    bool connected_ = false;
+    TimePoint last_used_{}, connected_at_{}, next_dial_at_{};
+    std::size_t last_unsent_bytes_ = 0;    // at the last check of progress
+    Timers::Id dial_timer_ = 0, retry_timer_ = 0, progress_timer_ = 0;
+};
+
+}    // namespace shaletray::transport
--- a/src/cluster/transport/send_queue.cpp
+++ b/src/cluster/transport/send_queue.cpp
@@ -1,6 +1,5 @@
 #include "cluster/transport/send_queue.h"
 
-#include <algorithm>
 #include <utility>
 
 namespace shaletray::transport {
@@ -43,11 +42,4 @@
     return std::exchange(batch_frames_, 0);
 }
 
-Duration Backoff::next_delay() {
-    const auto jitter = std::uniform_int_distribution<Duration::rep>(0, delay_.count() / 4)(random_);
-    const Duration delay = delay_ - Duration(jitter);
-    delay_ = std::min(delay_ * 2, kMaxDelay);
-    return std::max(delay, kInitialDelay * 3 / 4);
-}
-
 }    // namespace shaletray::transport
