--- a/src/cluster/subscription/subscription.capnp
+++ b/src/cluster/subscription/subscription.capnp
@@ -1,4 +1,4 @@
-# What pilots and lighthouses tell each other; see watch.h.
+# Messages between gateways and controllers; see subscription.h.
 @0x8ac931085f77d5e6;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -6,27 +6,27 @@
 
 struct Message {
   union {
-    have @0 :Have;
-    news @1 :News;
+    clientState @0 :ClientState;
+    controlUpdate @1 :ControlUpdate;
   }
 }
 
-struct Have {
-  life @0 :UInt64;
+struct ClientState {
+  incarnation @0 :UInt64;
   version @1 :UInt64;
   digest @2 :UInt64;
-  knownLife @3 :UInt64;
+  knownIncarnation @3 :UInt64;
   knownSequence @4 :UInt64;
-  counts @5 :UInt32;
+  quotaDivisor @5 :UInt32;
 }
 
-struct News {
-  life @0 :UInt64;
-  confirmed @1 :Bool;
+struct ControlUpdate {
+  incarnation @0 :UInt64;
+  quorumConfirmed @1 :Bool;
   version @2 :UInt64;
   digest @3 :UInt64;
-  update @4 :Data;
-  since @5 :UInt64;
+  configurationDelta @4 :Data;
+  sinceSequence @5 :UInt64;
   sequence @6 :UInt64;
-  servers @7 :Data;
+  endpointChanges @7 :Data;
 }
--- a/src/cluster/subscription/subscription.cpp
+++ b/src/cluster/subscription/subscription.cpp
@@ -3,60 +3,67 @@
 #include "cluster/subscription/subscription.capnp.h"
 
 namespace shaletray::subscription {
-namespace {
 
 namespace leaf = boost::leaf;
 
-ClientState read_message(wire::Have::Reader reader) {
+namespace {
+
+// First segments of messages are made large enough for all of their fields besides data.
+constexpr std::size_t kFieldWords = 64;
+
+ClientState read_message(wire::ClientState::Reader reader) {
     ClientState client_state;
-    client_state.incarnation = reader.getLife();
+    client_state.incarnation = reader.getIncarnation();
     client_state.version = reader.getVersion();
     client_state.digest = reader.getDigest();
-    client_state.known_incarnation = reader.getKnownLife();
+    client_state.known_incarnation = reader.getKnownIncarnation();
     client_state.known_sequence = reader.getKnownSequence();
-    client_state.quota_divisor = reader.getCounts();
+    client_state.quota_divisor = reader.getQuotaDivisor();
     return client_state;
 }
 
-ControlUpdate read_message(wire::News::Reader reader) {
+ControlUpdate read_message(wire::ControlUpdate::Reader reader) {
     ControlUpdate update;
-    update.incarnation = reader.getLife();
-    update.quorum_confirmed = reader.getConfirmed();
+    update.incarnation = reader.getIncarnation();
+    update.quorum_confirmed = reader.getQuorumConfirmed();
     update.version = reader.getVersion();
     update.digest = reader.getDigest();
-    update.configuration_delta = runtime::text_of(reader.getUpdate());
-    update.since_sequence = reader.getSince();
+    update.configuration_delta = runtime::text_of(reader.getConfigurationDelta());
+    update.since_sequence = reader.getSinceSequence();
     update.sequence = reader.getSequence();
-    update.endpoint_changes = runtime::text_of(reader.getServers());
+    update.endpoint_changes = runtime::text_of(reader.getEndpointChanges());
     return update;
 }
 
 }    // namespace
 
 std::string encode(const ClientState& client_state) {
-    capnp::MallocMessageBuilder message(64);
-    auto builder = message.initRoot<wire::Message>().initHave();
-    builder.setLife(client_state.incarnation);
+    capnp::MallocMessageBuilder message(kFieldWords);
+    auto builder = message.initRoot<wire::Message>().initClientState();
+    builder.setIncarnation(client_state.incarnation);
     builder.setVersion(client_state.version);
     builder.setDigest(client_state.digest);
-    builder.setKnownLife(client_state.known_incarnation);
+    builder.setKnownIncarnation(client_state.known_incarnation);
     builder.setKnownSequence(client_state.known_sequence);
-    builder.setCounts(client_state.quota_divisor);
+    builder.setQuotaDivisor(client_state.quota_divisor);
     return runtime::pack(message);
 }
 
 std::string encode(const ControlUpdate& update) {
-    capnp::MallocMessageBuilder message(static_cast<unsigned>(
-        64 + (update.configuration_delta.size() + update.endpoint_changes.size()) / sizeof(capnp::word)));
-    auto builder = message.initRoot<wire::Message>().initNews();
-    builder.setLife(update.incarnation);
-    builder.setConfirmed(update.quorum_confirmed);
+    const std::size_t data_bytes = update.configuration_delta.size() + update.endpoint_changes.size();
+    capnp::MallocMessageBuilder message(
+        static_cast<unsigned>(kFieldWords + data_bytes / sizeof(capnp::word)));
+    auto builder = message.initRoot<wire::Message>().initControlUpdate();
+    builder.setIncarnation(update.incarnation);
+    builder.setQuorumConfirmed(update.quorum_confirmed);
     builder.setVersion(update.version);
     builder.setDigest(update.digest);
-    if (!update.configuration_delta.empty()) builder.setUpdate(runtime::data_of(update.configuration_delta));
-    builder.setSince(update.since_sequence);
+    if (!update.configuration_delta.empty())
+        builder.setConfigurationDelta(runtime::data_of(update.configuration_delta));
+    builder.setSinceSequence(update.since_sequence);
     builder.setSequence(update.sequence);
-    if (!update.endpoint_changes.empty()) builder.setServers(runtime::data_of(update.endpoint_changes));
+    if (!update.endpoint_changes.empty())
+        builder.setEndpointChanges(runtime::data_of(update.endpoint_changes));
     return runtime::pack(message);
 }
 
@@ -64,23 +71,23 @@
     return runtime::unpack<wire::Message>(
         bytes, [](wire::Message::Reader message) -> leaf::result<std::variant<ClientState, ControlUpdate>> {
             switch (message.which()) {
-                case wire::Message::HAVE: return read_message(message.getHave());
-                case wire::Message::NEWS: return read_message(message.getNews());
+                case wire::Message::CLIENT_STATE: return read_message(message.getClientState());
+                case wire::Message::CONTROL_UPDATE: return read_message(message.getControlUpdate());
             }
-            return leaf::new_error(runtime::MalformedMessage{"neither Have nor News"});
+            return leaf::new_error(runtime::MalformedMessage{"neither a ClientState nor a ControlUpdate"});
         });
 }
 
 leaf::result<ClientState> decode_client_state(std::string_view bytes) {
     BOOST_LEAF_AUTO(message, decode(bytes));
     if (auto* const client_state = std::get_if<ClientState>(&message)) return *client_state;
-    return leaf::new_error(runtime::MalformedMessage{"not a Have"});
+    return leaf::new_error(runtime::MalformedMessage{"not a ClientState"});
 }
 
 leaf::result<ControlUpdate> decode_control_update(std::string_view bytes) {
     BOOST_LEAF_AUTO(message, decode(bytes));
     if (auto* const update = std::get_if<ControlUpdate>(&message)) return std::move(*update);
-    return leaf::new_error(runtime::MalformedMessage{"not News"});
+    return leaf::new_error(runtime::MalformedMessage{"not a ControlUpdate"});
 }
 
 }    // namespace shaletray::subscription
--- a/src/cluster/subscription/subscription.h
+++ b/src/cluster/subscription/subscription.h
@@ -1,6 +1,6 @@
-// What pilots and lighthouses tell each other (transport::Kind::Watch): pilots say what they have,
-// lighthouses what is new to them. Both sides only ever state what holds, so any message may be lost or come
-// twice.
+// Messages by which gateways subscribe to the control plane's state (transport::Kind::Subscription): a
+// gateway reports what it has, and a controller sends what is new to it. Both only state what holds at that
+// moment, so that any message may be lost or arrive twice.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -13,28 +13,30 @@
 
 namespace shaletray::subscription {
 
-// A pilot to each lighthouse it knows: every 500 ms, and at once where it lacks something.
+// From a gateway to each controller that it knows: every 500 ms, and at once where it lacks something.
 struct ClientState {
-    std::uint64_t incarnation = 0;            // the pilot's
-    std::uint64_t version = 0, digest = 0;    // of the chart in force there; 0: none yet
-    std::uint64_t known_incarnation = 0;      // of the lighthouse this goes to, as last heard; 0: none yet
-    std::uint64_t known_sequence = 0;         // all changes of that life up to this one are known
-    std::uint32_t quota_divisor = 0;          // how many pilots it divides quotas by
+    std::uint64_t incarnation = 0;            // the gateway's
+    std::uint64_t version = 0, digest = 0;    // of the configuration in use; 0: none yet
+    std::uint64_t known_incarnation = 0;      // the controller's when it was last heard from; 0: never
+    std::uint64_t known_sequence = 0;         // all changes of that incarnation up to this one are known
+    std::uint32_t quota_divisor = 0;          // number of gateways that quotas are divided by
     bool operator==(const ClientState&) const = default;
 };
-// A lighthouse to a pilot: an answer to each Have, and unasked whenever something changed.
+
+// From a controller to a gateway: in answer to each ClientState, and unasked whenever something changed.
 struct ControlUpdate {
-    std::uint64_t incarnation = 0;    // the lighthouse's
-    // A majority bore out within the last 1.5 s that `version` was the newest chosen.
+    std::uint64_t incarnation = 0;    // the controller's
+    // A quorum confirmed within the last 1.5 s that `version` was the newest committed configuration.
     bool quorum_confirmed = false;
-    std::uint64_t version = 0, digest = 0;    // of the newest chart known there; 0: none was ever taken
-    // For configuration::read_update, leads to `version`; empty: none comes with this. A patch to something
-    // else than what is held here is refused there: the next Have then tells what is held, and the answer
-    // fits it.
+    std::uint64_t version = 0, digest = 0;    // of the newest configuration known to the controller; 0: none
+    // For configuration::apply_update; it leads to `version`. Empty where none is sent. A delta from another
+    // configuration than the gateway's is rejected there; its next ClientState reports which one it has, and
+    // the answer to that fits.
     std::string configuration_delta;
-    // `servers`, always for registry::Roster::take, holds the changes after `since` up to `sequence`, and
-    // with none still tells who runs. Who knows of that life less than `since` takes it likewise, and goes on
-    // telling what he knew before.
+    // `endpoint_changes` is for registry::EndpointDirectory and holds the changes after `since_sequence` up
+    // to `sequence`; even without changes it says which registries are running. A gateway that knows less of
+    // that incarnation than `since_sequence` applies it all the same, and keeps reporting what it knew
+    // before.
     std::uint64_t since_sequence = 0, sequence = 0;
     std::string endpoint_changes;
     bool operator==(const ControlUpdate&) const = default;
@@ -42,7 +44,8 @@
 
 std::string encode(const ClientState& client_state);
 std::string encode(const ControlUpdate& update);
-// Errors: runtime::Spoilt.
+
+// Errors of these: runtime::MalformedMessage, also for a message of the other kind.
 boost::leaf::result<std::variant<ClientState, ControlUpdate>> decode(std::string_view bytes);
 boost::leaf::result<ClientState> decode_client_state(std::string_view bytes);
 boost::leaf::result<ControlUpdate> decode_control_update(std::string_view bytes);
--- a/tests/cluster/subscription/subscription_test.cpp
+++ b/tests/cluster/subscription/subscription_test.cpp
@@ -1,4 +1,3 @@
-// What pilots and lighthouses tell each other, as bytes.
 #include "cluster/subscription/subscription.h"
 
 #include <criterion/criterion.h>
@@ -9,7 +8,7 @@
 
 namespace {
 
-subscription::ControlUpdate news() {
+subscription::ControlUpdate sample_update() {
     subscription::ControlUpdate update;
     update.incarnation = 1'700'000'000'000'000;
     update.quorum_confirmed = true;
@@ -24,20 +23,22 @@
 
 }    // namespace
 
-Test(watch, comes_back_as_it_was) {
+Test(subscription, decodes_what_was_encoded) {
     const subscription::ClientState client_state{5, 12, 34, 56, 78, 11};
     cr_assert(subscription::decode_client_state(subscription::encode(client_state)).value() == client_state);
     cr_assert(subscription::decode_client_state(subscription::encode(subscription::ClientState{})).value() ==
               subscription::ClientState{});
-    cr_assert(subscription::decode_control_update(subscription::encode(news())).value() == news());
+    cr_assert(subscription::decode_control_update(subscription::encode(sample_update())).value() ==
+              sample_update());
     cr_assert(!subscription::decode_control_update(subscription::encode(client_state)));
     cr_assert(subscription::encode(client_state).size() < 64);
 }
 
-Test(watch, survives_bytes_that_are_no_message) {
+Test(subscription, malformed_bytes_are_an_error_or_a_message) {
     std::mt19937_64 random(7);
     const std::string valid_messages[] = {
-        subscription::encode(news()), subscription::encode(subscription::ClientState{5, 12, 34, 56, 78, 11})};
+        subscription::encode(sample_update()),
+        subscription::encode(subscription::ClientState{5, 12, 34, 56, 78, 11})};
     cr_assert(!subscription::decode(""));
     for (int i = 0; i < 20000; ++i) {
         std::string bytes = valid_messages[random() % 2];
@@ -45,7 +46,8 @@
         if (random() % 2 == 0) bytes.resize(random() % (bytes.size() + 1));
         const auto message = subscription::decode(bytes);
         if (!message) continue;
-        if (const auto* n = std::get_if<subscription::ControlUpdate>(&message.value()))
-            cr_assert(n->configuration_delta.size() + n->endpoint_changes.size() <= 16 * bytes.size() + 8192);
+        if (const auto* update = std::get_if<subscription::ControlUpdate>(&message.value()))
+            cr_assert(update->configuration_delta.size() + update->endpoint_changes.size() <=
+                      16 * bytes.size() + 8192);
     }
 }
