--- a/src/base/runtime/command_line.cpp
+++ b/src/base/runtime/command_line.cpp
@@ -4,6 +4,7 @@
 
 #include <boost/leaf/error.hpp>
 #include <boost/leaf/handle_errors.hpp>
+#include <chrono>
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
@@ -20,6 +21,26 @@
 
 namespace leaf = boost::leaf;
 
+namespace {
+
+// The file is read every few seconds: while it is invalid, it is logged only so often.
+constexpr std::chrono::seconds kRejectionLogInterval(60);
+
+// Prints why the process cannot start; its exit status.
+int report_failure(const std::string& reason) {
+    std::fprintf(stderr, "%s\n", reason.c_str());
+    return EXIT_FAILURE;
+}
+
+// The path that the command line or the environment names; empty where neither does.
+std::string settings_path() {
+    if (!FLAGS_settings.empty()) return FLAGS_settings;
+    const char* const environment_path = std::getenv("SHALETRAY_BOOT");
+    return environment_path == nullptr ? std::string() : std::string(environment_path);
+}
+
+}    // namespace
+
 leaf::result<std::string> read_file(const std::string& path) {
     std::ifstream stream(path, std::ios::binary);
     std::string text(std::istreambuf_iterator<char>(stream), {});
@@ -31,18 +52,11 @@
     gflags::SetUsageMessage(program + " [--settings FILE] [--log_level LEVEL] [--check]");
     gflags::SetVersionString(SHALETRAY_VERSION);
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    const auto report_failure = [](const std::string& reason) {
-        std::fprintf(stderr, "%s\n", reason.c_str());
-        return EXIT_FAILURE;
-    };
     if (argc > 1) return report_failure(std::string("not understood: ") + argv[1]);
     if (!set_log_level(std::string_view(FLAGS_log_level)))
         return report_failure("--log_level: must be error, warning, info or debug");
     Startup startup;
-    startup.settings_path = FLAGS_settings;
-    if (const char* environment_path = std::getenv("SHALETRAY_BOOT");
-        startup.settings_path.empty() && environment_path != nullptr)
-        startup.settings_path = environment_path;
+    startup.settings_path = settings_path();
     if (startup.settings_path.empty())
         return report_failure("neither --settings nor SHALETRAY_BOOT names a settings file");
     return leaf::try_handle_all(
@@ -72,9 +86,9 @@
             return std::optional<NodeSettings>(startup.settings);
         },
         [](const SettingsError& error) -> std::optional<NodeSettings> {
-            static LogRateLimiter log_gate(std::chrono::seconds(60));
-            if (log_gate.try_acquire())
-                log_event(LogLevel::Warning, "settings_not_taken", {log_field("why", error.message)});
+            static LogRateLimiter log_limiter(kRejectionLogInterval);
+            if (log_limiter.try_acquire())
+                log_event(LogLevel::Warning, "settings_rejected", {log_field("reason", error.message)});
             return std::nullopt;
         },
         []() -> std::optional<NodeSettings> { return std::nullopt; });
--- a/src/base/runtime/command_line.h
+++ b/src/base/runtime/command_line.h
@@ -1,5 +1,5 @@
-// The command line of the system's programs, by gflags: --settings FILE (else SHALETRAY_BOOT names it),
-// --log_level LEVEL, --check, --version, --help.
+// The command line of the system's programs, by gflags: --settings FILE (or the environment variable
+// SHALETRAY_BOOT), --log_level LEVEL, --check, --version, --help.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -11,17 +11,21 @@
 
 namespace shaletray::runtime {
 
+// What a process starts with.
 struct Startup {
-    std::string settings_path, settings_text;    // of the settings file, as it was read
+    std::string settings_path;
+    std::string settings_text;    // the file's content when it was last read
     NodeSettings settings;
 };
-// A whole file. Errors: BadSettings.
+
+// The content of a file. Errors: SettingsError.
 boost::leaf::result<std::string> read_file(const std::string& path);
-// Sets the log's level. The other case is the status that the process ends with, after one line that says
-// why: what was asked for is done (--check), or the command line or the settings are no good.
+// Parses the command line, sets the log's level and reads the settings. The int is the status with which the
+// process has to exit, after one line that says why: the file was only to be checked (--check), or the
+// command line or the settings are invalid.
 std::variant<Startup, int> parse_command_line(int argc, char** argv, const std::string& program);
-// The file once more: its settings where it says something else than before and can be read. What cannot be
-// read is logged once, and changes nothing.
+// Reads the settings file again. Its settings where its content has changed and is valid. An invalid file is
+// logged, at most once a minute, and changes nothing.
 std::optional<NodeSettings> reload_settings(Startup& startup);
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/lifecycle.cpp
+++ b/src/base/runtime/lifecycle.cpp
@@ -9,10 +9,13 @@
 
 using namespace std::chrono_literals;
 
+// Set by the signal handler, which may do nothing else.
 volatile std::sig_atomic_t stop_requested = 0, reload_requested = 0;
+
 void on_signal(int number) { (number == SIGHUP ? reload_requested : stop_requested) = 1; }
 
-constexpr auto kReloadInterval = 2s, kCountersInterval = 10s;
+constexpr auto kReloadInterval = 2s;
+constexpr auto kCountersInterval = 10s;
 
 }    // namespace
 
--- a/src/base/runtime/lifecycle.h
+++ b/src/base/runtime/lifecycle.h
@@ -1,4 +1,4 @@
-// What both programs do around their loop: signals, and the settings file that may change without one.
+// What both programs do besides their work: react to signals and to changes of the settings file.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,19 @@
 
 namespace shaletray::runtime {
 
+// What a program does on events of its process. Called by the loop's thread.
 struct LifecycleHooks {
     std::function<void()> on_stop;
     std::function<void(const NodeSettings&)> on_settings_changed;
-    std::function<std::string()> describe_counters;
+    std::function<std::string()> describe_counters;    // for the log
 };
-// SIGTERM and SIGINT stop, SIGHUP looks at the settings file, SIGPIPE is ignored. Once, before the loop.
+
+// Catches SIGTERM and SIGINT, which stop the process, and SIGHUP, which reloads its settings; ignores
+// SIGPIPE. To be called once, before the loop.
 void catch_signals();
 bool is_stop_requested();
-// Once a turn: acts on signals, looks at the settings file every 2 s, tells the counters every 10 s.
+// A function to be called once in each turn of the loop: it reacts to signals, reads the settings file every
+// 2 s and logs the counters every 10 s. `startup` has to outlive it.
 std::function<void()> make_lifecycle_tick(Startup& startup, LifecycleHooks hooks);
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/log_sink.h
+++ b/src/base/runtime/log_sink.h
@@ -1,5 +1,5 @@
 // The log of the system's programs, by Boost.Log: each event is one line of key=value pairs on standard
-// error, written at once. What the shared parts log by core/log.h comes out in the same form.
+// error, flushed at once. What shared packages log through base/common/log.h has the same form.
 #pragma once
 
 #include <initializer_list>
@@ -10,10 +10,12 @@
 
 namespace shaletray::runtime {
 
-// Once, before any other thread runs. `node` stands in each line.
+// Opens the log; `node` is part of each line. To be called once, before other threads are started.
 void open_log(const std::string& node);
-// Names are lower case with underscores, "lamp_settled". Nothing is formatted below the level. Any thread.
+// Writes an event whatever the log's level. From any thread.
 void write_event(LogLevel level, std::string_view name, std::initializer_list<LogField> fields);
+// Writes an event if the log's level asks for it. Names are lower case with underscores, as
+// "settings_changed". From any thread.
 inline void log_event(LogLevel level, std::string_view name, std::initializer_list<LogField> fields = {}) {
     if (level <= log_level()) write_event(level, name, fields);
 }
--- a/src/base/runtime/settings_file.h
+++ b/src/base/runtime/settings_file.h
@@ -1,7 +1,9 @@
-// The settings file of a process (SHALETRAY_BOOT): lines a.b=value; unknown fields are left alone.
+// The settings file of a process (SHALETRAY_BOOT): lines `a.b=value`; unknown fields are ignored.
 #pragma once
 
 #include <boost/leaf/result.hpp>
+#include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
@@ -12,46 +14,66 @@
 
 namespace shaletray::runtime {
 
-// What the file leaves out is as these say.
+// How soon, and how far, the system promises to react; the `bounds.` fields. A field that the file leaves out
+// has the value given here.
 struct Bounds {
-    Duration seed_lag = std::chrono::seconds(3), address_reuse = std::chrono::seconds(2),
-             contact = std::chrono::seconds(3), ack = std::chrono::seconds(4),
-             catch_up = std::chrono::seconds(4), drain = std::chrono::seconds(2),
-             grace = std::chrono::seconds(6), loss_slack = std::chrono::milliseconds(200),
-             config_apply = std::chrono::seconds(2), revert_slack = std::chrono::milliseconds(250),
-             max_stretch = std::chrono::seconds(5), revoke = std::chrono::seconds(5),
-             retry_window = std::chrono::seconds(10), quota_window = std::chrono::seconds(5),
-             recovery = std::chrono::seconds(15);
+    Duration seed_lag = std::chrono::seconds(3);
+    Duration address_reuse = std::chrono::seconds(2);
+    Duration contact = std::chrono::seconds(3);
+    Duration ack = std::chrono::seconds(4);
+    Duration catch_up = std::chrono::seconds(4);
+    Duration drain = std::chrono::seconds(2);
+    Duration grace = std::chrono::seconds(6);
+    Duration loss_slack = std::chrono::milliseconds(200);
+    Duration config_apply = std::chrono::seconds(2);
+    Duration revert_slack = std::chrono::milliseconds(250);
+    Duration max_stretch = std::chrono::seconds(5);
+    Duration revoke = std::chrono::seconds(5);
+    Duration retry_window = std::chrono::seconds(10);
+    Duration quota_window = std::chrono::seconds(5);
+    Duration recovery = std::chrono::seconds(15);
     bool revocation_global = false;
-    double retry_budget_ratio = 0.2, retry_slack = 0.0, quota_overshoot = 0.1, quota_slack = 0.0;
+    double retry_budget_ratio = 0.2;
+    double retry_slack = 0.0;
+    double quota_overshoot = 0.1;
+    double quota_slack = 0.0;
 };
+
+// The settings of one process. Addresses are numeric, with their ports.
 struct NodeSettings {
     std::string node_name, role, ip, zone, region;
-    std::map<std::string, std::string> region_by_zone;                   // zone: region
-    std::string frontend_address, readiness_address, control_address;    // bind addresses; empty: not served
-    std::uint16_t first_port = 0, last_port = 0;                         // internal
-    std::vector<std::string> seed_addresses;                             // control addresses
+    std::map<std::string, std::string> region_by_zone;
+    std::string frontend_address, readiness_address, control_address;    // to listen on; empty: not served
+    std::uint16_t first_port = 0, last_port = 0;                         // range of internal ports
+    std::vector<std::string> seed_addresses;    // control addresses of machines that run controllers
     bool bootstrap = false, quorum_member = false;
     double cpu_share = 1.0, memory_mb = 256.0;
     std::size_t max_open_files = 1024, disk_mb = 0;
-    std::string data_directory;    // empty: no disk
+    std::string data_directory;    // empty: nothing is kept on disk
     Duration heartbeat = std::chrono::milliseconds(1500);
-    int tolerated_machines = 0, tolerated_zones = 0, tolerated_regions = 0;    // fault_tolerance
+    // Failures that the system is to survive; the `fault_tolerance.` fields.
+    int tolerated_machines = 0, tolerated_zones = 0, tolerated_regions = 0;
     Bounds bounds;
 };
+
+// Why a settings file is rejected.
 struct SettingsError {
-    std::string message;    // one line: the field and what is wrong with it
+    std::string message;    // one line: the field, and what is wrong with it
 };
-// "1500ms", "2.5s"; nothing below 0, nothing over 10^9 seconds. Errors: BadSettings.
+
+// Parses a time as "1500ms" or "2.5s", from 0 to 10^9 seconds. Errors: SettingsError.
 boost::leaf::result<Duration> parse_duration(std::string_view text);
-// Of a field that comes twice, the later line counts. `ip` and `internal_port_range` have to be there.
-// Errors: BadSettings.
+// Parses the text of a settings file. Of several lines for a field the last one counts. `ip` and
+// `internal_port_range` are required. Errors: SettingsError.
 boost::leaf::result<NodeSettings> parse_node_settings(std::string_view text);
 
-// Internal addresses: a lighthouse's is its machine's first internal port, a pilot's the second.
+// The internal address of the controller on the machine `ip`: its first internal port.
 std::string controller_address(const std::string& ip, const NodeSettings& settings);
-std::vector<std::string> controller_seeds(const NodeSettings& settings);    // of its seeds' machines
+// The internal addresses of the controllers on the seeds' machines.
+std::vector<std::string> controller_seeds(const NodeSettings& settings);
+// The internal address of the gateway on the machine `ip`: its second internal port.
 std::string gateway_address(const std::string& ip, const NodeSettings& settings);
+// An address without its port.
 std::string ip_of(const std::string& address);
 
 }    // namespace shaletray::runtime
