--- a/testbed/experiments/capacity.cpp
+++ b/testbed/experiments/capacity.cpp
@@ -15,6 +15,7 @@
 
 #include "gateway_fixture.h"
 #include "live_run.h"
+#include "scratch_directory.h"
 #include "simulator/load.h"
 #include "stand_ins/echo.h"
 #include "test_processes.h"
@@ -74,19 +75,18 @@
 class Capacity {
 public:
     Capacity(std::string programs, std::uint64_t seed, double seconds)
-        : programs_(std::move(programs)), seed_(seed), seconds_(seconds) {
+        : programs_(std::move(programs)),
+          seed_(seed),
+          seconds_(seconds),
+          directory_(fmt::format("shaletray-capacity-{}", seed)) {
         rlimit limit{};
         getrlimit(RLIMIT_NOFILE, &limit);
         limit.rlim_cur = limit.rlim_max;
         setrlimit(RLIMIT_NOFILE, &limit);
         files_ = static_cast<std::size_t>(limit.rlim_cur);
-        folder_ = std::filesystem::temp_directory_path() / fmt::format("shaletray-capacity-{}", seed);
-        std::filesystem::create_directories(folder_);
     }
     ~Capacity() {
-        gateway_.reset();
-        std::error_code ignored;
-        std::filesystem::remove_all(folder_, ignored);
+        gateway_.reset();    // before the directory that it writes to goes
     }
 
     int run() {
@@ -128,11 +128,11 @@
         std::vector<std::string> servers;
         for (int i = 0; i < kServers; ++i) servers.push_back(echo_->address(i));
         address_ = fmt::format("127.0.0.1:{}", find_free_port());
-        const auto path = folder_ / "n0.json";
+        const auto path = directory_.path() / "n0.json";
         std::ofstream(path) << lone_config(s, servers, address_, files_, 192);
-        gateway_ =
-            std::make_unique<Process>(std::vector<std::string>{programs_ + "/shaletray"},
-                                      gateway_environment(path.string()), (folder_ / "n0.log").string());
+        gateway_ = std::make_unique<Process>(std::vector<std::string>{programs_ + "/shaletray"},
+                                             gateway_environment(path.string()),
+                                             (directory_.path() / "n0.log").string());
         for (int i = 0; i < 100; ++i) {
             if (load(address_, 20.0, 0.2, 4, false, seed_).ok() > 0) return;
         }
@@ -231,7 +231,7 @@
     std::uint64_t seed_;
     double seconds_;
     std::size_t files_ = 0;
-    std::filesystem::path folder_;
+    ScratchDirectory directory_;
     std::unique_ptr<StandInEcho> echo_;
     std::unique_ptr<Process> gateway_;
     std::string address_;
--- a/testbed/experiments/operations.cpp
+++ b/testbed/experiments/operations.cpp
@@ -21,6 +21,7 @@
 
 #include "gateway_fixture.h"
 #include "live_run.h"
+#include "scratch_directory.h"
 #include "simulator/load.h"
 #include "stand_ins/echo.h"
 #include "test_processes.h"
@@ -115,14 +116,10 @@
           seed_(seed),
           seconds_(seconds),
           rate_(number_from_environment("RATE", 500, 1, 20'000)),
-          long_bytes_(static_cast<std::size_t>(number_from_environment("LONG_MB", 32, 1, 60) * 1024 * 1024)) {
-        folder_ = std::filesystem::temp_directory_path() / fmt::format("shaletray-operations-{}", seed);
-        std::filesystem::create_directories(folder_);
-    }
+          long_bytes_(static_cast<std::size_t>(number_from_environment("LONG_MB", 32, 1, 60) * 1024 * 1024)),
+          directory_(fmt::format("shaletray-operations-{}", seed)) {}
     ~Operations() {
-        gateway_.reset();
-        std::error_code ignored;
-        std::filesystem::remove_all(folder_, ignored);
+        gateway_.reset();    // before the directory that it writes to goes
     }
 
     int run() {
@@ -177,11 +174,11 @@
         admin_ = fmt::format("127.0.0.1:{}", find_free_port());
         auto environment = gateway_environment(path());
         environment["EDGE_ADMIN_ADDR"] = admin_;
-        environment["TMPDIR"] = folder_.string();
+        environment["TMPDIR"] = directory_.path().string();
         return std::make_unique<Process>(std::vector<std::string>{programs_ + "/shaletray"}, environment,
-                                         (folder_ / fmt::format("{}.log", ++starts_)).string());
+                                         (directory_.path() / fmt::format("{}.log", ++starts_)).string());
     }
-    std::string path() const { return (folder_ / "n0.json").string(); }
+    std::string path() const { return (directory_.path() / "n0.json").string(); }
     void write(const Json& config) const { std::ofstream(path()) << config; }
 
     // Under load all the while. True where the machine was too slow.
@@ -353,7 +350,7 @@
     std::uint64_t seed_;
     double seconds_, rate_;
     std::size_t long_bytes_;
-    std::filesystem::path folder_;
+    ScratchDirectory directory_;
     std::unique_ptr<Process> gateway_;
     Json config_;
     std::string address_, admin_;
