--- /dev/null
+++ b/src/cluster/membership/joining.cpp
@@ -0,0 +1,99 @@
+// Joining: the seeds, and the first request for all members.
+#include <algorithm>
+
+#include "cluster/membership/membership_impl.h"
+
+namespace shaletray::membership {
+
+void Membership::Impl::set_seeds(std::vector<std::string> seeds) {
+    std::vector<Seed> updated_seeds = merge_seeds(seeds);
+    const bool unchanged =
+        std::equal(updated_seeds.begin(), updated_seeds.end(), seeds_.begin(), seeds_.end(),
+                   [](const Seed& a, const Seed& b) { return a.address == b.address; });
+    seeds_ = std::move(updated_seeds);
+    if (seeds_.empty()) joined_ = true;
+    if (unchanged) return;
+    join_timeout_ = kAckTimeout;
+    seeds_asked_ = 0;
+    next_join_at_ = last_call_at_;
+}
+
+// The addresses without this process and duplicates; known seeds keep what was learned of them.
+std::vector<Membership::Impl::Seed> Membership::Impl::merge_seeds(
+    const std::vector<std::string>& addresses) const {
+    std::vector<Seed> merged;
+    for (const std::string& address : addresses) {
+        if (address == self_record_.address || address.empty() || merged.size() >= kMaxSeeds) continue;
+        const auto has_address = [&](const Seed& seed) { return seed.address == address; };
+        if (std::any_of(merged.begin(), merged.end(), has_address)) continue;
+        const auto existing = std::find_if(seeds_.begin(), seeds_.end(), has_address);
+        merged.push_back(existing != seeds_.end() ? *existing : Seed{address, 0, false});
+    }
+    return merged;
+}
+
+void Membership::Impl::start_join(TimePoint now, Actions& actions) {
+    std::optional<std::string> source = choose_join_source();
+    if (!source) {
+        joined_ = true;
+        return;
+    }
+    SyncPull pull;
+    pull.source = std::move(*source);
+    pull.purpose = PullPurpose::Join;
+    pull_ = std::move(pull);
+    send_sync_request(now, actions);
+}
+
+std::optional<std::string> Membership::Impl::choose_join_source() {
+    return self_member_.info.role == Role::Controller ? choose_seed_as_controller()
+                                                      : choose_seed_as_gateway();
+}
+
+// Controllers ask every seed, since all of them may start at the same time.
+std::optional<std::string> Membership::Impl::choose_seed_as_controller() {
+    const auto seed = std::min_element(seeds_.begin(), seeds_.end(), [](const Seed& a, const Seed& b) {
+        return std::pair(a.synced, a.attempts) < std::pair(b.synced, b.attempts);
+    });
+    if (seed == seeds_.end() || seed->synced || seed->attempts >= kControllerSeedAttempts)
+        return std::nullopt;
+    ++seed->attempts;
+    return seed->address;
+}
+
+// Gateways ask the seeds and the controllers that they know in turn until one answers.
+std::optional<std::string> Membership::Impl::choose_seed_as_gateway() {
+    std::vector<std::string> candidates;
+    for (const Seed& seed : seeds_) candidates.push_back(seed.address);
+    for (const auto& [address, member] : table_.members()) {
+        if (candidates.size() >= 2 * kMaxSeeds) break;
+        if (member.info.role != Role::Controller || member.state == State::Dead) continue;
+        if (std::find(candidates.begin(), candidates.end(), address) == candidates.end())
+            candidates.push_back(address);
+    }
+    if (candidates.empty()) return std::nullopt;
+    std::string source = candidates[next_seed_++ % candidates.size()];
+    if (++seeds_asked_ > candidates.size()) {    // nobody answered: start over with more patience
+        seeds_asked_ = 1;
+        join_timeout_ = std::min(2 * join_timeout_, kMaxJoinTimeout);
+    }
+    return source;
+}
+
+void Membership::Impl::on_full_sync(const std::string& source, const Packet& packet, TimePoint now) {
+    if (joined_) return;
+    const auto seed = std::find_if(seeds_.begin(), seeds_.end(),
+                                   [&](const Seed& candidate) { return candidate.address == source; });
+    if (seed != seeds_.end()) seed->synced = true;
+    next_join_at_ = now;
+    next_sync_at_ = now + min_sync_interval();
+    schedule_push();
+    if (packet.from_controller && packet.joined) {
+        joined_ = true;
+    } else if (self_member_.info.role == Role::Gateway) {
+        next_join_at_ = now + kJoinRetryDelay;
+        seeds_asked_ = 0;
+    }
+}
+
+}    // namespace shaletray::membership
--- a/src/cluster/membership/member_table.cpp
+++ b/src/cluster/membership/member_table.cpp
@@ -15,15 +15,13 @@
     return entry;
 }
 
-// What another one may make of it: nobody is Gone for having been unheard here, nor Suspected for our own
-// trouble.
 State Record::advertised_state() const {
     if (member->state == State::Dead) return member->departed ? State::Dead : State::Suspect;
     return suspected_in_isolation ? State::Alive : member->state;
 }
 
 Entry Record::to_entry() const {
-    if (gossip_full_info) return to_full_entry();
+    if (gossip_form == EntryForm::Full) return to_full_entry();
     Entry entry;
     entry.brief = true;
     entry.info.address = address;
@@ -67,7 +65,7 @@
     if (record.member->info.role == Role::Gateway) gateway_count_ += static_cast<std::size_t>(delta);
 }
 
-void MemberTable::compute_digest(Record& record) {
+void MemberTable::update_digest(Record& record) {
     digest_ ^= record.digest;
     record.digest =
         record.member->state == State::Dead
@@ -82,7 +80,7 @@
     record->address_hash = hash_address(info.address);
     record->hash = identity_hash(record->address_hash, info.incarnation);
     record->member = &members_[info.address];
-    record->member->state = State::Dead;    // so far it counts as nothing
+    record->member->state = State::Dead;    // not counted until it has its state
     records_.push_back(record);
     replace_incarnation(*record, info, version, state, now);
     return *record;
@@ -104,18 +102,28 @@
     record.known_since = now;
     record.suspected_since = state == State::Suspect ? now : TimePoint{};
     record.suspected_in_isolation = false;
-    if (state != State::Alive && !record.unreachable) {
-        record.unreachable = true;
-        unreachable_.push_back(&record);
-    }
+    list_if_unreachable(record);
     auto& index = records_.get<ByAddress>();
     index.modify(index.find(record.address), [&](const std::shared_ptr<Record>& element) {
         element->hash = identity_hash(element->address_hash, info.incarnation);
     });
-    compute_digest(record);
+    update_digest(record);
     adjust_counts(record, 1);
 }
 
+void MemberTable::list_if_unreachable(Record& record) {
+    if (record.member->state == State::Alive || record.unreachable) return;
+    record.unreachable = true;
+    unreachable_.push_back(&record);
+}
+
+void MemberTable::prune_unreachable() {
+    std::erase_if(unreachable_, [](Record* record) {
+        record->unreachable = record->member->state != State::Alive;
+        return !record->unreachable;
+    });
+}
+
 void MemberTable::apply_entry(Record& record, const Entry& entry) {
     Member& member = *record.member;
     adjust_counts(record, -1);
@@ -126,7 +134,7 @@
         member.info = entry.info;
     }
     record.version = entry.version;
-    compute_digest(record);
+    update_digest(record);
     adjust_counts(record, 1);
 }
 
@@ -136,11 +144,8 @@
     record.member->state_changed_at = now;
     record.suspected_since = state == State::Suspect ? now : TimePoint{};
     record.suspected_in_isolation = false;
-    if (state != State::Alive && !record.unreachable) {
-        record.unreachable = true;
-        unreachable_.push_back(&record);
-    }
-    compute_digest(record);
+    list_if_unreachable(record);
+    update_digest(record);
     adjust_counts(record, 1);
 }
 
--- a/src/cluster/membership/member_table.h
+++ b/src/cluster/membership/member_table.h
@@ -1,6 +1,4 @@
-// The members that a process knows of, with what it keeps on each beside the facts: in the order of their
-// addresses, by the short name that beats travel under, and by number for drawing one. Keeps sums over all of
-// them by which two processes see whether they know the same.
+// The members that a process knows, with the protocol's bookkeeping for each.
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
@@ -18,28 +16,36 @@
 
 namespace shaletray::membership {
 
+// A member and the protocol's bookkeeping for it.
 struct Record {
     std::string address;
-    std::uint32_t hash = 0;      // of address and life
-    Member* member = nullptr;    // in Roll::members(), or this process's own
-    std::uint32_t version = 0;
+    std::uint32_t hash = 0;                 // MemberTable::identity_hash of the current incarnation
+    Member* member = nullptr;               // in MemberTable::members(), or this process's own
+    std::uint32_t version = 0;              // of member->info within its incarnation
     std::uint8_t heartbeat = 0;             // 0: none known
-    TimePoint heartbeat_at{};               // when it was learned of
-    std::uint64_t address_hash = 0;         // hash of the address: its part in comparisons
-    std::uint64_t digest = 0;               // of address, life and version; 0 while Gone
-    TimePoint known_since{};                // when this life was learned of
-    TimePoint suspected_since{};            // since when; as long as it is Suspected
-    bool probing = false;                   // pinged, unanswered, and being pinged again
-    bool suspected_in_isolation = false;    // Suspected by this process only, which hardly heard of anybody
-    bool unreachable = false;               // Suspected or Gone
-    int transmissions = 0;                  // packets that carried its news
-    bool gossip_queued = false;             // its news is still carried
-    bool gossip_full_info = false;          // as all its facts
+    TimePoint heartbeat_at{};               // when it was received
+    std::uint64_t address_hash = 0;         // selects the digest bucket
+    std::uint64_t digest = 0;               // of address, incarnation and version; 0 while Dead
+    TimePoint known_since{};                // when this incarnation was first known here
+    TimePoint suspected_since{};            // zero unless Suspect
+    bool probing = false;                   // pinged without an answer so far, and pinged again
+    bool suspected_in_isolation = false;    // suspected here only, while this process heard hardly anybody
+    bool unreachable = false;               // listed in MemberTable::unreachable()
+    int transmissions = 0;                  // packets that carried the latest change
+    bool gossip_queued = false;             // the latest change is still to be sent
+    EntryForm gossip_form = EntryForm::Brief;
+
+    // The state that others are told: members that were merely unheard are not passed on as Dead, nor those
+    // suspected in isolation as Suspect.
     State advertised_state() const;
+    // The entry in the form that the latest change calls for.
     Entry to_entry() const;
     Entry to_full_entry() const;
 };
 
+// Owns the records, indexed by address, by identity hash and by position (to draw members at random), and
+// keeps a digest over them by which two processes compare what they know. Records keep their address in
+// memory until they are erased.
 class MemberTable {
     struct ByAddress {};
     struct ByHash {};
@@ -49,17 +55,24 @@
     Record* find(const std::string& address) const;
     Record* find_by_hash(std::uint32_t hash) const;
     Record* record_at(std::size_t index) const { return records_[index].get(); }
-    std::size_t size() const { return records_.size(); }            // Gone ones included
-    std::size_t live_count() const { return live_count_; }          // those that are not Gone
-    std::size_t gateway_count() const { return gateway_count_; }    // of these
+    // Number of records, those of Dead members included.
+    std::size_t size() const { return records_.size(); }
+    // Number of members that are not Dead.
+    std::size_t live_count() const { return live_count_; }
+    // Number of gateways that are not Dead.
+    std::size_t gateway_count() const { return gateway_count_; }
     bool full() const { return records_.size() >= max_size_; }
     Record& add(const MemberInfo& info, std::uint32_t version, State state, TimePoint now);
+    // A later process runs at the record's address.
     void replace_incarnation(Record& record, const MemberInfo& info, std::uint32_t version, State state,
-                             TimePoint now);                 // a later life
-    void apply_entry(Record& record, const Entry& entry);    // a later version
+                             TimePoint now);
+    // Takes over a later version of the member's information.
+    void apply_entry(Record& record, const Entry& entry);
     void set_state(Record& record, State state, TimePoint now);
     void erase(Record& record);
-    std::uint64_t digest() const { return digest_; }    // of all that are not Gone
+    // Digest over all members that are not Dead: the exclusive or of the records' digests.
+    std::uint64_t digest() const { return digest_; }
+    // The digest by parts. The count has to be a power of two.
     std::vector<std::uint64_t> digest_buckets(std::size_t bucket_count) const;
     static std::uint64_t bucket_index(std::uint64_t address_hash, std::size_t bucket_count) {
         return address_hash & (bucket_count - 1);
@@ -67,22 +80,25 @@
     static std::uint64_t hash_address(const std::string& address);
     static std::uint64_t compute_digest(std::uint64_t address_hash, std::uint64_t incarnation,
                                         std::uint32_t version);
+    // Short name of a process under which packets carry its heartbeat.
     static std::uint32_t identity_hash(std::uint64_t address_hash, std::uint64_t incarnation);
     const std::map<std::string, Member>& members() const { return members_; }
-    // Calls f with each one after this address, in their order, until it gives false.
+    // Visits the records after the address in the order of their addresses, until `visit` returns false.
     template <typename Visitor>
     void for_each_after(const std::string& after_address, Visitor&& visit) const {
         const auto& index = records_.template get<ByAddress>();
         for (auto it = index.upper_bound(after_address); it != index.end(); ++it)
             if (!visit(**it)) return;
     }
-    // Those that are Suspected or Gone, and some that no longer are.
-    std::vector<Record*>& unreachable() { return unreachable_; }
+    // All Suspect and Dead members, and some that are Alive again.
     const std::vector<Record*>& unreachable() const { return unreachable_; }
+    // Removes those that are Alive again from unreachable().
+    void prune_unreachable();
 
 private:
     void adjust_counts(const Record& record, int delta);
-    void compute_digest(Record& record);
+    void update_digest(Record& record);
+    void list_if_unreachable(Record& record);
 
     using Records = boost::multi_index_container<
         std::shared_ptr<Record>, boost::multi_index::indexed_by<
@@ -96,7 +112,8 @@
     std::size_t max_size_;
     Records records_;
     std::map<std::string, Member> members_;
-    std::size_t live_count_ = 0, gateway_count_ = 0;
+    std::size_t live_count_ = 0;
+    std::size_t gateway_count_ = 0;
     std::uint64_t digest_ = 0;
     std::vector<Record*> unreachable_;
 };
--- a/src/cluster/membership/membership.capnp
+++ b/src/cluster/membership/membership.capnp
@@ -1,56 +1,57 @@
 @0xc325fb70143f11ae;
-# What members of the convoy say to each other; each datagram is a sum of what follows (XXH32,
-# little endian) and one Packet, packed. New fields get new numbers, and what they mean when they are missing
-# is what the older version did.
+# Datagrams between members of a cluster. Each datagram is a checksum (XXH32 of the rest, little endian)
+# followed by one Packet in packed encoding. New fields get new ordinals, and their default has to mean what a
+# version without the field did.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::membership::wire");
 
-struct Place {
+struct Location {
   zone @0 :Text;
   region @1 :Text;
 }
 
-struct Entry {    # what is known of a member
-  ip @0 :UInt32;             # 0: see address
+struct Entry {    # what the sender knows of one member
+  ip @0 :UInt32;                # IPv4 in host order; 0: see address
   port @1 :UInt16;
   role @2 :UInt8;
   state @3 :UInt8;
-  life @4 :UInt64;
-  version @5 :UInt32;        # of this life's facts
-  counts @6 :UInt32;
-  disk @7 :UInt64;
-  place @8 :UInt16;          # in Packet.places, from 1; 0: none
-  brief @9 :Bool;            # only state, counts and disk are told
-  quorum @10 :Bool;
+  incarnation @4 :UInt64;
+  version @5 :UInt32;           # of the member's information within this incarnation
+  quotaDivisor @6 :UInt32;
+  diskId @7 :UInt64;
+  location @8 :UInt16;          # index into Packet.locations, from 1; 0: none
+  brief @9 :Bool;               # only state, quotaDivisor and diskId are set
+  voterEligible @10 :Bool;
   address @11 :Text;
   name @12 :Text;
-  control @13 :Text;
-  unheard @14 :Bool;         # with state Suspected: for so long that the sender takes it for Gone
+  controlAddress @13 :Text;
+  unheard @14 :Bool;            # state is Suspect, and for so long that the sender holds the member dead
 }
 
 struct Packet {
   kind @0 :UInt8;
-  who @1 :Bool;              # the receiver's facts are wanted
-  joined @2 :Bool;           # of the sender
-  lighthouse @3 :Bool;
-  last @4 :Bool;             # Page: nothing comes after it
-  more @5 :Bool;             # Page: ask for what comes after it
-  members @6 :UInt16;        # that the sender knows and that are not gone
-  number @7 :UInt32;         # an answer repeats it
-  life @8 :UInt64;           # of the sender, as is what follows
+  wantsInfo @1 :Bool;           # the sender asks for the receiver's full entry
+  joined @2 :Bool;              # the sender has joined
+  fromController @3 :Bool;
+  lastPage @4 :Bool;            # SyncPage: no page follows
+  requestMore @5 :Bool;         # SyncPage: the receiver has to request the pages after this one
+  memberCount @6 :UInt16;       # members that the sender knows and does not hold dead
+  sequenceNumber @7 :UInt32;    # an answer repeats the one of its request
+  incarnation @8 :UInt64;       # of the sender, as are version, heartbeat and digest
   version @9 :UInt32;
-  beat @10 :UInt8;           # 1 to 255, the next one with each of its rounds
-  digest @11 :UInt64;        # of all members, lives and versions it knows
-  about @12 :Text;           # PingFor, Answer: the address of a third
+  heartbeat @10 :UInt8;         # counter from 1 to 255, advanced in each probe round
+  digest @11 :UInt64;           # over all members, incarnations and versions known to the sender
+  target @12 :Text;             # PingRequest, relayed Ack: the address of the member that is probed
   entries @13 :List(Entry);
-  places @14 :List(Place);
-  row @15 :Data;             # the last beats known, 0: none lately; of all that make up the sum, in the order
-                             # of their addresses, for those with the same sum
-  hashes @16 :List(UInt32);  # for the others, of some: of address and life, and
-  beats @20 :Data;           # their beats
-  check @21 :Bool;           # the suspicions in it are old: to be looked at, not believed
-  buckets @17 :List(UInt64); # Ask: digests by parts; empty: everything is wanted
-  after @18 :Text;           # Ask, Page: from which address on
-  next @19 :Text;            # Page: up to which
+  locations @14 :List(Location);
+  orderedHeartbeats @15 :Data;       # of all members in the digest, ordered by address, for receivers with the
+                                     # same digest; 0: none received lately
+  heartbeatHashes @16 :List(UInt32); # for receivers with another digest: hashes of address and incarnation
+                                     # of some members,
+  hashedHeartbeats @20 :Data;        # and their heartbeats
+  verifySuspicions @21 :Bool;   # the suspicions in it are old: the receiver probes instead of adopting them
+  digestBuckets @17 :List(UInt64);   # SyncRequest: digests of parts of the table; empty: all is requested
+  afterAddress @18 :Text;       # SyncRequest, SyncPage: the first address is the next one after this
+  upToAddress @19 :Text;        # SyncPage: the last address of the page
 }
--- a/src/cluster/membership/membership.h
+++ b/src/cluster/membership/membership.h
@@ -1,13 +1,13 @@
-// Which processes of the system there are: members learned from the seeds and then from each other, by
-// datagrams. Pure: messages and times in, messages and changes out. Nothing here is a list that is given, and
-// no silence proves an end: a member is Alive, Suspected (unheard, perhaps cut off) or Gone (it said so, a
-// later life at its address was heard, or it was unheard for `forget_after`).
+// Cluster membership: which processes exist and which of them are reachable, learned from the seeds and then
+// from the other members by datagrams, in the manner of SWIM. Each round a process pings a few members, and
+// has others ping those that do not answer. Every packet carries recent changes (a new incarnation, a new
+// version of a member's information, a suspicion, a departure) to members that may not know them; a change
+// also goes to a few members at once. Every packet carries a digest over all members, incarnations and
+// versions that the sender knows: when two digests keep differing, one member requests the differing part
+// from the other. The load of a process at rest does not grow with the number of members.
 //
-// In the manner of SWIM: each round a process pings a few others, directly and where they do not answer
-// through third ones. Every packet carries what is new (a life, a version of its facts, a suspicion, a
-// goodbye) to those that may not know it; what is new at a process goes to some others at once. Every packet
-// also says the sum of all lives and versions that its sender knows: where two differ for a while, one asks
-// the other for what differs. What a process does in calm does not grow with their number.
+// Silence does not prove that a process has ended: a member is Alive, Suspect (not heard from, perhaps
+// partitioned) or Dead (it announced its departure, or was not heard from for `dead_after`).
 #pragma once
 
 #include <cstdint>
@@ -24,98 +24,123 @@
 enum class Role : std::uint8_t { Gateway, Controller };
 enum class State : std::uint8_t { Alive, Suspect, Dead };
 
-struct MemberInfo {         // what a member says of itself
-    std::string address;    // internal "ip:port", datagrams and sessions alike
+// What a member publishes about itself.
+struct MemberInfo {
+    std::string address;    // internal "ip:port", of datagrams and sessions alike
     Role role = Role::Gateway;
-    std::string name, zone, region;
-    std::string control_address;        // lighthouses: the address that serves control_plane
-    bool voter_eligible = false;        // lighthouses: its disk may vote
-    std::uint64_t disk_id = 0;          // its number in the lamp's voters
-    std::uint64_t incarnation = 0;      // larger for a later life at the same address
-    std::uint32_t quota_divisor = 0;    // pilots: how many pilots it divides quotas by; 0: grants nothing yet
+    std::string name;
+    std::string zone;
+    std::string region;
+    std::string control_address;        // controllers: the address that serves control_plane
+    bool voter_eligible = false;        // controllers: its disk may vote
+    std::uint64_t disk_id = 0;          // controllers: the id of its disk among the voters
+    std::uint64_t incarnation = 0;      // larger for a later process at the same address
+    std::uint32_t quota_divisor = 0;    // gateways: the number it divides quotas by; 0: grants nothing yet
     bool operator==(const MemberInfo&) const = default;
 };
+
+// What this process knows of another member.
 struct Member {
     MemberInfo info;
     State state = State::Alive;
-    bool departed = false;     // Gone by its own word; else Gone is only unheard, and may come back
-    TimePoint last_heard{};    // when anything proved that this life ran; zero: nothing has yet
-    // The newest moment of this process of which the member proved that it had heard of it, by an answer or
-    // by this process's beat in what it sends; zero: none yet.
+    // It announced its departure, which is final. A Dead member without it was only unheard and may come
+    // back.
+    bool departed = false;
+    TimePoint last_heard{};    // when anything proved that this incarnation runs; zero: nothing has yet
+    // The latest time of this process of which the member proved that it had heard, by an ack or by repeating
+    // this process's heartbeat; zero: none yet.
     TimePoint last_acknowledged{};
-    TimePoint last_in_sync{};    // when it last knew the same lives and versions as this process, or no more
-                                 // members
-    TimePoint state_changed_at{};    // its state
+    // When it last had the same digest as this process, or knew no more members.
+    TimePoint last_in_sync{};
+    TimePoint state_changed_at{};
 };
 
 struct Settings {
-    MemberInfo self;                   // its life is raised where an earlier one is heard of
-    std::vector<std::string> seeds;    // internal addresses of lighthouses, to begin with
-    Duration probe_interval = std::chrono::milliseconds(500);    // between two rounds of probes
-    Duration suspect_after = std::chrono::milliseconds(2000);
-    Duration dead_after = std::chrono::seconds(20);
-    std::size_t max_datagram_bytes = 1200;    // bytes of a datagram
+    MemberInfo self;                   // its incarnation is raised when an earlier process had a higher one
+    std::vector<std::string> seeds;    // internal addresses of controllers to join through
+    Duration probe_interval = std::chrono::milliseconds(500);    // between two probe rounds
+    Duration suspect_after = std::chrono::milliseconds(2000);    // silence until a member is Suspect
+    Duration dead_after = std::chrono::seconds(20);              // silence until a member is Dead
+    std::size_t max_datagram_bytes = 1200;                       // stays below common path MTUs
     std::uint64_t random_seed = 0;
 };
+
+// What the owner has to do after a call.
 struct Actions {
     struct Send {
-        std::string to, bytes;
+        std::string to;
+        std::string bytes;
     };
     std::vector<Send> sends;
-    std::vector<std::string> changed_members;    // addresses of members whose facts or state changed
+    std::vector<std::string> changed_members;    // addresses of members whose information or state changed
 };
 
-struct Statistics {    // datagrams, and what was not taken from them
-    std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
-    std::uint64_t malformed = 0;           // datagrams that are none of ours
-    std::uint64_t rejected_members = 0;    // members beyond the most that are kept (8000)
+// Counters of datagrams and of what was rejected, since the start.
+struct Statistics {
+    std::uint64_t sent = 0;
+    std::uint64_t sent_bytes = 0;
+    std::uint64_t received = 0;
+    std::uint64_t received_bytes = 0;
+    std::uint64_t malformed = 0;           // datagrams that could not be decoded
+    std::uint64_t rejected_members = 0;    // new members beyond the capacity of the table (8000)
 };
 
-// The owner sends what `sends` holds, in any order and at most once, and calls tick at next(), which any call
-// may move. A process that was not called for over a second takes itself for frozen: it suspects nobody until
-// it could have heard them again. Once a member is Gone for two minutes it leaves members(), if
-// it said no goodbye for three; a joiner is told of these too.
+// The membership state machine of one process. Does no input or output and reads no clock: the owner passes
+// messages and times in, delivers Actions::sends (in any order, each at most once) and calls tick() at
+// next_deadline(), which any call may change. Not thread-safe.
+//
+// A process that was not called for over a second takes itself for paused: it suspects nobody until it could
+// have heard them again. A Dead member leaves members() two minutes after its announced departure, or three
+// minutes after it was held dead for silence; joining processes are told of the latter too.
 class Membership {
 public:
-    // `me.life` should come from a clock or a file: it may be too low, see me().
+    // `settings.self.incarnation` should come from a clock or a file. It may be too low, see self().
     Membership(Settings settings, TimePoint now);
     ~Membership();
+    // A datagram arrived from the address.
     void on_message(const std::string& from, const std::string& bytes, TimePoint now, Actions& actions);
-    // Something else proved that the member ran just now (a session's message).
+    // Something else, such as a message of a session, proved that the member runs.
     void record_contact(const std::string& address, std::uint64_t incarnation, TimePoint now);
+    // Does what is due.
     void tick(TimePoint now, Actions& actions);
+    // When tick() is due next; TimePoint::max() after the departure.
     TimePoint next_deadline() const;
-    // Of the facts of this process. Each change goes to all others: where members are many, change it in
-    // steps.
+
+    // Changes of what this process publishes. Each one goes to all members: where members are many, owners
+    // should change values in steps.
     void set_quota_divisor(std::uint32_t divisor);
     void set_disk_id(std::uint64_t disk_id);
-    void set_voter_eligible(
-        bool eligible);    // false: it is about to end, and its disk should vote no longer
-    void set_seeds(std::vector<std::string> seeds);    // as the settings file now has them
-    void announce_departure(TimePoint now,
-                            Actions& actions);    // says goodbye to all; nothing is sent after it
+    // False: the process is about to end, and its disk should no longer vote.
+    void set_voter_eligible(bool eligible);
+    // Replaces the seeds after a change of the settings.
+    void set_seeds(std::vector<std::string> seeds);
+    // Announces the end of this process. Later calls do nothing and send nothing.
+    void announce_departure(TimePoint now, Actions& actions);
 
-    const std::map<std::string, Member>& members() const;    // by address, without this one
-    // Its life rises while it runs where an earlier one of this address is heard of that had a higher number;
-    // this is heard within the first answers, as a rule before joined().
+    // The other members by address.
+    const std::map<std::string, Member>& members() const;
+    // What this process publishes. Its incarnation rises when it learns of an earlier process at its address
+    // with a higher one; it learns of it in the first answers, as a rule before joined().
     const MemberInfo& self() const;
-    // Of the other pilots that are not Gone: the part heard within `within`. 1 where there are none. Below
-    // 128 members it is counted: heard are those that sent anything, those whose beat another one told is
-    // later than the one known, and seen(). Where all is well each is heard within a second with up to 32
-    // members, and within two with more. From 128 on it is estimated: of the pilots drawn and pinged in
-    // this time (about four a second; the last four at least) the part that was heard since, less the
-    // Suspected. A process that just started counts nobody as heard that it only was told of. Who is cut
-    // off for longer than `forget_after` has forgotten the others and counts none: see Member::ended.
+    // The fraction of the other gateways that are not Dead from which this process heard within `window`; 1
+    // where there are none. Below 128 members they are counted: a gateway was heard if it sent anything, if a
+    // member passed on a later heartbeat of it, or by record_contact(). Without faults every gateway is heard
+    // within a second with up to 32 members, and within two seconds with more. From 128 members on the
+    // fraction is estimated by the gateways that were pinged in the window (about four a second, at least the
+    // last four), less the suspects. A process that just started counts nobody as heard of whom it was only
+    // told. A process that is partitioned for longer than `dead_after` holds the others dead and counts none
+    // of them; see Member::departed.
     double heard_fraction(TimePoint now, Duration window) const;
-    // Whether others hear this process: of its own pings in that time (four to six a second, the last four at
-    // least) the part that was answered. 1 where there are no others. heard_part says only that it hears
-    // them.
+    // The fraction of this process's own pings in the window (four to six a second, at least the last four)
+    // that were answered, which shows whether others hear it; heard_fraction() shows only that it hears them.
+    // 1 where there are no other members.
     double acknowledged_fraction(TimePoint now, Duration window) const;
-    // Whether each member's heard and answered are newer than four seconds where all is well; if not, only
-    // heard_part and answered_part tell of a cut within that time.
+    // Whether, without faults, the last_heard and last_acknowledged of every member are newer than four
+    // seconds. Otherwise only the fractions show a partition within that time.
     bool contacts_every_member() const;
     const Statistics& statistics() const;
-    bool joined() const;    // a lighthouse has answered with all that it knows, or none is to be asked
+    // Whether a controller has answered with all members that it knows, or there is none to ask.
+    bool joined() const;
 
 private:
     class Impl;
--- a/src/cluster/membership/packet.cpp
+++ b/src/cluster/membership/packet.cpp
@@ -15,8 +15,16 @@
 namespace shaletray::membership {
 namespace {
 
-constexpr std::size_t kMaxPacketBytes = 16 * 1024, kMaxPacketWords = 32 * 1024;
-constexpr std::size_t kMaxTextBytes = 128, kMaxEntries = 512, kMaxHeartbeats = 512;
+// Limits for received packets, far above what a datagram of a member holds.
+constexpr std::size_t kMaxPacketBytes = 16 * 1024;
+constexpr std::size_t kMaxPacketWords = 32 * 1024;
+constexpr std::size_t kMaxTextBytes = 128;
+constexpr std::size_t kMaxEntries = 512;
+constexpr std::size_t kMaxHeartbeats = 512;
+constexpr int kMaxNesting = 6;
+// Sizes that fit a datagram, to spare allocations.
+constexpr std::size_t kScratchWords = 1024;
+constexpr std::size_t kExpectedBytes = 1500;
 
 struct Ipv4 {
     std::uint32_t ip = 0;
@@ -33,7 +41,7 @@
     return formatted + std::to_string(address.port);
 }
 
-// Nothing where the text is not exactly what `text` makes of it.
+// The zero address unless the text is exactly what format_ipv4 returns for the parsed address.
 Ipv4 parse_ipv4(const std::string& address) {
     Ipv4 parsed;
     const char* position = address.data();
@@ -57,8 +65,34 @@
     return std::string(text.begin(), text.size());
 }
 
-void write_entry(const Entry& entry, wire::Entry::Builder builder,
-                 const std::map<std::string, std::uint16_t>& locations) {
+// The distinct locations of a packet's entries, numbered from 1.
+class LocationList {
+public:
+    explicit LocationList(const std::vector<Entry>& entries) {
+        for (const Entry& entry : entries) {
+            if (entry.brief) continue;
+            const auto number = static_cast<std::uint16_t>(sources_.size() + 1);
+            if (numbers_.emplace(key(entry.info), number).second) sources_.push_back(&entry.info);
+        }
+    }
+    std::uint16_t number_of(const MemberInfo& info) const { return numbers_.at(key(info)); }
+    void write(wire::Packet::Builder root) const {
+        if (sources_.empty()) return;
+        auto list = root.initLocations(static_cast<unsigned>(sources_.size()));
+        for (unsigned i = 0; i < sources_.size(); ++i) {
+            list[i].setZone(sources_[i]->zone);
+            list[i].setRegion(sources_[i]->region);
+        }
+    }
+
+private:
+    static std::string key(const MemberInfo& info) { return info.zone + '\n' + info.region; }
+
+    std::map<std::string, std::uint16_t> numbers_;
+    std::vector<const MemberInfo*> sources_;
+};
+
+void write_entry(const Entry& entry, wire::Entry::Builder builder, const LocationList& locations) {
     const Ipv4 ipv4_address = parse_ipv4(entry.info.address);
     if (ipv4_address.ip != 0) {
         builder.setIp(ipv4_address.ip);
@@ -67,88 +101,173 @@
         builder.setAddress(entry.info.address);
     }
     builder.setState(static_cast<std::uint8_t>(entry.state));
-    builder.setLife(entry.info.incarnation);
+    builder.setIncarnation(entry.info.incarnation);
     builder.setVersion(entry.version);
-    builder.setCounts(entry.info.quota_divisor);
-    builder.setDisk(entry.info.disk_id);
+    builder.setQuotaDivisor(entry.info.quota_divisor);
+    builder.setDiskId(entry.info.disk_id);
     builder.setBrief(entry.brief);
     builder.setUnheard(entry.unheard);
     if (entry.brief) return;
     builder.setRole(static_cast<std::uint8_t>(entry.info.role));
-    builder.setQuorum(entry.info.voter_eligible);
-    builder.setPlace(locations.at(entry.info.zone + '\n' + entry.info.region));
+    builder.setVoterEligible(entry.info.voter_eligible);
+    builder.setLocation(locations.number_of(entry.info));
     if (!entry.info.name.empty()) builder.setName(entry.info.name);
-    if (!entry.info.control_address.empty()) builder.setControl(entry.info.control_address);
+    if (!entry.info.control_address.empty()) builder.setControlAddress(entry.info.control_address);
+}
+
+void write_header(const Packet& packet, wire::Packet::Builder root) {
+    root.setKind(static_cast<std::uint8_t>(packet.kind));
+    root.setWantsInfo(packet.wants_info);
+    root.setJoined(packet.joined);
+    root.setFromController(packet.from_controller);
+    root.setLastPage(packet.last_page);
+    root.setRequestMore(packet.request_more);
+    root.setVerifySuspicions(packet.verify_suspicions);
+    root.setMemberCount(packet.member_count);
+    root.setSequenceNumber(packet.sequence_number);
+    root.setIncarnation(packet.incarnation);
+    root.setVersion(packet.version);
+    root.setHeartbeat(packet.heartbeat);
+    root.setDigest(packet.digest);
+    if (!packet.target.empty()) root.setTarget(packet.target);
+    if (!packet.after_address.empty()) root.setAfterAddress(packet.after_address);
+    if (!packet.up_to_address.empty()) root.setUpToAddress(packet.up_to_address);
+}
+
+void write_entries(const Packet& packet, wire::Packet::Builder root) {
+    if (packet.entries.empty()) return;
+    const LocationList locations(packet.entries);
+    locations.write(root);
+    auto list = root.initEntries(static_cast<unsigned>(packet.entries.size()));
+    for (unsigned i = 0; i < packet.entries.size(); ++i) write_entry(packet.entries[i], list[i], locations);
+}
+
+void write_heartbeats(const Packet& packet, wire::Packet::Builder root) {
+    if (!packet.ordered_heartbeats.empty())
+        root.setOrderedHeartbeats(
+            kj::arrayPtr(packet.ordered_heartbeats.data(), packet.ordered_heartbeats.size()));
+    if (packet.hashed_heartbeats.empty()) return;
+    const auto count = static_cast<unsigned>(packet.hashed_heartbeats.size());
+    auto hashes = root.initHeartbeatHashes(count);
+    auto heartbeats = root.initHashedHeartbeats(count);
+    for (unsigned i = 0; i < count; ++i) {
+        hashes.set(i, packet.hashed_heartbeats[i].hash);
+        heartbeats[i] = packet.hashed_heartbeats[i].heartbeat;
+    }
 }
 
-Entry read(wire::Entry::Reader reader, capnp::List<wire::Place>::Reader locations) {
+void write_digest_buckets(const Packet& packet, wire::Packet::Builder root) {
+    if (packet.digest_buckets.empty()) return;
+    auto list = root.initDigestBuckets(static_cast<unsigned>(packet.digest_buckets.size()));
+    for (unsigned i = 0; i < packet.digest_buckets.size(); ++i) list.set(i, packet.digest_buckets[i]);
+}
+
+std::string pack_with_checksum(capnp::MessageBuilder& message) {
+    kj::VectorOutputStream stream(kExpectedBytes);
+    const kj::byte checksum_space[kChecksumBytes] = {};
+    stream.write(checksum_space, kChecksumBytes);
+    capnp::writePackedMessage(stream, message);
+    const auto array = stream.getArray();
+    std::string bytes(array.asChars().begin(), array.size());
+    write_checksum(bytes);
+    return bytes;
+}
+
+Entry read_entry(wire::Entry::Reader reader, capnp::List<wire::Location>::Reader locations) {
     Entry entry;
     entry.info.address = reader.getIp() != 0 ? format_ipv4({reader.getIp(), reader.getPort()})
                                              : checked_text(reader.getAddress());
     KJ_REQUIRE(!entry.info.address.empty(), "an entry without an address");
-    entry.info.incarnation = reader.getLife();
+    entry.info.incarnation = reader.getIncarnation();
     entry.state = static_cast<State>(reader.getState());
     entry.version = reader.getVersion();
-    entry.info.quota_divisor = reader.getCounts();
-    entry.info.disk_id = reader.getDisk();
+    entry.info.quota_divisor = reader.getQuotaDivisor();
+    entry.info.disk_id = reader.getDiskId();
     entry.brief = reader.getBrief();
     entry.unheard = reader.getUnheard();
     if (entry.brief) return entry;
     entry.info.role = static_cast<Role>(reader.getRole());
-    entry.info.voter_eligible = reader.getQuorum();
+    entry.info.voter_eligible = reader.getVoterEligible();
     entry.info.name = checked_text(reader.getName());
-    entry.info.control_address = checked_text(reader.getControl());
-    if (reader.getPlace() != 0) {
-        KJ_REQUIRE(reader.getPlace() <= locations.size(), "an entry's place is missing");
-        const auto location = locations[reader.getPlace() - 1u];
+    entry.info.control_address = checked_text(reader.getControlAddress());
+    if (reader.getLocation() != 0) {
+        KJ_REQUIRE(reader.getLocation() <= locations.size(), "an entry's location is missing");
+        const auto location = locations[reader.getLocation() - 1u];
         entry.info.zone = checked_text(location.getZone());
         entry.info.region = checked_text(location.getRegion());
     }
     return entry;
 }
 
-Packet read(wire::Packet::Reader reader) {
-    Packet packet;
+void read_header(wire::Packet::Reader reader, Packet& packet) {
     KJ_REQUIRE(reader.getKind() <= static_cast<std::uint8_t>(PacketKind::SyncPage), "an unknown kind");
     packet.kind = static_cast<PacketKind>(reader.getKind());
-    packet.wants_info = reader.getWho();
+    packet.wants_info = reader.getWantsInfo();
     packet.joined = reader.getJoined();
-    packet.from_controller = reader.getLighthouse();
-    packet.last_page = reader.getLast();
-    packet.request_more = reader.getMore();
-    packet.verify_suspicions = reader.getCheck();
-    packet.member_count = reader.getMembers();
-    packet.sequence_number = reader.getNumber();
-    packet.incarnation = reader.getLife();
+    packet.from_controller = reader.getFromController();
+    packet.last_page = reader.getLastPage();
+    packet.request_more = reader.getRequestMore();
+    packet.verify_suspicions = reader.getVerifySuspicions();
+    packet.member_count = reader.getMemberCount();
+    packet.sequence_number = reader.getSequenceNumber();
+    packet.incarnation = reader.getIncarnation();
     packet.version = reader.getVersion();
-    packet.heartbeat = reader.getBeat();
+    packet.heartbeat = reader.getHeartbeat();
     packet.digest = reader.getDigest();
-    packet.target = checked_text(reader.getAbout());
-    packet.after_address = checked_text(reader.getAfter());
-    packet.up_to_address = checked_text(reader.getNext());
+    packet.target = checked_text(reader.getTarget());
+    packet.after_address = checked_text(reader.getAfterAddress());
+    packet.up_to_address = checked_text(reader.getUpToAddress());
+}
+
+// Rejects lists that are longer than a member sends, and bucket counts that are no power of two.
+void check_list_sizes(wire::Packet::Reader reader) {
+    const auto hash_count = reader.getHeartbeatHashes().size();
+    const auto bucket_count = reader.getDigestBuckets().size();
+    KJ_REQUIRE(reader.getEntries().size() <= kMaxEntries && hash_count <= kMaxHeartbeats &&
+                   hash_count == reader.getHashedHeartbeats().size() &&
+                   reader.getOrderedHeartbeats().size() <= kMaxHeartbeats && bucket_count <= kMaxBuckets &&
+                   (bucket_count & (bucket_count - 1)) == 0,
+               "a list has a wrong size");
+}
+
+void read_entries(wire::Packet::Reader reader, Packet& packet) {
     const auto entries = reader.getEntries();
-    const auto locations = reader.getPlaces();
-    const auto hashes = reader.getHashes();
-    const auto ordered_heartbeats = reader.getRow();
-    const auto heartbeats = reader.getBeats();
-    const auto buckets = reader.getBuckets();
-    KJ_REQUIRE(entries.size() <= kMaxEntries && hashes.size() <= kMaxHeartbeats &&
-                   hashes.size() == heartbeats.size() && ordered_heartbeats.size() <= kMaxHeartbeats &&
-                   buckets.size() <= kMaxBuckets && (buckets.size() & (buckets.size() - 1)) == 0,
-               "a list is too long");
+    const auto locations = reader.getLocations();
     packet.entries.reserve(entries.size());
-    for (const auto entry_reader : entries) {
-        if (entry_reader.getState() > static_cast<std::uint8_t>(State::Dead)) continue;
-        if (entry_reader.getRole() > static_cast<std::uint8_t>(Role::Controller)) continue;
-        packet.entries.push_back(read(entry_reader, locations));
+    for (const auto entry : entries) {
+        if (entry.getState() > static_cast<std::uint8_t>(State::Dead)) continue;
+        if (entry.getRole() > static_cast<std::uint8_t>(Role::Controller)) continue;
+        packet.entries.push_back(read_entry(entry, locations));
     }
-    packet.ordered_heartbeats.assign(ordered_heartbeats.begin(), ordered_heartbeats.end());
+}
+
+void read_heartbeats(wire::Packet::Reader reader, Packet& packet) {
+    const auto ordered = reader.getOrderedHeartbeats();
+    packet.ordered_heartbeats.assign(ordered.begin(), ordered.end());
+    const auto hashes = reader.getHeartbeatHashes();
+    const auto heartbeats = reader.getHashedHeartbeats();
     for (unsigned i = 0; i < hashes.size(); ++i)
-        packet.hashed_heartbeats.emplace_back(hashes[i], heartbeats[i]);
-    for (const auto bucket : buckets) packet.digest_buckets.push_back(bucket);
+        packet.hashed_heartbeats.push_back({hashes[i], heartbeats[i]});
+}
+
+Packet read_packet(wire::Packet::Reader reader) {
+    Packet packet;
+    read_header(reader, packet);
+    check_list_sizes(reader);
+    read_entries(reader, packet);
+    read_heartbeats(reader, packet);
+    for (const auto bucket : reader.getDigestBuckets()) packet.digest_buckets.push_back(bucket);
     return packet;
 }
 
+bool has_valid_checksum(std::string_view bytes) {
+    const std::string_view body = bytes.substr(kChecksumBytes);
+    std::uint32_t checksum = XXH32(body.data(), body.size(), 0);
+    for (std::size_t i = 0; i < kChecksumBytes; ++i, checksum >>= 8)
+        if (static_cast<std::uint8_t>(bytes[i]) != (checksum & 0xff)) return false;
+    return true;
+}
+
 }    // namespace
 
 void write_checksum(std::string& bytes) {
@@ -165,68 +284,15 @@
 }
 
 std::string encode(const Packet& packet) {
-    capnp::word scratch[1024] = {};
-    capnp::MallocMessageBuilder message(kj::arrayPtr(scratch, 1024));
+    capnp::word scratch[kScratchWords] = {};
+    capnp::MallocMessageBuilder message(kj::arrayPtr(scratch, kScratchWords));
     auto root = message.initRoot<wire::Packet>();
-    root.setKind(static_cast<std::uint8_t>(packet.kind));
-    root.setWho(packet.wants_info);
-    root.setJoined(packet.joined);
-    root.setLighthouse(packet.from_controller);
-    root.setLast(packet.last_page);
-    root.setMore(packet.request_more);
-    root.setCheck(packet.verify_suspicions);
-    root.setMembers(packet.member_count);
-    root.setNumber(packet.sequence_number);
-    root.setLife(packet.incarnation);
-    root.setVersion(packet.version);
-    root.setBeat(packet.heartbeat);
-    root.setDigest(packet.digest);
-    if (!packet.target.empty()) root.setAbout(packet.target);
-    if (!packet.after_address.empty()) root.setAfter(packet.after_address);
-    if (!packet.up_to_address.empty()) root.setNext(packet.up_to_address);
-    if (!packet.entries.empty()) {
-        std::map<std::string, std::uint16_t> locations;    // zone and region: its number, from 1
-        std::vector<const MemberInfo*> location_sources;
-        for (const Entry& entry : packet.entries) {
-            if (entry.brief) continue;
-            const auto location_number = static_cast<std::uint16_t>(location_sources.size() + 1);
-            if (locations.emplace(entry.info.zone + '\n' + entry.info.region, location_number).second)
-                location_sources.push_back(&entry.info);
-        }
-        if (!location_sources.empty()) {
-            auto list = root.initPlaces(static_cast<unsigned>(location_sources.size()));
-            for (unsigned i = 0; i < location_sources.size(); ++i) {
-                list[i].setZone(location_sources[i]->zone);
-                list[i].setRegion(location_sources[i]->region);
-            }
-        }
-        auto list = root.initEntries(static_cast<unsigned>(packet.entries.size()));
-        for (unsigned i = 0; i < packet.entries.size(); ++i)
-            write_entry(packet.entries[i], list[i], locations);
-    }
-    if (!packet.ordered_heartbeats.empty())
-        root.setRow(kj::arrayPtr(packet.ordered_heartbeats.data(), packet.ordered_heartbeats.size()));
-    if (!packet.hashed_heartbeats.empty()) {
-        const auto count = static_cast<unsigned>(packet.hashed_heartbeats.size());
-        auto hashes = root.initHashes(count);
-        auto heartbeats = root.initBeats(count);
-        for (unsigned i = 0; i < count; ++i) {
-            hashes.set(i, packet.hashed_heartbeats[i].first);
-            heartbeats[i] = packet.hashed_heartbeats[i].second;
-        }
-    }
-    if (!packet.digest_buckets.empty()) {
-        auto list = root.initBuckets(static_cast<unsigned>(packet.digest_buckets.size()));
-        for (unsigned i = 0; i < packet.digest_buckets.size(); ++i) list.set(i, packet.digest_buckets[i]);
-    }
-    kj::VectorOutputStream bytes(1500);
-    const kj::byte checksum_space[kChecksumBytes] = {};
-    bytes.write(checksum_space, kChecksumBytes);
-    capnp::writePackedMessage(bytes, message);
-    const auto array = bytes.getArray();
-    std::string sealed(array.asChars().begin(), array.size());
-    write_checksum(sealed);
-    return sealed;
+    // The order of these calls is the order in which the parts lie in the message.
+    write_header(packet, root);
+    write_entries(packet, root);
+    write_heartbeats(packet, root);
+    write_digest_buckets(packet, root);
+    return pack_with_checksum(message);
 }
 
 std::string encode_fitting(Packet& packet, std::size_t max_bytes) {
@@ -240,19 +306,16 @@
 boost::leaf::result<Packet> decode(std::string_view bytes) {
     if (bytes.size() > kMaxPacketBytes) return boost::leaf::new_error(MalformedPacket{"too many bytes"});
     if (bytes.size() <= kChecksumBytes) return boost::leaf::new_error(MalformedPacket{"too few bytes"});
-    std::string_view body = bytes.substr(kChecksumBytes);
-    std::uint32_t checksum = XXH32(body.data(), body.size(), 0);
-    for (std::size_t i = 0; i < kChecksumBytes; ++i, checksum >>= 8)
-        if (static_cast<std::uint8_t>(bytes[i]) != (checksum & 0xff))
-            return boost::leaf::new_error(MalformedPacket{"the sum is wrong"});
+    if (!has_valid_checksum(bytes)) return boost::leaf::new_error(MalformedPacket{"the checksum is wrong"});
+    const std::string_view body = bytes.substr(kChecksumBytes);
     try {
         kj::ArrayInputStream stream(
             kj::arrayPtr(reinterpret_cast<const kj::byte*>(body.data()), body.size()));
         capnp::ReaderOptions options;
         options.traversalLimitInWords = kMaxPacketWords;
-        options.nestingLimit = 6;
+        options.nestingLimit = kMaxNesting;
         capnp::PackedMessageReader message(stream, options);
-        return read(message.getRoot<wire::Packet>());
+        return read_packet(message.getRoot<wire::Packet>());
     } catch (const kj::Exception& exception) {
         return boost::leaf::new_error(MalformedPacket{std::string(exception.getDescription().cStr())});
     }
--- a/src/cluster/membership/packet.h
+++ b/src/cluster/membership/packet.h
@@ -1,11 +1,10 @@
-// A datagram of the convoy, as bytes and as a structure. Bytes of any kind are survived.
+// Codec for the datagrams of the membership protocol. Decoding is safe for arbitrary bytes.
 #pragma once
 
 #include <boost/leaf/result.hpp>
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "cluster/membership/membership.h"
@@ -14,52 +13,76 @@
 
 enum class PacketKind : std::uint8_t {
     Ping,
-    Ack,            // to a Ping; with `about`: a third one answered
-    PingRequest,    // asks that `about` be pinged
-    Gossip,         // news; not answered
-    SyncRequest,    // for members after `after`, in those parts that differ
-    SyncPage        // the answer
+    Ack,            // answers a Ping; with `target` set, reports that a relayed ping was answered
+    PingRequest,    // asks the receiver to ping `target` for the sender
+    Gossip,         // membership changes; not answered
+    SyncRequest,    // requests the members after `after_address` from the buckets that differ
+    SyncPage        // part of the answer to a SyncRequest
 };
 
+// How much of a member's information an entry carries.
+enum class EntryForm : std::uint8_t {
+    Brief,    // address, incarnation, version, state, quota divisor and disk id
+    Full      // all of MemberInfo
+};
+
+// What the sender of a packet knows of one member.
 struct Entry {
     MemberInfo info;
-    State state = State::Alive;    // Gone: it said goodbye
-    std::uint32_t version = 0;
-    bool brief = false;      // names, places and the role are left out
-    bool unheard = false;    // Suspected for so long that it is Gone for the sender
+    State state = State::Alive;    // Dead: the member announced its departure
+    std::uint32_t version = 0;     // of `info` within its incarnation
+    bool brief = false;            // role, name, location, control address and eligibility are left out
+    bool unheard = false;          // Suspect for so long that the sender holds the member dead
+};
+
+// The heartbeat of a member that is identified by MemberTable::identity_hash.
+struct HashedHeartbeat {
+    std::uint32_t hash = 0;
+    std::uint8_t heartbeat = 0;
 };
 
+// One datagram; membership.capnp describes the fields.
 struct Packet {
     PacketKind kind = PacketKind::Ping;
-    bool wants_info = false, joined = false, from_controller = false, last_page = false, request_more = false,
-         verify_suspicions = false;
+    bool wants_info = false;
+    bool joined = false;
+    bool from_controller = false;
+    bool last_page = false;
+    bool request_more = false;
+    bool verify_suspicions = false;
     std::uint16_t member_count = 0;
     std::uint32_t sequence_number = 0;
     std::uint64_t incarnation = 0;
     std::uint32_t version = 0;
     std::uint8_t heartbeat = 0;
     std::uint64_t digest = 0;
-    std::string target, after_address, up_to_address;
+    std::string target;
+    std::string after_address;
+    std::string up_to_address;
     std::vector<Entry> entries;
     std::vector<std::uint8_t> ordered_heartbeats;
-    std::vector<std::pair<std::uint32_t, std::uint8_t>> hashed_heartbeats;    // hash, beat
+    std::vector<HashedHeartbeat> hashed_heartbeats;
     std::vector<std::uint64_t> digest_buckets;
 };
 
+// The most digest buckets of a SyncRequest; their number is a power of two.
 constexpr std::size_t kMaxBuckets = 128;
-constexpr std::size_t kChecksumBytes = 4;    // before the packed Packet, a sum of it
+// The size of the checksum in front of the packed Packet.
+constexpr std::size_t kChecksumBytes = 4;
 
+// Error of decode.
 struct MalformedPacket {
     std::string reason;
 };
 
-// About what an entry adds to a packet, in bytes; rather too much.
+// Upper estimate of the bytes that an entry adds to an encoded packet.
 std::size_t entry_size(const Entry& entry);
-void write_checksum(std::string& bytes);    // writes the sum into the first bytes
+// Writes the checksum of the remaining bytes into the first kChecksumBytes.
+void write_checksum(std::string& bytes);
 std::string encode(const Packet& packet);
-// Leaves out entries from the end until the bytes are no more than `longest`.
+// Removes entries from the end of the packet until it encodes to at most max_bytes (or has none left).
 std::string encode_fitting(Packet& packet, std::size_t max_bytes);
-// Errors: BadPacket. Entries of roles and states that are not known here are left out.
+// Error: MalformedPacket. Entries with an unknown role or state are skipped.
 boost::leaf::result<Packet> decode(std::string_view bytes);
 
 }    // namespace shaletray::membership
--- a/src/cluster/registry/endpoint_view.cpp
+++ b/src/cluster/registry/endpoint_view.cpp
@@ -158,8 +158,8 @@
         record_activity(now);
         std::vector<std::string> changed_ids;
         const auto previous_sequence = sequence_;
-        leaf::result<void> applied =
-            runtime::unpack<wire::Words>(bytes, [&](wire::Words::Reader update) -> leaf::result<void> {
+        leaf::result<void> applied = runtime::unpack<wire::RegistryUpdate>(
+            bytes, [&](wire::RegistryUpdate::Reader update) -> leaf::result<void> {
                 BOOST_LEAF_CHECK(validate(from, update));
                 apply_update(update, now);
                 return {};
@@ -202,7 +202,7 @@
         for (auto it = by_sequence.upper_bound(since); it != by_sequence.end(); ++it)
             if (!own_only || is_owned(*it) || it->was_owned || is_orphaned(*it)) announced.push_back(&*it);
         capnp::MallocMessageBuilder message(static_cast<unsigned>(64 + 16 * announced.size()));
-        auto update = message.initRoot<wire::Words>();
+        auto update = message.initRoot<wire::RegistryUpdate>();
         update.setSince(since);
         update.setSequence(sequence_);
         write_owners(update, !announced.empty() || ++encoded_updates_ % kOwnerAnnouncementPeriod == 0, now);
@@ -356,12 +356,12 @@
 
     // ---- words of others ----
 
-    leaf::result<void> validate(const std::string& from, wire::Words::Reader update) const {
+    leaf::result<void> validate(const std::string& from, wire::RegistryUpdate::Reader update) const {
         const auto fail = [](const char* reason) { return leaf::new_error(std::string(reason)); };
-        const auto owners = update.getKeepers();
+        const auto owners = update.getOwners();
         if (owners.size() == 0 || owners.size() > kMaxOwners) return fail("keepers: none or too many");
         for (const auto owner : owners)
-            if (owner.getAddress().size() == 0 || owner.getLife() == 0)
+            if (owner.getAddress().size() == 0 || owner.getIncarnation() == 0)
                 return fail("keepers: no address or no life");
         if (!from.empty() && runtime::text_of(owners[0].getAddress()) != from)
             return fail("keepers: another teller");
@@ -374,7 +374,7 @@
             if (entry.getService() >= names.size() || entry.getZone() >= names.size() ||
                 entry.getRevision() >= names.size())
                 return fail("entries: no such name");
-            if (entry.getKeeper() >= owners.size()) return fail("entries: no such keeper");
+            if (entry.getOwner() >= owners.size()) return fail("entries: no such keeper");
             if (entry.getState() > static_cast<std::uint8_t>(State::Expired))
                 return fail("entries: no such state");
             if (entry.getCapacity() > static_cast<std::uint32_t>(std::numeric_limits<int>::max()))
@@ -426,43 +426,43 @@
         }
     }
 
-    void apply_update(wire::Words::Reader update, TimePoint now) {
+    void apply_update(wire::RegistryUpdate::Reader update, TimePoint now) {
         std::vector<std::uint32_t> owner_indices;
-        for (const auto owner : update.getKeepers()) {
+        for (const auto owner : update.getOwners()) {
             owner_indices.push_back(find_or_add_owner(runtime::text_of(owner.getAddress())));
-            update_owner(owner_indices.back(), owner.getLife(), owner.getSettled(),
-                         now - from_milliseconds(owner.getQuiet()), now);
+            update_owner(owner_indices.back(), owner.getIncarnation(), owner.getRegistrationsComplete(),
+                         now - from_milliseconds(owner.getSilentMs()), now);
         }
         std::vector<std::string> names;
         for (const auto name : update.getNames()) names.emplace_back(runtime::text_of(name));
-        const auto owners = update.getKeepers();
+        const auto owners = update.getOwners();
         for (const auto entry : update.getEntries())
-            apply_entry(
-                entry, names, owner_indices[entry.getKeeper()],
-                entry.getKeeperLife() != 0 ? entry.getKeeperLife() : owners[entry.getKeeper()].getLife(),
-                now);
+            apply_entry(entry, names, owner_indices[entry.getOwner()],
+                        entry.getOwnerIncarnation() != 0 ? entry.getOwnerIncarnation()
+                                                         : owners[entry.getOwner()].getIncarnation(),
+                        now);
         Owner& sender = owners_[owner_indices[0]];
-        if (sender.incarnation == owners[0].getLife() && update.getSince() <= sender.known_sequence)
+        if (sender.incarnation == owners[0].getIncarnation() && update.getSince() <= sender.known_sequence)
             sender.known_sequence = std::max(sender.known_sequence, update.getSequence());
     }
 
     void apply_entry(wire::Entry::Reader entry, const std::vector<std::string>& names, std::uint32_t owner,
                      std::uint64_t incarnation, TimePoint now) {
         const auto state = static_cast<State>(entry.getState());
-        const TimePoint called_at = now - from_milliseconds(entry.getQuiet()),
-                        first_called_at = now - from_milliseconds(entry.getAge());
+        const TimePoint called_at = now - from_milliseconds(entry.getSilentMs()),
+                        first_called_at = now - from_milliseconds(entry.getAgeMs());
         auto it = records_.find(runtime::text_of(entry.getId()));
         if (it != records_.end()) {
             Server& known_server = it->server->second;
             if (it->deregistered) return;
-            if (entry.getLeft()) return mark_deregistered(it, owner, incarnation, now);
-            if (entry.getCalls() < known_server.call_count) {
+            if (entry.getDeregistered()) return mark_deregistered(it, owner, incarnation, now);
+            if (entry.getCallCount() < known_server.call_count) {
                 // Another takes itself for the keeper, since a later call here changed nothing and was not
                 // told.
-                if (is_owned(*it) && entry.getCalls() > it->announced_call_count) mark_changed(it);
+                if (is_owned(*it) && entry.getCallCount() > it->announced_call_count) mark_changed(it);
                 return;
             }
-            if (entry.getCalls() == known_server.call_count) {
+            if (entry.getCallCount() == known_server.call_count) {
                 known_server.last_called_at =
                     std::min(known_server.last_called_at,
                              called_at);    // what was longer under way says too late a time
@@ -489,35 +489,35 @@
         server.revision = names[entry.getRevision()];
         server.capacity = static_cast<int>(entry.getCapacity());
         server.state = state;
-        server.call_count = entry.getCalls();
-        server.slow_start_left = from_milliseconds(entry.getRampLeft());
+        server.call_count = entry.getCallCount();
+        server.slow_start_left = from_milliseconds(entry.getSlowStartLeftMs());
         server.last_called_at = called_at;
         if (it != records_.end())
             replace_server(it, std::move(server), owner, incarnation, first_called_at, now);
         else
-            displace_older(
-                add_record(std::move(server), owner, incarnation, first_called_at, entry.getLeft(), now),
-                now);
+            displace_older(add_record(std::move(server), owner, incarnation, first_called_at,
+                                      entry.getDeregistered(), now),
+                           now);
     }
 
     // ---- our own words ----
 
-    void write_owners(wire::Words::Builder update, bool include_all, TimePoint now) const {
+    void write_owners(wire::RegistryUpdate::Builder update, bool include_all, TimePoint now) const {
         std::size_t count = 1;
         if (include_all) count = owners_.size();
-        auto owner_list = update.initKeepers(static_cast<unsigned>(count));
+        auto owner_list = update.initOwners(static_cast<unsigned>(count));
         for (std::size_t i = 0; i < count; ++i) {
             const Owner& owner = owners_[i];
             auto builder = owner_list[static_cast<unsigned>(i)];
             builder.setAddress(runtime::text_reader_of(owner.address));
-            builder.setLife(owner.incarnation);
-            builder.setSettled(i == 0 ? now - started_at_ >= 2 * settings_.heartbeat_timeout
-                                      : owner.registrations_complete);
-            builder.setQuiet(i == 0 ? 0 : to_milliseconds(now - owner.last_heard));
+            builder.setIncarnation(owner.incarnation);
+            builder.setRegistrationsComplete(i == 0 ? now - started_at_ >= 2 * settings_.heartbeat_timeout
+                                                    : owner.registrations_complete);
+            builder.setSilentMs(i == 0 ? 0 : to_milliseconds(now - owner.last_heard));
         }
     }
 
-    void write_entries(wire::Words::Builder update, const std::vector<const Record*>& announced,
+    void write_entries(wire::RegistryUpdate::Builder update, const std::vector<const Record*>& announced,
                        TimePoint now) const {
         std::unordered_map<std::string_view, std::uint32_t> name_indices;
         std::vector<const std::string*> names;
@@ -534,19 +534,19 @@
             auto builder = entries[static_cast<unsigned>(i)];
             builder.setId(runtime::text_reader_of(server.id));
             builder.setAddress(runtime::text_reader_of(server.address));
-            builder.setCalls(server.call_count);
+            builder.setCallCount(server.call_count);
             builder.setService(index_of(server.service));
             builder.setZone(index_of(server.zone));
             builder.setRevision(index_of(server.revision));
-            builder.setKeeper(static_cast<std::uint16_t>(record.owner));
+            builder.setOwner(static_cast<std::uint16_t>(record.owner));
             builder.setCapacity(static_cast<std::uint32_t>(server.capacity));
-            builder.setRampLeft(to_milliseconds(server.slow_start_left));
-            builder.setQuiet(to_milliseconds(now - server.last_called_at));
-            builder.setAge(to_milliseconds(now - record.first_called_at));
+            builder.setSlowStartLeftMs(to_milliseconds(server.slow_start_left));
+            builder.setSilentMs(to_milliseconds(now - server.last_called_at));
+            builder.setAgeMs(to_milliseconds(now - record.first_called_at));
             builder.setState(static_cast<std::uint8_t>(record.advertised_state()));
-            builder.setLeft(record.deregistered);
+            builder.setDeregistered(record.deregistered);
             if (record.owner_incarnation != owners_[record.owner].incarnation)
-                builder.setKeeperLife(record.owner_incarnation);
+                builder.setOwnerIncarnation(record.owner_incarnation);
         }
         auto name_list = update.initNames(static_cast<unsigned>(names.size()));
         for (std::size_t i = 0; i < names.size(); ++i)
--- /dev/null
+++ b/tests/cluster/membership/joining_test.cpp
@@ -0,0 +1,91 @@
+// Joining: seeds, later processes at an address, and what a joining process learns.
+#include <criterion/criterion.h>
+
+#include "cluster/membership/cluster_helpers.h"
+
+using namespace shaletray;
+using namespace shaletray::membership;
+using namespace std::chrono_literals;
+
+Test(membership, processes_started_together_soon_know_each_other) {
+    for (std::uint64_t seed = 1; seed <= 30; ++seed) {
+        Network net(seed);
+        net.loss = seed % 2 == 0 ? 0.02 : 0.0;
+        net.start_all(3, 11, 300ms);
+        net.run_for(300ms);
+        cr_assert(net.run_until(1s, [&] { return all_joined(net); }), "seed %lu", seed);
+        cr_assert(net.run_until(1500ms, [&] { return net.all_agree(); }), "seed %lu", seed);
+    }
+}
+
+// A clock that was set back gives the later process the lower incarnation, until it learns of the earlier
+// one.
+Test(membership, a_later_process_takes_over_its_address_whatever_its_clock_says) {
+    for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+        Network net(seed);
+        start_stable_cluster(net);
+        const std::string subject =
+            seed % 2 == 0 ? Network::gateway_address(4) : Network::controller_address(1);
+        const std::uint64_t previous_incarnation = net[subject].self().incarnation;
+        net.stop_process(subject);
+        net.run_for(seed % 3 == 0 ? 4s : 300ms);
+        net.start_process(subject, seed_addresses(), previous_incarnation - 5'000'000);
+        net[subject].set_quota_divisor(7);
+        cr_assert(net.run_until(1s, [&] { return net[subject].joined() && net.all_agree(); }), "seed %lu",
+                  seed);
+        cr_assert_gt(net[subject].self().incarnation, previous_incarnation);
+        net.run_for(5s);
+        cr_assert(net.all_agree(), "seed %lu", seed);
+    }
+}
+
+// A member that all hold dead for its silence may run nevertheless: joining processes are told of it, other
+// than of departed members, and the digests do not differ for it.
+Test(membership, a_joining_process_is_told_of_unheard_members) {
+    Network net(5);
+    start_stable_cluster(net);
+    const std::string unheard = Network::gateway_address(3);
+    net.is_cut = [&](const std::string& from, const std::string& to) {
+        return from == unheard || to == unheard;
+    };
+    net.depart(Network::gateway_address(4));
+    net.run_for(25s);
+    const std::string late_joiner = Network::gateway_address(40);
+    net.start_process(late_joiner, seed_addresses(), 1);
+    net.run_for(2s);
+    const auto& known = net[late_joiner].members();
+    cr_assert(known.contains(unheard) && known.at(unheard).state == State::Dead);
+    cr_assert(!known.at(unheard).departed && known.at(unheard).last_heard == TimePoint{});
+    cr_assert_not(known.contains(Network::gateway_address(4)));
+    cr_assert_gt((known.at(Network::controller_address(1)).last_in_sync - net.now) / 1ms, -4000);
+    net.is_cut = nullptr;
+    cr_assert(net.run_until(4s, [&] { return net.all_agree(); }));
+}
+
+Test(membership, seeds_may_be_dead_or_wrong_and_be_replaced) {
+    Network net(3);
+    start_stable_cluster(net);
+    // A dead one, a gateway's, and one that runs.
+    net.start_process(Network::gateway_address(20),
+                      {"10.9.9.9:7100", Network::gateway_address(0), Network::controller_address(2)}, 1);
+    cr_assert(
+        net.run_until(1500ms, [&] { return net[Network::gateway_address(20)].joined() && net.all_agree(); }));
+    net.start_process(Network::gateway_address(21), {"10.9.9.9:7100", "10.9.9.8:7100"}, 1);
+    const std::uint64_t sent = net[Network::gateway_address(21)].statistics().sent;
+    net.run_for(20s);
+    cr_assert_not(net[Network::gateway_address(21)].joined());
+    cr_expect_lt(net[Network::gateway_address(21)].statistics().sent - sent, 40);    // ever slower
+    net[Network::gateway_address(21)].set_seeds({"10.9.9.7:7100", Network::controller_address(1)});
+    net.reschedule_tick(Network::gateway_address(21));
+    cr_assert(
+        net.run_until(2s, [&] { return net[Network::gateway_address(21)].joined() && net.all_agree(); }));
+    // All seeds of the start have ended; controllers that came later are enough.
+    net.start_process(Network::controller_address(10), {Network::controller_address(2), "10.9.9.9:7100"}, 1);
+    cr_assert(
+        net.run_until(2s, [&] { return net[Network::controller_address(10)].joined() && net.all_agree(); }));
+    for (const std::string& seed : seed_addresses()) net.stop_process(seed);
+    net.start_process(Network::gateway_address(22),
+                      {Network::controller_address(10), Network::controller_address(0)}, 1);
+    cr_assert(net.run_until(1500ms, [&] { return net[Network::gateway_address(22)].joined(); }));
+    cr_assert(net.run_until(25s, [&] { return net.all_agree(); }));
+}
--- a/tests/cluster/membership/network.h
+++ b/tests/cluster/membership/network.h
@@ -1,4 +1,5 @@
-// Many members of one convoy in virtual time, with a network that delays, loses and cuts.
+// Many members of one cluster in virtual time, with a simulated network that delays, loses and cuts off
+// messages. Deterministic for a seed; single-threaded.
 #pragma once
 
 #include <functional>
@@ -15,12 +16,13 @@
 
 namespace shaletray::membership {
 
+// The processes, the messages under way and the clock.
 class Network {
 public:
     explicit Network(std::uint64_t seed) : random_(seed) {}
 
     struct Process {
-        std::unique_ptr<Membership> member;    // none while it is down
+        std::unique_ptr<Membership> member;    // none while the process is down
         TimePoint frozen_until{};
         TimePoint next_tick_at = TimePoint::max();
     };
@@ -30,7 +32,7 @@
     Duration delay = std::chrono::microseconds(900), jitter = std::chrono::microseconds(600);
     std::function<bool(const std::string& from, const std::string& to)> is_cut;            // true: lost
     std::function<std::string(const std::string& from, std::string bytes)> alter_bytes;    // on their way
-    std::function<void(const std::string& at, const Actions& out)> on_actions;    // each call of a process
+    std::function<void(const std::string& at, const Actions& actions)> on_actions;         // after each call
     std::map<std::string, Process> processes;
 
     static std::string controller_address(int index) {
@@ -58,7 +60,7 @@
         schedule_tick(address, process);
         return *process.member;
     }
-    // So many machines, the first of which have a lighthouse too.
+    // Starts so many controllers and gateways at random moments within the window.
     void start_all(int controller_count, int gateway_count, Duration window) {
         std::vector<std::string> seeds;
         for (int i = 0; i < controller_count && i < 3; ++i) seeds.push_back(controller_address(i));
@@ -84,7 +86,7 @@
         stop_process(address);
     }
     Membership& operator[](const std::string& address) { return *processes.at(address).member; }
-    // After a call from outside that may want a tick sooner.
+    // Has to be called after a direct call that may have made the next tick due sooner.
     void reschedule_tick(const std::string& address) { schedule_tick(address, processes[address]); }
 
     void schedule(TimePoint when, std::function<void()> callback) {
@@ -100,7 +102,8 @@
         }
         now = end;
     }
-    // Until it holds, looked at every 10 or 50 ms; none: not within `most`.
+    // Runs until the condition holds, which is checked every 10 ms (50 ms with over 20 processes). None: it
+    // did not hold within max_duration.
     std::optional<Duration> run_until(Duration max_duration, const std::function<bool()>& condition) {
         const TimePoint started_at = now;
         while (now - started_at <= max_duration) {
@@ -118,7 +121,7 @@
             Duration(static_cast<Duration::rep>(random_() % static_cast<std::uint64_t>(jitter.count() + 1)));
         schedule(arrival, [this, from, to, bytes = std::move(bytes)] { deliver(from, to, bytes); });
     }
-    // Everybody that runs holds everybody that runs for Alive, and nobody else.
+    // Whether every running process holds exactly the running processes Alive.
     bool all_agree() {
         std::size_t running_count = 0;
         for (const auto& [address, process] : processes) running_count += process.member != nullptr;
@@ -137,7 +140,7 @@
         }
         return true;
     }
-    // In how many processes' eyes it is in the state.
+    // The number of running processes that hold the member in the state.
     int count_seen_as(const std::string& address, State state) {
         int count = 0;
         for (const auto& [other, process] : processes)
@@ -160,7 +163,7 @@
     void deliver(const std::string& from, const std::string& to, const std::string& bytes) {
         const auto it = processes.find(to);
         if (it == processes.end() || it->second.member == nullptr) return;
-        if (now < it->second.frozen_until) {    // read when it wakes
+        if (now < it->second.frozen_until) {    // read when it resumes
             schedule(it->second.frozen_until, [this, from, to, bytes] { deliver(from, to, bytes); });
             return;
         }
--- a/tests/cluster/membership/versions.capnp
+++ b/tests/cluster/membership/versions.capnp
@@ -1,5 +1,5 @@
 @0xa2f1c6f0f1f6a9d3;
-# The packet as an older version knew it (a beginning of the fields), and as a newer one may (more fields).
+# The packet as an older version knows it (the first fields only), and as a newer one may (more fields).
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::membership::versions");
@@ -7,20 +7,20 @@
 
 struct OldPacket {
   kind @0 :UInt8;
-  who @1 :Bool;
+  wantsInfo @1 :Bool;
   joined @2 :Bool;
-  lighthouse @3 :Bool;
-  last @4 :Bool;
-  more @5 :Bool;
-  members @6 :UInt16;
-  number @7 :UInt32;
-  life @8 :UInt64;
+  fromController @3 :Bool;
+  lastPage @4 :Bool;
+  requestMore @5 :Bool;
+  memberCount @6 :UInt16;
+  sequenceNumber @7 :UInt32;
+  incarnation @8 :UInt64;
   version @9 :UInt32;
-  beat @10 :UInt8;
+  heartbeat @10 :UInt8;
   digest @11 :UInt64;
-  about @12 :Text;
+  target @12 :Text;
   entries @13 :List(Now.Entry);
-  places @14 :List(Now.Place);
+  locations @14 :List(Now.Location);
 }
 
 struct NewEntry {
@@ -28,16 +28,16 @@
   port @1 :UInt16;
   role @2 :UInt8;
   state @3 :UInt8;
-  life @4 :UInt64;
+  incarnation @4 :UInt64;
   version @5 :UInt32;
-  counts @6 :UInt32;
-  disk @7 :UInt64;
-  place @8 :UInt16;
+  quotaDivisor @6 :UInt32;
+  diskId @7 :UInt64;
+  location @8 :UInt16;
   brief @9 :Bool;
-  quorum @10 :Bool;
+  voterEligible @10 :Bool;
   address @11 :Text;
   name @12 :Text;
-  control @13 :Text;
+  controlAddress @13 :Text;
   unheard @14 :Bool;
   load @15 :Float64;
   labels @16 :List(Text);
@@ -45,27 +45,27 @@
 
 struct NewPacket {
   kind @0 :UInt8;
-  who @1 :Bool;
+  wantsInfo @1 :Bool;
   joined @2 :Bool;
-  lighthouse @3 :Bool;
-  last @4 :Bool;
-  more @5 :Bool;
-  members @6 :UInt16;
-  number @7 :UInt32;
-  life @8 :UInt64;
+  fromController @3 :Bool;
+  lastPage @4 :Bool;
+  requestMore @5 :Bool;
+  memberCount @6 :UInt16;
+  sequenceNumber @7 :UInt32;
+  incarnation @8 :UInt64;
   version @9 :UInt32;
-  beat @10 :UInt8;
+  heartbeat @10 :UInt8;
   digest @11 :UInt64;
-  about @12 :Text;
+  target @12 :Text;
   entries @13 :List(NewEntry);
-  places @14 :List(Now.Place);
-  row @15 :Data;
-  hashes @16 :List(UInt32);
-  buckets @17 :List(UInt64);
-  after @18 :Text;
-  next @19 :Text;
-  beats @20 :Data;
-  check @21 :Bool;
+  locations @14 :List(Now.Location);
+  orderedHeartbeats @15 :Data;
+  heartbeatHashes @16 :List(UInt32);
+  digestBuckets @17 :List(UInt64);
+  afterAddress @18 :Text;
+  upToAddress @19 :Text;
+  hashedHeartbeats @20 :Data;
+  verifySuspicions @21 :Bool;
   sizes @22 :List(UInt32);
   offer @23 :NewEntry;
   format @24 :UInt64;
--- a/tests/cluster/registry/next_registry.capnp
+++ b/tests/cluster/registry/next_registry.capnp
@@ -4,8 +4,8 @@
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::registry::next");
 
-struct Words {
-  keepers @0 :List(Keeper);
+struct RegistryUpdate {
+  owners @0 :List(Owner);
   since @1 :UInt64;
   sequence @2 :UInt64;
   names @3 :List(Text);
@@ -13,30 +13,30 @@
   remarks @5 :List(Text);
 }
 
-struct Keeper {
+struct Owner {
   address @0 :Text;
-  life @1 :UInt64;
-  quiet @2 :UInt32;
-  settled @3 :Bool;
+  incarnation @1 :UInt64;
+  silentMs @2 :UInt32;
+  registrationsComplete @3 :Bool;
   load @4 :Float64;
-  place @5 :Text;
+  location @5 :Text;
 }
 
 struct Entry {
   id @0 :Text;
   address @1 :Text;
-  calls @2 :UInt64;
+  callCount @2 :UInt64;
   service @3 :UInt32;
   zone @4 :UInt32;
   revision @5 :UInt32;
-  keeper @6 :UInt16;
+  owner @6 :UInt16;
   capacity @7 :UInt32;
-  rampLeft @8 :UInt32;
-  quiet @9 :UInt32;
-  age @10 :UInt32;
+  slowStartLeftMs @8 :UInt32;
+  silentMs @9 :UInt32;
+  ageMs @10 :UInt32;
   state @11 :UInt8;
-  left @12 :Bool;
-  keeperLife @13 :UInt64;
+  deregistered @12 :Bool;
+  ownerIncarnation @13 :UInt64;
   weight @14 :Float64;
   note @15 :Text;
 }
--- a/tests/cluster/registry/service_registry_test.cpp
+++ b/tests/cluster/registry/service_registry_test.cpp
@@ -410,25 +410,27 @@
     ServiceRegistry service_registry = make_registry(1, 9);
     service_registry.record_heartbeat(make_heartbeat("i", 3, State::Draining), time_at(0s));
     const std::string encoded = service_registry.encode_changes(0, true, time_at(0s));
-    const auto decoded =
-        runtime::unpack<next::Words>(encoded, [](next::Words::Reader update) -> boost::leaf::result<int> {
-            cr_assert(update.getKeepers()[0].getLife() == 9 && update.getKeepers()[0].getPlace().size() == 0);
-            cr_assert(update.getEntries()[0].getCalls() == 3 && update.getEntries()[0].getNote().size() == 0);
+    const auto decoded = runtime::unpack<next::RegistryUpdate>(
+        encoded, [](next::RegistryUpdate::Reader update) -> boost::leaf::result<int> {
+            cr_assert(update.getOwners()[0].getIncarnation() == 9 &&
+                      update.getOwners()[0].getLocation().size() == 0);
+            cr_assert(update.getEntries()[0].getCallCount() == 3 &&
+                      update.getEntries()[0].getNote().size() == 0);
             return 1;
         });
     cr_assert(decoded);
     capnp::MallocMessageBuilder message;
-    auto update = message.initRoot<next::Words>();
-    auto owner = update.initKeepers(1)[0];
+    auto update = message.initRoot<next::RegistryUpdate>();
+    auto owner = update.initOwners(1)[0];
     owner.setAddress("10.0.0.2:7100");
-    owner.setLife(4);
-    owner.setPlace("hall 3");
+    owner.setIncarnation(4);
+    owner.setLocation("hall 3");
     update.initNames(1).set(0, "recibos");
     update.setSequence(1);
     auto entry = update.initEntries(1)[0];
     entry.setId("n");
     entry.setAddress("10.128.0.7:8080");
-    entry.setCalls(2);
+    entry.setCallCount(2);
     entry.setNote("new");
     ServiceRegistry receiver = make_registry(1);
     receiver.merge_changes(controller_address(2), runtime::pack(message), time_at(0s));
