--- a/src/cluster/registry/endpoint_view.h
+++ b/src/cluster/registry/endpoint_view.h
@@ -1,12 +1,5 @@
-// What a lighthouse or a pilot holds of the servers: words put together, whatever their order.
-//
-// A word is what a server said to its keeper, the lighthouse that had its latest call; the call's number
-// orders the words of one server. A server's own farewell is final. Two more things can be concluded, and a
-// later call refutes both: that it is Lost, since its keeper had no call of it for too long, and that it is
-// Gone, since another server first called from its address after it had last called.
-//
-// A keeper may be silent because it is cut off, so its servers are not called Lost for that until nobody has
-// heard it for twice that time, and they are believed again as soon as it is heard of.
+// The servers as a controller or a gateway knows them: entries of several controllers, merged to the same
+// result in whatever order they arrive.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -21,30 +14,42 @@
 
 namespace shaletray::registry {
 
+// Merges what servers say to controllers. An entry is what a server said to its owner, the controller that
+// had its latest call; the call counts order the entries of a server. A server's own deregistration is final.
+// Two more things are concluded, and refuted by a later call: that a server is Expired, since its owner had
+// no call of it for too long, and that it has Departed, since another server called from its address for the
+// first time after its last call.
+//
+// An owner may be silent because it is partitioned: its servers are Expired for that only when nobody has
+// heard of it for twice that time, and are restored as soon as somebody hears of it again.
+//
+// Does no input or output and reads no clock. Not thread-safe.
 class EndpointView {
 public:
     struct Settings {
-        std::string self_address;    // empty: a pilot, which keeps none itself
+        std::string self_address;    // empty: a gateway, which owns no servers
         std::uint64_t incarnation = 0;
-        Duration heartbeat_timeout =
-            std::chrono::seconds(6);    // without calls, until a keeper calls a server Lost
-        Duration ended_retention = std::chrono::seconds(60);     // entries that are Gone or Lost
-        Duration orphan_retention = std::chrono::minutes(10);    // those whose keeper is unheard of
+        Duration heartbeat_timeout = std::chrono::seconds(6);    // without calls until a server is Expired
+        Duration ended_retention = std::chrono::seconds(60);     // of Departed and Expired servers
+        Duration orphan_retention =
+            std::chrono::minutes(10);    // of those that Expired for their owner's silence
     };
     explicit EndpointView(Settings settings);
     ~EndpointView();
-    // This process's life turned out to be a later one: what it keeps, the new life keeps.
+    // This process has taken a higher incarnation, which owns what the previous one did.
     void set_incarnation(std::uint64_t new_incarnation);
 
-    // A server's own call.
+    // A server called this process. False: the call is not later than the known one, nothing changed.
     bool record_call(const Server& server, TimePoint now);
+    // A server deregistered with this process. False: it had done so before.
     bool deregister(std::string_view id, TimePoint now);
-    // Ids of servers whose entry changed. `from`: who is known to tell this; empty where that is not known.
-    // Errors: std::string; nothing was taken then.
+    // Merges an update and returns the ids of the servers that changed. `from`: the address of the sender;
+    // empty if it is not known. Error: runtime::MalformedMessage; then nothing changed.
     boost::leaf::result<std::vector<std::string>> apply_changes(const std::string& from,
                                                                 std::string_view bytes, TimePoint now);
-    // Ids of servers whose entry changed or was forgotten.
+    // Expires and erases servers whose time is over; returns the ids of those.
     std::vector<std::string> tick(TimePoint now);
+    // The entries changed after `since`, see ServiceRegistry::encode_changes().
     std::string encode_changes(std::uint64_t since, bool own_only, TimePoint now) const;
 
     std::uint64_t sequence() const;
--- a/src/cluster/registry/heartbeat.cpp
+++ b/src/cluster/registry/heartbeat.cpp
@@ -1,4 +1,4 @@
-// The body of a heartbeat. What is wrong with it is an error code, and that names the field.
+// Parser of the JSON body of a heartbeat. Its error codes name the field that is malformed.
 #include <boost/json/monotonic_resource.hpp>
 #include <boost/json/parse.hpp>
 #include <boost/json/value_to.hpp>
@@ -14,8 +14,11 @@
 
 namespace {
 
+// Of ids, names and addresses.
 constexpr std::size_t kMaxNameLength = 256;
 constexpr int kMaxCapacity = 1'000'000;
+// Holds the parsed form of a usual heartbeat without an allocation.
+constexpr std::size_t kParseBufferBytes = 4096;
 
 enum class HeartbeatError {
     Body = 1,
@@ -53,7 +56,7 @@
     return {static_cast<int>(error), category};
 }
 
-// The first of these names that is there; null counts as left out.
+// The field under the first of the names that is present; null counts as absent.
 const json::value* find_field(const json::object& object, std::string_view name,
                               std::string_view alternative_name = {}) {
     const json::value* value = object.if_contains(name);
@@ -70,9 +73,11 @@
     return true;
 }
 
-// From here on what the beat is made of, each with its tag_invoke.
+// The parts of a heartbeat, each with the tag_invoke by which Boost.JSON converts it.
 struct SystemInfo {
-    std::string service, revision, zone;
+    std::string service;
+    std::string revision;
+    std::string zone;
     int capacity = 1;
 };
 struct Status {
@@ -150,7 +155,7 @@
 leaf::result<Heartbeat> parse_heartbeat(std::string_view id, std::string_view text) {
     if (id.empty() || id.size() > kMaxNameLength)
         return leaf::new_error(std::string("id: none, or too long"));
-    unsigned char buffer[4096];
+    unsigned char buffer[kParseBufferBytes];
     json::monotonic_resource memory(buffer, sizeof buffer);
     boost::system::error_code error;
     const json::value body = json::parse({text.data(), text.size()}, error, &memory);
--- /dev/null
+++ b/src/cluster/registry/update_encoder.cpp
@@ -0,0 +1,107 @@
+// Updates for other controllers and for gateways.
+#include <unordered_map>
+
+#include "base/runtime/capnp_codec.h"
+#include "cluster/registry/endpoint_view_impl.h"
+#include "cluster/registry/wire_time.h"
+
+namespace shaletray::registry {
+namespace {
+
+// Updates without changes list all owners only once in so many: a reader gets several such a second.
+constexpr std::uint64_t kOwnerAnnouncementPeriod = 4;
+// Sizes of the first segment of a message, in words.
+constexpr std::size_t kHeaderWords = 64;
+constexpr std::size_t kEntryWords = 16;
+
+// The names of an update, each once, numbered in the order of their first use. Refers to the strings, which
+// have to outlive it.
+class NameList {
+public:
+    std::uint32_t index_of(const std::string& name) {
+        const auto [it, inserted] = indices_.try_emplace(name, static_cast<std::uint32_t>(names_.size()));
+        if (inserted) names_.push_back(&name);
+        return it->second;
+    }
+    void write(wire::RegistryUpdate::Builder update) const {
+        auto list = update.initNames(static_cast<unsigned>(names_.size()));
+        for (std::size_t i = 0; i < names_.size(); ++i)
+            list.set(static_cast<unsigned>(i), runtime::text_reader_of(*names_[i]));
+    }
+
+private:
+    std::unordered_map<std::string_view, std::uint32_t> indices_;
+    std::vector<const std::string*> names_;
+};
+
+}    // namespace
+
+std::string EndpointView::Impl::encode_changes(std::uint64_t since, bool own_only, TimePoint now) const {
+    const std::vector<const Record*> announced = announced_records(since, own_only);
+    capnp::MallocMessageBuilder message(static_cast<unsigned>(kHeaderWords + kEntryWords * announced.size()));
+    auto update = message.initRoot<wire::RegistryUpdate>();
+    update.setSince(since);
+    update.setSequence(sequence_);
+    const bool include_all = !announced.empty() || ++encoded_updates_ % kOwnerAnnouncementPeriod == 0;
+    write_owners(update, include_all, now);
+    if (!announced.empty()) write_entries(update, announced, now);
+    return runtime::pack(message);
+}
+
+std::vector<const Record*> EndpointView::Impl::announced_records(std::uint64_t since, bool own_only) const {
+    std::vector<const Record*> announced;
+    const auto& by_sequence = records_.get<BySequence>();
+    for (auto it = by_sequence.upper_bound(since); it != by_sequence.end(); ++it)
+        if (!own_only || is_owned(*it) || it->was_owned || is_orphaned(*it)) announced.push_back(&*it);
+    return announced;
+}
+
+void EndpointView::Impl::write_owners(wire::RegistryUpdate::Builder update, bool include_all,
+                                      TimePoint now) const {
+    const std::size_t count = include_all ? owners_.size() : 1;
+    auto owner_list = update.initOwners(static_cast<unsigned>(count));
+    for (std::size_t i = 0; i < count; ++i) {
+        const Owner& owner = owners_[i];
+        const bool is_self = i == kSelfOwner;
+        auto builder = owner_list[static_cast<unsigned>(i)];
+        builder.setAddress(runtime::text_reader_of(owner.address));
+        builder.setIncarnation(owner.incarnation);
+        builder.setRegistrationsComplete(is_self ? now - started_at_ >= owner_timeout()
+                                                 : owner.registrations_complete);
+        builder.setSilentMs(is_self ? 0 : to_milliseconds(now - owner.last_heard));
+    }
+}
+
+void EndpointView::Impl::write_entry(const Record& record, wire::Entry::Builder builder,
+                                     TimePoint now) const {
+    const Server& server = record.server->second;
+    builder.setId(runtime::text_reader_of(server.id));
+    builder.setAddress(runtime::text_reader_of(server.address));
+    builder.setCallCount(server.call_count);
+    builder.setOwner(static_cast<std::uint16_t>(record.ownership.owner));
+    builder.setCapacity(static_cast<std::uint32_t>(server.capacity));
+    builder.setSlowStartLeftMs(to_milliseconds(server.slow_start_left));
+    builder.setSilentMs(to_milliseconds(now - server.last_called_at));
+    builder.setAgeMs(to_milliseconds(now - record.first_called_at));
+    builder.setState(static_cast<std::uint8_t>(record.advertised_state()));
+    builder.setDeregistered(record.deregistered);
+    if (record.ownership.incarnation != owners_[record.ownership.owner].incarnation)
+        builder.setOwnerIncarnation(record.ownership.incarnation);
+}
+
+void EndpointView::Impl::write_entries(wire::RegistryUpdate::Builder update,
+                                       const std::vector<const Record*>& announced, TimePoint now) const {
+    NameList names;
+    auto entries = update.initEntries(static_cast<unsigned>(announced.size()));
+    for (std::size_t i = 0; i < announced.size(); ++i) {
+        const Server& server = announced[i]->server->second;
+        auto builder = entries[static_cast<unsigned>(i)];
+        builder.setService(names.index_of(server.service));
+        builder.setZone(names.index_of(server.zone));
+        builder.setRevision(names.index_of(server.revision));
+        write_entry(*announced[i], builder, now);
+    }
+    names.write(update);
+}
+
+}    // namespace shaletray::registry
--- a/tests/cluster/registry/next_registry.capnp
+++ b/tests/cluster/registry/next_registry.capnp
@@ -1,4 +1,4 @@
-# The words of muster.capnp as a later version may have them: what it adds stands behind what there is.
+# The messages of registry.capnp as a later version may have them: its new fields follow the present ones.
 @0xbbe0755f82d8ba8c;
 
 using Cxx = import "/capnp/c++.capnp";
