--- a/tests/compatibility/membership_samples.cpp
+++ b/tests/compatibility/membership_samples.cpp
@@ -37,8 +37,8 @@
     }
     fields.within("");
     fields.add("row", std::string(packet.ordered_heartbeats.begin(), packet.ordered_heartbeats.end()));
-    for (const auto& [hash, beat] : packet.hashed_heartbeats)
-        fields.add("beat.hash", hash).add("beat.beat", beat);
+    for (const auto& [hash, heartbeat] : packet.hashed_heartbeats)
+        fields.add("beat.hash", hash).add("beat.beat", heartbeat);
     for (const std::uint64_t bucket : packet.digest_buckets) fields.add("bucket", bucket);
     return fields.text();
 }
@@ -71,7 +71,7 @@
             false,
             false};
 }
-Entry coordinator() {
+Entry controller() {
     return {{"10.1.0.24:7100", Role::Controller, "coordinator-a", "room-b", "north", "10.1.0.24:8080", true,
              0xd15c000000000024, 1700000002, 0},
             State::Suspect,
@@ -86,7 +86,7 @@
             false,
             false};
 }
-// Only its address, life, state, counts and disk are told.
+// Carries only address, incarnation, version, state, quota divisor and disk id.
 Entry brief() {
     Entry entry;
     entry.info.address = "10.1.0.31:7100";
@@ -106,29 +106,34 @@
     ping.wants_info = ping.from_controller = true;
     ping.ordered_heartbeats = {0, 1, 254, 255};
     ping.entries = {brief()};
-    Packet answer = packet(PacketKind::Ack);
-    answer.joined = true;
-    answer.hashed_heartbeats = {{0xdeadbeef, 7}, {1, 255}};
-    Packet answer_about = packet(PacketKind::Ack);
-    answer_about.target = "10.1.0.31:7100";
-    Packet ping_for = packet(PacketKind::PingRequest);
-    ping_for.target = "10.1.0.31:7100";
-    Packet told = packet(PacketKind::Gossip);
-    told.verify_suspicions = true;
-    told.entries = {gateway(), coordinator(), named_host(), brief()};
-    Packet ask = packet(PacketKind::SyncRequest);
-    ask.after_address = "10.1.0.24:7100";
-    ask.digest_buckets = {1, 0, 0xffffffffffffffff, 4};
+    Packet ack = packet(PacketKind::Ack);
+    ack.joined = true;
+    ack.hashed_heartbeats = {{0xdeadbeef, 7}, {1, 255}};
+    Packet relayed_ack = packet(PacketKind::Ack);
+    relayed_ack.target = "10.1.0.31:7100";
+    Packet ping_request = packet(PacketKind::PingRequest);
+    ping_request.target = "10.1.0.31:7100";
+    Packet gossip = packet(PacketKind::Gossip);
+    gossip.verify_suspicions = true;
+    gossip.entries = {gateway(), controller(), named_host(), brief()};
+    Packet sync_request = packet(PacketKind::SyncRequest);
+    sync_request.after_address = "10.1.0.24:7100";
+    sync_request.digest_buckets = {1, 0, 0xffffffffffffffff, 4};
     Packet page = packet(PacketKind::SyncPage);
     page.request_more = page.joined = page.from_controller = true;
     page.after_address = "10.1.0.24:7100";
     page.up_to_address = "10.1.0.31:7100";
-    page.entries = {gateway(), coordinator()};
+    page.entries = {gateway(), controller()};
     Packet last_page = packet(PacketKind::SyncPage);
     last_page.last_page = true;
-    return {sample("ping", ping),         sample("answer", answer),      sample("answer-about", answer_about),
-            sample("ping-for", ping_for), sample("told", told),          sample("ask", ask),
-            sample("page", page),         sample("page-last", last_page)};
+    return {sample("ping", ping),
+            sample("answer", ack),
+            sample("answer-about", relayed_ack),
+            sample("ping-for", ping_request),
+            sample("told", gossip),
+            sample("ask", sync_request),
+            sample("page", page),
+            sample("page-last", last_page)};
 }
 
 }    // namespace shaletray::compatibility
