--- a/src/gateway/service_pipelines.h
+++ b/src/gateway/service_pipelines.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cluster/configuration/configuration.h"
+#include "cluster/configuration/configuration_index.h"
 #include "data_plane/engine/engine.h"
 #include "data_plane/proxy/server_pool.h"
 #include "gateway/http_mapping/upstream_codec.h"
