--- /dev/null
+++ b/src/cluster/consensus/actions.h
@@ -0,0 +1,45 @@
+// What the replicated register asks its owner to do.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "cluster/consensus/persistent_state.h"
+
+namespace shaletray::consensus {
+
+// Chosen by the caller; identifies a proposal or a read in its completion.
+using RequestId = std::uint64_t;
+
+// How a proposal or a read ended.
+enum class Outcome {
+    Committed,        // the proposal was chosen, or the read confirmed
+    Stale,            // a later version was chosen
+    Conflict,         // the version has, or had, another text
+    Indeterminate,    // no majority answered in time: the proposal may still be chosen later
+};
+
+// Appended to by each call of the register, for the caller to carry out.
+struct Actions {
+    struct OutgoingMessage {
+        std::string to;       // internal address of a controller
+        std::string bytes;    // an encoded Message
+    };
+    // To be written and synced in the order given. ReplicatedRegister::on_stored(token) then releases the
+    // messages that depend on it.
+    struct StateWrite {
+        std::uint64_t token = 0;    // ascending
+        PersistentState state;
+    };
+    struct Completion {
+        RequestId request_id = 0;
+        Outcome outcome = Outcome::Indeterminate;
+    };
+    std::vector<OutgoingMessage> messages;
+    std::vector<StateWrite> writes;
+    std::vector<Completion> completions;
+    bool entry_changed = false;    // committed_entry() has changed
+};
+
+}    // namespace shaletray::consensus
--- a/src/cluster/consensus/consensus.capnp
+++ b/src/cluster/consensus/consensus.capnp
@@ -1,13 +1,14 @@
-# What lighthouses say to each other about decrees, and what each keeps on its disk. Fields are only ever added:
-# an older program reads a newer one's messages without those it does not know.
+# The messages between controllers about the replicated register, and the state that each controller keeps on
+# disk. Fields are only ever added, so that an older program can read the messages of a newer one: it ignores the
+# fields that it does not know.
 @0xd364bd51448e95ef;
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::consensus::wire");
 
-struct Member {
+struct Replica {
   address @0 :Text;
-  disk @1 :UInt64;
+  diskId @1 :UInt64;
 }
 
 struct Ballot {
@@ -15,18 +16,18 @@
   proposer @1 :Text;
 }
 
-struct Decree {
+struct LogEntry {
   number @0 :UInt64;
-  voters @1 :List(Member);
+  voters @1 :List(Replica);
   version @2 :UInt64;
   text @3 :Data;
-  textAsBefore @4 :Bool;  # left out: that of the decree of the same version that the reader holds
-  earlier @5 :List(Digest);  # of the versions before; left out where it follows from the decree that the reader holds
+  textOmitted @4 :Bool;  # the text is that of the entry of the same version that the reader already has
+  earlierDigests @5 :List(Digest);  # of earlier versions; omitted where the reader can derive them
 }
 
 struct Digest {
   version @0 :UInt64;
-  low @1 :UInt64;  # of its text: XXH3, 128 bits
+  low @1 :UInt64;  # of the 128-bit XXH3 hash of the text
   high @2 :UInt64;
 }
 
@@ -36,42 +37,42 @@
   promise @2;
   accept @3;
   accepted @4;
-  refused @5;
-  ask @6;
-  state @7;
-  notice @8;
-  wanted @9;
-  learn @10;
-  kept @11;
+  rejected @5;
+  readRequest @6;
+  readReply @7;
+  commit @8;
+  fetchRequest @9;
+  fetchReply @10;
+  commitAck @11;
 }
 
 struct Message {
   kind @0 :Kind;
-  disk @1 :UInt64;      # the sender's
-  at @2 :UInt64;        # the number of the decree that the sender holds, plus one; 0: it holds none
-  instance @3 :UInt64;  # the number of the decree that this is about
+  diskId @1 :UInt64;        # of the sender
+  nextInstance @2 :UInt64;  # the number of the sender's committed entry plus one; 0: the sender has none
+  instance @3 :UInt64;      # the number of the entry that the message is about
   nonce @4 :UInt64;
   ballot @5 :Ballot;
-  other @6 :Ballot;
-  pending @7 :Bool;
-  value @8 :Decree;
+  otherBallot @6 :Ballot;
+  hasAcceptedEntry @7 :Bool;
+  entry @8 :LogEntry;
 }
 
-# Texts are kept apart, each under its own key, so that they are written once.
-struct Head {
-  disk @0 :UInt64;
+# The texts of the entries are stored apart, each under its own key, so that each is written only once.
+struct StateHeader {
+  diskId @0 :UInt64;
   sequence @1 :UInt64;
-  decree @2 :Decree;
-  decreeText @3 :TextAt;
-  promised @4 :Ballot;
-  accepted @5 :Ballot;
-  pending @6 :Decree;
-  pendingText @7 :TextAt;
+  committed @2 :LogEntry;
+  committedText @3 :TextReference;
+  promisedBallot @4 :Ballot;
+  acceptedBallot @5 :Ballot;
+  acceptedEntry @6 :LogEntry;
+  acceptedText @7 :TextReference;
 }
 
-struct TextAt {
-  slot @0 :UInt64;  # 0: empty
+struct TextReference {
+  slot @0 :UInt64;  # 0: the text is empty
   size @1 :UInt64;
-  low @2 :UInt64;   # XXH3, 128 bits
+  low @2 :UInt64;   # of the 128-bit XXH3 hash of the text
   high @3 :UInt64;
 }
--- a/src/cluster/consensus/message.cpp
+++ b/src/cluster/consensus/message.cpp
@@ -12,7 +12,14 @@
 namespace shaletray::consensus {
 namespace {
 
-constexpr std::size_t kMaxVoters = 128, kMaxNameLength = 512, kChecksumSize = 8;
+constexpr std::size_t kMaxVoters = 128;    // far above any real cluster; bounds what a message may allocate
+constexpr std::size_t kMaxNameLength = 512;    // of an address or a proposer
+constexpr std::size_t kChecksumSize = 8;
+constexpr std::size_t kHeaderWords = 256;    // first segment of a state header, in words
+constexpr std::size_t kMessageWords = 64;    // of a message without voters, digests and text
+constexpr std::size_t kVoterWords = 8, kDigestWords = 3;
+constexpr std::size_t kTraversalSlackWords = 1024;    // a reader may visit a pointer more than once
+constexpr int kMaxNesting = 8;
 
 std::string copy_text(capnp::Text::Reader text) { return {text.cStr(), text.size()}; }
 
@@ -26,15 +33,15 @@
     return {reader.getRound(), copy_text(reader.getProposer())};
 }
 
-void write_fields(wire::Decree::Builder builder, const LogEntry& entry, bool with_text) {
+void write_fields(wire::LogEntry::Builder builder, const LogEntry& entry, bool with_text) {
     builder.setNumber(entry.number);
     builder.setVersion(entry.version);
     auto voters = builder.initVoters(static_cast<unsigned>(entry.voters.size()));
     for (unsigned i = 0; i < voters.size(); ++i) {
         voters[i].setAddress(entry.voters[i].address.c_str());
-        voters[i].setDisk(entry.voters[i].disk_id);
+        voters[i].setDiskId(entry.voters[i].disk_id);
     }
-    auto digests = builder.initEarlier(static_cast<unsigned>(entry.earlier_digests.size()));
+    auto digests = builder.initEarlierDigests(static_cast<unsigned>(entry.earlier_digests.size()));
     for (unsigned i = 0; i < digests.size(); ++i) {
         digests[i].setVersion(entry.earlier_digests[i].version);
         digests[i].setLow(entry.earlier_digests[i].low);
@@ -43,10 +50,10 @@
     if (with_text)
         builder.setText(
             capnp::Data::Reader(reinterpret_cast<const kj::byte*>(entry.text.data()), entry.text.size()));
-    else builder.setTextAsBefore(true);
+    else builder.setTextOmitted(true);
 }
 
-LogEntry read_fields(wire::Decree::Reader reader) {
+LogEntry read_fields(wire::LogEntry::Reader reader) {
     LogEntry entry;
     entry.number = reader.getNumber();
     entry.version = reader.getVersion();
@@ -54,9 +61,9 @@
     KJ_REQUIRE(voters.size() <= kMaxVoters);
     for (const auto voter : voters) {
         KJ_REQUIRE(voter.getAddress().size() <= kMaxNameLength);
-        entry.voters.push_back({copy_text(voter.getAddress()), voter.getDisk()});
+        entry.voters.push_back({copy_text(voter.getAddress()), voter.getDiskId()});
     }
-    const auto digests = reader.getEarlier();
+    const auto digests = reader.getEarlierDigests();
     for (unsigned i = digests.size() - std::min<unsigned>(digests.size(), kMaxEarlierDigests);
          i < digests.size(); ++i)
         entry.earlier_digests.push_back({digests[i].getVersion(), digests[i].getLow(), digests[i].getHigh()});
@@ -65,19 +72,20 @@
     return entry;
 }
 
-void write_fields(wire::TextAt::Builder builder, const StateHeader::TextReference& reference) {
+void write_fields(wire::TextReference::Builder builder, const StateHeader::TextReference& reference) {
     builder.setSlot(reference.slot);
     builder.setSize(reference.size);
     builder.setLow(reference.low);
     builder.setHigh(reference.high);
 }
 
-StateHeader::TextReference read_fields(wire::TextAt::Reader reader) {
+StateHeader::TextReference read_fields(wire::TextReference::Reader reader) {
     return {reader.getSlot(), reader.getSize(), reader.getLow(), reader.getHigh()};
 }
 
-// Bytes that were cut or turned would read as other numbers: they are led by a checksum.
-std::string add_checksum(capnp::MessageBuilder& builder, std::size_t expected_words) {
+// Returns the message in Cap'n Proto's stream framing, preceded by a checksum: Cap'n Proto itself would read
+// truncated or damaged bytes as other values.
+std::string encode_checked(capnp::MessageBuilder& builder, std::size_t expected_words) {
     std::string bytes;
     bytes.reserve(kChecksumSize + expected_words * sizeof(capnp::word));
     bytes.resize(kChecksumSize);
@@ -96,6 +104,7 @@
     return bytes;
 }
 
+// Verifies the checksum and lets `read_message` fill a Decoded; errors: DecodeError, also where it throws.
 template <class Decoded>
 boost::leaf::result<Decoded> decode_checked(std::string_view bytes, auto&& read_message) {
     if (bytes.size() < kChecksumSize + sizeof(capnp::word) || bytes.size() % sizeof(capnp::word) != 0)
@@ -108,8 +117,8 @@
         auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
         std::memcpy(words.asBytes().begin(), bytes.data(), bytes.size());
         capnp::ReaderOptions reader_options;
-        reader_options.traversalLimitInWords = words.size() * 2 + 1024;
-        reader_options.nestingLimit = 8;
+        reader_options.traversalLimitInWords = words.size() * 2 + kTraversalSlackWords;
+        reader_options.nestingLimit = kMaxNesting;
         capnp::FlatArrayMessageReader reader(words, reader_options);
         Decoded decoded;
         read_message(reader, decoded);
@@ -135,21 +144,22 @@
 
 std::string encode(const Message& message) {
     const std::size_t text_size = message.entry && !message.text_omitted ? message.entry->text.size() : 0;
-    const std::size_t voter_words = message.entry ? message.entry->voters.size() * 8 : 0,
-                      digest_words = message.entry ? message.entry->earlier_digests.size() * 3 : 0,
-                      expected_words = 64 + voter_words + digest_words + text_size / 8;
+    const std::size_t voter_words = message.entry ? message.entry->voters.size() * kVoterWords : 0;
+    const std::size_t digest_words = message.entry ? message.entry->earlier_digests.size() * kDigestWords : 0;
+    const std::size_t expected_words =
+        kMessageWords + voter_words + digest_words + text_size / sizeof(capnp::word);
     capnp::MallocMessageBuilder builder(static_cast<unsigned>(expected_words));
     auto root = builder.initRoot<wire::Message>();
     root.setKind(static_cast<wire::Kind>(message.kind));
-    root.setDisk(message.disk_id);
-    root.setAt(message.next_instance);
+    root.setDiskId(message.disk_id);
+    root.setNextInstance(message.next_instance);
     root.setInstance(message.instance);
     root.setNonce(message.nonce);
     if (message.ballot.round != 0) write_fields(root.initBallot(), message.ballot);
-    if (message.other_ballot.round != 0) write_fields(root.initOther(), message.other_ballot);
-    root.setPending(message.has_accepted_entry);
-    if (message.entry) write_fields(root.initValue(), *message.entry, !message.text_omitted);
-    return add_checksum(builder, expected_words);
+    if (message.other_ballot.round != 0) write_fields(root.initOtherBallot(), message.other_ballot);
+    root.setHasAcceptedEntry(message.has_accepted_entry);
+    if (message.entry) write_fields(root.initEntry(), *message.entry, !message.text_omitted);
+    return encode_checked(builder, expected_words);
 }
 
 boost::leaf::result<Message> decode(std::string_view bytes) {
@@ -158,49 +168,49 @@
         const auto kind = static_cast<std::uint16_t>(root.getKind());
         KJ_REQUIRE(kind > 0 && kind <= static_cast<std::uint16_t>(Message::Kind::CommitAck), "unknown kind");
         decoded.kind = static_cast<Message::Kind>(kind);
-        decoded.disk_id = root.getDisk();
-        decoded.next_instance = root.getAt();
+        decoded.disk_id = root.getDiskId();
+        decoded.next_instance = root.getNextInstance();
         decoded.instance = root.getInstance();
         decoded.nonce = root.getNonce();
         if (root.hasBallot()) decoded.ballot = read_fields(root.getBallot());
-        if (root.hasOther()) decoded.other_ballot = read_fields(root.getOther());
-        decoded.has_accepted_entry = root.getPending();
-        if (root.hasValue()) {
-            decoded.text_omitted = root.getValue().getTextAsBefore();
-            decoded.entry = read_fields(root.getValue());
-            KJ_REQUIRE(!decoded.entry->voters.empty(), "a decree without voters");
+        if (root.hasOtherBallot()) decoded.other_ballot = read_fields(root.getOtherBallot());
+        decoded.has_accepted_entry = root.getHasAcceptedEntry();
+        if (root.hasEntry()) {
+            decoded.text_omitted = root.getEntry().getTextOmitted();
+            decoded.entry = read_fields(root.getEntry());
+            KJ_REQUIRE(!decoded.entry->voters.empty(), "an entry without voters");
         }
     });
 }
 
-std::string encode(const StateHeader& head) {
-    capnp::MallocMessageBuilder builder(256);
-    auto root = builder.initRoot<wire::Head>();
-    root.setDisk(head.state.disk_id);
-    root.setSequence(head.sequence);
-    write_fields(root.initDecree(), head.state.committed, false);
-    write_fields(root.initDecreeText(), head.committed_text);
-    write_fields(root.initPromised(), head.state.promised_ballot);
-    write_fields(root.initAccepted(), head.state.accepted_ballot);
-    if (head.state.accepted_entry) {
-        write_fields(root.initPending(), *head.state.accepted_entry, false);
-        write_fields(root.initPendingText(), head.accepted_text);
+std::string encode(const StateHeader& header) {
+    capnp::MallocMessageBuilder builder(kHeaderWords);
+    auto root = builder.initRoot<wire::StateHeader>();
+    root.setDiskId(header.state.disk_id);
+    root.setSequence(header.sequence);
+    write_fields(root.initCommitted(), header.state.committed, false);
+    write_fields(root.initCommittedText(), header.committed_text);
+    write_fields(root.initPromisedBallot(), header.state.promised_ballot);
+    write_fields(root.initAcceptedBallot(), header.state.accepted_ballot);
+    if (header.state.accepted_entry) {
+        write_fields(root.initAcceptedEntry(), *header.state.accepted_entry, false);
+        write_fields(root.initAcceptedText(), header.accepted_text);
     }
-    return add_checksum(builder, 256);
+    return encode_checked(builder, kHeaderWords);
 }
 
-boost::leaf::result<StateHeader> decode_head(std::string_view bytes) {
+boost::leaf::result<StateHeader> decode_state_header(std::string_view bytes) {
     return decode_checked<StateHeader>(bytes, [](capnp::MessageReader& reader, StateHeader& decoded) {
-        const auto root = reader.getRoot<wire::Head>();
-        decoded.state.disk_id = root.getDisk();
+        const auto root = reader.getRoot<wire::StateHeader>();
+        decoded.state.disk_id = root.getDiskId();
         decoded.sequence = root.getSequence();
-        decoded.state.committed = read_fields(root.getDecree());
-        decoded.committed_text = read_fields(root.getDecreeText());
-        decoded.state.promised_ballot = read_fields(root.getPromised());
-        decoded.state.accepted_ballot = read_fields(root.getAccepted());
-        if (root.hasPending()) {
-            decoded.state.accepted_entry = read_fields(root.getPending());
-            decoded.accepted_text = read_fields(root.getPendingText());
+        decoded.state.committed = read_fields(root.getCommitted());
+        decoded.committed_text = read_fields(root.getCommittedText());
+        decoded.state.promised_ballot = read_fields(root.getPromisedBallot());
+        decoded.state.accepted_ballot = read_fields(root.getAcceptedBallot());
+        if (root.hasAcceptedEntry()) {
+            decoded.state.accepted_entry = read_fields(root.getAcceptedEntry());
+            decoded.accepted_text = read_fields(root.getAcceptedText());
         }
     });
 }
--- a/src/cluster/consensus/message.h
+++ b/src/cluster/consensus/message.h
@@ -1,5 +1,4 @@
-// What lighthouses say to each other about decrees, and how that and the state on disk are written down.
-// Pure.
+// The messages between the replicas and the header of the stored state, with their encodings. Pure functions.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -8,63 +7,71 @@
 #include <string>
 #include <string_view>
 
-#include "cluster/consensus/replicated_register.h"
+#include "cluster/consensus/persistent_state.h"
 
 namespace shaletray::consensus {
 
+// A message between replicas. After each kind: the fields that it uses beside those of the sender.
 struct Message {
     enum class Kind : std::uint16_t {
         None,
-        Prepare,     // instance, ballot; other: what the sender itself holds accepted, need not be sent
-        Promise,     // instance, ballot; other: what was accepted, with its value unless the asker holds it
-        Accept,      // instance, ballot, value
+        Prepare,     // instance, ballot; other_ballot: what the sender accepted itself, need not be returned
+        Promise,     // instance, ballot; other_ballot, entry: what was accepted, if anything
+        Accept,      // instance, ballot, entry
         Accepted,    // instance, ballot
-        Rejected,    // instance, ballot; other: what was promised instead
+        Rejected,    // instance, ballot; other_ballot: what was promised instead
         ReadRequest,     // nonce
-        ReadReply,       // nonce; pending: something is accepted for the sender's next decree
-        Commit,          // the sender's decree is chosen; ballot: under which, where known
-        FetchRequest,    // of whoever holds a newer decree; nonce: the version held
-        FetchReply,      // value: the sender's decree; ballot as in Notice; nonce as in the Wanted that it
-                         // answers
-        CommitAck,       // the sender's decree is on its disk
+        ReadReply,       // nonce; has_accepted_entry: whether anything is accepted for the next entry
+        Commit,          // ballot: under which the sender's entry was chosen, where known
+        FetchRequest,    // asks for a newer entry; nonce: the version that the sender has
+        FetchReply,      // entry: the sender's; ballot as in Commit; nonce as in the FetchRequest
+        CommitAck,       // the sender's entry is on its disk
     };
     Kind kind = Kind::None;
-    std::uint64_t disk_id = 0;          // the sender's
-    std::uint64_t next_instance = 0;    // number of the sender's decree + 1; 0: it holds none
-    std::uint64_t instance = 0;         // number of the decree this is about
+    std::uint64_t disk_id = 0;          // of the sender
+    std::uint64_t next_instance = 0;    // number of the sender's committed entry + 1; 0: it has none
+    std::uint64_t instance = 0;         // number of the entry that the message is about
     std::uint64_t nonce = 0;
     Ballot ballot;
     Ballot other_ballot;
     bool has_accepted_entry = false;
-    bool text_omitted = false;    // the value's text is left out: that of the decree of its version
+    bool text_omitted = false;    // the entry's text is that of the receiver's entry of the same version
     std::optional<LogEntry> entry;
 };
 
+// Why bytes could not be decoded.
 struct DecodeError {
     std::string reason;
 };
 
 std::string encode(const Message& message);
-// Errors: Unreadable, for whatever is not one of ours, whole and of a known kind.
+// Errors: DecodeError, where the bytes are damaged, incomplete or of an unknown kind.
 boost::leaf::result<Message> decode(std::string_view bytes);
 
-// The state without its texts, which have keys of their own.
+// The persistent state as it is stored: without the texts of its entries, which have keys of their own.
 struct StateHeader {
+    // Where a text is stored, and what it is.
     struct TextReference {
-        std::uint64_t slot = 0;    // 0: the empty text
-        std::uint64_t size = 0, low = 0, high = 0;
+        std::uint64_t slot = 0;    // 0: the empty text, which is not stored
+        std::uint64_t size = 0;
+        std::uint64_t low = 0;     // lower half of the 128-bit hash
+        std::uint64_t high = 0;    // upper half
         bool has_same_content(const TextReference& other) const {
             return size == other.size && low == other.low && high == other.high;
         }
     };
     PersistentState state;
-    std::uint64_t sequence = 0;    // grows with each write
+    std::uint64_t sequence = 0;    // grows by one with each write
     TextReference committed_text, accepted_text;
 };
-std::string encode(const StateHeader& head);
-boost::leaf::result<StateHeader> decode_head(std::string_view bytes);
-StateHeader::TextReference make_text_reference(std::uint64_t slot,
-                                               std::string_view text);    // slot: 0 where the text is empty
+
+std::string encode(const StateHeader& header);
+// Errors: DecodeError, where the bytes are damaged or incomplete.
+boost::leaf::result<StateHeader> decode_state_header(std::string_view bytes);
+// Refers to this text in this slot, or in none where the text is empty.
+StateHeader::TextReference make_text_reference(std::uint64_t slot, std::string_view text);
+
+// The 64-bit XXH3 hash of the bytes.
 std::uint64_t checksum(std::string_view bytes);
 Digest make_digest(std::uint64_t version, std::string_view text);
 
--- /dev/null
+++ b/src/cluster/consensus/random_source.h
@@ -0,0 +1,29 @@
+// A small random generator that can be copied together with the state that uses it.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "base/common/clock.h"
+
+namespace shaletray::consensus {
+
+// SplitMix64. Equal seeds give equal sequences.
+class RandomSource {
+public:
+    RandomSource() = default;
+    // Draws from everything that tells one start of one replica from another.
+    RandomSource(std::uint64_t seed, TimePoint started_at, std::uint64_t disk_id, const std::string& address);
+
+    std::uint64_t next();
+    // A duration in [lower, upper); `lower` where these are equal.
+    Duration next(Duration lower, Duration upper);
+
+private:
+    std::uint64_t state_ = 0;
+};
+
+// Sixteen hexadecimal digits.
+std::string to_hex(std::uint64_t value);
+
+}    // namespace shaletray::consensus
--- /dev/null
+++ b/src/cluster/consensus/register_requests.cpp
@@ -0,0 +1,100 @@
+// The register's proposals, reads and changes of voters, from the request to its outcome.
+#include <algorithm>
+
+#include "cluster/consensus/register_impl.h"
+
+namespace shaletray::consensus {
+namespace {
+
+// Requests beyond these are answered at once as Indeterminate, so that a lost quorum cannot exhaust the
+// memory.
+constexpr std::size_t kMaxProposals = 64;
+constexpr std::size_t kMaxReads = 4096;
+// Enough for several attempts; a voter change that takes longer is decided anew from the state by then.
+constexpr int kVoterChangeRounds = 20;
+
+}    // namespace
+
+void ReplicatedRegister::Impl::propose(RequestId request_id, std::uint64_t version, std::string text,
+                                       TimePoint deadline) {
+    if (proposals_.size() >= kMaxProposals) return complete_request(request_id, Outcome::Indeterminate);
+    proposals_.push_back({request_id, version, std::move(text), turn_, deadline});
+}
+
+void ReplicatedRegister::Impl::quorum_read(RequestId request_id, TimePoint deadline) {
+    if (pending_reads_.size() >= kMaxReads) return complete_request(request_id, Outcome::Indeterminate);
+    pending_reads_.push_back({request_id, turn_, deadline});
+}
+
+void ReplicatedRegister::Impl::change_voters(std::vector<Replica> current_voters,
+                                             std::vector<Replica> new_voters) {
+    if (new_voters.empty() || current_voters == new_voters || current_voters != state_.committed.voters)
+        return;
+    const TimePoint deadline = now_ + settings_.round_timeout * kVoterChangeRounds;
+    voter_change_ = VoterChange{std::move(current_voters), std::move(new_voters), deadline};
+}
+
+void ReplicatedRegister::Impl::complete_request(RequestId request_id, Outcome outcome) {
+    actions_->completions.push_back({request_id, outcome});
+}
+
+void ReplicatedRegister::Impl::complete_proposals() {
+    std::erase_if(proposals_, [this](const Proposal& proposal) {
+        if (is_newer(proposal) || !is_confirmed_since(proposal.turn)) return false;
+        complete_request(proposal.request_id, proposal_outcome(proposal));
+        return true;
+    });
+}
+
+// A confirmation from before the process was suspended is of no use after its deadline.
+void ReplicatedRegister::Impl::complete_reads() {
+    std::erase_if(pending_reads_, [this](const PendingRead& read) {
+        if (!is_confirmed_since(read.turn) || now_ >= read.deadline) return false;
+        complete_request(read.request_id, Outcome::Committed);
+        return true;
+    });
+}
+
+void ReplicatedRegister::Impl::expire_requests() {
+    const auto expire_if_late = [this](const auto& request) {
+        if (now_ < request.deadline) return false;
+        complete_request(request.request_id, Outcome::Indeterminate);
+        return true;
+    };
+    std::erase_if(proposals_, expire_if_late);
+    std::erase_if(pending_reads_, expire_if_late);
+    if (voter_change_ && now_ >= voter_change_->deadline) voter_change_.reset();
+}
+
+Outcome ReplicatedRegister::Impl::proposal_outcome(const Proposal& proposal) const {
+    const LogEntry& current = state_.committed;
+    if (proposal.version == current.version)
+        return proposal.text == current.text ? Outcome::Committed : Outcome::Conflict;
+    const auto known_digest =
+        std::find_if(current.earlier_digests.begin(), current.earlier_digests.end(),
+                     [&proposal](const Digest& known) { return known.version == proposal.version; });
+    if (known_digest == current.earlier_digests.end()) return Outcome::Stale;
+    return *known_digest == make_digest(proposal.version, proposal.text) ? Outcome::Stale : Outcome::Conflict;
+}
+
+bool ReplicatedRegister::Impl::is_newer(const Proposal& proposal) const {
+    return proposal.version > state_.committed.version;
+}
+
+bool ReplicatedRegister::Impl::has_pending_requests() const {
+    return !proposals_.empty() || !pending_reads_.empty();
+}
+
+bool ReplicatedRegister::Impl::needs_round() const {
+    return must_complete_accepted_ || voter_change_ ||
+           std::any_of(proposals_.begin(), proposals_.end(),
+                       [this](const Proposal& proposal) { return is_newer(proposal); });
+}
+
+bool ReplicatedRegister::Impl::needs_read() const {
+    return must_confirm_ || !pending_reads_.empty() ||
+           std::any_of(proposals_.begin(), proposals_.end(),
+                       [this](const Proposal& proposal) { return !is_newer(proposal); });
+}
+
+}    // namespace shaletray::consensus
--- a/src/cluster/consensus/state_store.cpp
+++ b/src/cluster/consensus/state_store.cpp
@@ -262,7 +262,7 @@
         if (!status.ok()) return status;
         return boost::leaf::try_handle_all(
             [&]() -> boost::leaf::result<leveldb::Status> {
-                BOOST_LEAF_ASSIGN(header, decode_head(bytes));
+                BOOST_LEAF_ASSIGN(header, decode_state_header(bytes));
                 return leveldb::Status::OK();
             },
             [](const DecodeError& error) { return leveldb::Status::Corruption("head", error.reason); },
--- a/src/cluster/consensus/state_store.h
+++ b/src/cluster/consensus/state_store.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "cluster/consensus/replicated_register.h"
+#include "cluster/consensus/actions.h"
 
 namespace shaletray::consensus {
 
--- a/tests/cluster/consensus/message_test.cpp
+++ b/tests/cluster/consensus/message_test.cpp
@@ -37,13 +37,13 @@
     std::memcpy(words.asBytes().begin(), ours.data(), ours.size());
     capnp::FlatArrayMessageReader reader(words);
     capnp::MallocMessageBuilder builder;
-    builder.setRoot(reader.getRoot<later::Message>());
-    auto root = builder.getRoot<later::Message>();
-    cr_assert(root.getInstance() == message.instance && root.getUrgent() && !root.hasWhy());
+    builder.setRoot(reader.getRoot<newer::Message>());
+    auto root = builder.getRoot<newer::Message>();
+    cr_assert(root.getInstance() == message.instance && root.getUrgent() && !root.hasReason());
     root.setKind(kind);
-    root.getBallot().setLife(9);
+    root.getBallot().setIncarnation(9);
     root.setUrgent(false);
-    root.setWhy("a word that nobody knows yet");
+    root.setReason("a word that nobody knows yet");
     const auto theirs = capnp::messageToFlatArray(builder);
     return sealed({reinterpret_cast<const char*>(theirs.asBytes().begin()), theirs.asBytes().size()});
 }
--- a/tests/compatibility/register_samples.cpp
+++ b/tests/compatibility/register_samples.cpp
@@ -1,4 +1,4 @@
-// The replicated register: its messages, the head of its state, and its data folders.
+// The replicated register: its messages, the header of its state, and its data folders.
 #include <chrono>
 #include <stdexcept>
 #include <thread>
@@ -74,12 +74,12 @@
     return fields.text();
 }
 
-std::string fields_of(const StateHeader& head) {
+std::string fields_of(const StateHeader& header) {
     FieldList fields;
-    add(fields, head.state);
-    fields.add("sequence", head.sequence);
-    add(fields, "decree_text", head.committed_text);
-    add(fields, "pending_text", head.accepted_text);
+    add(fields, header.state);
+    fields.add("sequence", header.sequence);
+    add(fields, "decree_text", header.committed_text);
+    add(fields, "pending_text", header.accepted_text);
     return fields.text();
 }
 
@@ -88,9 +88,9 @@
     return message ? fields_of(*message) : std::string(kUnreadable);
 }
 
-std::string read_head(std::string_view bytes) {
-    const auto head = consensus::decode_head(bytes);
-    return head ? fields_of(*head) : std::string(kUnreadable);
+std::string read_header(std::string_view bytes) {
+    const auto header = consensus::decode_state_header(bytes);
+    return header ? fields_of(*header) : std::string(kUnreadable);
 }
 
 MessageSample sample(const std::string& name, const Message& message) {
@@ -155,20 +155,20 @@
             sample("kept", kept)};
 }
 
-// Texts are kept apart from the head: they are empty in it.
-std::vector<MessageSample> head_samples() {
-    StateHeader head;
-    head.state.disk_id = kDisk;
-    head.state.committed = decree(6, 41, "", consensus::kMaxEarlierDigests);
-    head.state.promised_ballot = kBallot;
-    head.state.accepted_ballot = kOther;
-    head.sequence = 99;
-    head.committed_text = consensus::make_text_reference(14, "{\"version\": 41}");
-    StateHeader with_pending = head;
+// Texts are stored apart from the header, in which they are empty.
+std::vector<MessageSample> header_samples() {
+    StateHeader header;
+    header.state.disk_id = kDisk;
+    header.state.committed = decree(6, 41, "", consensus::kMaxEarlierDigests);
+    header.state.promised_ballot = kBallot;
+    header.state.accepted_ballot = kOther;
+    header.sequence = 99;
+    header.committed_text = consensus::make_text_reference(14, "{\"version\": 41}");
+    StateHeader with_pending = header;
     with_pending.state.accepted_entry = decree(7, 42, "", 4);
     with_pending.accepted_text = consensus::make_text_reference(199, "{\"version\": 42}");
-    return {{"register-head", encode(head), fields_of(head), read_head},
-            {"register-head-pending", encode(with_pending), fields_of(with_pending), read_head}};
+    return {{"register-head", encode(header), fields_of(header), read_header},
+            {"register-head-pending", encode(with_pending), fields_of(with_pending), read_header}};
 }
 
 std::unique_ptr<consensus::StateStore> opened(const std::string& folder) {
@@ -207,7 +207,8 @@
     return saved;
 }
 
-// Opened twice, so that a table holds the text of the decree, and a log the head and the pending text.
+// Opened twice, so that a table holds the text of the committed entry, and a log the header and the accepted
+// text.
 void record_voter(const std::string& folder) {
     put(*opened(folder), 1, before());
     put(*opened(folder), 2, voter());
@@ -230,7 +231,7 @@
 std::vector<MessageSample> register_message_samples() {
     std::vector<MessageSample> all = ballot_samples();
     for (auto& sample : learning_samples()) all.push_back(std::move(sample));
-    for (auto& sample : head_samples()) all.push_back(std::move(sample));
+    for (auto& sample : header_samples()) all.push_back(std::move(sample));
     return all;
 }
 
