--- a/src/cluster/consensus/syncing_file_system.h
+++ b/src/cluster/consensus/syncing_file_system.h
@@ -1,4 +1,4 @@
-// The disk under the lamp's state: LevelDB's files, and the one call that they lack.
+// The file system under a state store.
 #pragma once
 
 #include <leveldb/env.h>
@@ -7,11 +7,13 @@
 
 namespace shaletray::consensus {
 
+// LevelDB's environment, and the one operation that it lacks. Virtual, so that tests can simulate losses of
+// power.
 class SyncingFileSystem : public leveldb::EnvWrapper {
 public:
     SyncingFileSystem() : EnvWrapper(leveldb::Env::Default()) {}
-    // Names made, renamed or removed in the folder before this last once it has returned; it waits for the
-    // disk. Errors: IOError, after which each of them may be kept or lost.
+    // Makes all names that were created, renamed or removed in the folder so far durable; blocks until then.
+    // Errors: IOError, after which each of these changes may or may not survive a loss of power.
     virtual leveldb::Status SyncFolder(const std::string& folder);
 };
 
