--- a/src/controller/configuration_publisher.cpp
+++ b/src/controller/configuration_publisher.cpp
@@ -12,7 +12,8 @@
     PublishedVersion published;
     published.digest = configuration::digest_of(new_configuration);
     if (!versions_.empty()) {
-        // What a patch leads to shares the rows that it leaves alone, and most pilots hold the one before.
+        // Applying the delta shares all unchanged rows with the previous version; and most gateways hold that
+        // version, so the delta is needed anyway.
         const PublishedVersion& previous = versions_.back();
         std::string delta = configuration::write_delta(*previous.snapshot, new_configuration);
         if (auto shared = configuration::apply_update(*previous.snapshot, delta)) {
@@ -38,24 +39,24 @@
     return entry->second;
 }
 
-std::string ConfigurationPublisher::make_update(Client& client, TimePoint now) {
+std::string ConfigurationPublisher::make_update(ClientPosition& position, TimePoint now) {
     subscription::ControlUpdate update;
     update.incarnation = settings_.incarnation;
     update.quorum_confirmed = quorum_confirmed_;
     if (!versions_.empty()) {
         update.version = version();
         update.digest = versions_.back().digest;
-        if (client.version < update.version) {
-            update.configuration_delta = delta_from(client.version, client.digest);
-            client.version = update.version;
-            client.digest = update.digest;
+        if (position.version < update.version) {
+            update.configuration_delta = delta_from(position.version, position.digest);
+            position.version = update.version;
+            position.digest = update.digest;
         }
     }
-    update.since_sequence = client.sequence;
+    update.since_sequence = position.sequence;
     update.sequence = registry_.sequence();
-    update.endpoint_changes = registry_.encode_changes(update.since_sequence, false,
-                                                       now);    // with no change it still tells who runs
-    client.sequence = update.sequence;
+    // Without any change it still proves which controllers run.
+    update.endpoint_changes = registry_.encode_changes(update.since_sequence, false, now);
+    position.sequence = update.sequence;
     return subscription::encode(update);
 }
 
@@ -63,36 +64,42 @@
                                              const subscription::ClientState& client_state, TimePoint now,
                                              std::vector<OutgoingMessage>& messages) {
     Client& client = clients_[from];
-    client.version = client_state.version;
-    client.digest = client_state.digest;
-    client.sequence = client_state.known_incarnation == settings_.incarnation
-                          ? std::min(client_state.known_sequence, registry_.sequence())
-                          : 0;
+    client.position.version = client_state.version;
+    client.position.digest = client_state.digest;
+    const bool knows_incarnation = client_state.known_incarnation == settings_.incarnation;
+    client.position.sequence =
+        knows_incarnation ? std::min(client_state.known_sequence, registry_.sequence()) : 0;
     client.last_contact = now;
-    messages.push_back({from, make_update(client, now)});
+    messages.push_back({from, make_update(client.position, now)});
+}
+
+bool ConfigurationPublisher::is_behind(const ClientPosition& position) const {
+    return position.version < version() || position.sequence < registry_.sequence();
 }
 
 void ConfigurationPublisher::notify_clients(TimePoint now, std::vector<OutgoingMessage>& messages) {
-    std::map<ClientPosition, std::pair<std::string, Client>> updates;    // most stand at the same point
-    for (auto entry = clients_.begin(); entry != clients_.end();) {
-        Client& client = entry->second;
-        if (now - client.last_contact > settings_.expiry_timeout) {
-            entry = clients_.erase(entry);
-            continue;
-        }
-        const bool is_behind = client.version < version() || client.sequence < registry_.sequence();
-        if (is_behind && now - client.last_contact <= settings_.active_window) {
-            auto& [bytes, updated_client] = updates[{client.version, client.digest, client.sequence}];
-            if (bytes.empty()) {
-                bytes = make_update(client, now);
-                updated_client = client;
-            }
-            client = {updated_client.version, updated_client.digest, updated_client.sequence,
-                      client.last_contact};
-            messages.push_back({entry->first, bytes});
-        }
-        ++entry;
+    std::erase_if(clients_, [&](const auto& entry) {
+        return now - entry.second.last_contact > settings_.expiry_timeout;
+    });
+    SharedUpdates updates;
+    for (auto& [address, client] : clients_) {
+        const bool is_active = now - client.last_contact <= settings_.active_window;
+        if (!is_active || !is_behind(client.position)) continue;
+        const SharedUpdate& update = shared_update(client.position, updates, now);
+        client.position = update.position_after;
+        messages.push_back({address, update.bytes});
+    }
+}
+
+const ConfigurationPublisher::SharedUpdate& ConfigurationPublisher::shared_update(
+    const ClientPosition& position, SharedUpdates& updates, TimePoint now) {
+    const auto [entry, is_new] = updates.try_emplace(position);
+    SharedUpdate& update = entry->second;
+    if (is_new) {
+        update.position_after = position;
+        update.bytes = make_update(update.position_after, now);
     }
+    return update;
 }
 
 }    // namespace shaletray::controller
--- a/src/controller/configuration_publisher.h
+++ b/src/controller/configuration_publisher.h
@@ -1,11 +1,13 @@
-// What pilots are told: for each that reported, the difference between what it has and what there is. Pure.
+// Makes the updates that gateways receive: for each that has reported, the difference between what it has and
+// the newest configuration and registry. Pure.
 #pragma once
 
+#include <compare>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <memory>
 #include <string>
-#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -15,13 +17,16 @@
 
 namespace shaletray::controller {
 
+// Keeps the newest versions of the configuration, so that gateways which hold one of them are sent a delta;
+// all others get the full text. The registry is only read, and has to outlive the publisher.
 class ConfigurationPublisher {
 public:
     struct Settings {
         std::uint64_t incarnation = 0;
-        std::size_t max_versions = 16;                       // held for differences
-        Duration active_window = std::chrono::seconds(3);    // pilots heard from within this are told unasked
-        Duration expiry_timeout = std::chrono::seconds(30);
+        std::size_t max_versions = 16;    // kept to make deltas from
+        // Gateways that reported within this time are sent changes unasked.
+        Duration active_window = std::chrono::seconds(3);
+        Duration expiry_timeout = std::chrono::seconds(30);    // after which a silent gateway is forgotten
     };
     struct OutgoingMessage {
         std::string to, bytes;
@@ -29,15 +34,18 @@
     ConfigurationPublisher(Settings settings, const registry::ServiceRegistry& service_registry)
         : settings_(settings), registry_(service_registry) {}
 
-    // This lighthouse's was raised: pilots are told all anew.
+    // This controller's incarnation has risen: gateways are sent the whole registry again.
     void set_incarnation(std::uint64_t incarnation) { settings_.incarnation = incarnation; }
-    // The newest chart that was decided on. Those before it are kept as what differs.
+    // The newest committed configuration; its version is above all that were published before.
     void publish(configuration::Configuration new_configuration);
+    // Of the newest configuration; 0: there is none yet.
     std::uint64_t version() const { return versions_.empty() ? 0 : versions_.back().snapshot->version; }
+    // What the updates from now on say about this controller's contact with a majority of the voters.
     void set_quorum_confirmed(bool is_confirmed) { quorum_confirmed_ = is_confirmed; }
+    // Answers a gateway's report with an update, also where nothing is new to it.
     void on_client_state(const std::string& from, const subscription::ClientState& client_state,
                          TimePoint now, std::vector<OutgoingMessage>& messages);
-    // To all that reported lately and lack something.
+    // Sends an update to every active gateway that is behind.
     void notify_clients(TimePoint now, std::vector<OutgoingMessage>& messages);
     std::size_t gateway_count() const { return clients_.size(); }
 
@@ -46,21 +54,35 @@
         std::shared_ptr<const configuration::Configuration> snapshot;
         std::uint64_t digest = 0;
     };
+    // What a gateway has, as it reported or as it was sent since.
+    struct ClientPosition {
+        std::uint64_t version = 0, digest = 0;    // of its configuration
+        std::uint64_t sequence = 0;               // of the registry
+        auto operator<=>(const ClientPosition&) const = default;
+    };
     struct Client {
-        std::uint64_t version = 0, digest = 0;    // as reported, or as sent since
-        std::uint64_t sequence = 0;               // of our muster, likewise
+        ClientPosition position;
         TimePoint last_contact{};
     };
-    using ClientPosition =
-        std::tuple<std::uint64_t, std::uint64_t, std::uint64_t>;    // version, digest, sequence
-    std::string make_update(Client& client, TimePoint now);
+    // The same for all clients at one position.
+    struct SharedUpdate {
+        std::string bytes;
+        ClientPosition position_after;
+    };
+    using SharedUpdates = std::map<ClientPosition, SharedUpdate>;
+
+    bool is_behind(const ClientPosition& position) const;
+    const SharedUpdate& shared_update(const ClientPosition& position, SharedUpdates& updates, TimePoint now);
+    // Moves the position to what the update leads to.
+    std::string make_update(ClientPosition& position, TimePoint now);
     const std::string& delta_from(std::uint64_t version, std::uint64_t digest);
 
     Settings settings_;
     const registry::ServiceRegistry& registry_;
-    std::deque<PublishedVersion> versions_;                                    // the newest last
-    std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> deltas_;    // to the newest, made once
-    std::map<std::string, Client> clients_;
+    std::deque<PublishedVersion> versions_;    // the newest last
+    // From a version and its digest to the newest version; each is made once.
+    std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> deltas_;
+    std::map<std::string, Client> clients_;    // by the gateway's address
     bool quorum_confirmed_ = false;
 };
 
--- a/src/controller/configuration_validator.cpp
+++ b/src/controller/configuration_validator.cpp
@@ -14,9 +14,7 @@
             BOOST_LEAF_AUTO(parsed, configuration::parse_configuration(text));
             return ConfigurationValidator::Outcome(std::move(parsed));
         },
-        [](const configuration::ConfigurationError& refusal) {
-            return ConfigurationValidator::Outcome(refusal);
-        },
+        [](const configuration::ConfigurationError& error) { return ConfigurationValidator::Outcome(error); },
         [] {
             return ConfigurationValidator::Outcome(
                 configuration::ConfigurationError{"body", "cannot be read"});
--- a/src/controller/quorum_tracker.cpp
+++ b/src/controller/quorum_tracker.cpp
@@ -10,9 +10,9 @@
     confirmed_at_ = confirmed_at;
     if (is_held(now) == was_held_) return std::nullopt;
     was_held_ = !was_held_;
-    loss_count_ += !was_held_;
-    const TimePoint changed_at =
-        was_held_ ? now : std::min(now, *confirmed_at_ + contact_timeout_ / 2);    // as nobody looked
+    if (!was_held_) ++loss_count_;
+    // A loss dates from the moment the last confirmation expired, not from when that was noticed.
+    const TimePoint changed_at = was_held_ ? now : std::min(now, *confirmed_at_ + validity_of_confirmation());
     return Change{was_held_, changed_at - std::exchange(changed_at_, changed_at)};
 }
 
--- a/src/controller/registry_forwarder.capnp
+++ b/src/controller/registry_forwarder.capnp
@@ -1,11 +1,11 @@
-# What lighthouses tell each other of servers; see relay.h.
+# The message in which controllers exchange the servers that each owns; see registry_forwarder.h.
 @0x8497ef9599b07117;
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::controller::wire");
 
-struct Relay {
-  knownLife @0 :UInt64;       # of the reader, as far as the teller knows it
-  knownSequence @1 :UInt64;
-  words @2 :Data;             # for registry::Muster::merge
+struct RegistryUpdate {
+  knownIncarnation @0 :UInt64;  # the recipient's, as far as the sender knows it
+  knownSequence @1 :UInt64;     # the recipient's changes up to this one are known to the sender
+  changes @2 :Data;             # for registry::ServiceRegistry::merge_changes
 }
--- a/src/controller/registry_forwarder.cpp
+++ b/src/controller/registry_forwarder.cpp
@@ -11,8 +11,10 @@
 using namespace std::chrono_literals;
 namespace leaf = boost::leaf;
 
+// Between two messages to a peer that has nothing new to learn but that this controller runs.
 constexpr Duration kInterval = 1s;
-constexpr Duration kResendTimeout = 1500ms;    // for what was told to be known, else it is told again
+// Half an interval more than the peer takes to acknowledge by its own messages: what it has not was lost.
+constexpr Duration kResendTimeout = 1500ms;
 
 }    // namespace
 
@@ -24,38 +26,43 @@
 }
 
 void RegistryForwarder::reset_peers() {
-    for (auto& [address, peer] : peers_) peer.sent_sequence = peer.acknowledged_sequence = 0;
+    for (auto& [address, peer] : peers_) {
+        peer.sent_sequence = 0;
+        peer.acknowledged_sequence = 0;
+    }
 }
 
 void RegistryForwarder::on_message(const std::string& from, std::uint64_t incarnation, std::string_view bytes,
                                    TimePoint now) {
-    const auto decoded =
-        runtime::unpack<wire::Relay>(bytes, [&](wire::Relay::Reader reader) -> leaf::result<int> {
-            const std::uint64_t known_sequence = reader.getKnownSequence(),
-                                known_incarnation = reader.getKnownLife();
-            registry_.merge_changes(from, runtime::text_of(reader.getWords()), now);
-            const auto entry = peers_.find(from);
-            if (entry == peers_.end()) return 0;    // it will be known by the time of its next word
-            Peer& peer = entry->second;
-            if (peer.incarnation != incarnation) peer.sent_sequence = 0;
-            peer.incarnation = incarnation;
-            const std::uint64_t acknowledged = known_incarnation == registry_.incarnation()
-                                                   ? std::min(known_sequence, registry_.sequence())
-                                                   : 0;
-            if (acknowledged > peer.acknowledged_sequence) peer.waiting_since = now;
-            peer.acknowledged_sequence = acknowledged;
-            return 0;
-        });
-    if (!decoded) ++malformed_messages_;
+    using Reader = wire::RegistryUpdate::Reader;
+    const auto handle_update = [&](Reader update) -> leaf::result<int> {
+        registry_.merge_changes(from, runtime::text_of(update.getChanges()), now);
+        const auto entry = peers_.find(from);
+        if (entry == peers_.end()) return 0;    // it is a known peer by the time of its next message
+        Peer& peer = entry->second;
+        if (peer.incarnation != incarnation) peer.sent_sequence = 0;
+        peer.incarnation = incarnation;
+        const bool is_current = update.getKnownIncarnation() == registry_.incarnation();
+        record_acknowledgement(peer, is_current ? update.getKnownSequence() : 0, now);
+        return 0;
+    };
+    if (!runtime::unpack<wire::RegistryUpdate>(bytes, handle_update)) ++malformed_messages_;
+}
+
+void RegistryForwarder::record_acknowledgement(Peer& peer, std::uint64_t acknowledged_sequence,
+                                               TimePoint now) {
+    const std::uint64_t acknowledged = std::min(acknowledged_sequence, registry_.sequence());
+    if (acknowledged > peer.acknowledged_sequence) peer.waiting_since = now;
+    peer.acknowledged_sequence = acknowledged;
 }
 
 void RegistryForwarder::send_to_peer(const std::string& recipient, Peer& peer, TimePoint now,
                                      std::vector<OutgoingMessage>& messages) {
     capnp::MallocMessageBuilder message;
-    auto builder = message.initRoot<wire::Relay>();
-    builder.setKnownLife(peer.incarnation);
-    builder.setKnownSequence(registry_.known_sequence(recipient, peer.incarnation));
-    builder.setWords(runtime::data_of(registry_.encode_changes(peer.sent_sequence, true, now)));
+    auto update = message.initRoot<wire::RegistryUpdate>();
+    update.setKnownIncarnation(peer.incarnation);
+    update.setKnownSequence(registry_.known_sequence(recipient, peer.incarnation));
+    update.setChanges(runtime::data_of(registry_.encode_changes(peer.sent_sequence, true, now)));
     if (peer.acknowledged_sequence >= peer.sent_sequence) peer.waiting_since = now;
     peer.sent_sequence = registry_.sequence();
     messages.push_back({recipient, runtime::pack(message)});
@@ -70,7 +77,8 @@
     if (now < next_deadline_) return;
     next_deadline_ = now + kInterval;
     for (auto& [address, peer] : peers_) {
-        if (peer.acknowledged_sequence < peer.sent_sequence && now - peer.waiting_since >= kResendTimeout)
+        const bool awaits_acknowledgement = peer.acknowledged_sequence < peer.sent_sequence;
+        if (awaits_acknowledgement && now - peer.waiting_since >= kResendTimeout)
             peer.sent_sequence = peer.acknowledged_sequence;
         send_to_peer(address, peer, now, messages);
     }
--- a/src/controller/registry_forwarder.h
+++ b/src/controller/registry_forwarder.h
@@ -1,6 +1,6 @@
-// What lighthouses tell each other of the servers that each keeps: changes at once, and every second a word
-// that they run, which also says up to where the reader is known. What was lost with a connection is told
-// again from there. Pure.
+// Exchanges with the other controllers the servers that each one owns: changes at once, and every second a
+// message that proves that the sender runs and acknowledges up to where it knows the recipient's changes.
+// What was lost with a connection is sent again from there. Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +13,7 @@
 
 namespace shaletray::controller {
 
+// The registry is read for what to send and merged into by what is received; it has to outlive the forwarder.
 class RegistryForwarder {
 public:
     struct OutgoingMessage {
@@ -20,30 +21,33 @@
     };
     explicit RegistryForwarder(registry::ServiceRegistry& service_registry) : registry_(service_registry) {}
 
-    void set_peers(
-        const std::vector<std::string>& addresses);    // all lighthouses that are known, without this
-    void reset_peers();                                // this lighthouse's was raised: all are told all anew
-    // Bytes that are no such message are counted, and nothing else. What they tell is in the muster then.
+    // Internal addresses of all known controllers, without this one.
+    void set_peers(const std::vector<std::string>& addresses);
+    // This controller's incarnation has risen: everything is sent anew to all peers.
+    void reset_peers();
+    // Merges the changes into the registry. Bytes that are no such message are counted and ignored.
     void on_message(const std::string& from, std::uint64_t incarnation, std::string_view bytes,
                     TimePoint now);
-    // What changed since the others were told.
+    // To each peer what has changed since the last message to it; nothing where nothing has.
     void send_changes(TimePoint now, std::vector<OutgoingMessage>& messages);
+    // To be called at next_deadline() or later: a message to every peer.
     void tick(TimePoint now, std::vector<OutgoingMessage>& messages);
     TimePoint next_deadline() const { return next_deadline_; }
     std::uint64_t malformed_messages() const { return malformed_messages_; }
 
 private:
     struct Peer {
-        std::uint64_t incarnation = 0;              // 0: not heard yet
+        std::uint64_t incarnation = 0;              // 0: nothing was received from it yet
         std::uint64_t sent_sequence = 0;            // our changes up to this one were sent
-        std::uint64_t acknowledged_sequence = 0;    // these it has, as it says
-        TimePoint waiting_since{};                  // for it to know more of what was told
+        std::uint64_t acknowledged_sequence = 0;    // our changes up to this one were acknowledged
+        TimePoint waiting_since{};                  // when the oldest unacknowledged change was sent
     };
+    void record_acknowledgement(Peer& peer, std::uint64_t acknowledged_sequence, TimePoint now);
     void send_to_peer(const std::string& recipient, Peer& peer, TimePoint now,
                       std::vector<OutgoingMessage>& messages);
 
     registry::ServiceRegistry& registry_;
-    std::map<std::string, Peer> peers_;
+    std::map<std::string, Peer> peers_;    // by address
     TimePoint next_deadline_{};
     std::uint64_t malformed_messages_ = 0;
 };
--- a/src/controller/voter_reconciler.h
+++ b/src/controller/voter_reconciler.h
@@ -1,20 +1,20 @@
-// Who should vote on the register: the wanted set of voters, by what the convoy knows, and the next step to
-// it. Pure.
+// Decides which controllers should vote on the replicated register, by what the membership knows of them, and
+// which change of the voters is to be proposed next. Pure: no clock, no sockets.
 //
-// A set of n voters of which a answer bears a - (n / 2 + 1) further losses. No step lowers that number:
-// voters that are away or leave are replaced, and where nobody can take their places they are left out as
-// long as that raises it. A step may change several voters at once, since it is one decree of the old voters,
-// and nothing is answered from it before a majority of the new ones keeps it (lamp.h).
+// A set of n voters of which r respond tolerates r - (n / 2 + 1) further failures. No change lowers that
+// number: voters that are unavailable or leaving are replaced, and where no candidate is left they are
+// dropped as long as that raises it. A change may exchange several voters at once, since it is one log entry
+// of the current voters, and nothing that depends on it is acknowledged before a majority of the new ones
+// stores it.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <optional>
-#include <string>
-#include <vector>
 
 #include "cluster/consensus/replicated_register.h"
 #include "cluster/membership/membership.h"
+#include "controller/voter_plan.h"
 
 namespace shaletray::controller {
 
@@ -22,46 +22,47 @@
 public:
     struct Settings {
         consensus::Replica self;
-        std::size_t max_failures = 1;    // machines that the system may lose at once, by its settings
-        Duration catch_up_time = std::chrono::seconds(4);    // after which the next ones may be lost
+        std::size_t max_failures = 1;    // machines that may fail at the same time
+        // How long after a failure the next one may follow: the place of the failed voter is taken by then.
+        Duration catch_up_time = std::chrono::seconds(4);
     };
     struct VoterChange {
-        std::vector<consensus::Replica> current_voters, new_voters;    // sorted
+        Voters current_voters, new_voters;    // both sorted
     };
-    // Whether a lighthouse has said lately that it holds the newest decree, or nearly so.
+    // Whether a replica has recently reported the newest log entry, or nearly the newest.
     using CaughtUpPredicate = std::function<bool(const consensus::Replica&)>;
 
     VoterReconciler(Settings settings, TimePoint now);
-    // This lighthouse is about to end: it hands its vote on, if somebody can take it.
+    // This controller is about to stop: it hands its vote to a candidate, if there is one.
     void start_leaving() { is_leaving_ = true; }
-    // The step that this lighthouse is to propose now; none: the voters are as they should be, or it is
-    // another one's turn. The first voter by address acts at once, as does one that leaves; the others each
-    // half a second later.
-    std::optional<VoterChange> next_change(const consensus::LogEntry& entry,
-                                           const std::map<std::string, membership::Member>& members,
+    // The change that this controller is to propose now. None: the voters are as they should be, or another
+    // controller is to propose first. The first responding voter by address proposes at once, as does one
+    // that is leaving; each of the others waits half a second longer than the one before it.
+    std::optional<VoterChange> next_change(const consensus::LogEntry& entry, const Members& members,
                                            const CaughtUpPredicate& is_caught_up, TimePoint now);
-    // The losses that voters bear of whom so many answer; below 0: they have no majority.
+    // The failures that so many voters tolerate, of which so many respond. Negative: they have no majority.
     static int tolerated_failures(std::size_t responding, std::size_t voters) {
         return static_cast<int>(responding) - static_cast<int>(voters / 2 + 1);
     }
 
 private:
-    using Members = std::map<std::string, membership::Member>;
     enum class VoterStatus { Responding, Leaving, Unknown, Unavailable };
     VoterStatus voter_status(const consensus::Replica& voter, const Members& members, TimePoint now) const;
-    std::vector<consensus::Replica> find_candidates(const consensus::LogEntry& entry, const Members& members,
-                                                    const CaughtUpPredicate& is_caught_up, TimePoint now);
-    std::vector<consensus::Replica> target_voters(const std::vector<consensus::Replica>& voters,
-                                                  const Members& members,
-                                                  std::vector<consensus::Replica> candidates,
-                                                  TimePoint now) const;
+    VoterStatus own_status(const consensus::Replica& voter) const;
+    std::size_t count_responding(const Voters& voters, const Members& members, TimePoint now) const;
+    Voters find_candidates(const consensus::LogEntry& entry, const Members& members,
+                           const CaughtUpPredicate& is_caught_up, TimePoint now);
+    Voters target_voters(const Voters& voters, const Members& members, const Voters& candidates,
+                         TimePoint now) const;
+    bool lowers_tolerance(const VoterChange& change, const Members& members, TimePoint now) const;
+    Duration proposal_delay(const Voters& voters, const Members& members, TimePoint now) const;
 
     Settings settings_;
-    std::size_t min_voters_, max_voters_;    // voters: none are left out below, none added above
+    VoterLimits limits_;
     TimePoint started_at_;
     bool is_leaving_ = false;
-    std::map<consensus::Replica, TimePoint> candidates_since_;    // newcomers, and since when
-    TimePoint change_wanted_since_{};
+    std::map<consensus::Replica, TimePoint> candidates_since_;    // when each was first seen
+    TimePoint change_wanted_since_{};                             // zero: no change is wanted
 };
 
 }    // namespace shaletray::controller
--- a/tests/compatibility/registry_samples.cpp
+++ b/tests/compatibility/registry_samples.cpp
@@ -119,10 +119,10 @@
     ServiceRegistry reader({kReader, kReaderIncarnation});
     controller::RegistryForwarder relay(reader);
     relay.on_message(kSender, kSenderIncarnation, bytes, kReceivedAt);
-    const auto fields = runtime::unpack<controller::wire::Relay>(
-        bytes, [&](controller::wire::Relay::Reader read) -> boost::leaf::result<std::string> {
-            return fields_of_relay(read.getKnownLife(), read.getKnownSequence(),
-                                   read_changes(runtime::text_of(read.getWords())),
+    const auto fields = runtime::unpack<controller::wire::RegistryUpdate>(
+        bytes, [&](controller::wire::RegistryUpdate::Reader read) -> boost::leaf::result<std::string> {
+            return fields_of_relay(read.getKnownIncarnation(), read.getKnownSequence(),
+                                   read_changes(runtime::text_of(read.getChanges())),
                                    relay.malformed_messages(), reader.servers().size());
         });
     return fields ? *fields : std::string(kUnreadable);
