--- /dev/null
+++ b/src/controller/api/command_queue.h
@@ -0,0 +1,39 @@
+// Commands between the connections that they come by and the event loop that carries them out.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <deque>
+#include <functional>
+#include <optional>
+
+#include "controller/api/control_command.h"
+
+namespace shaletray::control_api {
+
+struct PendingCommand {
+    Command command;
+    std::function<void(Response)> respond;    // to be called once, at any time, by the event loop
+    std::function<bool()> cancelled;          // whether the caller has gone
+    TimePoint queued_at{};
+};
+
+// Bounded. In the order of urgency: servers that leave, then other calls of servers and reads, then new
+// configurations; first in, first out within each priority.
+class CommandQueue {
+public:
+    explicit CommandQueue(std::size_t max_per_priority = 4096) : max_per_priority_(max_per_priority) {}
+    // False where it is full: `pending` is then left as it was.
+    bool push(PendingCommand&& pending);
+    std::optional<PendingCommand> pop();
+    std::size_t size() const;
+
+private:
+    enum Priority : std::size_t { Departure, Regular, Configuration, kPriorityCount };
+    static Priority priority_of(const Command& command);
+
+    std::size_t max_per_priority_;
+    std::array<std::deque<PendingCommand>, kPriorityCount> pending_;
+};
+
+}    // namespace shaletray::control_api
--- a/src/controller/api/control_command.cpp
+++ b/src/controller/api/control_command.cpp
@@ -10,9 +10,11 @@
 namespace leaf = boost::leaf;
 
 constexpr std::size_t kMaxIdLength = 256;
-constexpr std::string_view kMembersPath = "/members/", kReplacePath = "/configuration/replace",
-                           kReadPath = "/configuration/read", kHeartbeatSuffix = "/heartbeat",
-                           kDeregisterSuffix = "/deregister";
+constexpr std::string_view kReplacePath = "/configuration/replace";
+constexpr std::string_view kReadPath = "/configuration/read";
+constexpr std::string_view kMembersPath = "/members/";    // followed by an id and one of the suffixes
+constexpr std::string_view kHeartbeatSuffix = "/heartbeat";
+constexpr std::string_view kDeregisterSuffix = "/deregister";
 
 enum class Path { Unknown, Heartbeat, Deregister, Replace, Read };
 struct Target {
@@ -35,7 +37,7 @@
     return {};
 }
 
-// Ids come back in headers and logs.
+// Ids are repeated in headers and logs, so nothing in them may need escaping.
 bool is_valid_id(std::string_view id) {
     return !id.empty() && id.size() <= kMaxIdLength && std::all_of(id.begin(), id.end(), [](char character) {
         return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
@@ -44,62 +46,43 @@
     });
 }
 
-std::size_t priority_of(const Command& command) {
-    if (std::holds_alternative<Deregister>(command)) return 0;
-    if (const auto* heartbeat = std::get_if<HeartbeatCommand>(&command))
-        return heartbeat->heartbeat.server.state == registry::State::Draining ? 0 : 1;
-    return std::holds_alternative<ReadConfiguration>(command) ? 1 : 2;
-}
-
 }    // namespace
 
+Response to_response(const CommandError& command_error) {
+    Response response = error(command_error.status, command_error.message);
+    response.allowed_method = command_error.allowed_method;
+    return response;
+}
+
 leaf::result<Command> decode_command(std::string_view method, std::string_view target,
                                      std::string_view body) {
-    const auto reject = [](int status, std::string message, std::string allowed_method = {}) {
+    const auto reject = [](HttpStatus status, std::string message, std::string allowed_method = {}) {
         return leaf::new_error(CommandError{status, std::move(message), std::move(allowed_method)});
     };
     const Target parsed = parse_target(target);
-    if (parsed.path == Path::Unknown) return reject(404, "no such path");
+    if (parsed.path == Path::Unknown) return reject(HttpStatus::NotFound, "no such path");
     const std::string expected_method = parsed.path == Path::Read ? "GET" : "POST";
-    if (method != expected_method) return reject(405, "takes " + expected_method, expected_method);
-    if (body.size() > max_body_size(method, target)) return reject(413, "the body is too large");
+    if (method != expected_method)
+        return reject(HttpStatus::MethodNotAllowed, "takes " + expected_method, expected_method);
+    if (body.size() > max_body_size(method, target))
+        return reject(HttpStatus::PayloadTooLarge, "the body is too large");
     if (parsed.path == Path::Replace) return Command(ReplaceConfiguration{std::string(body)});
     if (parsed.path == Path::Read) return Command(ReadConfiguration{});
-    if (!is_valid_id(parsed.id)) return reject(400, "id: not one of letters, digits and -_.:~");
+    if (!is_valid_id(parsed.id))
+        return reject(HttpStatus::BadRequest, "id: not one of letters, digits and -_.:~");
     if (parsed.path == Path::Deregister) return Command(Deregister{std::string(parsed.id)});
     return leaf::try_handle_some(
         [&]() -> leaf::result<Command> {
-            BOOST_LEAF_AUTO(beat, registry::parse_heartbeat(parsed.id, body));
-            return Command(HeartbeatCommand{std::move(beat)});
+            BOOST_LEAF_AUTO(heartbeat, registry::parse_heartbeat(parsed.id, body));
+            return Command(HeartbeatCommand{std::move(heartbeat)});
         },
-        [&](const std::string& message) -> leaf::result<Command> { return reject(400, message); });
+        [&](const std::string& message) -> leaf::result<Command> {
+            return reject(HttpStatus::BadRequest, message);
+        });
 }
 
 std::size_t max_body_size(std::string_view, std::string_view target) {
     return parse_target(target).path == Path::Replace ? kMaxConfigurationSize : kMaxHeartbeatSize;
 }
 
-bool CommandQueue::push(PendingCommand&& pending) {
-    std::deque<PendingCommand>& queue = pending_[priority_of(pending.command)];
-    if (queue.size() >= max_per_priority_) return false;
-    queue.push_back(std::move(pending));
-    return true;
-}
-
-std::optional<CommandQueue::PendingCommand> CommandQueue::pop() {
-    for (std::deque<PendingCommand>& queue : pending_) {
-        if (queue.empty()) continue;
-        std::optional<PendingCommand> command(std::move(queue.front()));
-        queue.pop_front();
-        return command;
-    }
-    return std::nullopt;
-}
-
-std::size_t CommandQueue::size() const {
-    std::size_t count = 0;
-    for (const std::deque<PendingCommand>& queue : pending_) count += queue.size();
-    return count;
-}
-
 }    // namespace shaletray::control_api
--- a/src/controller/api/control_command.h
+++ b/src/controller/api/control_command.h
@@ -1,71 +1,53 @@
-// The calls of servers and operators as commands: what a call asks for, decoded once, to be run elsewhere.
+// The calls of the control API as typed commands: decoded from method, path and body, carried out elsewhere.
 // Pure.
 #pragma once
 
 #include <boost/leaf/result.hpp>
 #include <cstddef>
-#include <deque>
-#include <functional>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <variant>
 
 #include "cluster/registry/service_registry.h"
+#include "controller/api/response.h"
 
 namespace shaletray::control_api {
 
-struct HeartbeatCommand {    // POST /members/ID/heartbeat
+// POST /members/ID/heartbeat
+struct HeartbeatCommand {
     registry::Heartbeat heartbeat;
 };
-struct Deregister {    // POST /members/ID/deregister
+// POST /members/ID/deregister
+struct Deregister {
     std::string id;
 };
-struct ReplaceConfiguration {    // POST /configuration/replace; the text is not looked into yet
+// POST /configuration/replace; the text is not parsed yet.
+struct ReplaceConfiguration {
     std::string text;
 };
-struct ReadConfiguration {};    // GET /configuration/read
+// GET /configuration/read
+struct ReadConfiguration {};
 using Command = std::variant<HeartbeatCommand, Deregister, ReplaceConfiguration, ReadConfiguration>;
 
+// Why a call is no command.
 struct CommandError {
-    int status = 400;
+    HttpStatus status = HttpStatus::BadRequest;
     std::string message;           // one line
-    std::string allowed_method;    // with 405: the method that the path takes
+    std::string allowed_method;    // with MethodNotAllowed: the method that the path takes
 };
+// The answer to a call that is no command.
+Response to_response(const CommandError& command_error);
 
-constexpr std::size_t kMaxHeartbeatSize = 4 * 1024, kMaxConfigurationSize = 64 * 1024 * 1024;
+// Bytes of a body.
+constexpr std::size_t kMaxHeartbeatSize = 4 * 1024;
+constexpr std::size_t kMaxConfigurationSize = 64 * 1024 * 1024;
 
-// Errors: Refused: 400 a body or an id that makes no sense, 404 an unknown path, 405, 413.
+// Errors: CommandError: BadRequest for a malformed body or id, NotFound for an unknown path,
+// MethodNotAllowed, PayloadTooLarge.
 boost::leaf::result<Command> decode_command(std::string_view method, std::string_view target,
                                             std::string_view body);
-// What a body may bring at most, known by the head alone. What this allows too much, decode refuses.
+// The largest body to read for a call, known from its head alone. decode_command rejects the calls for which
+// this says too much.
 std::size_t max_body_size(std::string_view method, std::string_view target);
 
-// Commands between the connections and the loop that runs them, by urgency: servers that leave, then other
-// calls of servers and reads, then configurations; within one kind as they came.
-class CommandQueue {
-public:
-    struct Response {
-        int status = 200;
-        std::string body;
-        std::string headers;
-    };
-    struct PendingCommand {
-        Command command;
-        std::function<void(Response)> respond;    // once, at any time, from the loop
-        std::function<bool()> cancelled;          // nobody waits for it any more
-        TimePoint queued_at{};
-    };
-    explicit CommandQueue(std::size_t max_per_priority = 4096) : max_per_priority_(max_per_priority) {}
-    // False where it is full: nothing was taken, and `order` is as it was.
-    bool push(PendingCommand&& pending);
-    std::optional<PendingCommand> pop();
-    std::size_t size() const;
-
-private:
-    static constexpr std::size_t kPriorities = 3;
-    std::size_t max_per_priority_;    // of each kind
-    std::deque<PendingCommand> pending_[kPriorities];
-};
-
 }    // namespace shaletray::control_api
--- /dev/null
+++ b/src/controller/api/response.cpp
@@ -0,0 +1,55 @@
+#include "controller/api/response.h"
+
+#include <fmt/format.h>
+
+#include <chrono>
+
+namespace shaletray::control_api {
+namespace {
+
+using namespace std::chrono_literals;
+
+// Short against the second after which callers turn to another controller.
+constexpr Duration kRetryDelay = 100ms;
+
+std::string escape_json(std::string_view text) {
+    std::string escaped;
+    for (const char character : text) {
+        if (character == '"' || character == '\\') escaped += '\\';
+        escaped += static_cast<unsigned char>(character) < 0x20 ? ' ' : character;
+    }
+    return escaped;
+}
+
+}    // namespace
+
+std::string extra_headers(const Response& response) {
+    std::string headers;
+    if (!response.allowed_method.empty()) headers += fmt::format("Allow: {}\r\n", response.allowed_method);
+    if (response.retry_after > Duration(0)) {
+        const double seconds = std::chrono::duration<double>(response.retry_after).count();
+        headers += fmt::format("Retry-After: {}\r\n", seconds);
+    }
+    return headers;
+}
+
+Response success() { return {HttpStatus::Ok, "{}"}; }
+
+Response call_accepted(std::string_view heartbeat_target) {
+    if (heartbeat_target.empty()) return success();
+    return {HttpStatus::Ok, fmt::format("{{\"heartbeat_target\":\"{}\"}}", heartbeat_target)};
+}
+
+Response configuration_text(std::string text) { return {HttpStatus::Ok, std::move(text)}; }
+
+Response error(HttpStatus status, std::string_view message) {
+    return {status, fmt::format("{{\"error\":\"{}\"}}", escape_json(message))};
+}
+
+Response retry_later() {
+    Response response = error(HttpStatus::ServiceUnavailable, "no majority in time");
+    response.retry_after = kRetryDelay;
+    return response;
+}
+
+}    // namespace shaletray::control_api
--- /dev/null
+++ b/src/controller/command_executor.cpp
@@ -0,0 +1,183 @@
+#include "controller/command_executor.h"
+
+#include <boost/leaf/handle_errors.hpp>
+#include <utility>
+#include <variant>
+
+#include "base/runtime/log_sink.h"
+
+namespace shaletray::controller {
+namespace {
+
+using namespace std::chrono_literals;
+namespace leaf = boost::leaf;
+using control_api::HttpStatus;
+using control_api::PendingCommand;
+using control_api::Response;
+using runtime::log_event;
+
+// In one turn of the event loop.
+constexpr int kMaxCommandsPerTurn = 64;
+
+void send_response(ApiCaller& caller, Response response) {
+    ApiReply reply;
+    reply.status_code = static_cast<int>(response.status);
+    reply.extra_headers = control_api::extra_headers(response);
+    reply.body = std::move(response.body);
+    caller.send_reply(std::move(reply));
+}
+
+using DecodedCall = std::variant<control_api::Command, Response>;
+
+// A command, or the response to a call that is none.
+DecodedCall decode_call(const ApiCall& call) {
+    return leaf::try_handle_all(
+        [&]() -> leaf::result<DecodedCall> {
+            BOOST_LEAF_AUTO(command, control_api::decode_command(call.method, call.target, call.body));
+            return DecodedCall(std::move(command));
+        },
+        [](const control_api::CommandError& error) { return DecodedCall(control_api::to_response(error)); },
+        [] { return DecodedCall(control_api::error(HttpStatus::BadRequest, "not understood")); });
+}
+
+std::string_view event_of(consensus::Outcome outcome) {
+    switch (outcome) {
+        case consensus::Outcome::Conflict: return "configuration_conflict";
+        case consensus::Outcome::Indeterminate: return "configuration_indeterminate";
+        case consensus::Outcome::Committed:
+        case consensus::Outcome::Stale: break;
+    }
+    return "configuration_committed";
+}
+
+Response response_to_proposal(consensus::Outcome outcome) {
+    switch (outcome) {
+        case consensus::Outcome::Indeterminate: return control_api::retry_later();
+        case consensus::Outcome::Conflict:
+            return control_api::error(HttpStatus::Conflict,
+                                      "revision: this number was taken by another body");
+        case consensus::Outcome::Committed:
+        case consensus::Outcome::Stale: break;    // a later version is in force: nothing is left to do
+    }
+    return control_api::success();
+}
+
+}    // namespace
+
+CommandExecutor::CommandExecutor(Reactor& reactor, ConsensusDriver& consensus, ConfigurationLoader& loader,
+                                 UpdateDistributor& distributor, std::string heartbeat_target)
+    : reactor_(reactor),
+      consensus_(consensus),
+      loader_(loader),
+      distributor_(distributor),
+      heartbeat_target_(std::move(heartbeat_target)) {}
+
+CommandExecutor::~CommandExecutor() { reactor_.cancel_timer(run_timer_); }
+
+void CommandExecutor::handle_call(const ApiCall& call, std::shared_ptr<ApiCaller> caller) {
+    DecodedCall decoded = decode_call(call);
+    if (auto* rejection = std::get_if<Response>(&decoded)) {
+        ++statistics_.rejected;
+        return send_response(*caller, std::move(*rejection));
+    }
+    PendingCommand pending;
+    pending.command = std::move(std::get<control_api::Command>(decoded));
+    pending.queued_at = reactor_.clock().now();
+    pending.respond = [caller](Response response) { send_response(*caller, std::move(response)); };
+    pending.cancelled = [caller] { return caller->is_abandoned(); };
+    if (!commands_.push(std::move(pending))) {
+        ++statistics_.rejected;
+        return send_response(*caller, control_api::retry_later());
+    }
+    schedule_run();
+}
+
+void CommandExecutor::schedule_run() {
+    if (run_timer_ == 0) run_timer_ = reactor_.schedule_after(Duration(0), [this] { run_commands(); });
+}
+
+void CommandExecutor::run_commands() {
+    run_timer_ = 0;
+    for (int count = 0; count < kMaxCommandsPerTurn; ++count) {
+        std::optional<PendingCommand> pending = commands_.pop();
+        if (!pending) break;
+        std::visit([&](auto& command) { execute(command, *pending); }, pending->command);
+    }
+    distributor_.publish_changes();
+    acknowledge_server_calls();
+    if (commands_.size() > 0) schedule_run();
+}
+
+// A server that went to another controller each time would have its owner changed, and sent to all, each
+// time.
+void CommandExecutor::acknowledge_server_calls() {
+    const Response response = control_api::call_accepted(heartbeat_target_);
+    for (const Respond& acknowledge : std::exchange(pending_acknowledgements_, {})) acknowledge(response);
+}
+
+// What a server says counts also where it waits no longer for the answer.
+void CommandExecutor::execute(const control_api::HeartbeatCommand& command, PendingCommand& pending) {
+    ++statistics_.heartbeats;
+    distributor_.record_heartbeat(command.heartbeat);
+    pending_acknowledgements_.push_back(std::move(pending.respond));
+}
+
+void CommandExecutor::execute(const control_api::Deregister& command, PendingCommand& pending) {
+    ++statistics_.deregistrations;
+    distributor_.deregister(command.id);
+    pending_acknowledgements_.push_back(std::move(pending.respond));
+}
+
+void CommandExecutor::execute(control_api::ReplaceConfiguration& command, PendingCommand& pending) {
+    ++statistics_.replacements;
+    if (pending.cancelled()) return;
+    const auto on_checked = [this, respond = pending.respond](ConfigurationLoader::CheckResult result) {
+        on_text_checked(std::move(result), respond);
+    };
+    if (!loader_.check(std::move(command.text), on_checked)) pending.respond(control_api::retry_later());
+}
+
+void CommandExecutor::on_text_checked(ConfigurationLoader::CheckResult result, const Respond& respond) {
+    if (const auto* error = std::get_if<configuration::ConfigurationError>(&result)) {
+        log_event(LogLevel::Info, "configuration_rejected",
+                  {log_field("field", error->field), log_field("reason", error->reason)});
+        return respond(control_api::error(HttpStatus::BadRequest, error->field + ": " + error->reason));
+    }
+    propose(std::move(std::get<ConfigurationLoader::ValidText>(result)), respond);
+}
+
+void CommandExecutor::propose(ConfigurationLoader::ValidText configuration, const Respond& respond) {
+    const auto on_outcome = [this, version = configuration.version, started_at = reactor_.clock().now(),
+                             respond](consensus::Outcome outcome) {
+        on_proposal_done(version, started_at, outcome, respond);
+    };
+    consensus_.propose(configuration.version, std::move(configuration.text), on_outcome);
+}
+
+void CommandExecutor::on_proposal_done(std::uint64_t version, TimePoint started_at,
+                                       consensus::Outcome outcome, const Respond& respond) {
+    if (outcome == consensus::Outcome::Conflict) ++statistics_.conflicts;
+    if (outcome == consensus::Outcome::Indeterminate) ++statistics_.indeterminate;
+    log_event(
+        LogLevel::Info, event_of(outcome),
+        {log_field("version", version), log_field("current_version", consensus_.committed_entry().version),
+         log_field("took_ms", (reactor_.clock().now() - started_at) / 1ms)});
+    respond(response_to_proposal(outcome));
+}
+
+void CommandExecutor::execute(const control_api::ReadConfiguration&, PendingCommand& pending) {
+    ++statistics_.reads;
+    if (pending.cancelled()) return;
+    consensus_.quorum_read(
+        [this, respond = pending.respond](consensus::Outcome outcome) { on_read_done(outcome, respond); });
+}
+
+void CommandExecutor::on_read_done(consensus::Outcome outcome, const Respond& respond) {
+    if (outcome == consensus::Outcome::Indeterminate) return respond(control_api::retry_later());
+    const consensus::LogEntry& entry = consensus_.committed_entry();
+    if (entry.version == 0)
+        return respond(control_api::error(HttpStatus::NotFound, "no configuration was taken yet"));
+    respond(control_api::configuration_text(entry.text));
+}
+
+}    // namespace shaletray::controller
--- /dev/null
+++ b/src/controller/command_executor.h
@@ -0,0 +1,69 @@
+// Carries out the calls of the control API: heartbeats and deregistrations of servers, replacing and reading
+// the configuration.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "base/net/api_server.h"
+#include "controller/api/command_queue.h"
+#include "controller/configuration_loader.h"
+#include "controller/consensus_driver.h"
+#include "controller/update_distributor.h"
+
+namespace shaletray::controller {
+
+// For the reactor's thread only. Calls are queued and run in later turns, so many at once, that messages of
+// other processes are not held up. What it is constructed with has to outlive it.
+class CommandExecutor {
+public:
+    struct Statistics {
+        std::uint64_t heartbeats = 0, deregistrations = 0, replacements = 0, reads = 0;
+        std::uint64_t rejected = 0;         // no command, or too many were queued
+        std::uint64_t conflicts = 0;        // replacements whose version belongs to another text
+        std::uint64_t indeterminate = 0;    // replacements without an answer of a majority
+    };
+    // Servers are told to send their heartbeats to `heartbeat_target`, this controller's control address.
+    CommandExecutor(Reactor& reactor, ConsensusDriver& consensus, ConfigurationLoader& loader,
+                    UpdateDistributor& distributor, std::string heartbeat_target);
+    ~CommandExecutor();
+    CommandExecutor(const CommandExecutor&) = delete;
+    CommandExecutor& operator=(const CommandExecutor&) = delete;
+
+    void handle_call(const ApiCall& call, std::shared_ptr<ApiCaller> caller);
+    // This controller is about to stop: servers are no longer asked to stay with it.
+    void release_servers() { heartbeat_target_.clear(); }
+    const Statistics& statistics() const { return statistics_; }
+
+private:
+    using Respond = std::function<void(control_api::Response)>;
+
+    void schedule_run();
+    void run_commands();
+    void acknowledge_server_calls();
+    void execute(const control_api::HeartbeatCommand& command, control_api::PendingCommand& pending);
+    void execute(const control_api::Deregister& command, control_api::PendingCommand& pending);
+    void execute(control_api::ReplaceConfiguration& command, control_api::PendingCommand& pending);
+    void execute(const control_api::ReadConfiguration& command, control_api::PendingCommand& pending);
+    void on_text_checked(ConfigurationLoader::CheckResult result, const Respond& respond);
+    void propose(ConfigurationLoader::ValidText configuration, const Respond& respond);
+    void on_proposal_done(std::uint64_t version, TimePoint started_at, consensus::Outcome outcome,
+                          const Respond& respond);
+    void on_read_done(consensus::Outcome outcome, const Respond& respond);
+
+    Reactor& reactor_;
+    ConsensusDriver& consensus_;
+    ConfigurationLoader& loader_;
+    UpdateDistributor& distributor_;
+    std::string heartbeat_target_;
+    control_api::CommandQueue commands_;
+    Timers::Id run_timer_ = 0;
+    // Calls of servers that were run in this turn: acknowledged once their changes have been published.
+    std::vector<Respond> pending_acknowledgements_;
+    Statistics statistics_;
+};
+
+}    // namespace shaletray::controller
--- /dev/null
+++ b/src/controller/configuration_loader.h
@@ -0,0 +1,56 @@
+// Turns texts into configurations: those that an operator wants to put in force are checked, those that were
+// committed are installed. A text that was checked here is not parsed again when it is committed.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <string>
+#include <variant>
+
+#include "cluster/configuration/configuration.h"
+#include "cluster/consensus/replicated_register.h"
+#include "controller/configuration_validator.h"
+
+namespace shaletray::controller {
+
+// For the reactor's thread only.
+class ConfigurationLoader {
+public:
+    using InstallCallback = std::function<void(configuration::Configuration)>;
+    // A text that is a configuration, and the version that it has.
+    struct ValidText {
+        std::string text;
+        std::uint64_t version = 0;
+    };
+    using CheckResult = std::variant<ValidText, configuration::ConfigurationError>;
+    using CheckCallback = std::function<void(CheckResult)>;
+
+    // `install` is called for committed configurations, at once or in a later turn. A short text may be
+    // parsed before an older, long one, so an older version may come after a newer one.
+    ConfigurationLoader(Reactor& reactor, InstallCallback install)
+        : install_(std::move(install)), validator_(reactor) {}
+
+    // Calls back at once or in a later turn. False where too many texts are queued: there is no call then.
+    bool check(std::string&& text, CheckCallback on_checked);
+    // Installs the entry's configuration, unless its version was loaded before. Where too many texts are
+    // queued it does nothing, and is to be called again later.
+    void load(const consensus::LogEntry& entry);
+
+private:
+    // Of a configuration that was checked here and is not committed yet.
+    struct CheckedConfiguration {
+        std::size_t text_length = 0, text_hash = 0;
+        configuration::Configuration parsed;
+    };
+    void remember(const std::string& text, configuration::Configuration parsed);
+    bool install_checked(const consensus::LogEntry& entry);
+    void on_entry_parsed(std::uint64_t version, ConfigurationValidator::Outcome outcome);
+
+    InstallCallback install_;
+    std::deque<CheckedConfiguration> checked_;    // the newest last
+    std::uint64_t loaded_version_ = 0;            // the newest that was loaded, or is being parsed
+    ConfigurationValidator validator_;
+};
+
+}    // namespace shaletray::controller
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -1,5 +1,5 @@
-// The program `lighthouse`: keeps the configuration and the list of servers. Its settings file is named by
-// SHALETRAY_BOOT or --settings.
+// The program `controller`: keeps the configuration and the registry of servers. Its settings file is named
+// by SHALETRAY_BOOT or --settings.
 #include <Poco/Exception.h>
 
 #include <algorithm>
@@ -17,13 +17,15 @@
 using namespace std::chrono_literals;
 using namespace shaletray;
 
-// A founder is one of those that the first start of the whole system names.
+constexpr auto kReopenInterval = 100ms;    // also how soon a request to stop is noticed meanwhile
+
+// The first voters are the controllers that the settings of the system's very first start name as seeds.
 bool is_founder(const runtime::NodeSettings& settings) {
     return settings.bootstrap && std::find(settings.seed_addresses.begin(), settings.seed_addresses.end(),
                                            settings.control_address) != settings.seed_addresses.end();
 }
 
-// A disk in trouble may be well again: the program waits for it.
+// A disk that cannot be used now may be usable again later, so this waits for it. Null: stopped meanwhile.
 std::unique_ptr<consensus::StateStore> open_store(const runtime::NodeSettings& settings) {
     if (settings.data_directory.empty()) return consensus::StateStore::in_memory(is_founder(settings));
     while (!runtime::is_stop_requested()) {
@@ -32,14 +34,15 @@
                 return consensus::StateStore::open(settings.data_directory + "/lamp", is_founder(settings));
             },
             [&](const consensus::StorageError& error) {
-                static LogRateLimiter gate(1s);
-                if (gate.try_acquire())
-                    runtime::log_event(LogLevel::Warning, "disk_trouble", {log_field("why", error.reason)});
+                static LogRateLimiter log_limiter(1s);
+                if (log_limiter.try_acquire())
+                    runtime::log_event(LogLevel::Warning, "storage_error",
+                                       {log_field("reason", error.reason)});
                 return std::unique_ptr<consensus::StateStore>();
             },
             [] { return std::unique_ptr<consensus::StateStore>(); });
         if (store) return store;
-        std::this_thread::sleep_for(100ms);
+        std::this_thread::sleep_for(kReopenInterval);
     }
     return nullptr;
 }
@@ -62,7 +65,7 @@
         runtime::log_event(LogLevel::Info, "counters", {log_field("text", node.counters_text())});
         return 0;
     } catch (const Poco::Exception& error) {
-        std::fprintf(stderr, "lighthouse: %s\n", error.displayText().c_str());
+        std::fprintf(stderr, "controller: %s\n", error.displayText().c_str());
         return 1;
     }
 }
--- /dev/null
+++ b/src/controller/update_distributor.h
@@ -0,0 +1,65 @@
+// Holds the registry of servers and the newest configuration, and spreads what is new in them: to the
+// gateways both, to the other controllers the servers that this one owns.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "cluster/registry/service_registry.h"
+#include "cluster/transport/connection_manager.h"
+#include "controller/configuration_publisher.h"
+#include "controller/registry_forwarder.h"
+
+namespace shaletray::controller {
+
+// For the reactor's thread only. Clock and connections have to outlive it.
+class UpdateDistributor {
+public:
+    // `is_quorum_held` says whether this controller is in contact with a majority of the voters now; gateways
+    // learn it with each update.
+    UpdateDistributor(const registry::ServiceRegistry::Settings& settings, const Clock& clock,
+                      transport::ConnectionManager& connections, std::function<bool()> is_quorum_held);
+    UpdateDistributor(const UpdateDistributor&) = delete;
+    UpdateDistributor& operator=(const UpdateDistributor&) = delete;
+
+    // Calls of servers. Nothing is sent before publish_changes.
+    void record_heartbeat(const registry::Heartbeat& heartbeat);
+    void deregister(const std::string& server_id);
+    // Sends what has changed in the registry to the gateways and to the other controllers.
+    void publish_changes();
+    // Sends a committed configuration to the gateways, unless a newer one was published already.
+    void publish(configuration::Configuration new_configuration);
+    // A message of another controller about its servers.
+    void on_registry_message(const transport::Message& message);
+    // A gateway's report of what it has. Malformed ones are ignored.
+    void on_subscription_message(const transport::Message& message);
+    // Internal addresses of all known controllers, without this one.
+    void set_peers(const std::vector<std::string>& addresses);
+    // This process has a higher incarnation now: everything is sent anew.
+    void set_incarnation(std::uint64_t incarnation);
+    void tick(TimePoint now);
+    TimePoint next_deadline() const { return next_tick_; }
+
+    std::size_t gateway_count() const { return publisher_.gateway_count(); }
+    std::size_t server_count() const { return registry_.servers().size(); }
+
+private:
+    void notify_gateways();
+    void notify_gateways_of_changes();
+    void send(const std::vector<ConfigurationPublisher::OutgoingMessage>& messages);
+    void send(const std::vector<RegistryForwarder::OutgoingMessage>& messages);
+
+    const Clock& clock_;
+    transport::ConnectionManager& connections_;
+    std::function<bool()> is_quorum_held_;
+    registry::ServiceRegistry registry_;
+    RegistryForwarder forwarder_;
+    ConfigurationPublisher publisher_;
+    std::uint64_t notified_sequence_ =
+        0;    // the registry's changes up to this one were sent to the gateways
+    TimePoint next_tick_{};
+};
+
+}    // namespace shaletray::controller
