--- a/tests/controller/configuration_publisher_test.cpp
+++ b/tests/controller/configuration_publisher_test.cpp
@@ -1,4 +1,4 @@
-// What pilots are told, taken up as pilots do.
+// The updates that gateways are sent, applied as gateways apply them.
 #include "controller/configuration_publisher.h"
 
 #include <criterion/criterion.h>
@@ -15,7 +15,7 @@
 
 TimePoint time_at(Duration offset) { return TimePoint(1'000'000s + offset); }
 
-configuration::Configuration chart_of(std::uint64_t version) {
+configuration::Configuration make_configuration(std::uint64_t version) {
     std::string routes;
     for (std::uint64_t i = 0; i < 300; ++i)
         routes += std::string(i == 0 ? "" : ",") + R"(["r)" + std::to_string(i) + R"(","h.example","/p)" +
@@ -34,29 +34,29 @@
         const auto update = subscription::decode_control_update(bytes);
         cr_assert(update);
         ++message_count;
-        bytes_taken += bytes.size();
+        received_bytes += bytes.size();
         if (!update->configuration_delta.empty()) {
-            auto next = configuration::apply_update(chart, update->configuration_delta);
+            auto next = configuration::apply_update(current, update->configuration_delta);
             cr_assert(next, "%s cannot use an update to %lu", name.c_str(), update->version);
-            chart = std::move(*next);
+            current = std::move(*next);
         }
-        cr_assert(roster.apply_changes(update->endpoint_changes, now));
+        cr_assert(directory.apply_changes(update->endpoint_changes, now));
         if (incarnation != update->incarnation) sequence = 0;
         incarnation = update->incarnation;
         if (update->since_sequence <= sequence) sequence = std::max(sequence, update->sequence);
     }
-    subscription::ClientState have() const {
-        return {1,           chart.version, chart.version == 0 ? 0 : configuration::digest_of(chart),
-                incarnation, sequence,      1};
+    subscription::ClientState client_state() const {
+        return {1,           current.version, current.version == 0 ? 0 : configuration::digest_of(current),
+                incarnation, sequence,        1};
     }
     std::string name;
-    configuration::Configuration chart;
-    registry::EndpointDirectory roster;
+    configuration::Configuration current;
+    registry::EndpointDirectory directory;
     std::uint64_t incarnation = 0, sequence = 0;
-    std::size_t message_count = 0, bytes_taken = 0;
+    std::size_t message_count = 0, received_bytes = 0;
 };
 
-registry::Heartbeat send_heartbeat(const std::string& id, std::uint64_t calls) {
+registry::Heartbeat make_heartbeat(const std::string& id, std::uint64_t calls) {
     registry::Heartbeat heartbeat;
     heartbeat.server.id = id;
     heartbeat.server.service = "s";
@@ -70,74 +70,75 @@
     ConfigurationPublisher publisher{ConfigurationPublisher::Settings{.incarnation = 5}, service_registry};
     std::map<std::string, TestGateway> gateways;
     std::vector<ConfigurationPublisher::OutgoingMessage> messages;
-    TestGateway& pilot(const std::string& name) { return gateways.try_emplace(name, name).first->second; }
+    TestGateway& gateway(const std::string& name) { return gateways.try_emplace(name, name).first->second; }
     void deliver(TimePoint now) {
-        for (const auto& send : std::exchange(messages, {})) pilot(send.to).accept_update(send.bytes, now);
+        for (const auto& send : std::exchange(messages, {})) gateway(send.to).accept_update(send.bytes, now);
     }
     void report(const std::string& name, TimePoint now) {
-        publisher.on_client_state(name, pilot(name).have(), now, messages);
+        publisher.on_client_state(name, gateway(name).client_state(), now, messages);
         deliver(now);
     }
 };
 
 }    // namespace
 
-Test(gallery, tells_at_once_who_reported_and_in_the_answer_who_did_not) {
-    PublisherFixture rig;
-    rig.report("a", time_at(0s));
-    rig.report("b", time_at(0s));
-    cr_assert(rig.pilot("a").message_count == 1 && rig.pilot("a").chart.version == 0);
-    rig.publisher.publish(chart_of(1));
-    rig.report("b", time_at(4s));    // a was silent for longer than pilots are waited for
-    rig.publisher.publish(chart_of(2));
-    rig.service_registry.record_heartbeat(send_heartbeat("i", 1), time_at(4s));
-    rig.publisher.notify_clients(time_at(4s), rig.messages);
-    rig.deliver(time_at(4s));
-    cr_assert(rig.pilot("a").message_count == 1 && rig.pilot("b").chart.version == 2);
-    cr_assert(rig.pilot("b").roster.servers().contains("i"));
-    rig.publisher.notify_clients(time_at(4s), rig.messages);
-    cr_assert(rig.messages.empty());    // nobody lacks anything
-    rig.report("a", time_at(5s));
-    cr_assert(rig.pilot("a").chart == rig.pilot("b").chart && rig.pilot("a").roster.servers().contains("i"));
+Test(configuration_publisher, notifies_active_gateways_at_once_and_others_in_the_answer_to_their_report) {
+    PublisherFixture fixture;
+    fixture.report("a", time_at(0s));
+    fixture.report("b", time_at(0s));
+    cr_assert(fixture.gateway("a").message_count == 1 && fixture.gateway("a").current.version == 0);
+    fixture.publisher.publish(make_configuration(1));
+    fixture.report("b", time_at(4s));    // a has been silent for longer than the active window
+    fixture.publisher.publish(make_configuration(2));
+    fixture.service_registry.record_heartbeat(make_heartbeat("i", 1), time_at(4s));
+    fixture.publisher.notify_clients(time_at(4s), fixture.messages);
+    fixture.deliver(time_at(4s));
+    cr_assert(fixture.gateway("a").message_count == 1 && fixture.gateway("b").current.version == 2);
+    cr_assert(fixture.gateway("b").directory.servers().contains("i"));
+    fixture.publisher.notify_clients(time_at(4s), fixture.messages);
+    cr_assert(fixture.messages.empty());    // nobody is behind
+    fixture.report("a", time_at(5s));
+    cr_assert(fixture.gateway("a").current == fixture.gateway("b").current &&
+              fixture.gateway("a").directory.servers().contains("i"));
 }
 
-Test(gallery, sends_differences_to_who_holds_what_is_still_held) {
-    PublisherFixture rig;
+Test(configuration_publisher, sends_deltas_to_gateways_whose_version_it_still_keeps) {
+    PublisherFixture fixture;
     for (std::uint64_t version = 1; version <= 20; ++version) {
-        rig.publisher.publish(chart_of(version));
-        rig.report(version == 1 ? "oldest" : version == 10 ? "older" : "newest", time_at(0s));
+        fixture.publisher.publish(make_configuration(version));
+        fixture.report(version == 1 ? "oldest" : version == 10 ? "older" : "newest", time_at(0s));
     }
     for (const char* name : {"oldest", "older", "newest"}) {
-        TestGateway& gateway = rig.pilot(name);
-        const auto before = gateway.bytes_taken;
-        rig.report(name, time_at(1s));
-        cr_assert(gateway.chart == chart_of(20));
-        // The first one's chart is not held any more, and it gets the whole.
-        cr_assert((gateway.bytes_taken - before < 1500) == (gateway.name != "oldest"), "%s: %zu", name,
-                  gateway.bytes_taken - before);
+        TestGateway& gateway = fixture.gateway(name);
+        const auto before = gateway.received_bytes;
+        fixture.report(name, time_at(1s));
+        cr_assert(gateway.current == make_configuration(20));
+        // The oldest one's version is not kept any more, so it gets the full configuration.
+        cr_assert((gateway.received_bytes - before < 1500) == (gateway.name != "oldest"), "%s: %zu", name,
+                  gateway.received_bytes - before);
     }
 }
 
-Test(gallery, repairs_what_was_lost_and_begins_anew_with_another_life) {
-    PublisherFixture rig;
-    rig.publisher.publish(chart_of(1));
-    rig.report("a", time_at(0s));
-    rig.publisher.publish(chart_of(2));
-    rig.service_registry.record_heartbeat(send_heartbeat("i", 1), time_at(0s));
-    rig.publisher.notify_clients(time_at(0s), rig.messages);
-    rig.messages.clear();    // lost with a connection
-    rig.service_registry.record_heartbeat(send_heartbeat("jj", 1), time_at(0s));
-    rig.publisher.notify_clients(time_at(0s), rig.messages);
-    rig.deliver(time_at(0s));
-    TestGateway& gateway = rig.pilot("a");
-    cr_assert(gateway.chart.version == 1 && gateway.roster.servers().contains("jj") &&
-              !gateway.roster.servers().contains("i"));
-    rig.report("a", time_at(500ms));
-    cr_assert(gateway.chart.version == 2 && gateway.roster.servers().contains("i"));
-    rig.service_registry.incarnation(6);
-    rig.publisher.set_incarnation(6);
-    rig.service_registry.deregister("i", time_at(1s));
-    rig.report("a", time_at(1s));
-    cr_assert(gateway.incarnation == 6 && gateway.sequence == rig.service_registry.sequence());
-    cr_assert(gateway.roster.servers().at("i").state == registry::State::Departed);
+Test(configuration_publisher, resends_what_was_lost_and_starts_anew_with_another_incarnation) {
+    PublisherFixture fixture;
+    fixture.publisher.publish(make_configuration(1));
+    fixture.report("a", time_at(0s));
+    fixture.publisher.publish(make_configuration(2));
+    fixture.service_registry.record_heartbeat(make_heartbeat("i", 1), time_at(0s));
+    fixture.publisher.notify_clients(time_at(0s), fixture.messages);
+    fixture.messages.clear();    // lost with a connection
+    fixture.service_registry.record_heartbeat(make_heartbeat("jj", 1), time_at(0s));
+    fixture.publisher.notify_clients(time_at(0s), fixture.messages);
+    fixture.deliver(time_at(0s));
+    TestGateway& gateway = fixture.gateway("a");
+    cr_assert(gateway.current.version == 1 && gateway.directory.servers().contains("jj") &&
+              !gateway.directory.servers().contains("i"));
+    fixture.report("a", time_at(500ms));
+    cr_assert(gateway.current.version == 2 && gateway.directory.servers().contains("i"));
+    fixture.service_registry.incarnation(6);
+    fixture.publisher.set_incarnation(6);
+    fixture.service_registry.deregister("i", time_at(1s));
+    fixture.report("a", time_at(1s));
+    cr_assert(gateway.incarnation == 6 && gateway.sequence == fixture.service_registry.sequence());
+    cr_assert(gateway.directory.servers().at("i").state == registry::State::Departed);
 }
--- a/tests/controller/quorum_tracker_test.cpp
+++ b/tests/controller/quorum_tracker_test.cpp
@@ -1,5 +1,5 @@
-// A lighthouse that has no contact with a majority, in virtual time: it hands out nothing as current,
-// acknowledges nothing, refuses nothing, and is whole within `contact` after its return.
+// A controller without contact to a majority, in virtual time: it hands out nothing as current, acknowledges
+// and rejects nothing, and has its quorum back within the contact timeout after its return.
 #include "controller/quorum_tracker.h"
 
 #include "cluster/consensus/register_cluster.h"
@@ -13,10 +13,10 @@
 
 enum class ConnectivityFault {
     Partitioned,
-    InboundBlocked,
-    OutboundBlocked,
-    Frozen
-};    // Deaf: it hears nobody; Mute: nobody hears it
+    InboundBlocked,     // it receives nothing
+    OutboundBlocked,    // nothing from it is received
+    Frozen,
+};
 
 struct QuorumFixture {
     consensus::test::Cluster cluster;
@@ -41,7 +41,7 @@
         }
         run(1s);
     }
-    // As the wiring does: looked at after each turn of the register, here every 10 ms.
+    // The tracker is updated after each turn of the register, as by ConsensusDriver; here every 10 ms.
     void run(Duration duration) {
         const TimePoint deadline = cluster.now + duration;
         while (cluster.now < deadline) {
@@ -114,7 +114,7 @@
 
     if (kind == ConnectivityFault::Frozen) {
         fixture.cluster.run(fault_end);
-        cr_assert(!fixture.has_quorum(2));    // before it has done or heard anything
+        cr_assert(!fixture.has_quorum(2));    // before it has done or received anything
     } else {
         fixture.run(fault_end - fixture.cluster.now);
         fixture.cluster.partitioned_links.clear();
@@ -137,7 +137,8 @@
 
 }    // namespace
 
-Test(quorum, who_is_cut_off_confirms_and_refuses_nothing_and_is_whole_within_contact) {
+Test(quorum_tracker,
+     isolated_controller_confirms_and_rejects_nothing_and_recovers_within_the_contact_timeout) {
     for (const ConnectivityFault kind : {ConnectivityFault::Partitioned, ConnectivityFault::InboundBlocked,
                                          ConnectivityFault::OutboundBlocked, ConnectivityFault::Frozen})
         for (const Duration duration : {Duration(25s), Duration(60s)})
@@ -147,7 +148,7 @@
                                            seed);
 }
 
-Test(quorum, a_core_without_a_majority_says_so_once_everywhere) {
+Test(quorum_tracker, lost_majority_is_reported_once_by_every_controller) {
     const Duration contact_timeout = 1500ms;
     QuorumFixture fixture(1, contact_timeout);
     fixture.cluster.partitioned_links = {{0, 1}, {1, 0}, {0, 2}, {2, 0}, {1, 2}, {2, 1}};
--- a/tests/controller/registry_forwarder_test.cpp
+++ b/tests/controller/registry_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// Lighthouses that tell each other of servers, over links that lose what they like.
+// Controllers that exchange their servers over links that lose messages at random.
 #include "controller/registry_forwarder.h"
 
 #include <criterion/criterion.h>
@@ -88,7 +88,7 @@
 
 }    // namespace
 
-Test(relay, brings_all_to_one_view_whatever_was_lost) {
+Test(registry_forwarder, converges_whatever_was_lost) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         TestCluster cluster;
         cluster.draw.seed(seed);
@@ -103,9 +103,9 @@
                     to, id, ++calls,
                     cluster.draw() % 5 == 0 ? registry::State::Draining : registry::State::InService);
             cluster.step(0.5);
-            if (i == 50) cluster.start_node("10.0.0.2:7100", 2);    // one begins anew
+            if (i == 50) cluster.start_node("10.0.0.2:7100", 2);    // one is restarted
         }
-        // What only the old life kept is heard of again by a next call.
+        // Servers that only the earlier incarnation owned are known again by their next heartbeat.
         for (int id = 8000; id < 8010; ++id)
             cluster.send_heartbeat("10.0.0." + std::to_string(cluster.draw() % 3 + 1) + ":7100",
                                    std::to_string(id), ++calls);
@@ -115,7 +115,7 @@
     }
 }
 
-Test(relay, says_little_in_calm_and_a_change_once) {
+Test(registry_forwarder, sends_little_when_nothing_changes_and_each_change_once) {
     TestCluster cluster;
     for (int i = 0; i < 200; ++i) cluster.send_heartbeat("10.0.0.1:7100", std::to_string(8000 + i), 1);
     for (int i = 0; i < 30; ++i) cluster.step(0.0);
@@ -134,10 +134,10 @@
     cr_assert(cluster.all_agree() && cluster.message_count <= 8);
 }
 
-Test(relay, keeps_servers_whose_keeper_was_given_a_later_life) {
+Test(registry_forwarder, keeps_servers_whose_owner_got_a_higher_incarnation) {
     TestCluster cluster;
     cluster.start_node("10.0.0.1:7100",
-                       500);    // and a clock that is set back, while the old life is remembered
+                       500);    // its clock is set back next, while this incarnation is remembered
     cluster.send_heartbeat("10.0.0.1:7100", "8000", 1);
     for (int i = 0; i < 20; ++i) cluster.step(0.0);
     cluster.start_node("10.0.0.1:7100", 400);
@@ -152,7 +152,7 @@
     };
     run(10);
     TestController& back = *cluster.all.at("10.0.0.1:7100");
-    back.incarnation = 501;    // as the others say it has to be
+    back.incarnation = 501;    // what the others require
     back.service_registry.incarnation(501);
     back.forwarder.reset_peers();
     run(300);
--- a/tests/controller/voter_reconciler_test.cpp
+++ b/tests/controller/voter_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// Who is voted into the voters, and by whose proposal.
+// Which voters are proposed, when, and by which controller.
 #include "controller/voter_reconciler.h"
 
 #include <criterion/criterion.h>
@@ -13,11 +13,11 @@
 
 TimePoint time_at(Duration offset) { return TimePoint(1'000'000s + offset); }
 
-// Lighthouses by their address; each sees the others as `members` says.
+// Controllers by their address; each sees the others as `members` says.
 struct TestCluster {
     TestCluster() {
         for (const char* a : {"a", "b", "c"}) {
-            decree.voters.push_back({a, 0});
+            entry.voters.push_back({a, 0});
             add(a, 0, time_at(0s));
         }
     }
@@ -34,133 +34,137 @@
         members[address].state = to;
         members[address].state_changed_at = now;
     }
-    // What `me` proposes, and when, looking four times a second; `behind` have not learnt the decree yet.
-    std::optional<std::pair<VoterReconciler::VoterChange, Duration>> first(VoterReconciler& reconciler,
-                                                                           const std::string& me,
-                                                                           Duration from, Duration until) {
+    // What `self` proposes first, and when, asked four times a second. Those in `behind` lack the newest
+    // entry.
+    std::optional<std::pair<VoterReconciler::VoterChange, Duration>> first_proposal(
+        VoterReconciler& reconciler, const std::string& self, Duration from, Duration until) {
         for (Duration offset = from; offset <= until; offset += 250ms) {
             auto others = members;
-            others.erase(me);
+            others.erase(self);
             for (auto& [address, m] : others)
                 if (m.state == membership::State::Alive) m.last_heard = time_at(offset);
             const auto is_caught_up = [&](const consensus::Replica& replica) {
                 return !behind.contains(replica.address);
             };
-            if (auto step = reconciler.next_change(decree, others, is_caught_up, time_at(offset)))
+            if (auto step = reconciler.next_change(entry, others, is_caught_up, time_at(offset)))
                 return std::pair(*step, offset);
         }
         return std::nullopt;
     }
     std::set<std::string> behind;
-    consensus::LogEntry decree;
+    consensus::LogEntry entry;
     std::map<std::string, membership::Member> members;
 };
 
 }    // namespace
 
-VoterReconciler steward(const std::string& me, std::uint64_t disk, Duration now, std::size_t losses = 1) {
-    return VoterReconciler({{me, disk}, losses, 4s}, time_at(now));
+VoterReconciler make_reconciler(const std::string& self, std::uint64_t disk, Duration now,
+                                std::size_t max_failures = 1) {
+    return VoterReconciler({{self, disk}, max_failures, 4s}, time_at(now));
 }
 using Voters = std::vector<consensus::Replica>;
 
-Test(steward, leaves_the_voters_alone_who_are_whole) {
+Test(voter_reconciler, leaves_responding_voters_alone) {
     TestCluster cluster;
-    VoterReconciler reconciler = steward("a", 0, 0s);
-    cr_assert(!cluster.first(reconciler, "a", 0s, 30s));
-    cluster.state("c", membership::State::Suspect, time_at(1s));    // nobody could take its place
-    cr_assert(!cluster.first(reconciler, "a", 0s, 60s));
+    VoterReconciler reconciler = make_reconciler("a", 0, 0s);
+    cr_assert(!cluster.first_proposal(reconciler, "a", 0s, 30s));
+    cluster.state("c", membership::State::Suspect, time_at(1s));    // nobody can take its place
+    cr_assert(!cluster.first_proposal(reconciler, "a", 0s, 60s));
 }
 
-Test(steward, votes_an_emptied_disk_in_again_by_the_first_that_may) {
+Test(voter_reconciler, readmits_an_emptied_disk_by_the_first_voter_that_responds) {
     TestCluster cluster;
     cluster.add("a", 77, time_at(0s));
-    VoterReconciler a = steward("a", 77, 0s), b = steward("b", 0, 0s), reconciler = steward("c", 0, 0s);
-    const auto step = cluster.first(b, "b", 0s, 10s);
+    VoterReconciler a = make_reconciler("a", 77, 0s), b = make_reconciler("b", 0, 0s),
+                    reconciler = make_reconciler("c", 0, 0s);
+    const auto step = cluster.first_proposal(b, "b", 0s, 10s);
     cr_assert(step && step->second <= 1250ms);
-    cr_assert(step->first.current_voters == cluster.decree.voters);
+    cr_assert(step->first.current_voters == cluster.entry.voters);
     cr_assert(step->first.new_voters == (Voters{{"a", 77}, {"b", 0}, {"c", 0}}));
-    cr_assert(!cluster.first(a, "a", 0s, 30s));    // it has no vote itself
-    const auto later = cluster.first(reconciler, "c", 0s, 30s);
+    cr_assert(!cluster.first_proposal(a, "a", 0s, 30s));    // it has no vote itself
+    const auto later = cluster.first_proposal(reconciler, "c", 0s, 30s);
     cr_assert(later && later->second >= step->second + 500ms);
-    cluster.behind = {"a"};    // who has not learnt what was decided does not vote on what follows
-    VoterReconciler again = steward("b", 0, 0s);
-    cr_assert(!cluster.first(again, "b", 0s, 30s));
+    cluster.behind = {"a"};    // who lacks the newest entry must not vote on the next one
+    VoterReconciler again = make_reconciler("b", 0, 0s);
+    cr_assert(!cluster.first_proposal(again, "b", 0s, 30s));
 }
 
-Test(steward, gives_a_lost_ones_place_to_a_newcomer_in_time_and_does_not_add_to_the_voters) {
+Test(voter_reconciler, replaces_a_failed_voter_in_time_and_keeps_the_number_of_voters) {
     TestCluster cluster;
     cluster.add("d", 9, time_at(0s));
-    VoterReconciler reconciler = steward("a", 0, 0s);
-    cr_assert(!cluster.first(reconciler, "a", 0s, 20s));    // four bear no more than three
+    VoterReconciler reconciler = make_reconciler("a", 0, 0s);
+    cr_assert(
+        !cluster.first_proposal(reconciler, "a", 0s, 20s));    // four tolerate no more failures than three
     cluster.state("c", membership::State::Suspect, time_at(22s));
     cluster.members["c"].last_heard = time_at(20s);
-    const auto step = cluster.first(reconciler, "a", 22s, 40s);
+    const auto step = cluster.first_proposal(reconciler, "a", 22s, 40s);
     cr_assert(step && step->first.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
-    // Within catch_up (4 s) of the loss, after which another one may follow; but not of a short silence.
+    // Within the catch-up time (4 s), after which another failure may follow; but not after a short silence.
     cr_assert(step->second > 22s && step->second <= 23s);
 }
 
-Test(steward, replaces_who_said_goodbye_at_once_and_waits_for_those_it_has_not_met) {
+Test(voter_reconciler, replaces_a_departed_voter_at_once_and_waits_for_unknown_ones) {
     TestCluster w;
     w.add("d", 9, time_at(0s));
     w.state("c", membership::State::Dead, time_at(1s));
     w.members["c"].departed = true;
-    VoterReconciler a = steward("a", 0, 0s);
-    const auto step = w.first(a, "a", 1s, 20s);
+    VoterReconciler a = make_reconciler("a", 0, 0s);
+    const auto step = w.first_proposal(a, "a", 1s, 20s);
     cr_assert(step && step->first.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}) && step->second <= 2s);
     TestCluster cluster;
     cluster.add("d", 9, time_at(10s));
-    cluster.members.erase("c");    // this process has just begun
-    VoterReconciler reconciler = steward("a", 0, 10s);
-    const auto late = cluster.first(reconciler, "a", 10s, 30s);
+    cluster.members.erase("c");    // this process has just started
+    VoterReconciler reconciler = make_reconciler("a", 0, 10s);
+    const auto late = cluster.first_proposal(reconciler, "a", 10s, 30s);
     cr_assert(late && late->first.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}) && late->second > 14s);
 }
 
-Test(steward, hands_its_vote_on_before_it_leaves) {
+Test(voter_reconciler, hands_over_its_vote_before_it_leaves) {
     TestCluster cluster;
     cluster.add("d", 9, time_at(0s));
-    VoterReconciler c = steward("c", 0, 0s);
-    cr_assert(!cluster.first(c, "c", 0s, 2s));
+    VoterReconciler c = make_reconciler("c", 0, 0s);
+    cr_assert(!cluster.first_proposal(c, "c", 0s, 2s));
     c.start_leaving();
-    const auto step = cluster.first(c, "c", 2s, 2s);    // though others would come first
+    const auto step =
+        cluster.first_proposal(c, "c", 2s, 2s);    // at once, though others are before it by address
     cr_assert(step && step->first.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
-    cluster.members["c"].info.voter_eligible = false;    // as it says of itself then
-    VoterReconciler reconciler = steward("a", 0, 0s);
-    const auto others = cluster.first(reconciler, "a", 0s, 2s);
+    cluster.members["c"].info.voter_eligible = false;    // as it then announces
+    VoterReconciler reconciler = make_reconciler("a", 0, 0s);
+    const auto others = cluster.first_proposal(reconciler, "a", 0s, 2s);
     cr_assert(others && others->first.new_voters == step->first.new_voters);
     TestCluster alone;
-    VoterReconciler last = steward("c", 0, 0s);
-    last.start_leaving();    // nobody takes it: two of two bear less than two of three with one that comes
-                             // back
-    cr_assert(!alone.first(last, "c", 0s, 5s));
+    VoterReconciler last = make_reconciler("c", 0, 0s);
+    last.start_leaving();    // nobody takes its vote: two of two tolerate less than two of three, one of
+                             // which may return
+    cr_assert(!alone.first_proposal(last, "c", 0s, 5s));
 }
 
-// Every set of 1 to 9 voters with any of them away or leaving, and up to four newcomers: whatever is proposed
-// bears no less, names nobody who is away beside someone who could vote, and ends.
-Test(steward, no_step_lowers_the_losses_that_are_borne_and_all_end_in_an_odd_number) {
+// Every set of 1 to 9 voters with any number of them unavailable or leaving, and up to four candidates: no
+// proposed change tolerates fewer failures than before, and the changes come to an end.
+Test(voter_reconciler, no_change_lowers_the_tolerated_failures_and_all_end_in_an_odd_number) {
     std::size_t states = 0;
-    for (std::size_t losses = 1; losses <= 3; ++losses)
+    for (std::size_t max_failures = 1; max_failures <= 3; ++max_failures)
         for (std::size_t n = 1; n <= 9; ++n)
-            for (std::size_t away = 0; away < n; ++away)
-                for (std::size_t leaving = 0; away + leaving < n; ++leaving)
-                    for (std::size_t fresh = 0; fresh <= 4; ++fresh, ++states) {
+            for (std::size_t unavailable = 0; unavailable < n; ++unavailable)
+                for (std::size_t leaving = 0; unavailable + leaving < n; ++leaving)
+                    for (std::size_t candidates = 0; candidates <= 4; ++candidates, ++states) {
                         TestCluster cluster;
-                        cluster.decree.voters.clear();
+                        cluster.entry.voters.clear();
                         cluster.members.clear();
                         const auto name = [](std::size_t i) {
                             return std::string(1, static_cast<char>('a' + i));
                         };
-                        for (std::size_t i = 0; i < n + fresh; ++i) {
+                        for (std::size_t i = 0; i < n + candidates; ++i) {
                             cluster.add(name(i), i, time_at(0s));
-                            if (i < n) cluster.decree.voters.push_back({name(i), i});
+                            if (i < n) cluster.entry.voters.push_back({name(i), i});
                             if (i >= n || i == 0) continue;
                             cluster.members[name(i)].info.voter_eligible = i > leaving;
-                            if (i + away < n) continue;
+                            if (i + unavailable < n) continue;
                             cluster.state(name(i), membership::State::Dead, time_at(0s));
                             cluster.members[name(i)].departed = true;
                         }
-                        const auto bears = [&] {
-                            const auto& v = cluster.decree.voters;
+                        const auto tolerated_failures = [&] {
+                            const auto& v = cluster.entry.voters;
                             const auto answer =
                                 std::count_if(v.begin(), v.end(), [&](const consensus::Replica& replica) {
                                     const auto& member = cluster.members[replica.address];
@@ -170,26 +174,27 @@
                             return VoterReconciler::tolerated_failures(static_cast<std::size_t>(answer),
                                                                        v.size());
                         };
-                        VoterReconciler reconciler = steward("a", 0, 0s, losses);
+                        VoterReconciler reconciler = make_reconciler("a", 0, 0s, max_failures);
                         int steps = 0;
-                        while (const auto step = cluster.first(reconciler, "a", 10s, 12s)) {
-                            const int before = bears();
-                            cluster.decree.voters = step->first.new_voters;
-                            cr_assert(bears() >= before,
-                                      "%zu voters, %zu away, %zu leave, %zu come: %d to %d", n, away, leaving,
-                                      fresh, before, bears());
+                        while (const auto step = cluster.first_proposal(reconciler, "a", 10s, 12s)) {
+                            const int before = tolerated_failures();
+                            cluster.entry.voters = step->first.new_voters;
+                            cr_assert(tolerated_failures() >= before,
+                                      "%zu voters, %zu unavailable, %zu leave, %zu come: %d to %d", n,
+                                      unavailable, leaving, candidates, before, tolerated_failures());
                             cr_assert(++steps < 10);
                         }
-                        const std::size_t here = n - away - leaving, left = cluster.decree.voters.size();
-                        const std::size_t least = 2 * losses + 1;
-                        // As many as the system may lose, wherever there are machines for it.
-                        if (here + fresh >= least && left >= least)
-                            cr_assert(bears() >= static_cast<int>(losses),
-                                      "%zu voters, %zu away, %zu leave, %zu come: bears %d", n, away, leaving,
-                                      fresh, bears());
-                        cr_assert(left % 2 == 1 || left <= least || (away + leaving == 0 && fresh == 0),
-                                  "%zu voters, %zu away, %zu leave, %zu come: %zu left", n, away, leaving,
-                                  fresh, left);
+                        const std::size_t here = n - unavailable - leaving, left = cluster.entry.voters.size();
+                        const std::size_t least = 2 * max_failures + 1;
+                        // As many failures as the system has to tolerate, wherever there are machines for it.
+                        if (here + candidates >= least && left >= least)
+                            cr_assert(tolerated_failures() >= static_cast<int>(max_failures),
+                                      "%zu voters, %zu unavailable, %zu leave, %zu come: tolerates %d", n,
+                                      unavailable, leaving, candidates, tolerated_failures());
+                        cr_assert(
+                            left % 2 == 1 || left <= least || (unavailable + leaving == 0 && candidates == 0),
+                            "%zu voters, %zu unavailable, %zu leave, %zu come: %zu left", n, unavailable,
+                            leaving, candidates, left);
                     }
     printf("%zu sets of voters\n", states);
 }
