--- a/tests/controller/voter_reconciler_test.cpp
+++ b/tests/controller/voter_reconciler_test.cpp
@@ -184,7 +184,8 @@
                                       unavailable, leaving, candidates, before, tolerated_failures());
                             cr_assert(++steps < 10);
                         }
-                        const std::size_t here = n - unavailable - leaving, left = cluster.entry.voters.size();
+                        const std::size_t here = n - unavailable - leaving,
+                                          left = cluster.entry.voters.size();
                         const std::size_t least = 2 * max_failures + 1;
                         // As many failures as the system has to tolerate, wherever there are machines for it.
                         if (here + candidates >= least && left >= least)
