--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -17,6 +17,8 @@
 using namespace std::chrono_literals;
 using namespace shaletray;
 
+// Below the data directory. Stores of all versions are found by this name.
+constexpr const char* kStoreFolder = "/lamp";
 constexpr auto kReopenInterval = 100ms;    // also how soon a request to stop is noticed meanwhile
 
 // The first voters are the controllers that the settings of the system's very first start name as seeds.
@@ -31,7 +33,8 @@
     while (!runtime::is_stop_requested()) {
         auto store = boost::leaf::try_handle_all(
             [&]() {
-                return consensus::StateStore::open(settings.data_directory + "/lamp", is_founder(settings));
+                return consensus::StateStore::open(settings.data_directory + kStoreFolder,
+                                                   is_founder(settings));
             },
             [&](const consensus::StorageError& error) {
                 static LogRateLimiter log_limiter(1s);
--- a/tests/controller/registry_forwarder_test.cpp
+++ b/tests/controller/registry_forwarder_test.cpp
@@ -15,10 +15,10 @@
 TimePoint time_at(Duration offset) { return TimePoint(1'000'000s + offset); }
 
 struct TestController {
-    TestController(std::string a, std::uint64_t l)
-        : address(std::move(a)),
-          incarnation(l),
-          service_registry({address, l, 1500ms, 4}),
+    TestController(std::string own_address, std::uint64_t own_incarnation)
+        : address(std::move(own_address)),
+          incarnation(own_incarnation),
+          service_registry({address, incarnation, 1500ms, 4}),
           forwarder(service_registry) {}
     std::string address;
     std::uint64_t incarnation;
@@ -32,30 +32,28 @@
         for (const char* a : {"10.0.0.1:7100", "10.0.0.2:7100", "10.0.0.3:7100"}) start_node(a, 1);
     }
     void start_node(const std::string& address, std::uint64_t incarnation) {
-        all[address] = std::make_unique<TestController>(address, incarnation);
-        std::vector<std::string> others;
-        for (const auto& [a, l] : all)
-            if (a != address) others.push_back(a);
-        for (auto& [a, l] : all) {
-            std::vector<std::string> rest;
-            for (const auto& [b, m] : all)
-                if (a != b) rest.push_back(b);
-            l->forwarder.set_peers(rest);
+        controllers[address] = std::make_unique<TestController>(address, incarnation);
+        for (auto& [own_address, controller] : controllers) {
+            std::vector<std::string> peers;
+            for (const auto& [other_address, other] : controllers)
+                if (other_address != own_address) peers.push_back(other_address);
+            controller->forwarder.set_peers(peers);
         }
     }
     void step(double loss_rate) {
         now += 100ms;
-        for (auto& [address, l] : all) {
-            l->service_registry.tick(time_at(now));
-            l->forwarder.send_changes(time_at(now), l->messages);
-            l->forwarder.tick(time_at(now), l->messages);
+        for (auto& [address, controller] : controllers) {
+            controller->service_registry.tick(time_at(now));
+            controller->forwarder.send_changes(time_at(now), controller->messages);
+            controller->forwarder.tick(time_at(now), controller->messages);
         }
-        for (auto& [address, l] : all)
-            for (const auto& send : std::exchange(l->messages, {})) {
+        for (auto& [address, controller] : controllers)
+            for (const auto& send : std::exchange(controller->messages, {})) {
                 ++message_count;
                 bytes += send.bytes.size();
-                if (std::uniform_real_distribution<>(0, 1)(draw) < loss_rate) continue;
-                all.at(send.to)->forwarder.on_message(address, l->incarnation, send.bytes, time_at(now));
+                if (std::uniform_real_distribution<>(0, 1)(random) < loss_rate) continue;
+                controllers.at(send.to)->forwarder.on_message(address, controller->incarnation, send.bytes,
+                                                              time_at(now));
             }
     }
     void send_heartbeat(const std::string& to, const std::string& id, std::uint64_t calls,
@@ -66,23 +64,23 @@
         heartbeat.server.address = "10.128.0.9:" + id;
         heartbeat.server.call_count = calls;
         heartbeat.server.state = state;
-        all.at(to)->service_registry.record_heartbeat(heartbeat, time_at(now));
+        controllers.at(to)->service_registry.record_heartbeat(heartbeat, time_at(now));
     }
     bool all_agree() const {
-        const auto& first = all.begin()->second->service_registry.servers();
-        for (const auto& [address, l] : all) {
-            const auto& servers = l->service_registry.servers();
+        const auto& first = controllers.begin()->second->service_registry.servers();
+        for (const auto& [address, controller] : controllers) {
+            const auto& servers = controller->service_registry.servers();
             if (servers.size() != first.size()) return false;
-            for (const auto& [id, s] : servers) {
+            for (const auto& [id, server] : servers) {
                 const auto it = first.find(id);
-                if (it == first.end() || it->second.state != s.state) return false;
+                if (it == first.end() || it->second.state != server.state) return false;
             }
         }
         return true;
     }
-    std::map<std::string, std::unique_ptr<TestController>> all;
+    std::map<std::string, std::unique_ptr<TestController>> controllers;
     Duration now = 0s;
-    std::mt19937_64 draw{1};
+    std::mt19937_64 random{1};
     std::size_t message_count = 0, bytes = 0;
 };
 
@@ -91,27 +89,27 @@
 Test(registry_forwarder, converges_whatever_was_lost) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         TestCluster cluster;
-        cluster.draw.seed(seed);
+        cluster.random.seed(seed);
         std::uint64_t calls = 0;
         for (int i = 0; i < 100; ++i) {
-            const std::string to = "10.0.0." + std::to_string(cluster.draw() % 3 + 1) + ":7100";
-            const std::string id = std::to_string(8000 + cluster.draw() % 10);
-            if (cluster.draw() % 20 == 0)
-                cluster.all.at(to)->service_registry.deregister(id, time_at(cluster.now));
+            const std::string to = "10.0.0." + std::to_string(cluster.random() % 3 + 1) + ":7100";
+            const std::string id = std::to_string(8000 + cluster.random() % 10);
+            if (cluster.random() % 20 == 0)
+                cluster.controllers.at(to)->service_registry.deregister(id, time_at(cluster.now));
             else
                 cluster.send_heartbeat(
                     to, id, ++calls,
-                    cluster.draw() % 5 == 0 ? registry::State::Draining : registry::State::InService);
+                    cluster.random() % 5 == 0 ? registry::State::Draining : registry::State::InService);
             cluster.step(0.5);
             if (i == 50) cluster.start_node("10.0.0.2:7100", 2);    // one is restarted
         }
         // Servers that only the earlier incarnation owned are known again by their next heartbeat.
         for (int id = 8000; id < 8010; ++id)
-            cluster.send_heartbeat("10.0.0." + std::to_string(cluster.draw() % 3 + 1) + ":7100",
+            cluster.send_heartbeat("10.0.0." + std::to_string(cluster.random() % 3 + 1) + ":7100",
                                    std::to_string(id), ++calls);
         for (int i = 0; i < 45; ++i) cluster.step(0.0);
         cr_assert(cluster.all_agree(), "seed %lu", seed);
-        cr_assert(!cluster.all.begin()->second->service_registry.servers().empty());
+        cr_assert(!cluster.controllers.begin()->second->service_registry.servers().empty());
     }
 }
 
@@ -146,12 +144,12 @@
         for (int i = 0; i < steps; ++i) {
             if (i % 15 == 0) cluster.send_heartbeat("10.0.0.1:7100", "8000", ++calls);
             cluster.step(0.0);
-            const auto& there = cluster.all.at("10.0.0.3:7100")->service_registry.servers();
+            const auto& there = cluster.controllers.at("10.0.0.3:7100")->service_registry.servers();
             cr_assert(there.at("8000").state == registry::State::InService);
         }
     };
     run(10);
-    TestController& back = *cluster.all.at("10.0.0.1:7100");
+    TestController& back = *cluster.controllers.at("10.0.0.1:7100");
     back.incarnation = 501;    // what the others require
     back.service_registry.incarnation(501);
     back.forwarder.reset_peers();
