--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "base/runtime/log_sink.h"
+#include "gateway/gateway_settings.h"
 
 namespace shaletray::gateway {
 namespace {
@@ -17,19 +18,21 @@
 // After the order to stop, new clients arrive until the platform has noticed: it checks readiness each
 // second, and believes the second failure. Open requests may end until shortly before the process is killed.
 constexpr Duration kAcceptAfterStop = 2200ms, kKillMargin = 500ms;
-constexpr std::size_t kReservedDescriptors = 260;    // files outside the disk folder, and the reactor's own
-constexpr double kClientSocketShare = 0.65;          // of the remaining descriptors
-
-std::vector<std::string> zone_names(const runtime::NodeSettings& settings) {
-    std::vector<std::string> names;
-    for (const auto& [zone, region] : settings.region_by_zone) names.push_back(zone);
-    return names;
+// A connection to a server that drains may still be used for so long after it was being opened.
+constexpr Duration kDrainStartGrace = 300ms;
+// Between two ticks, whatever the parts ask for.
+constexpr Duration kMinTickInterval = 5ms;
+
+std::string_view state_name(membership::State state) {
+    switch (state) {
+        case membership::State::Alive: return "alive";
+        case membership::State::Suspect: return "suspected";
+        default: return "gone";
+    }
 }
 
-std::size_t max_sockets(const runtime::NodeSettings& settings) {
-    return settings.max_open_files > kReservedDescriptors + 64
-               ? settings.max_open_files - kReservedDescriptors
-               : 64;
+std::uint64_t first_incarnation(TimePoint now) {
+    return static_cast<std::uint64_t>(std::max<std::int64_t>(1, now.time_since_epoch().count()));
 }
 
 }    // namespace
@@ -37,23 +40,12 @@
 Gateway::Gateway(runtime::NodeSettings settings)
     : settings_(std::move(settings)),
       address_(runtime::gateway_address(settings_.ip, settings_)),
-      incarnation_(
-          static_cast<std::uint64_t>(std::max<std::int64_t>(1, clock_.now().time_since_epoch().count()))),
-      hosts_({zone_names(settings_), 300ms}),
+      incarnation_(first_incarnation(clock_.now())),
+      hosts_({zone_names(settings_), kDrainStartGrace}),
       quota_lease_(address_) {
-    const TimePoint now = clock_.now();
     const std::uint64_t seed = std::hash<std::string>{}(address_) ^ incarnation_;
-
-    membership::Settings membership_settings;
-    membership_settings.self.address = address_;
-    membership_settings.self.role = membership::Role::Gateway;
-    membership_settings.self.name = settings_.node_name;
-    membership_settings.self.zone = settings_.zone;
-    membership_settings.self.region = settings_.region;
-    membership_settings.self.incarnation = incarnation_;
-    membership_settings.seeds = runtime::controller_seeds(settings_);
-    membership_settings.random_seed = seed;
-    membership_ = std::make_unique<membership::Membership>(membership_settings, now);
+    membership_ = std::make_unique<membership::Membership>(
+        membership_settings_of(settings_, address_, incarnation_, seed), clock_.now());
 
     start_quota_balancer();
 
@@ -67,21 +59,14 @@
         reactor_, address_, incarnation_, transport::ConnectionManager::Limits{},
         [this](transport::Message&& message) { on_message(std::move(message)); });
 
-    DispatcherSettings dispatcher_settings;
-    dispatcher_settings.seed = seed + 2;
-    dispatcher_settings.pipelines.max_server_connections =
-        static_cast<std::size_t>(static_cast<double>(max_sockets(settings_)) * (1.0 - kClientSocketShare));
-    dispatcher_settings.pipelines.zone = hosts_.zone_number(settings_.zone);
-    dispatcher_settings.pipelines.retry_ratio = settings_.bounds.retry_budget_ratio;
-    dispatcher_settings.pipelines.retry_slack = settings_.bounds.retry_slack;
-    dispatcher_settings.pipelines.retry_window = settings_.bounds.retry_window;
-    dispatcher_ = std::make_unique<RequestDispatcher>(dispatcher_settings, reactor_, timers_, counters_,
-                                                      hosts_, *quota_balancer_, [this] { schedule_tick(); });
+    const int zone = hosts_.zone_number(settings_.zone);
+    dispatcher_ = std::make_unique<RequestDispatcher>(dispatcher_settings_of(settings_, zone, seed + 2),
+                                                      reactor_, timers_, counters_, hosts_, *quota_balancer_,
+                                                      [this] { schedule_tick(); });
 
     listener_ = std::make_unique<ClientListener>(
         *dispatcher_, request_mapper_, ClientCapacity{max_sockets(settings_), settings_.memory_mb}, counters_,
-        reactor_, ClientListener::listen(settings_.frontend_address),
-        static_cast<std::size_t>(static_cast<double>(max_sockets(settings_)) * kClientSocketShare),
+        reactor_, ClientListener::listen(settings_.frontend_address), max_client_sockets(settings_),
         [this] { return ready(); });
     readiness_server_ = serve_readiness(reactor_, settings_.readiness_address, [this] { return ready(); });
     log_event(LogLevel::Info, "gateway_started",
@@ -120,14 +105,8 @@
 
 // The buckets of an incarnation start empty.
 void Gateway::start_quota_balancer() {
-    quota::Settings balancer_settings;
-    balancer_settings.self = address_;
-    balancer_settings.incarnation = incarnation_;
-    balancer_settings.seed = std::hash<std::string>{}(address_) + incarnation_;
-    balancer_settings.window = settings_.bounds.quota_window;
-    balancer_settings.overshoot = settings_.bounds.quota_overshoot;
-    balancer_settings.slack = settings_.bounds.quota_slack;
-    quota_balancer_ = std::make_unique<quota::QuotaBalancer>(balancer_settings, clock_.now());
+    quota_balancer_ = std::make_unique<quota::QuotaBalancer>(
+        balancer_settings_of(settings_, address_, incarnation_), clock_.now());
     if (dispatcher_) dispatcher_->set_quota_balancer(*quota_balancer_);
 }
 
@@ -193,11 +172,8 @@
         const auto it = membership_->members().find(address);
         if (it == membership_->members().end()) continue;
         const membership::Member& member = it->second;
-        const std::string_view state = member.state == membership::State::Alive     ? "alive"
-                                       : member.state == membership::State::Suspect ? "suspected"
-                                                                                    : "gone";
         log_event(LogLevel::Debug, "member_changed",
-                  {log_field("member", address), log_field("state", state),
+                  {log_field("member", address), log_field("state", state_name(member.state)),
                    log_field("incarnation", member.info.incarnation),
                    log_field("quota_divisor", member.info.quota_divisor)});
         controllers_changed = controllers_changed || member.info.role == membership::Role::Controller;
@@ -215,23 +191,8 @@
 void Gateway::apply_actions(const ControlPlaneClient::Actions& actions) {
     for (const auto& send : actions.sends)
         connections_->send_session_message(send.to, transport::Kind::Subscription, send.bytes);
-    const TimePoint now = clock_.now();
-    if (actions.configuration_changed) {
-        const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index =
-            control_plane_client_->configuration_index();
-        set_quotas();
-        request_mapper_.set_configuration(configuration_index);
-        dispatcher_->set_configuration(configuration_index);
-        log_event(LogLevel::Info, "configuration_applied",
-                  {log_field("version", configuration_index->config().version),
-                   log_field("routes", configuration_index->config().routes.size()),
-                   log_field("services", configuration_index->config().services.size()),
-                   log_field("tenants", configuration_index->requires_api_key()
-                                            ? configuration_index->config().tenants->size()
-                                            : 0)});
-    }
-    if (actions.servers_changed)
-        dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), now));
+    if (actions.configuration_changed) apply_configuration();
+    if (actions.servers_changed) update_hosts();
     if (ready() != was_ready_) {
         was_ready_ = ready();
         log_event(LogLevel::Info, was_ready_ ? "gateway_ready" : "gateway_not_ready");
@@ -240,6 +201,25 @@
     }
 }
 
+void Gateway::apply_configuration() {
+    const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index =
+        control_plane_client_->configuration_index();
+    set_quotas();
+    request_mapper_.set_configuration(configuration_index);
+    dispatcher_->set_configuration(configuration_index);
+    const configuration::Configuration& configuration = configuration_index->config();
+    const std::size_t tenant_count =
+        configuration_index->requires_api_key() ? configuration.tenants->size() : 0;
+    log_event(LogLevel::Info, "configuration_applied",
+              {log_field("version", configuration.version), log_field("routes", configuration.routes.size()),
+               log_field("services", configuration.services.size()), log_field("tenants", tenant_count)});
+}
+
+// Takes over the servers as the controllers announce them, at their present capacity.
+void Gateway::update_hosts() {
+    dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), clock_.now()));
+}
+
 void Gateway::update_controllers() {
     std::vector<std::string> alive, suspect;
     for (const auto& [address, member] : membership_->members()) {
@@ -276,13 +256,13 @@
     }
     if (now >= next_host_update_) {    // servers that have just started reach their full capacity
         next_host_update_ = now + kHostUpdateInterval;
-        dispatcher_->on_servers_changed(hosts_.update(control_plane_client_->servers(), now));
+        update_hosts();
     }
     const TimePoint due =
         std::min({membership_->next_deadline(), next_peer_update_, quota_balancer_->next_deadline(),
                   control_plane_client_->next_deadline(), next_host_update_});
     reactor_.cancel_timer(tick_timer_);
-    tick_timer_ = reactor_.schedule_at(std::max(due, now + 5ms), [this] { tick(); });
+    tick_timer_ = reactor_.schedule_at(std::max(due, now + kMinTickInterval), [this] { tick(); });
 }
 
 void Gateway::schedule_tick() {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -47,6 +47,8 @@
     void apply_actions(const membership::Actions& actions);
     void apply_actions(const quota::Actions& actions);
     void apply_actions(const ControlPlaneClient::Actions& actions);
+    void apply_configuration();
+    void update_hosts();
     void update_controllers();
 
     runtime::NodeSettings settings_;
--- /dev/null
+++ b/src/gateway/gateway_settings.h
@@ -0,0 +1,31 @@
+// The settings of a gateway's parts, from the settings of its node.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "base/runtime/settings_file.h"
+#include "cluster/membership/membership.h"
+#include "cluster/quota/quota_balancer.h"
+#include "gateway/request_dispatcher.h"
+
+namespace shaletray::gateway {
+
+// The zones of the system, in the order of their numbers.
+std::vector<std::string> zone_names(const runtime::NodeSettings& settings);
+
+// Sockets that the process may open to clients and servers together.
+std::size_t max_sockets(const runtime::NodeSettings& settings);
+// The part of them that is for clients.
+std::size_t max_client_sockets(const runtime::NodeSettings& settings);
+
+membership::Settings membership_settings_of(const runtime::NodeSettings& settings, const std::string& address,
+                                            std::uint64_t incarnation, std::uint64_t seed);
+quota::Settings balancer_settings_of(const runtime::NodeSettings& settings, const std::string& address,
+                                     std::uint64_t incarnation);
+// `zone`: the number of this node's zone.
+DispatcherSettings dispatcher_settings_of(const runtime::NodeSettings& settings, int zone,
+                                          std::uint64_t seed);
+
+}    // namespace shaletray::gateway
--- a/src/gateway/service_pipelines.h
+++ b/src/gateway/service_pipelines.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <memory>
+#include <optional>
 #include <random>
 #include <set>
 #include <string>
