--- a/src/base/runtime/setting_fields.cpp
+++ b/src/base/runtime/setting_fields.cpp
@@ -128,7 +128,7 @@
 
 const std::unordered_map<std::string_view, Setter>& setters() {
     using Node = NodeSettings;
-    static const std::unordered_map<std::string_view, Setter> by_name = {
+    static const std::unordered_map<std::string_view, Setter> kSetters = {
         {"node_name", text(&Node::node_name)},
         {"role", text(&Node::role)},
         {"zone", text(&Node::zone)},
@@ -171,7 +171,7 @@
         {"bounds.quota_slack", bound(&Bounds::quota_slack)},
         {"bounds.revocation_global", bound(&Bounds::revocation_global)},
     };
-    return by_name;
+    return kSetters;
 }
 
 }    // namespace
--- a/src/cluster/configuration/configuration.h
+++ b/src/cluster/configuration/configuration.h
@@ -75,8 +75,8 @@
 
 // The configuration's tenants; an empty list where requests need no API key.
 inline const EntryList<Tenant>& tenants_or_empty(const Configuration& config) {
-    static const EntryList<Tenant> no_tenants;
-    return config.tenants ? *config.tenants : no_tenants;
+    static const EntryList<Tenant> kNoTenants;
+    return config.tenants ? *config.tenants : kNoTenants;
 }
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/configuration_index.cpp
+++ b/src/cluster/configuration/configuration_index.cpp
@@ -7,6 +7,7 @@
 #include "cluster/configuration/lookup_keys.h"
 
 namespace shaletray::configuration {
+
 // What is computed once for a configuration; shared by copies of its ConfigurationIndex.
 struct ConfigurationIndex::Indexes {
     EntryIndex<Route> routes;
--- a/src/cluster/configuration/json_values.cpp
+++ b/src/cluster/configuration/json_values.cpp
@@ -48,8 +48,8 @@
 }    // namespace
 
 boost::system::error_code to_error_code(ValueError error) {
-    static const ValueErrorCategory category;
-    return {static_cast<int>(error), category};
+    static const ValueErrorCategory kCategory;
+    return {static_cast<int>(error), kCategory};
 }
 
 std::string message_of(ValueError error) { return to_error_code(error).message(); }
