--- a/src/gateway/quota_lease.cpp
+++ b/src/gateway/quota_lease.cpp
@@ -103,8 +103,8 @@
 }
 
 void QuotaLease::remember_divisor(TimePoint now) {
-    recent_divisors_.emplace_back(now, divisor_);
-    while (now - recent_divisors_.front().first > kPropagationTime) recent_divisors_.pop_front();
+    recent_divisors_.push_back({now, divisor_});
+    while (now - recent_divisors_.front().recorded_at > kPropagationTime) recent_divisors_.pop_front();
 }
 
 // Renews, starts or ends the lease.
@@ -179,7 +179,8 @@
 // Gateways that the peer knew of, by its divisor, and this one did not of late stay counted.
 void QuotaLease::retain_unknown_peers(const Peer& peer) {
     std::uint32_t largest_divisor = std::max(divisor_, possible_gateway_count());
-    for (const auto& [at, divisor] : recent_divisors_) largest_divisor = std::max(largest_divisor, divisor);
+    for (const DivisorRecord& record : recent_divisors_)
+        largest_divisor = std::max(largest_divisor, record.divisor);
     if (peer.quota_divisor > largest_divisor) unknown_peers_ += peer.quota_divisor - largest_divisor;
 }
 
--- a/src/gateway/quota_lease.h
+++ b/src/gateway/quota_lease.h
@@ -37,7 +37,6 @@
 #include <deque>
 #include <map>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "cluster/membership/membership.h"
@@ -83,6 +82,11 @@
     };
     void update_peers(const membership::Membership& cluster, TimePoint now);
     void retain_unknown_peers(const Peer& peer);
+    // What divisor_ was at a moment.
+    struct DivisorRecord {
+        TimePoint recorded_at{};
+        std::uint32_t divisor = 0;
+    };
     struct ContactHistory;
     void forget_silence_after_gap(TimePoint now);
     bool is_quorum_in_contact(const membership::Membership& cluster,
@@ -100,10 +104,10 @@
     bool may_start(TimePoint now);
 
     std::string self_;
-    std::map<std::string, Peer> peers_;    // by internal address
-    std::size_t unknown_peers_ = 0;        // that others knew and whose addresses are unknown here
-    TimePoint unknown_unheard_since_{};    // since when they may be dropped; zero: they may not
-    std::deque<std::pair<TimePoint, std::uint32_t>> recent_divisors_;    // divisor_, and when
+    std::map<std::string, Peer> peers_;            // by internal address
+    std::size_t unknown_peers_ = 0;                // that others knew and whose addresses are unknown here
+    TimePoint unknown_unheard_since_{};            // since when they may be dropped; zero: they may not
+    std::deque<DivisorRecord> recent_divisors_;    // of the last kPropagationTime
     TimePoint last_update_{};
     TimePoint last_renewal_{};
     TimePoint reconnected_at_{};          // since when this gateway is connected; zero: it isn't
