--- a/src/cluster/quota/message.cpp
+++ b/src/cluster/quota/message.cpp
@@ -1,13 +1,11 @@
 #include "cluster/quota/message.h"
 
 #include <capnp/message.h>
-#include <capnp/serialize-packed.h>
-#include <kj/exception.h>
-#include <kj/io.h>
 #include <xxhash.h>
 
 #include <cmath>
 
+#include "base/runtime/capnp_codec.h"
 #include "cluster/quota/quota.capnp.h"
 
 namespace shaletray::quota {
@@ -20,6 +18,8 @@
 // Words on the stack for a message that is written; larger ones are allocated.
 constexpr std::size_t kScratchWords = 256;
 
+constexpr runtime::ReadLimits kReadLimits{.max_words = 4 * kMaxMessageSize, .max_depth = 8};
+
 // Bits of Entry::flags.
 constexpr unsigned kUrgentFlag = 1;
 constexpr unsigned kUnderPressureFlag = 2;
@@ -51,7 +51,7 @@
     return entry;
 }
 
-// May throw kj::Exception.
+// Errors: DecodeError. May throw kj::Exception, which runtime::unpack catches.
 leaf::result<Message> read_message(wire::Balance::Reader root) {
     Message message;
     message.incarnation = root.getIncarnation();
@@ -86,23 +86,12 @@
     root.setEchoDelay(message.echo_delay);
     auto entries = root.initEntries(static_cast<unsigned>(message.entries.size()));
     for (unsigned i = 0; i < entries.size(); ++i) write_entry(message.entries[i], entries[i]);
-    kj::VectorOutputStream stream;
-    capnp::writePackedMessage(stream, builder);
-    const auto bytes = stream.getArray();
-    return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
+    return runtime::pack(builder);
 }
 
 leaf::result<Message> decode(std::string_view bytes) {
     if (bytes.size() > kMaxMessageSize) return leaf::new_error(DecodeError::TooLarge);
-    const auto* const data = reinterpret_cast<const kj::byte*>(bytes.data());
-    try {    // the only place where the library's exceptions can arise
-        kj::ArrayInputStream input(kj::arrayPtr(data, bytes.size()));
-        capnp::PackedMessageReader reader(input,
-                                          {.traversalLimitInWords = 4 * kMaxMessageSize, .nestingLimit = 8});
-        return read_message(reader.getRoot<wire::Balance>());
-    } catch (const kj::Exception&) {
-        return leaf::new_error(DecodeError::Malformed);
-    }
+    return runtime::unpack<wire::Balance>(bytes, kReadLimits, read_message);
 }
 
 std::uint64_t tenant_id(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
--- a/src/cluster/quota/message.h
+++ b/src/cluster/quota/message.h
@@ -39,8 +39,8 @@
     bool operator==(const Message&) const = default;
 };
 
+// Errors of decode(), besides runtime::MalformedMessage.
 enum class DecodeError {
-    Malformed,
     TooLarge,
     InvalidAmount,    // not finite, negative where it may not be, or absurdly large
 };
