--- a/tests/controller/controller_cluster.cpp
+++ b/tests/controller/controller_cluster.cpp
@@ -162,7 +162,7 @@
         const std::uint64_t current_version = machine.replica->committed_entry().version;
         cr_assert(current_version >= request.min_version, "%lu answered after %lu was acknowledged",
                   current_version, request.min_version);
-        committed.acknowledged = std::max(committed.acknowledged, current_version);
+        committed.acknowledged_version = std::max(committed.acknowledged_version, current_version);
     }
 }
 
@@ -201,7 +201,8 @@
 }
 
 void ControllerCluster::submit_request(std::size_t index, bool is_read) {
-    requests[++last_request_id] = {is_read ? 0 : ++last_version, committed.acknowledged, now, is_read};
+    requests[++last_request_id] = {is_read ? 0 : ++last_version, committed.acknowledged_version, now,
+                                   is_read};
     consensus::Actions actions;
     if (is_read) machines[index].replica->quorum_read(last_request_id, now + 900ms, now, actions);
     else
@@ -320,9 +321,10 @@
     for (const consensus::Replica& voter : entry.voters)
         if (const Machine* machine = machine_of_voter(voter)) {
             ++responding;
-            up_to_date += machine->persisted_state.committed.version >= committed.acknowledged ||
-                          (machine->persisted_state.accepted_entry &&
-                           machine->persisted_state.accepted_entry->version >= committed.acknowledged);
+            up_to_date +=
+                machine->persisted_state.committed.version >= committed.acknowledged_version ||
+                (machine->persisted_state.accepted_entry &&
+                 machine->persisted_state.accepted_entry->version >= committed.acknowledged_version);
         }
     cr_assert(VoterReconciler::tolerated_failures(responding, entry.voters.size()) >=
                   static_cast<int>(max_failures),
@@ -339,7 +341,7 @@
 void ControllerCluster::check_progress(const char* phase) {
     for (const bool is_read : {false, true}) {
         const TimePoint started_at = now;
-        const std::uint64_t target_version = is_read ? committed.acknowledged : last_version + 1;
+        const std::uint64_t target_version = is_read ? committed.acknowledged_version : last_version + 1;
         std::uint64_t previous_count = committed_count;
         while (previous_count == committed_count) {
             std::size_t index = random_below(machines.size());
@@ -354,7 +356,7 @@
             cr_assert(now - started_at <= kAckTimeout || previous_count != committed_count,
                       "%s, at %.3f s: no %s", phase, elapsed_seconds(), is_read ? "read" : "acknowledgement");
         }
-        cr_assert(committed.acknowledged >= target_version, "%s", phase);
+        cr_assert(committed.acknowledged_version >= target_version, "%s", phase);
     }
 }
 
--- a/tests/controller/controller_cluster.h
+++ b/tests/controller/controller_cluster.h
@@ -18,7 +18,7 @@
 namespace shaletray::controller::test {
 
 using namespace std::chrono_literals;
-using consensus::test::kLess;
+using consensus::test::kSanitizerDivisor;
 
 struct ControllerCluster {
     static constexpr Duration kCatchUpTime = 4s, kContactTimeout = 3s, kAckTimeout = 4s;
@@ -60,7 +60,7 @@
     std::priority_queue<Event> events;
     std::set<std::pair<std::size_t, std::size_t>> partitioned_links;
     std::map<consensus::RequestId, PendingRequest> requests;
-    consensus::test::Register committed;
+    consensus::test::CommittedEntries committed;
     std::size_t max_failures;
     bool is_diskless = false;    // a restart loses all state, and is another voter
     std::uint64_t last_sequence = 0, last_request_id = 0, last_version = 0, indeterminate_count = 0,
--- a/tests/controller/controller_cluster_test.cpp
+++ b/tests/controller/controller_cluster_test.cpp
@@ -204,13 +204,13 @@
 }
 
 Test(controller_cluster, three_machines) {
-    for (std::uint64_t seed = 1; seed <= 200 / kLess; ++seed) run_worst_case(seed, 3, 3, 1, 12);
+    for (std::uint64_t seed = 1; seed <= 200 / kSanitizerDivisor; ++seed) run_worst_case(seed, 3, 3, 1, 12);
 }
 Test(controller_cluster, five_machines) {
-    for (std::uint64_t seed = 1; seed <= 100 / kLess; ++seed) run_worst_case(seed, 3, 5, 2, 16);
+    for (std::uint64_t seed = 1; seed <= 100 / kSanitizerDivisor; ++seed) run_worst_case(seed, 3, 5, 2, 16);
 }
 Test(controller_cluster, eight_machines) {
-    for (std::uint64_t seed = 1; seed <= 60 / kLess; ++seed) run_worst_case(seed, 3, 8, 2, 16);
+    for (std::uint64_t seed = 1; seed <= 60 / kSanitizerDivisor; ++seed) run_worst_case(seed, 3, 8, 2, 16);
 }
 
 }    // namespace
--- a/tests/controller/quorum_tracker_test.cpp
+++ b/tests/controller/quorum_tracker_test.cpp
@@ -29,13 +29,13 @@
 
     QuorumFixture(std::uint64_t seed, Duration timeout)
         : cluster(seed, 0), contact_timeout(timeout), next_read_at(3), loss_counts(3), gain_counts(3) {
-        cluster.answered = [this](RequestId request_id, Outcome outcome, const consensus::LogEntry&) {
+        cluster.on_completion = [this](RequestId request_id, Outcome outcome, const consensus::LogEntry&) {
             outcomes[request_id] = outcome;
         };
-        cluster.longest_wait = QuorumTracker(contact_timeout, cluster.now).max_retry_interval();
+        cluster.max_retry_interval = QuorumTracker(contact_timeout, cluster.now).max_retry_interval();
         const std::vector<std::string> addresses{cluster.name(0), cluster.name(1), cluster.name(2)};
         for (std::size_t i = 0; i < 3; ++i) {
-            cluster.nodes.push_back({cluster.name(i), {}, {}, {}, 0, 0, {}, {}});
+            cluster.nodes.push_back({cluster.name(i), {}, {}, {}, 0, {}});
             cluster.start(i, addresses);
             trackers.emplace_back(contact_timeout, cluster.now);
         }
@@ -143,7 +143,7 @@
                                          ConnectivityFault::OutboundBlocked, ConnectivityFault::Frozen})
         for (const Duration duration : {Duration(25s), Duration(60s)})
             for (const Duration contact_timeout : {Duration(3s), Duration(1500ms)})
-                for (std::uint64_t seed = 1; seed <= 10 / consensus::test::kLess; ++seed)
+                for (std::uint64_t seed = 1; seed <= 10 / consensus::test::kSanitizerDivisor; ++seed)
                     run_isolation_scenario(kind, duration, contact_timeout, (seed + duration / 60s) % 2 == 0,
                                            seed);
 }
