--- a/Makefile
+++ b/Makefile
@@ -13,12 +13,12 @@
   libxxhash-dev libsqlite3-dev libspdlog-dev
 # For the whole system (deploy/system.toml): pilot and lighthouse.
 SYSTEM_PACKAGES = ninja-build libgflags-dev libboost1.81-dev libboost-log1.81-dev libboost-json1.81-dev \
-  libboost-program-options1.81-dev libcapnp-dev capnproto libleveldb-dev
+  libboost-program-options1.81-dev libcapnp-dev capnproto pkgconf libleveldb-dev
 # For the tests, the laboratory and its reports, and the linters.
 MORE_PACKAGES = libgtest-dev libcriterion-dev gnuplot-nox clang-format clang-tidy shellcheck cmake-format
 
 .PHONY: deps experiment mutations build test test-plain test-sanitize lint lint-format lint-shell lint-cmake \
-  lint-includes lint-nolint format run run-balancer serve example clean
+  lint-includes lint-nolint check-packages format run run-balancer serve example clean
 
 # Needs the right to install packages.
 deps:
@@ -59,6 +59,11 @@
 lint-nolint:
 	tools/lint/nolint.sh
 
+# Builds as the deploy file says, and demands that its packages bring all that the build uses.
+check-packages:
+	sh -ec "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/system.toml)"
+	tools/packages/check_system_packages.sh deploy/system.toml
+
 format:
 	clang-format -i $(SOURCES)
 
