--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "base/runtime/log_sink.h"
+#include "cluster/node/node_membership.h"
 #include "gateway/gateway_settings.h"
 
 namespace shaletray::gateway {
@@ -31,21 +32,18 @@
     }
 }
 
-std::uint64_t first_incarnation(TimePoint now) {
-    return static_cast<std::uint64_t>(std::max<std::int64_t>(1, now.time_since_epoch().count()));
-}
-
 }    // namespace
 
 Gateway::Gateway(runtime::NodeSettings settings)
     : settings_(std::move(settings)),
       address_(runtime::gateway_address(settings_.ip, settings_)),
-      incarnation_(first_incarnation(clock_.now())),
+      incarnation_(node::initial_incarnation(clock_)),
       hosts_({zone_names(settings_), kDrainStartGrace}),
       quota_lease_(address_) {
     const std::uint64_t seed = std::hash<std::string>{}(address_) ^ incarnation_;
     membership_ = std::make_unique<membership::Membership>(
-        membership_settings_of(settings_, address_, incarnation_, seed), clock_.now());
+        node::membership_settings({address_, membership::Role::Gateway, incarnation_}, settings_, seed),
+        clock_.now());
 
     start_quota_balancer();
 
@@ -165,8 +163,7 @@
 }
 
 void Gateway::apply_actions(const membership::Actions& actions) {
-    for (const auto& send : actions.sends)
-        connections_->send_datagram(send.to, transport::Kind::Membership, send.bytes);
+    node::send_datagrams(actions, *connections_);
     bool controllers_changed = false;
     for (const std::string& address : actions.changed_members) {
         const auto it = membership_->members().find(address);
@@ -227,9 +224,9 @@
             continue;
         (member.state == membership::State::Alive ? alive : suspect).push_back(address);
     }
-    for (const std::string& seed : runtime::controller_seeds(settings_)) {
-        if (!membership_->members().contains(seed)) alive.push_back(seed);
-    }
+    const std::vector<std::string> unmet =
+        node::unknown_seeds(runtime::controller_seeds(settings_), membership_->members());
+    alive.insert(alive.end(), unmet.begin(), unmet.end());
     control_plane_client_->set_controllers(std::move(alive), std::move(suspect));
 }
 
@@ -301,8 +298,7 @@
     if (!deadline_reached && (elapsed < kAcceptAfterStop || listener_->client_count() > 0)) return;
     membership::Actions actions;
     membership_->announce_departure(now, actions);
-    for (const auto& send : actions.sends)
-        connections_->send_datagram(send.to, transport::Kind::Membership, send.bytes);
+    node::send_datagrams(actions, *connections_);
     log_event(LogLevel::Info, "gateway_stopped",
               {log_field("after_ms", elapsed / 1ms), log_field("open", dispatcher_->pending_count())});
     reactor_.stop();
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -33,20 +33,6 @@
     return fraction_of(max_sockets(settings), kClientSocketShare);
 }
 
-membership::Settings membership_settings_of(const runtime::NodeSettings& settings, const std::string& address,
-                                            std::uint64_t incarnation, std::uint64_t seed) {
-    membership::Settings result;
-    result.self.address = address;
-    result.self.role = membership::Role::Gateway;
-    result.self.name = settings.node_name;
-    result.self.zone = settings.zone;
-    result.self.region = settings.region;
-    result.self.incarnation = incarnation;
-    result.seeds = runtime::controller_seeds(settings);
-    result.random_seed = seed;
-    return result;
-}
-
 quota::Settings balancer_settings_of(const runtime::NodeSettings& settings, const std::string& address,
                                      std::uint64_t incarnation) {
     quota::Settings result;
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -6,7 +6,6 @@
 #include <vector>
 
 #include "base/runtime/settings_file.h"
-#include "cluster/membership/membership.h"
 #include "cluster/quota/quota_balancer.h"
 #include "gateway/request_dispatcher.h"
 
@@ -20,8 +19,6 @@
 // The part of them that is for clients.
 std::size_t max_client_sockets(const runtime::NodeSettings& settings);
 
-membership::Settings membership_settings_of(const runtime::NodeSettings& settings, const std::string& address,
-                                            std::uint64_t incarnation, std::uint64_t seed);
 quota::Settings balancer_settings_of(const runtime::NodeSettings& settings, const std::string& address,
                                      std::uint64_t incarnation);
 // `zone`: the number of this node's zone.
