--- a/Makefile
+++ b/Makefile
@@ -11,10 +11,10 @@
 
 PACKAGES = cmake g++ make git libpoco-dev libfmt-dev nlohmann-json3-dev tao-pegtl-dev libcli11-dev libhiredis-dev \
   libxxhash-dev libsqlite3-dev libspdlog-dev
-# For the whole system (deploy/system.toml): pilot and lighthouse.
+# For the whole system (deploy/system.toml): the gateway and the controller.
 SYSTEM_PACKAGES = ninja-build libgflags-dev libboost1.81-dev libboost-log1.81-dev libboost-json1.81-dev \
   libboost-program-options1.81-dev libcapnp-dev capnproto pkgconf libleveldb-dev
-# For the tests, the laboratory and its reports, and the linters.
+# For the tests, the simulator and its reports, and the linters.
 MORE_PACKAGES = libgtest-dev libcriterion-dev gnuplot-nox clang-format clang-tidy shellcheck cmake-format
 
 .PHONY: deps experiment mutations build test test-plain test-sanitize lint lint-format lint-shell lint-cmake \
@@ -76,8 +76,8 @@
 mutations:
 	JOBS=$(JOBS) testbed/mutations/play.sh build-mutations $(NAMES)
 
-# The whole system on loopback for twenty seconds: three pilots and lighthouses, emulated servers, an operator
-# and clients, figures on the terminal. SEED=, LIGHTHOUSES= and LOAD= from the environment.
+# The whole system on loopback for twenty seconds: three gateways and controllers, emulated servers, an operator
+# and clients, figures on the terminal. SEED=, CONTROLLERS= and LOAD= from the environment.
 run: build
 	exec build/system_demo
 
--- a/testbed/system/demo.cpp
+++ b/testbed/system/demo.cpp
@@ -1,7 +1,7 @@
 // Runs the entire system on this machine for twenty seconds: three gateways, controllers, emulated servers,
 // an operator and clients. Exits with 1 if a request that must not be repeated ran twice, another rule was
 // violated or less than 99% was served; the last line is JSON. Environment: SEED, SECONDS_PER_PHASE,
-// LIGHTHOUSES (the number of controllers, 1 to 3), LOAD (multiplies the usual load).
+// CONTROLLERS (the number of controllers, 1 to 3), LOAD (multiplies the usual load).
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -51,10 +51,10 @@
 
 int run_demo(const std::string& programs, std::uint64_t seed, double seconds) {
     install_signal_handlers();
-    const int lighthouses = static_cast<int>(number_from_environment("LIGHTHOUSES", 3, 1, kMachineCount));
-    const SystemPlan plan = make_small_system("demo", programs, seed, kMachineCount, lighthouses);
+    const int controllers = static_cast<int>(number_from_environment("CONTROLLERS", 3, 1, kMachineCount));
+    const SystemPlan plan = make_small_system("demo", programs, seed, kMachineCount, controllers);
     SystemFixture rig(plan);
-    fmt::print("starting {} pilots and {} lighthouses\n", kMachineCount, lighthouses);
+    fmt::print("starting {} gateways and {} controllers\n", kMachineCount, controllers);
     rig.start_all();
     for (const ServicePlan& service : plan.services)
         for (int i = 0; i < service.server_count; ++i) rig.add_server(service.name);
@@ -64,8 +64,8 @@
         return report_failure(rig, fmt::format("configuration r1 got status {}", order.status_code));
     fmt::print("configuration r1 was acknowledged after {:.2f} s\n", order.seconds_taken);
     if (!rig.wait_servers_registered(20.0))
-        return report_failure(rig, "not every server's beat was acknowledged");
-    if (!rig.wait_ready(20.0)) return report_failure(rig, "not every pilot says that it is ready");
+        return report_failure(rig, "not every server's heartbeat was acknowledged");
+    if (!rig.wait_ready(20.0)) return report_failure(rig, "not every gateway says that it is ready");
     rig.run_for(1.0);    // until the gateways know the last servers
     fmt::print("all are ready; clients come for {:.0f} s\n", seconds);
     std::fflush(stdout);
