--- a/src/base/common/log.cpp
+++ b/src/base/common/log.cpp
@@ -45,14 +45,14 @@
 }
 
 spdlog::logger& logger() {
-    static const std::shared_ptr<spdlog::logger> instance = [] {
+    static const std::shared_ptr<spdlog::logger> kInstance = [] {
         auto created =
             std::make_shared<spdlog::logger>("shaletray", std::make_shared<spdlog::sinks::stderr_sink_mt>());
         created->set_level(spdlog::level::debug);    // filtered by log() already
         set_pattern(*created, current_format);
         return created;
     }();
-    return *instance;
+    return *kInstance;
 }
 
 spdlog::level::level_enum to_spdlog_level(LogLevel level) {
--- a/src/cluster/registry/heartbeat.cpp
+++ b/src/cluster/registry/heartbeat.cpp
@@ -52,8 +52,8 @@
     }
 };
 boost::system::error_code field_error(HeartbeatError error) {
-    static const HeartbeatErrorCategory category;
-    return {static_cast<int>(error), category};
+    static const HeartbeatErrorCategory kCategory;
+    return {static_cast<int>(error), kCategory};
 }
 
 // The field under the first of the names that is present; null counts as absent.
--- a/src/gateway/http_mapping/upstream_codec.cpp
+++ b/src/gateway/http_mapping/upstream_codec.cpp
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kAddedHeadSize = 128;       // at most, of the headers that are added
-constexpr unsigned kMaxIdleTimeout_s = 86'400;    // a day; a server that states more is not believed
+constexpr std::size_t kAddedHeadSize = 128;            // at most, of the headers that are added
+constexpr unsigned kMaxIdleTimeoutSeconds = 86'400;    // a day; a server that states more is not believed
 
 // To a client, these say that its request has not been executed and never will be.
 bool promises_not_executed(int status) {
@@ -95,7 +95,7 @@
     unsigned seconds = 0;
     const auto [end, error] =
         std::from_chars(parameters.data(), parameters.data() + parameters.size(), seconds);
-    if (error != std::errc{} || seconds > kMaxIdleTimeout_s) return {};
+    if (error != std::errc{} || seconds > kMaxIdleTimeoutSeconds) return {};
     return std::chrono::seconds(seconds);
 }
 
--- a/src/gateway/service_pipelines.cpp
+++ b/src/gateway/service_pipelines.cpp
@@ -41,6 +41,7 @@
     return result;
 }
 
+// NOLINTNEXTLINE(readability-function-size): nine parameters, to be grouped
 ServicePipeline::ServicePipeline(std::string name, const decision::Settings& engine_settings,
                                  std::uint64_t seed, Reactor& reactor, Timers& timers, Counters& counters,
                                  http_mapping::UpstreamHosts& hosts, http_mapping::UpstreamCodec& codec,
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -142,10 +142,10 @@
 }
 
 const std::vector<std::string>& statistic_names() {
-    static const std::vector<std::string> names = {"served", "in_aim", "refused",
-                                                   "failed", "wasted", "attempts_per_request",
-                                                   "p50_ms", "p99_ms", "p999_ms"};
-    return names;
+    static const std::vector<std::string> kNames = {"served", "in_aim", "refused",
+                                                    "failed", "wasted", "attempts_per_request",
+                                                    "p50_ms", "p99_ms", "p999_ms"};
+    return kNames;
 }
 
 std::optional<double> statistic_of(const RunStatistics& f, const std::string& name) {
--- a/src/simulator/scenario_parts.cpp
+++ b/src/simulator/scenario_parts.cpp
@@ -66,6 +66,7 @@
         figures.rules[name];
 }
 
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split, one function a part
 void Scenario::validate() const {
     const auto need = [](bool good, const char* what) {
         if (!good) throw std::invalid_argument(std::string("scenario: ") + what);
--- a/testbed/experiments/capacity_slopes.cpp
+++ b/testbed/experiments/capacity_slopes.cpp
@@ -551,6 +551,7 @@
 
 // ---- the register ----
 
+// NOLINTNEXTLINE(readability-function-size): to be split
 void CapacitySlopes::measure_consensus() {
     for (const std::size_t megabytes : {1, 2, 4, 8}) {
         constexpr int kCrew = 5;
--- a/testbed/experiments/plans.cpp
+++ b/testbed/experiments/plans.cpp
@@ -551,9 +551,9 @@
 
     // ---- the exporter by itself ----
     static std::uint64_t store_rows() {
-        static const auto rows =
+        static const auto kRows =
             static_cast<std::uint64_t>(number_from_environment("STORE_ROWS", 400'000, 1000, 2e7));
-        return rows;
+        return kRows;
     }
     usage::CollectorSettings bulk() const {
         usage::CollectorSettings c;
--- a/testbed/operation_history.h
+++ b/testbed/operation_history.h
@@ -39,6 +39,7 @@
 };
 
 // Why the history is not linearizable; empty if it is. Takes time quadratic in the number of versions.
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): to be split
 inline std::optional<std::string> find_violation(const std::vector<Operation>& history) {
     using Kind = Operation::Kind;
     using Outcome = Operation::Outcome;
