--- a/.cmake-format.py
+++ b/.cmake-format.py
@@ -1,7 +1,7 @@
 # The CMake style that cmake-lint holds the project's files to (`make lint-cmake`).
 with section("format"):
     # A ratchet, to be lowered to 110 as in the C++ code: the longest line there is.
-    line_width = 160
+    line_width = 132
     tab_size = 2
 
 with section("lint"):
--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 MORE_PACKAGES = libgtest-dev libcriterion-dev gnuplot-nox clang-format clang-tidy shellcheck cmake-format
 
 .PHONY: deps experiment mutations build test test-plain test-sanitize lint lint-format lint-shell lint-cmake \
-  lint-includes lint-nolint check-packages format run run-balancer serve example clean
+  lint-includes lint-nolint lint-tidy check-packages format run run-balancer serve example clean
 
 # Needs the right to install packages.
 deps:
@@ -41,7 +41,7 @@
 	cmake --build build-sanitize -j$(JOBS)
 	ctest --test-dir build-sanitize --output-on-failure -j$(TEST_JOBS)
 
-lint: lint-format lint-shell lint-cmake lint-includes lint-nolint
+lint: lint-format lint-shell lint-cmake lint-includes lint-nolint lint-tidy
 
 lint-format:
 	@clang-format --dry-run --Werror $(SOURCES)
@@ -59,6 +59,12 @@
 lint-nolint:
 	tools/lint/nolint.sh
 
+# Needs the generated headers, but no build. What was found clean is not read again while it stays the same.
+lint-tidy:
+	$(CONFIGURE_TEST) > /dev/null
+	cmake --build build-test --target generated_sources
+	JOBS=$(JOBS) tools/lint/clang_tidy.sh build-test
+
 # Builds as the deploy file says, and demands that its packages bring all that the build uses.
 check-packages:
 	sh -ec "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/system.toml)"
