--- a/tests/gateway/quota_lease_world.h
+++ b/tests/gateway/quota_lease_world.h
@@ -20,7 +20,7 @@
 using membership::Network;
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::uint64_t kLess = 24;    // the factor by which everything takes longer
+constexpr std::uint64_t kSanitizerReduction = 24;    // the factor by which everything takes longer
 #else
 constexpr std::uint64_t kSanitizerReduction = 1;
 #endif
--- a/tests/gateway/request_dispatcher_test.cpp
+++ b/tests/gateway/request_dispatcher_test.cpp
@@ -270,7 +270,7 @@
 }    // namespace
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr int kAsks = 150, kSeeds = 2;
+constexpr int kRequests = 150, kSeeds = 2;
 #else
 constexpr int kRequests = 500, kSeeds = 6;
 #endif
