--- a/src/data_plane/limits/quota_row.cpp
+++ b/src/data_plane/limits/quota_row.cpp
@@ -13,7 +13,8 @@
 constexpr double kMaxDemand = 1e9;
 constexpr std::size_t kMaxItems = 1024;
 
-// Splits text at single spaces. A value that is not entirely a number of its type makes the text invalid.
+// Splits text at single spaces. A word that is not a number of the type and range read makes the text
+// invalid.
 class WordReader {
 public:
     explicit WordReader(std::string_view text) : rest_(text) {}
@@ -30,30 +31,31 @@
         return word;
     }
     template <class T>
-    T read_number(T least, T max_value, int base = 10) {
+    T read_number(T min_value, T max_value, int base = 10) {
         const std::string_view word = next_word();
         T value{};
         const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value, base);
-        return read_into(word, end, error, value, least, max_value);
+        return check_range(word, end, error, value, min_value, max_value);
     }
-    double read_real(double least, double max_value) {
+    double read_real(double min_value, double max_value) {
         const std::string_view word = next_word();
         double value = 0.0;
         const auto [end, error] =
             std::from_chars(word.data(), word.data() + word.size(), value, std::chars_format::fixed);
-        return read_into(word, end, error, value, least, max_value);
+        return check_range(word, end, error, value, min_value, max_value);
     }
     bool good() const { return good_; }
     bool done() const { return done_; }
 
 private:
     template <class T>
-    T read_into(std::string_view word, const char* end, std::errc error, T value, T least, T max_value) {
-        // Written so that NaN fails as well.
+    T check_range(std::string_view word, const char* end, std::errc error, T value, T min_value,
+                  T max_value) {
+        // The comparison is written so that NaN fails as well.
         if (error != std::errc{} || end != word.data() + word.size() ||
-            !(value >= least && value <= max_value))
+            !(value >= min_value && value <= max_value))
             good_ = false;
-        return good_ ? value : least;
+        return good_ ? value : min_value;
     }
 
     std::string_view rest_;
@@ -66,9 +68,9 @@
     std::string text =
         fmt::format("{} {:x} {} {} {} {} {:.3f} {:.4f}", kRowFormat, row.incarnation, row.row_stamp,
                     row.plan_index, row.first_gateway, row.set_size, row.demand, row.fill_level);
-    for (const QuotaRow::Part& part : row.parts)
-        fmt::format_to(std::back_inserter(text), " {:x} {} {}", part.echo_incarnation, part.echo_stamp,
-                       part.lease_parts);
+    for (const QuotaRow::PeerEntry& entry : row.peer_entries)
+        fmt::format_to(std::back_inserter(text), " {:x} {} {}", entry.echo_incarnation, entry.echo_stamp,
+                       entry.lease_parts);
     return text;
 }
 
@@ -84,17 +86,17 @@
     row.set_size = words.read_number<int>(1, kMaxGatewaySet);
     row.demand = words.read_real(0.0, kMaxDemand);
     row.fill_level = words.read_real(0.0, 1.0);
-    std::uint64_t leased = 0;
+    std::uint64_t total_leased = 0;
     for (int index = 0; index < row.set_size && words.good(); ++index) {
-        QuotaRow::Part part;
-        part.echo_incarnation = words.read_number<std::uint64_t>(0, kMaxValue, 16);
-        part.echo_stamp = words.read_number<std::uint64_t>(0, kMaxValue >> 1);
-        part.lease_parts = words.read_number<std::uint32_t>(0, kFullBaseline);
-        leased += part.lease_parts;
-        row.parts.push_back(part);
+        QuotaRow::PeerEntry entry;
+        entry.echo_incarnation = words.read_number<std::uint64_t>(0, kMaxValue, 16);
+        entry.echo_stamp = words.read_number<std::uint64_t>(0, kMaxValue >> 1);
+        entry.lease_parts = words.read_number<std::uint32_t>(0, kFullBaseline);
+        total_leased += entry.lease_parts;
+        row.peer_entries.push_back(entry);
     }
-    // No gateway leases more than its entire baseline.
-    if (!words.good() || !words.done() || leased > kFullBaseline) return std::nullopt;
+    // No gateway can lease more than its entire baseline.
+    if (!words.good() || !words.done() || total_leased > kFullBaseline) return std::nullopt;
     return row;
 }
 
--- a/src/data_plane/limits/quota_row.h
+++ b/src/data_plane/limits/quota_row.h
@@ -12,33 +12,33 @@
 
 namespace shaletray::limits {
 
-// A baseline is divided into this many parts, so that leases are integers and an equal division over up to 16
-// gateways is exact.
+// A baseline is divided into this many parts, so that leases are integers and a division into up to 16 equal
+// parts is exact.
 constexpr std::uint32_t kFullBaseline = 720720;
 // The largest gateway set that a row can describe.
 constexpr int kMaxGatewaySet = 64;
 
-// What one gateway states about one customer: its demand, its leases and what it has read of the others.
+// State of one customer at one gateway: its demand, the leases it grants and the rows that it has read.
 struct QuotaRow {
-    // For the gateway at this position of the set; the writer's own entry is all zero.
-    struct Part {
-        std::uint64_t echo_incarnation = 0;    // its incarnation as last read; 0: never read
-        std::uint64_t echo_stamp = 0;          // the stamp of its row that was read last
+    // Entry for the gateway at the same position of the set; the writer's own entry is all zero.
+    struct PeerEntry {
+        std::uint64_t echo_incarnation = 0;    // its incarnation in the row read last; 0: never read
+        std::uint64_t echo_stamp = 0;          // stamp of the row read last
         std::uint32_t lease_parts = 0;         // leased to it, in kFullBaseline-ths of the writer's baseline
-        bool operator==(const Part&) const = default;
+        bool operator==(const PeerEntry&) const = default;
     };
     std::uint64_t incarnation = 0;
-    // Microseconds since the writer's start; grows with each row of a customer.
+    // Microseconds since the writer's start; increases with each row of a customer.
     std::uint64_t row_stamp = 0;
     int plan_index = 0, first_gateway = 0, set_size = 1;
     double demand = 0.0;        // units per second requested at the writer
     double fill_level = 0.0;    // fill of the writer's quota bucket, 0 to 1
-    std::vector<Part> parts;
+    std::vector<PeerEntry> peer_entries;
     bool operator==(const QuotaRow&) const = default;
 };
 
-// Customers that recently began to need an exchange of rows, so that the other gateways of their sets begin
-// it as well.
+// Customers that recently began to need an exchange of rows, published so that the other gateways of their
+// sets exchange rows as well.
 struct Announcement {
     struct Item {
         decision::CustomerId customer{};
@@ -46,7 +46,7 @@
         bool operator==(const Item&) const = default;
     };
     std::uint64_t incarnation = 0;
-    std::uint64_t item_count = 0;    // announced in this incarnation, including these
+    std::uint64_t item_count = 0;    // announced in this incarnation, including `items`
     std::vector<Item> items;         // newest last
     bool operator==(const Announcement&) const = default;
 };
--- a/src/data_plane/plans/change_replicator.cpp
+++ b/src/data_plane/plans/change_replicator.cpp
@@ -8,7 +8,7 @@
 namespace shaletray::plans {
 namespace {
 
-constexpr std::uint64_t kMaxPublishedEntries = 16;    // entries in the store at the same time
+constexpr std::uint64_t kMaxPublishedEntries = 16;    // entries of the change log in the store at a time
 
 std::string progress_field_name(int gateway_index) { return fmt::format("bookat:{}", gateway_index); }
 std::string entry_field_name(std::uint64_t version) { return fmt::format("book:{}", version); }
@@ -35,15 +35,15 @@
     return fmt::format("{}:{:016x}", plan_table_.version(), plan_table_.chain_hash());
 }
 
-// The first entry that some gateway lacks; one without published progress lacks all.
+// The first entry that some gateway lacks. A gateway without published progress lacks all entries.
 std::uint64_t ChangeReplicator::first_missing_version() const {
-    std::uint64_t least = plan_table_.version();
+    std::uint64_t min_version = plan_table_.version();
     for (int index = 0; index < gateway_count_; ++index) {
         if (index == own_index_) continue;
         const auto found = progress_by_gateway_.find(index);
-        least = std::min(least, found == progress_by_gateway_.end() ? 0 : found->second.version);
+        min_version = std::min(min_version, found == progress_by_gateway_.end() ? 0 : found->second.version);
     }
-    return least + 1;
+    return min_version + 1;
 }
 
 std::vector<std::pair<std::string, std::string>> ChangeReplicator::fields_to_write() {
@@ -51,13 +51,15 @@
     if (published_progress_ != own_progress())
         result.emplace_back(progress_field_name(own_index_), own_progress());
     if (!is_owner_) return result;
-    for (std::uint64_t v = first_missing_version();
-         v <= plan_table_.version() && v < first_missing_version() + kMaxPublishedEntries; ++v) {
-        const PlanChange& change = plan_table_.change_log()[v - 1];
-        if (const auto found = published_entries_.find(v);
+    for (std::uint64_t entry_version = first_missing_version();
+         entry_version <= plan_table_.version() &&
+         entry_version < first_missing_version() + kMaxPublishedEntries;
+         ++entry_version) {
+        const PlanChange& change = plan_table_.change_log()[entry_version - 1];
+        if (const auto found = published_entries_.find(entry_version);
             found != published_entries_.end() && found->second == change.chain_hash)
             continue;
-        result.emplace_back(entry_field_name(v), serialize_change(change));
+        result.emplace_back(entry_field_name(entry_version), serialize_change(change));
         ++statistics_.entries_written;
     }
     return result;
@@ -67,14 +69,16 @@
     std::vector<std::string> result;
     if (is_owner_) {
         for (int index = 0; index < gateway_count_; ++index) result.push_back(progress_field_name(index));
-        for (std::uint64_t v = first_missing_version();
-             v <= plan_table_.version() && v < first_missing_version() + kMaxPublishedEntries; ++v)
-            result.push_back(entry_field_name(v));
+        for (std::uint64_t entry_version = first_missing_version();
+             entry_version <= plan_table_.version() &&
+             entry_version < first_missing_version() + kMaxPublishedEntries;
+             ++entry_version)
+            result.push_back(entry_field_name(entry_version));
     } else {
         result.push_back(progress_field_name(own_index_));
-        for (std::uint64_t v = plan_table_.version() + 1; v <= plan_table_.version() + kMaxPublishedEntries;
-             ++v)
-            result.push_back(entry_field_name(v));
+        for (std::uint64_t entry_version = plan_table_.version() + 1;
+             entry_version <= plan_table_.version() + kMaxPublishedEntries; ++entry_version)
+            result.push_back(entry_field_name(entry_version));
     }
     return result;
 }
@@ -83,8 +87,8 @@
     if (field == entry_field_name(plan_table_.version() + 1)) is_current_ = true;
     if (field == progress_field_name(own_index_)) published_progress_.clear();
     else if (field.starts_with("book:"))
-        if (const auto v = parse_number<std::uint64_t>(std::string_view(field).substr(5), 10))
-            published_entries_.erase(*v);
+        if (const auto entry_version = parse_number<std::uint64_t>(std::string_view(field).substr(5), 10))
+            published_entries_.erase(*entry_version);
 }
 
 void ChangeReplicator::on_field_read(const std::string& field, const std::string& value, TimePoint) {
@@ -92,10 +96,10 @@
         const auto gateway_index = parse_number<int>(std::string_view(field).substr(7), 10);
         const std::size_t colon = value.find(':');
         const auto version = parse_number<std::uint64_t>(std::string_view(value).substr(0, colon), 10);
-        const auto chain = colon == std::string::npos
-                               ? std::nullopt
-                               : parse_number<std::uint64_t>(std::string_view(value).substr(colon + 1), 16);
-        if (!gateway_index || !version || !chain) {
+        const auto hash = colon == std::string::npos
+                              ? std::nullopt
+                              : parse_number<std::uint64_t>(std::string_view(value).substr(colon + 1), 16);
+        if (!gateway_index || !version || !hash) {
             ++statistics_.bad_values;
             if (gateway_index == own_index_) published_progress_.clear();
             return;
@@ -104,13 +108,17 @@
             published_progress_ = value;
             return;
         }
-        // Ahead of the owner, or at the same version with other entries: that is another change log.
-        const std::uint64_t at = version.value_or(0), of = chain.value_or(0);
-        const bool ours =
-            at <= plan_table_.version() && (at == 0 || plan_table_.change_log()[at - 1].chain_hash == of);
-        statistics_.foreign_entries += !ours && is_owner_;
+        // A gateway that is ahead of the owner, or has other entries at the same version, follows another
+        // change log. It counts as up to date, since this log's entries cannot be appended to it.
+        const std::uint64_t reported_version = version.value_or(0), reported_hash = hash.value_or(0);
+        const bool matches_own_log =
+            reported_version <= plan_table_.version() &&
+            (reported_version == 0 ||
+             plan_table_.change_log()[reported_version - 1].chain_hash == reported_hash);
+        statistics_.foreign_entries += !matches_own_log && is_owner_;
         progress_by_gateway_[*gateway_index] =
-            ours ? Progress{at, of} : Progress{plan_table_.version(), plan_table_.chain_hash()};
+            matches_own_log ? Progress{reported_version, reported_hash}
+                            : Progress{plan_table_.version(), plan_table_.chain_hash()};
         return;
     }
     const auto version = parse_number<std::uint64_t>(
@@ -132,10 +140,10 @@
 }
 
 ReplicationStatistics ChangeReplicator::statistics() const {
-    ReplicationStatistics s = statistics_;
-    for (const auto& [gateway, position] : progress_by_gateway_)
-        s.gateways_behind += position.version < plan_table_.version();
-    return s;
+    ReplicationStatistics totals = statistics_;
+    for (const auto& [gateway_index, progress] : progress_by_gateway_)
+        totals.gateways_behind += progress.version < plan_table_.version();
+    return totals;
 }
 
 }    // namespace shaletray::plans
--- a/src/data_plane/plans/plan_change.h
+++ b/src/data_plane/plans/plan_change.h
@@ -1,4 +1,4 @@
-// Changes that an operator may make at runtime, and their text form. Pure functions and values.
+// Changes that an operator may make to plans at runtime, and their text form. Pure functions and values.
 #pragma once
 
 #include <cstdint>
@@ -16,20 +16,20 @@
 using decision::Duration;
 using decision::TimePoint;
 
-// The values of a plan that may change at runtime. All others are those of its base plan.
+// The values of a plan that may change at runtime. All others are taken from its base plan.
 struct PlanTerms {
     double rate = 0.0, burst = 0.0;    // units per second; units
     double ceiling_rate = 0.0, ceiling_burst = 0.0, ceiling_slack = 0.0;
     bool operator==(const PlanTerms&) const = default;
 };
 
-// Creates a plan or changes its terms. `base_plan`: the platform's plan that gives price and worth.
+// Creates a plan or changes its terms. `base_plan`: the platform's plan that all other values are taken from.
 struct DefinePlan {
     std::string plan_name, base_plan;
     PlanTerms terms;
     bool operator==(const DefinePlan&) const = default;
 };
-// Closes a plan to new customers. Existing ones keep its last terms, or get those of the successor.
+// Closes a plan to new customers. Existing customers keep its last terms, or get those of the successor.
 struct WithdrawPlan {
     std::string plan, successor;
     bool operator==(const WithdrawPlan&) const = default;
@@ -64,7 +64,7 @@
     std::uint64_t expected_version = 0;       // the subject's version that it is based on; 0: none
     std::optional<TimePoint> effective_at;    // none: as soon as all gateways can have received it
     std::string author, note;
-    std::string request_key;    // chosen by the caller for idempotence: repeated, it is the same change
+    std::string request_key;    // the caller's idempotency key: a repetition with it gives the same change
 };
 
 // An accepted change: one entry of the change log, numbered from 1.
@@ -77,18 +77,18 @@
     bool operator==(const PlanChange&) const = default;
 };
 
-// What a change is about: "plan:NAME", "customer:HEX" or "reservation:ID".
+// The subject of a change: "plan:NAME", "customer:HEX" or "reservation:ID".
 std::string subject_of(const ChangeBody& body);
 // The hash of an entry and all entries before it, which shows whether two change logs agree.
 std::uint64_t chain_hash(std::uint64_t previous_hash, const PlanChange& change);
 
-// A change that cannot be parsed or appended, with the reason.
+// Thrown for a change that cannot be parsed or appended; holds the reason.
 class InvalidChange : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-// One line of JSON each. Parsing throws InvalidChange with the field and the reason.
+// Text form: one line of JSON each. Parsing throws InvalidChange with the field and the reason.
 std::string serialize_change(const PlanChange& change);
 PlanChange parse_change(std::string_view text);
 std::string serialize_proposal(const ChangeProposal& proposal);
--- a/src/data_plane/plans/plan_service.cpp
+++ b/src/data_plane/plans/plan_service.cpp
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kFirstAccountId = 1ULL << 63;    // above all customer ids
-constexpr std::size_t kMaxCustomersPerTurn = 2000;       // bounds the time of one event loop iteration
+constexpr std::uint64_t kFirstAccountId = 1ULL << 63;    // larger than all customer ids
+constexpr std::size_t kMaxCustomersPerCall = 2000;       // bounds the time of one event loop iteration
 constexpr std::size_t kMaxKnownCustomers = 200'000;
 constexpr double kRoundingTolerance = 1e-9;
 
@@ -42,68 +42,69 @@
 }
 
 void PlanService::open_account(const Reservation& reservation, int base_plan) {
-    const int terms = kFirstTableTerms + static_cast<int>(reservation.version);
+    const int terms_index = kFirstTableTermsIndex + static_cast<int>(reservation.version);
     open_reservations_.insert(reservation.definition.reservation_id);
-    if (quota_state_table_.has_terms(terms)) return;
+    if (quota_state_table_.has_terms(terms_index)) return;
     limits::CustomTerms custom_terms;
     custom_terms.plan_settings = plan_table_.platform_plan(base_plan);
     custom_terms.plan_settings.ceiling_rate = custom_terms.plan_settings.ceiling_burst =
-        0.0;    // the owner's rate limit is charged
+        0.0;    // requests are charged to the owner's rate limit
     custom_terms.plan_settings.burst = reservation.definition.units;
-    const bool ahead = reservation.fully_reserved_at <= reservation.definition.starts_at;
-    custom_terms.plan_settings.rate = ahead ? 0.0 : reservation.reservation_rate();
-    if (!ahead) custom_terms.fill_starts_at = reservation.starts_at;
+    const bool accumulated_before = reservation.fully_reserved_at <= reservation.definition.starts_at;
+    custom_terms.plan_settings.rate = accumulated_before ? 0.0 : reservation.reservation_rate();
+    if (!accumulated_before) custom_terms.accrual_starts_at = reservation.starts_at;
     custom_terms.base_plan = base_plan;
     custom_terms.is_account = true;
     custom_terms.owner = reservation.definition.customer;
     if (const auto found = redeemed_units_.find(reservation.version); found != redeemed_units_.end())
         custom_terms.spent_units = found->second;
-    quota_state_table_.define_terms(terms, custom_terms);
+    quota_state_table_.define_terms(terms_index, custom_terms);
 }
 
-limits::CustomerStanding PlanService::customer_standing(CustomerId customer_id, int asked_plan,
-                                                        TimePoint now) const {
-    limits::CustomerStanding customer_state;
-    customer_state.reserved_rate = plan_table_.reserved_rate(customer_id, now);
+limits::CustomerContext PlanService::customer_context(CustomerId customer_id, int requested_plan,
+                                                      TimePoint now) const {
+    limits::CustomerContext context;
+    context.reserved_rate = plan_table_.reserved_rate(customer_id, now);
     if (quota_state_table_.is_tracked(customer_id))
-        return customer_state;    // the rest initializes buckets, which it has already
-    const PlanTable::RestedLevels rested = plan_table_.rested_levels(customer_id, asked_plan, now);
-    customer_state.rested_quota_units = rested.quota_units;
-    customer_state.rested_rate_units = rested.rate_units;
-    return customer_state;
+        return context;    // idle levels only initialize buckets, which a tracked customer already has
+    const PlanTable::IdleLevels idle = plan_table_.idle_levels(customer_id, requested_plan, now);
+    context.idle_quota_units = idle.quota_units;
+    context.idle_rate_units = idle.rate_units;
+    return context;
 }
 
-PlanService::PlanDecision PlanService::decide_plan(CustomerId customer_id, int asked_plan, int first_gateway,
-                                                   int set_size, double units, const std::string& reservation,
-                                                   TimePoint now, std::vector<Allowance>& allowances) {
+PlanService::PlanDecision PlanService::decide_plan(CustomerId customer_id, int requested_plan,
+                                                   int first_gateway, int set_size, double units,
+                                                   const std::string& reservation, TimePoint now,
+                                                   std::vector<Allowance>& allowances) {
     apply_due_effects(now, allowances);
-    const EffectivePlan effective_plan = plan_table_.effective_plan_for(customer_id, asked_plan, now);
-    const int terms = define_terms(effective_plan);
+    const EffectivePlan effective_plan = plan_table_.effective_plan_for(customer_id, requested_plan, now);
+    const int terms_index = define_terms(effective_plan);
     if (known_customers_.size() < kMaxKnownCustomers || known_customers_.contains(customer_id))
-        known_customers_[customer_id].asked_plan = asked_plan;
+        known_customers_[customer_id].requested_plan = requested_plan;
     PlanDecision decision{customer_id, effective_plan.base_plan, effective_plan.terms_version, 0};
     if (const auto allowance =
-            quota_state_table_.on_request(customer_id, terms, first_gateway, set_size, units, now,
-                                          customer_standing(customer_id, asked_plan, now)))
+            quota_state_table_.on_request(customer_id, terms_index, first_gateway, set_size, units, now,
+                                          customer_context(customer_id, requested_plan, now)))
         allowances.push_back(*allowance);
     if (reservation.empty()) return decision;
-    const Reservation* const reservation_found = plan_table_.find_reservation(reservation);
-    if (reservation_found != nullptr && reservation_found->definition.customer == customer_id &&
-        reservation_found->is_open(now)) {
-        open_account(*reservation_found, effective_plan.base_plan);
-        const CustomerId account = reservation_account(*reservation_found);
-        const int own_plan = kFirstTableTerms + static_cast<int>(reservation_found->version);
+    const Reservation* const found_reservation = plan_table_.find_reservation(reservation);
+    if (found_reservation != nullptr && found_reservation->definition.customer == customer_id &&
+        found_reservation->is_open(now)) {
+        open_account(*found_reservation, effective_plan.base_plan);
+        const CustomerId account = reservation_account(*found_reservation);
+        const int account_terms = kFirstTableTermsIndex + static_cast<int>(found_reservation->version);
         if (const auto allowance =
-                quota_state_table_.on_request(account, own_plan, first_gateway, set_size, units, now)) {
+                quota_state_table_.on_request(account, account_terms, first_gateway, set_size, units, now)) {
             if (quota_state_table_.quota_level(account, now) >= units - kRoundingTolerance) {
                 allowances.push_back(*allowance);
                 decision.account = account;
-                decision.reservation_version = reservation_found->version;
+                decision.reservation_version = found_reservation->version;
                 return decision;
             }
         }
     }
-    // It is charged like the customer's other requests.
+    // The request is charged like the customer's other requests.
     ++statistics_.failed_redemptions;
     return decision;
 }
@@ -112,19 +113,21 @@
                                    TimePoint now, std::vector<Allowance>& allowances) {
     if (decision.reservation_version == 0) {
         quota_state_table_.record_admission(customer_id, units, now);
-        // The customer's accounts share its rate limit.
+        // The accounts of the customer's reservations share its rate limit.
         for (const Reservation* reservation : plan_table_.customer_reservations(customer_id)) {
             if (!open_reservations_.contains(reservation->definition.reservation_id)) continue;
-            if (const auto a = quota_state_table_.refresh_allowance(reservation_account(*reservation), now))
-                allowances.push_back(*a);
+            if (const auto refreshed =
+                    quota_state_table_.refresh_allowance(reservation_account(*reservation), now))
+                allowances.push_back(*refreshed);
         }
         return;
     }
     ++statistics_.redemptions;
-    const double sum = redeemed_units_[decision.reservation_version] += units;
-    if (redemption_handler_) redemption_handler_(decision.reservation_version, sum);
+    const double total_redeemed = redeemed_units_[decision.reservation_version] += units;
+    if (redemption_handler_) redemption_handler_(decision.reservation_version, total_redeemed);
     quota_state_table_.record_admission(paying_customer(decision, customer_id), units, now);
-    if (const auto a = quota_state_table_.refresh_allowance(customer_id, now)) allowances.push_back(*a);
+    if (const auto refreshed = quota_state_table_.refresh_allowance(customer_id, now))
+        allowances.push_back(*refreshed);
 }
 
 void PlanService::settle_units(const PlanDecision& decision, CustomerId customer_id, double difference,
@@ -134,7 +137,7 @@
         now);
 }
 
-// If the account was closed meanwhile, its remaining units went back to its owner, who pays.
+// If the account was closed meanwhile, its remaining units were returned to its owner, which is charged then.
 CustomerId PlanService::paying_customer(const PlanDecision& decision, CustomerId customer_id) const {
     return open_reservations_.contains(plan_table_.reservation_name(decision.reservation_version))
                ? decision.account
@@ -154,20 +157,21 @@
 void PlanService::queue_effects(const PlanTable::Effects& effects) {
     for (const CustomerId customer_id : effects.customers) queued_customers_.push_back(customer_id);
     if (effects.plans.empty()) return;
-    // A customer may have the plan in several ways, so all tracked customers are determined again.
+    // A customer may have the plan by assignment, by request or as a successor, so the plans of all tracked
+    // customers are determined again.
     for (const CustomerId customer_id : quota_state_table_.tracked_customers()) {
         if ((static_cast<std::uint64_t>(customer_id) & kFirstAccountId) == 0)
             queued_customers_.push_back(customer_id);
     }
 }
 
-void PlanService::update_reservation(const std::string& reservation_id, TimePoint now,
-                                     std::vector<Allowance>& changed) {
+void PlanService::close_ended_reservation(const std::string& reservation_id, TimePoint now,
+                                          std::vector<Allowance>& changed) {
     const Reservation* const reservation = plan_table_.find_reservation(reservation_id);
     if (reservation == nullptr || reservation->is_open(now) || !open_reservations_.erase(reservation_id))
         return;
-    if (const auto a = quota_state_table_.close_account(reservation_account(*reservation), now))
-        changed.push_back(*a);
+    if (const auto allowance = quota_state_table_.close_account(reservation_account(*reservation), now))
+        changed.push_back(*allowance);
 }
 
 void PlanService::apply_due_effects(TimePoint now, std::vector<Allowance>& changed) {
@@ -180,23 +184,23 @@
         }
         effects_queued_until_ = now;
         for (const std::string& reservation_id : effects.reservations)
-            update_reservation(reservation_id, now, changed);
+            close_ended_reservation(reservation_id, now, changed);
     }
     process_queue(now, changed);
 }
 
 void PlanService::process_queue(TimePoint now, std::vector<Allowance>& changed) {
     if (queued_customers_.empty()) return;
-    for (std::size_t index = 0; index < kMaxCustomersPerTurn && !queued_customers_.empty(); ++index) {
+    for (std::size_t index = 0; index < kMaxCustomersPerCall && !queued_customers_.empty(); ++index) {
         const CustomerId customer_id = queued_customers_.front();
         queued_customers_.pop_front();
         const auto found = known_customers_.find(customer_id);
         if (found == known_customers_.end()) continue;
-        const int terms =
-            define_terms(plan_table_.effective_plan_for(customer_id, found->second.asked_plan, now));
-        if (const auto a = quota_state_table_.set_plan(customer_id, terms,
-                                                       plan_table_.reserved_rate(customer_id, now), now))
-            changed.push_back(*a);
+        const int terms_index =
+            define_terms(plan_table_.effective_plan_for(customer_id, found->second.requested_plan, now));
+        if (const auto allowance = quota_state_table_.set_plan(
+                customer_id, terms_index, plan_table_.reserved_rate(customer_id, now), now))
+            changed.push_back(*allowance);
     }
     if (queued_customers_.empty() && processing_since_ != TimePoint{}) {
         statistics_.max_delay = std::max(statistics_.max_delay, now - processing_since_);
@@ -207,7 +211,7 @@
         std::set<CustomerId> tracked;
         for (const CustomerId customer_id : quota_state_table_.tracked_customers())
             tracked.insert(customer_id);
-        std::erase_if(known_customers_, [&](const auto& one) { return !tracked.contains(one.first); });
+        std::erase_if(known_customers_, [&](const auto& known) { return !tracked.contains(known.first); });
     }
 }
 
@@ -217,10 +221,10 @@
 }
 
 PlanServiceStatistics PlanService::statistics(TimePoint now) const {
-    PlanServiceStatistics s = statistics_;
+    PlanServiceStatistics totals = statistics_;
     for (const std::string& reservation_id : open_reservations_)
-        s.open_reservations += plan_table_.find_reservation(reservation_id)->is_open(now);
-    return s;
+        totals.open_reservations += plan_table_.find_reservation(reservation_id)->is_open(now);
+    return totals;
 }
 
 }    // namespace shaletray::plans
--- a/src/data_plane/plans/plan_table.h
+++ b/src/data_plane/plans/plan_table.h
@@ -1,7 +1,7 @@
 // Plans, customers' assignments and reservations, derived from an append-only log of changes, each with a
-// version, an effective time and an author. Pure: no I/O and no clock; for one thread. What applies at a time
-// follows from the entries alone: for each subject the newest entry that has taken effect. So gateways with
-// the same entries agree, however late they received them. See docs/design/plans.md.
+// version, an effective time and an author. Single-threaded and pure: no I/O and no clock. The state at a
+// time follows from the entries alone: for each subject, the newest entry that has taken effect applies.
+// Gateways with the same entries therefore agree, however late they received them. See docs/design/plans.md.
 #pragma once
 
 #include <map>
@@ -13,15 +13,15 @@
 
 namespace shaletray::plans {
 
-// The platform's plans and the bounds of the table.
+// The platform's plans and the limits of the table.
 struct PlanTableSettings {
     std::vector<decision::PlanSettings> platform_plans;
     bool table_overrides_request = false;              // an assigned plan overrides the one a request names
-    Duration lead_time{2'000'000};                     // from a change to its effect, at least
-    Duration max_lead_time{86'400'000'000LL * 400};    // to an effect or the end of a reservation, at most
-    double max_reserved_fraction = 0.5;    // of a customer's rate, by all its reservations together
+    Duration lead_time{2'000'000};                     // minimum time from a change to its effect
+    Duration max_lead_time{86'400'000'000LL * 400};    // maximum time to an effect or a reservation's end
+    double max_reserved_fraction = 0.5;    // of a customer's rate, for all its reservations together
     std::size_t max_plans = 1000, max_customers = 1'000'000, max_reservations = 100'000;
-    std::size_t max_reservations_per_customer = 16;    // that have not ended
+    std::size_t max_reservations_per_customer = 16;    // counts those that have not ended
 };
 
 // Why a proposal is rejected, with what the operator needs to correct it.
@@ -33,12 +33,12 @@
     std::string latest_author;
     std::optional<double> max_acceptable;    // OverCapacity: the largest amount that would be accepted
 };
-// The reason as it is written in replies.
+// The reason as it appears in replies.
 const char* reason_name(ChangeRejection::Reason reason);
 
 // The plan that applies to a customer at a time.
 struct EffectivePlan {
-    // A platform plan's own index, or kFirstTableTerms + the version that defined the terms.
+    // A platform plan's own index, or kFirstTableTermsIndex + the version that defined the terms.
     int terms_index = 0;
     int base_plan = 0;    // index of the platform's plan that it is based on
     PlanTerms terms;
@@ -48,21 +48,22 @@
     bool operator==(const EffectivePlan&) const = default;
 };
 // Smallest terms index of this table; larger than the number of the platform's plans.
-constexpr int kFirstTableTerms = 1024;
+constexpr int kFirstTableTermsIndex = 1024;
 
 // A reservation with the times that follow from its change.
 struct Reservation {
     MakeReservation definition;
     std::uint64_t version = 0;
     TimePoint starts_at{}, fully_reserved_at{};    // units are taken evenly between these
-    TimePoint ends_at{};                           // the end of its window, or its release
-    double reservation_rate() const;               // units per second, while it accumulates
+    TimePoint ends_at{};                           // end of its window, or its release
+    double reservation_rate() const;               // units per second while it accumulates
     // Units taken from the quota by `time`.
     double reserved_units(TimePoint time) const;
     bool is_accumulating(TimePoint time) const {
         return time >= starts_at && time < std::min(fully_reserved_at, ends_at);
     }
-    // Not before its change takes effect, however early its window begins.
+    // Whether requests may be charged to it: not before its change takes effect, however early its window
+    // begins.
     bool is_open(TimePoint time) const {
         return time >= std::max(definition.starts_at, starts_at) && time < ends_at;
     }
@@ -83,7 +84,7 @@
     // or is not valid.
     void append(const PlanChange& change);
 
-    // Throws as append would and changes nothing, for callers that persist an entry before appending it.
+    // Throws as append() would but changes nothing, for callers that persist an entry before appending it.
     static void validate_next(const PlanTable& plan_table, const PlanChange& change) {
         plan_table.validate_entry(change);
     }
@@ -95,11 +96,11 @@
     // The newest version of a subject; 0: none.
     std::uint64_t subject_version(const std::string& subject) const;
 
-    // `asked_plan`: the platform's plan that the request names.
-    EffectivePlan effective_plan_for(CustomerId customer_id, int asked_plan, TimePoint time) const;
-    // Whether the newest entry of the body's subject is equal to it, in effect already or not.
+    // `requested_plan`: index of the platform's plan that the request names.
+    EffectivePlan effective_plan_for(CustomerId customer_id, int requested_plan, TimePoint time) const;
+    // Whether the newest entry of the body's subject equals it, whether or not it has taken effect.
     bool matches_latest(const ChangeBody& body) const;
-    // A plan's own terms, or its successor's; empty if it has none at that time.
+    // The terms of a plan, or of its successor if it is withdrawn; empty if it has none at that time.
     std::optional<EffectivePlan> plan_terms(const std::string& plan, TimePoint time) const {
         return resolve_terms(plan, time);
     }
@@ -113,12 +114,12 @@
     const decision::PlanSettings& platform_plan(int plan) const {
         return settings_.platform_plans.at(static_cast<std::size_t>(plan));
     }
-    // Units that a customer's buckets would hold over all gateways without recent requests: after a change to
-    // a larger plan they are not full at once. Below 0: full.
-    struct RestedLevels {
+    // Units that a customer's buckets would hold over all gateways if it had sent no requests: after a change
+    // to a larger plan they are not full at once. Below 0: full.
+    struct IdleLevels {
         double quota_units = -1.0, rate_units = -1.0;
     };
-    RestedLevels rested_levels(CustomerId customer_id, int asked_plan, TimePoint time) const;
+    IdleLevels idle_levels(CustomerId customer_id, int requested_plan, TimePoint time) const;
     std::vector<const Reservation*> customer_reservations(CustomerId customer_id) const;
     std::vector<std::string> plan_names() const;    // the platform's first
     std::size_t customer_count(const std::string& plan, TimePoint time) const;
@@ -132,7 +133,7 @@
     };
     Effects effects_between(TimePoint from, TimePoint to) const;
     std::optional<TimePoint> next_effect_after(TimePoint time) const;
-    // Subjects that an entry affects at any time, for gateways that receive it late.
+    // Subjects that an entry affects at any time, for a gateway that receives it late.
     Effects effects_of(const PlanChange& change) const;
 
 private:
