--- a/src/cluster/membership/dissemination.cpp
+++ b/src/cluster/membership/dissemination.cpp
@@ -1,4 +1,4 @@
-// How changes are spread: with every packet, and the newest ones at once.
+// Dissemination of changes as gossip: piggybacked on packets, and the newest ones eagerly.
 #include <algorithm>
 #include <bit>
 
@@ -26,7 +26,7 @@
     const std::size_t queued_count = gossip_queue_.size();
     std::vector<Record*> unfinished;
     for (std::size_t i = 0; i < queued_count; ++i) {
-        if (gossip_queue_.front().transmissions >= transmission_limit) break;    // as are all after it
+        if (gossip_queue_.front().transmissions >= transmission_limit) break;    // likewise all later ones
         Entry entry = gossip_queue_.front().to_entry();
         const std::size_t entry_bytes = entry_size(entry);
         if (packet_bytes + entry_bytes > settings_.max_datagram_bytes) break;
@@ -47,7 +47,7 @@
     for (Record* record : unfinished) gossip_queue_.put_back(*record);
 }
 
-// Suspicions that are old, or from before a pause, and members that were merely unheard for long.
+// Suspicions that are old or from before a pause, and deaths only presumed from silence, are not sent.
 bool Membership::Impl::is_gossip_obsolete(const Record& record) const {
     const Member& member = *record.member;
     if (member.state == State::Suspect)
--- a/src/cluster/membership/entry_merge.cpp
+++ b/src/cluster/membership/entry_merge.cpp
@@ -1,4 +1,4 @@
-// What entries in received packets change in the member table.
+// Merges entries of received packets into the member table.
 #include <algorithm>
 
 #include "cluster/membership/membership_impl.h"
@@ -10,8 +10,8 @@
     return joined_ ? EntrySource::Sync : EntrySource::Join;
 }
 
-// What is found by a synchronization was spread for a while already; what is learned when joining is known to
-// all others.
+// A change found by a synchronization has already been sent by others for a while; a change learned when
+// joining is known to all others.
 int Membership::Impl::initial_transmissions(EntrySource source) const {
     switch (source) {
         case EntrySource::Gossip: return 0;
@@ -31,7 +31,7 @@
         handle_self_entry(entry);
         return false;
     }
-    // Before the entry changes the number of members, on which the most transmissions depend.
+    // Computed before the entry changes the number of members, on which max_transmissions() depends.
     const int transmissions = initial_transmissions(source_of(reception.packet));
     Record* const record = table_.find(entry.info.address);
     if (record == nullptr) return add_unknown_member(entry, transmissions, reception);
@@ -61,7 +61,7 @@
         return false;
     }
     if (entry.unheard && source_of(reception.packet) == EntrySource::Join) {
-        // The others have held it dead before, so it is not passed on.
+        // The others already consider it dead, so it is not passed on.
         Record& record = table_.add(entry.info, entry.version, State::Dead, reception.now);
         record.member->departed = false;
         add_changed_member(entry.info.address, reception.actions.changed_members);
@@ -75,7 +75,7 @@
                                                Reception& reception) {
     if (entry.brief && entry.state != State::Dead) return false;
     MemberInfo info = entry.info;
-    if (entry.brief) {    // it departed before it was known here
+    if (entry.brief) {    // the later process departed before it was known here
         info = record.member->info;
         info.incarnation = entry.info.incarnation;
     }
@@ -94,7 +94,7 @@
 bool Membership::Impl::merge_same_incarnation(Record& record, const Entry& entry, int transmissions,
                                               Reception& reception) {
     const Member& member = *record.member;
-    // Only recent suspicions are adopted, and only of members that were not heard here lately.
+    // Only recent suspicions are adopted, and only of members that have been silent here, too.
     const bool suspicion = entry.state == State::Suspect && member.state == State::Alive &&
                            source_of(reception.packet) == EntrySource::Gossip;
     const bool accept_suspicion = suspicion && !reception.packet.verify_suspicions &&
@@ -129,8 +129,8 @@
 
 void Membership::Impl::handle_self_entry(const Entry& entry) {
     const std::uint64_t incarnation = self_member_.info.incarnation;
-    const bool held_dead = entry.info.incarnation == incarnation && entry.state == State::Dead;
-    if (entry.info.incarnation > incarnation || held_dead) {
+    const bool presumed_dead = entry.info.incarnation == incarnation && entry.state == State::Dead;
+    if (entry.info.incarnation > incarnation || presumed_dead) {
         self_member_.info.incarnation = entry.info.incarnation + 1;
         self_record_.version = 0;
         update_self_digest();
@@ -169,7 +169,7 @@
     if (was_isolated) restore_isolated_suspects(now, changed_members);
 }
 
-// This process was partitioned, not the members that it suspected at that time.
+// Clears the suspicions from the time in which this process, not the suspected members, was partitioned.
 void Membership::Impl::restore_isolated_suspects(TimePoint now, std::vector<std::string>& changed_members) {
     for (Record* other : table_.unreachable()) {
         if (other->member->state != State::Suspect || !other->suspected_in_isolation) continue;
--- a/src/cluster/membership/gossip_queue.cpp
+++ b/src/cluster/membership/gossip_queue.cpp
@@ -21,7 +21,7 @@
     record.transmissions = transmissions;
     record.gossip_queued = true;
     insert(record);
-    while (records_.size() > kMaxGossip) {
+    while (records_.size() > kMaxQueuedGossip) {
         records_.back()->gossip_queued = false;
         records_.pop_back();
     }
@@ -31,14 +31,14 @@
     const auto fewer_transmissions = [](const Record* a, const Record* b) {
         return a->transmissions < b->transmissions;
     };
-    // A new change goes before the others that were not sent yet.
+    // A new change goes in front of the others that have not been sent yet.
     const auto position = record.transmissions == 0 ? records_.begin()
                                                     : std::upper_bound(records_.begin(), records_.end(),
                                                                        &record, fewer_transmissions);
     records_.insert(position, &record);
 }
 
-void GossipQueue::drop_spread(int min_transmissions) {
+void GossipQueue::drop_disseminated(int min_transmissions) {
     std::erase_if(records_, [min_transmissions](Record* record) {
         if (record->transmissions < min_transmissions || record->member->state == State::Suspect)
             return false;
--- a/src/cluster/membership/heartbeat_exchange.cpp
+++ b/src/cluster/membership/heartbeat_exchange.cpp
@@ -1,4 +1,4 @@
-// Heartbeats of all members that packets carry between members of small and middle-sized clusters.
+// The exchange of all members' heartbeats in the packets of small and medium-sized clusters.
 #include <algorithm>
 
 #include "cluster/membership/membership_impl.h"
@@ -14,7 +14,7 @@
     return (later - earlier + kHeartbeatPeriod) % kHeartbeatPeriod;
 }
 
-// A heartbeat that is further ahead than half the period is an old one.
+// A heartbeat that is ahead by more than half the period is an old one.
 constexpr int kMaxHeartbeatAdvance = kHeartbeatPeriod / 2;
 
 }    // namespace
--- a/src/cluster/membership/joining.cpp
+++ b/src/cluster/membership/joining.cpp
@@ -1,4 +1,4 @@
-// Joining: the seeds, and the first request for all members.
+// Joining a cluster: the choice of a seed, and the first request for all members.
 #include <algorithm>
 
 #include "cluster/membership/membership_impl.h"
@@ -18,7 +18,7 @@
     next_join_at_ = last_call_at_;
 }
 
-// The addresses without this process and duplicates; known seeds keep what was learned of them.
+// The addresses without duplicates and without this process; known seeds keep their state.
 std::vector<Membership::Impl::Seed> Membership::Impl::merge_seeds(
     const std::vector<std::string>& addresses) const {
     std::vector<Seed> merged;
@@ -61,7 +61,7 @@
     return seed->address;
 }
 
-// Gateways ask the seeds and the controllers that they know in turn until one answers.
+// Gateways ask the seeds and the known controllers one after the other until one answers.
 std::optional<std::string> Membership::Impl::choose_seed_as_gateway() {
     std::vector<std::string> candidates;
     for (const Seed& seed : seeds_) candidates.push_back(seed.address);
@@ -73,7 +73,7 @@
     }
     if (candidates.empty()) return std::nullopt;
     std::string source = candidates[next_seed_++ % candidates.size()];
-    if (++seeds_asked_ > candidates.size()) {    // nobody answered: start over with more patience
+    if (++seeds_asked_ > candidates.size()) {    // no candidate answered: start over with a longer timeout
         seeds_asked_ = 1;
         join_timeout_ = std::min(2 * join_timeout_, kMaxJoinTimeout);
     }
--- a/src/cluster/membership/member_table.cpp
+++ b/src/cluster/membership/member_table.cpp
@@ -80,7 +80,7 @@
     record->address_hash = hash_address(info.address);
     record->hash = identity_hash(record->address_hash, info.incarnation);
     record->member = &members_[info.address];
-    record->member->state = State::Dead;    // not counted until it has its state
+    record->member->state = State::Dead;    // not counted until replace_incarnation() sets the state
     records_.push_back(record);
     replace_incarnation(*record, info, version, state, now);
     return *record;
--- a/src/cluster/membership/member_table.h
+++ b/src/cluster/membership/member_table.h
@@ -1,4 +1,4 @@
-// The members that a process knows, with the protocol's bookkeeping for each.
+// The table of known members, with the protocol state of each.
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
@@ -16,36 +16,36 @@
 
 namespace shaletray::membership {
 
-// A member and the protocol's bookkeeping for it.
+// A member and its protocol state.
 struct Record {
     std::string address;
     std::uint32_t hash = 0;                 // MemberTable::identity_hash of the current incarnation
     Member* member = nullptr;               // in MemberTable::members(), or this process's own
     std::uint32_t version = 0;              // of member->info within its incarnation
     std::uint8_t heartbeat = 0;             // 0: none known
-    TimePoint heartbeat_at{};               // when it was received
+    TimePoint heartbeat_at{};               // when the heartbeat was received
     std::uint64_t address_hash = 0;         // selects the digest bucket
-    std::uint64_t digest = 0;               // of address, incarnation and version; 0 while Dead
+    std::uint64_t digest = 0;               // over address, incarnation and version; 0 while Dead
     TimePoint known_since{};                // when this incarnation was first known here
     TimePoint suspected_since{};            // zero unless Suspect
-    bool probing = false;                   // pinged without an answer so far, and pinged again
-    bool suspected_in_isolation = false;    // suspected here only, while this process heard hardly anybody
+    bool probing = false;                   // a probe of this member is running
+    bool suspected_in_isolation = false;    // suspected while this process was isolated itself
     bool unreachable = false;               // listed in MemberTable::unreachable()
-    int transmissions = 0;                  // packets that carried the latest change
-    bool gossip_queued = false;             // the latest change is still to be sent
+    int transmissions = 0;                  // number of packets that carried the latest change
+    bool gossip_queued = false;             // the latest change is in the gossip queue
     EntryForm gossip_form = EntryForm::Brief;
 
-    // The state that others are told: members that were merely unheard are not passed on as Dead, nor those
-    // suspected in isolation as Suspect.
+    // The state sent to other members. A member that is Dead only for its silence is sent as Suspect, and one
+    // that is Suspect only because this process was isolated is sent as Alive.
     State advertised_state() const;
-    // The entry in the form that the latest change calls for.
+    // The entry in the form gossip_form.
     Entry to_entry() const;
     Entry to_full_entry() const;
 };
 
-// Owns the records, indexed by address, by identity hash and by position (to draw members at random), and
-// keeps a digest over them by which two processes compare what they know. Records keep their address in
-// memory until they are erased.
+// Owns the records, indexed by address, by identity hash and by position (for the random choice of members),
+// and maintains a digest over them, by which two processes compare their tables. Pointers to a record stay
+// valid until it is erased.
 class MemberTable {
     struct ByAddress {};
     struct ByHash {};
@@ -63,16 +63,16 @@
     std::size_t gateway_count() const { return gateway_count_; }
     bool full() const { return records_.size() >= max_size_; }
     Record& add(const MemberInfo& info, std::uint32_t version, State state, TimePoint now);
-    // A later process runs at the record's address.
+    // Replaces the record's member by a later process at the same address.
     void replace_incarnation(Record& record, const MemberInfo& info, std::uint32_t version, State state,
                              TimePoint now);
-    // Takes over a later version of the member's information.
+    // Applies a later version of the member's information.
     void apply_entry(Record& record, const Entry& entry);
     void set_state(Record& record, State state, TimePoint now);
     void erase(Record& record);
-    // Digest over all members that are not Dead: the exclusive or of the records' digests.
+    // Digest over all members that are not Dead: the XOR of the records' digests.
     std::uint64_t digest() const { return digest_; }
-    // The digest by parts. The count has to be a power of two.
+    // The digest of each bucket of addresses. bucket_count must be a power of two.
     std::vector<std::uint64_t> digest_buckets(std::size_t bucket_count) const;
     static std::uint64_t bucket_index(std::uint64_t address_hash, std::size_t bucket_count) {
         return address_hash & (bucket_count - 1);
@@ -80,19 +80,20 @@
     static std::uint64_t hash_address(const std::string& address);
     static std::uint64_t compute_digest(std::uint64_t address_hash, std::uint64_t incarnation,
                                         std::uint32_t version);
-    // Short name of a process under which packets carry its heartbeat.
+    // Identifies a process in the hashed heartbeats of packets.
     static std::uint32_t identity_hash(std::uint64_t address_hash, std::uint64_t incarnation);
     const std::map<std::string, Member>& members() const { return members_; }
-    // Visits the records after the address in the order of their addresses, until `visit` returns false.
+    // Visits the records with addresses greater than after_address in ascending order, until `visit` returns
+    // false.
     template <typename Visitor>
     void for_each_after(const std::string& after_address, Visitor&& visit) const {
         const auto& index = records_.template get<ByAddress>();
         for (auto it = index.upper_bound(after_address); it != index.end(); ++it)
             if (!visit(**it)) return;
     }
-    // All Suspect and Dead members, and some that are Alive again.
+    // All Suspect and Dead members, and those that became Alive since the last prune_unreachable().
     const std::vector<Record*>& unreachable() const { return unreachable_; }
-    // Removes those that are Alive again from unreachable().
+    // Removes members that are Alive from unreachable().
     void prune_unreachable();
 
 private:
--- a/src/cluster/membership/membership.capnp
+++ b/src/cluster/membership/membership.capnp
@@ -1,7 +1,7 @@
 @0xc325fb70143f11ae;
 # Datagrams between members of a cluster. Each datagram is a checksum (XXH32 of the rest, little endian)
-# followed by one Packet in packed encoding. New fields get new ordinals, and their default has to mean what a
-# version without the field did.
+# followed by one Packet in packed encoding. New fields get new ordinals, and the default of a new field must
+# mean what versions without the field do.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::membership::wire");
@@ -11,7 +11,7 @@
   region @1 :Text;
 }
 
-struct Entry {    # what the sender knows of one member
+struct Entry {    # one member, as the sender knows it
   ip @0 :UInt32;                # IPv4 in host order; 0: see address
   port @1 :UInt16;
   role @2 :UInt8;
@@ -26,32 +26,32 @@
   address @11 :Text;
   name @12 :Text;
   controlAddress @13 :Text;
-  unheard @14 :Bool;            # state is Suspect, and for so long that the sender holds the member dead
+  unheard @14 :Bool;            # state is Suspect, and the sender presumes the member dead for its silence
 }
 
 struct Packet {
   kind @0 :UInt8;
-  wantsInfo @1 :Bool;           # the sender asks for the receiver's full entry
+  wantsInfo @1 :Bool;           # the sender requests the receiver's full entry
   joined @2 :Bool;              # the sender has joined
   fromController @3 :Bool;
-  lastPage @4 :Bool;            # SyncPage: no page follows
-  requestMore @5 :Bool;         # SyncPage: the receiver has to request the pages after this one
-  memberCount @6 :UInt16;       # members that the sender knows and does not hold dead
-  sequenceNumber @7 :UInt32;    # an answer repeats the one of its request
-  incarnation @8 :UInt64;       # of the sender, as are version, heartbeat and digest
+  lastPage @4 :Bool;            # SyncPage: this is the last page
+  requestMore @5 :Bool;         # SyncPage: the receiver must request the pages after this one
+  memberCount @6 :UInt16;       # number of members that the sender does not consider dead
+  sequenceNumber @7 :UInt32;    # a reply repeats that of its request
+  incarnation @8 :UInt64;       # of the sender; likewise version, heartbeat and digest
   version @9 :UInt32;
   heartbeat @10 :UInt8;         # counter from 1 to 255, advanced in each probe round
-  digest @11 :UInt64;           # over all members, incarnations and versions known to the sender
-  target @12 :Text;             # PingRequest, relayed Ack: the address of the member that is probed
+  digest @11 :UInt64;           # over the members that the sender knows, with incarnations and versions
+  target @12 :Text;             # PingRequest, relayed Ack: address of the probed member
   entries @13 :List(Entry);
   locations @14 :List(Location);
-  orderedHeartbeats @15 :Data;       # of all members in the digest, ordered by address, for receivers with the
-                                     # same digest; 0: none received lately
+  orderedHeartbeats @15 :Data;       # of all members in the digest, ordered by address, for receivers with
+                                     # the same digest; 0: none received lately
   heartbeatHashes @16 :List(UInt32); # for receivers with another digest: hashes of address and incarnation
                                      # of some members,
   hashedHeartbeats @20 :Data;        # and their heartbeats
-  verifySuspicions @21 :Bool;   # the suspicions in it are old: the receiver probes instead of adopting them
-  digestBuckets @17 :List(UInt64);   # SyncRequest: digests of parts of the table; empty: all is requested
-  afterAddress @18 :Text;       # SyncRequest, SyncPage: the first address is the next one after this
+  verifySuspicions @21 :Bool;   # the suspicions are old: the receiver probes instead of adopting them
+  digestBuckets @17 :List(UInt64);   # SyncRequest: digests of the table's buckets; empty: all members
+  afterAddress @18 :Text;       # SyncRequest, SyncPage: the page starts with the next address after this
   upToAddress @19 :Text;        # SyncPage: the last address of the page
 }
--- a/src/cluster/membership/membership_impl.cpp
+++ b/src/cluster/membership/membership_impl.cpp
@@ -26,7 +26,7 @@
 void Membership::Impl::init_timers(TimePoint now) {
     sequence_number_ = static_cast<std::uint32_t>(random_());
     const Duration::rep interval = std::max<Duration::rep>(1, settings_.probe_interval.count());
-    // Processes that start together do not probe together.
+    // A random delay keeps processes that start together from probing at the same time.
     const std::size_t first_round_delay = random_index(static_cast<std::size_t>(interval));
     next_round_at_ = now + Duration(static_cast<Duration::rep>(first_round_delay));
     next_join_at_ = now;
@@ -108,7 +108,8 @@
     last_call_at_ = std::max(last_call_at_, now);
 }
 
-// All members; in large clusters some, who pass it on, and controllers.
+// All members that are not Dead; in large clusters random members, which pass the departure on, and
+// controllers.
 std::vector<Record*> Membership::Impl::departure_recipients() {
     std::vector<Record*> recipients;
     if (table_.live_count() <= kLargeCluster) {
@@ -128,15 +129,15 @@
 double Membership::Impl::heard_fraction(TimePoint now, Duration window) const {
     if (table_.gateway_count() == 0) return 1.0;
     if (table_.live_count() >= kLargeCluster) return estimate_heard_fraction(now, window);
-    std::size_t heard_count = 0;
+    std::size_t contacted_count = 0;
     for (const auto& [address, member] : table_.members()) {
         if (member.info.role != Role::Gateway || member.state == State::Dead) continue;
-        if (member.last_heard != TimePoint{} && now - member.last_heard <= window) ++heard_count;
+        if (member.last_heard != TimePoint{} && now - member.last_heard <= window) ++contacted_count;
     }
-    return static_cast<double>(heard_count) / static_cast<double>(table_.gateway_count());
+    return static_cast<double>(contacted_count) / static_cast<double>(table_.gateway_count());
 }
 
-// The pinged gateways stand for all that are Alive; suspects count as not heard.
+// The pinged gateways are a sample of those that are Alive; suspects count as without contact.
 double Membership::Impl::estimate_heard_fraction(TimePoint now, Duration window) const {
     const std::size_t gateway_count = table_.gateway_count();
     std::size_t suspect_count = 0;
@@ -147,7 +148,7 @@
     const double sampled_fraction = samples_.fraction(
         now, window,
         [](const PingSample& sample) { return sample.record->member->info.role == Role::Gateway; },
-        [](const PingSample& sample) { return sample.heard_since(); });
+        [](const PingSample& sample) { return sample.has_contact_since(); });
     return alive_count / static_cast<double>(gateway_count) * sampled_fraction;
 }
 
--- a/src/cluster/membership/membership_impl.h
+++ b/src/cluster/membership/membership_impl.h
@@ -1,4 +1,4 @@
-// The implementation of Membership, one class whose concerns lie in separate source files:
+// The implementation of Membership: one class, split by concern over several source files:
 // membership_impl.cpp (entry points), packet_handling.cpp, entry_merge.cpp, heartbeat_exchange.cpp,
 // probing.cpp, peer_selection.cpp, dissemination.cpp, synchronization.cpp and joining.cpp.
 #pragma once
@@ -24,7 +24,7 @@
 public:
     Impl(Settings settings, TimePoint now);
 
-    // These have the contracts of their namesakes in Membership.
+    // See the functions of the same names in Membership.
     void on_message(const std::string& from, const std::string& bytes, TimePoint now, Actions& actions);
     void record_contact(const std::string& address, std::uint64_t incarnation, TimePoint now);
     void tick(TimePoint now, Actions& actions);
@@ -43,16 +43,16 @@
     bool joined() const { return joined_; }
 
 private:
-    // By what an entry reached this process, which decides how far it is passed on.
+    // How an entry reached this process, which determines how often it is passed on.
     enum class EntrySource { Gossip, Join, Sync };
     enum class PullPurpose { Join, Synchronize };
 
     struct Seed {
         std::string address;
         int attempts = 0;
-        bool synced = false;    // it answered with all members that it knows
+        bool synced = false;    // it has sent all members that it knows
     };
-    // A ping that is repeated until the member is heard or Suspect.
+    // A ping that is repeated until the member proves that it runs, or becomes Suspect.
     struct Probe {
         Record* record = nullptr;
         TimePoint started_at{};
@@ -60,36 +60,37 @@
         int attempts = 1;
         std::uint32_t sequence_number = 0;
     };
-    // A ping that this process sent for another one.
+    // A ping that this process sent at the request of another.
     struct RelayedPing {
         std::uint32_t sequence_number = 0;
         std::uint32_t origin_sequence_number = 0;
         std::string target;
         std::string requester;
     };
-    // A transfer of another process's table, or of the buckets that differ, that is under way.
+    // A transfer in progress of another process's table, or of the buckets that differ.
     struct SyncPull {
         std::string source;
         PullPurpose purpose = PullPurpose::Synchronize;
         bool progressed = false;    // at least one page was accepted
-        bool learned = false;       // a page held something new
+        bool learned = false;       // a page contained something new
         int attempts = 1;           // of the current request
         TimePoint deadline{};
         std::string after_address;    // the pages up to this address have been accepted
         std::vector<std::uint64_t> digest_buckets;
-        std::map<std::string, Packet> early_pages;    // by after_address, without their entries
+        // Pages received out of order, without their entries; by after_address.
+        std::map<std::string, Packet> early_pages;
     };
-    // A packet while it is handled.
+    // A received packet and the state of its handling.
     struct Reception {
         const std::string& from;
         const Packet& packet;
         TimePoint now;
         Actions& actions;
-        Record* sender = nullptr;            // none: not a known member
-        std::vector<Entry> corrections{};    // newer than what the sender has
-        bool learned = false;                // an entry held something new
+        Record* sender = nullptr;            // null: not a known member
+        std::vector<Entry> corrections{};    // entries that are newer than the sender's
+        bool learned = false;                // an entry contained something new
         bool wants_info = false;             // the sender's full entry is needed
-        bool is_fresh = true;                // false: it may have waited while this process was paused
+        bool is_fresh = true;                // false: it may have been queued while this process was paused
     };
 
     // ---- general (membership_impl.cpp) ----
@@ -99,24 +100,24 @@
     std::uint64_t digest() const { return table_.digest() ^ self_record_.digest; }
     void update_self_digest();
     void init_timers(TimePoint now);
-    // Starts a new version of this process's information and queues it.
+    // Increments the version of this process's information and queues it as gossip.
     void bump_version(EntryForm form);
-    // Forgets what it was waiting for if this process was not called for long: nobody is suspected for that
-    // time, and earlier suspicions are not passed on.
+    // If this process was paused, cancels the running probes, so that no member is suspected for the time of
+    // the pause; earlier suspicions are no longer passed on.
     void detect_pause(TimePoint now);
     void resume_after_pause(TimePoint now);
     std::vector<Record*> departure_recipients();
     double estimate_heard_fraction(TimePoint now, Duration window) const;
     static void add_changed_member(const std::string& address, std::vector<std::string>& changed_members);
-    // Reports the changes made by calls that return no actions.
+    // Reports the changes made by calls without an Actions parameter.
     void flush_changes(Actions& actions);
 
     // ---- packets (packet_handling.cpp) ----
 
-    // A packet with the header of this process.
+    // Returns a packet with this process's header fields.
     Packet make_packet(PacketKind kind, std::uint32_t sequence_number = 0) const;
     void send_bytes(const std::string& to, std::string bytes, Actions& actions);
-    // Leaves out entries that do not fit a datagram.
+    // Omits entries that do not fit into a datagram.
     void send_packet(const std::string& to, Packet& packet, Actions& actions);
     static std::size_t estimate_size(const Packet& packet);
     void handle_packet(const std::string& from, const Packet& packet, TimePoint now, Actions& actions);
@@ -133,10 +134,10 @@
     // ---- entries (entry_merge.cpp) ----
 
     EntrySource source_of(const Packet& packet) const;
-    // The number of transmissions that a change counts as having had when it is learned.
+    // The transmission count with which a change from this source is queued.
     int initial_transmissions(EntrySource source) const;
     void merge_entries(Reception& reception);
-    // These return whether the entry held something new. `transmissions`: see initial_transmissions.
+    // These return whether the entry contained something new. `transmissions`: see initial_transmissions.
     bool merge_entry(const Entry& entry, Reception& reception);
     bool add_unknown_member(const Entry& entry, int transmissions, Reception& reception);
     bool merge_later_incarnation(Record& record, const Entry& entry, int transmissions, Reception& reception);
@@ -144,48 +145,51 @@
     bool merge_same_incarnation(Record& record, const Entry& entry, int transmissions, Reception& reception);
     bool merge_later_version(Record& record, const Entry& entry, bool accept_suspicion, int transmissions,
                              Reception& reception);
-    // What others know of this process: it takes a higher incarnation than an earlier process at its address,
-    // and refutes suspicions by a later version.
+    // Handles an entry about this process itself: takes a higher incarnation than that of an earlier process
+    // at its address, and refutes a suspicion by a later version.
     void handle_self_entry(const Entry& entry);
     bool publish_change(Record& record, EntryForm form, int transmissions, Reception& reception);
     void publish_change(Record& record, EntryForm form, int transmissions, TimePoint now, Actions& actions);
-    // The member proved that it runs.
+    // Records that the member has proved that it runs.
     void confirm_alive(Record& record, TimePoint now, std::vector<std::string>& changed_members);
     void restore_isolated_suspects(TimePoint now, std::vector<std::string>& changed_members);
 
     // ---- heartbeats (heartbeat_exchange.cpp) ----
 
-    // Visits this process and all members that are not Dead after the address in the order of their
-    // addresses, until `visit` returns false. include_unheard: also Dead members that did not announce their
-    // departure.
+    // Visits this process and all members that are not Dead whose addresses are greater than after_address,
+    // in ascending order, until `visit` returns false. include_presumed_dead: also visits Dead members that
+    // did not announce their departure.
     template <typename Visitor>
-    void for_each_in_order(const std::string& after_address, Visitor&& visit, bool include_unheard = false);
+    void for_each_in_order(const std::string& after_address, Visitor&& visit,
+                           bool include_presumed_dead = false);
     std::uint8_t current_heartbeat(const Record& record, TimePoint now) const;
-    // The heartbeats of all members, which only a receiver with the same digest can assign.
+    // Adds the heartbeats of all members; only a receiver with the same digest can assign them to members.
     void add_ordered_heartbeats(Packet& packet, TimePoint now);
-    // Some heartbeats, in turn, with their hashes.
+    // Adds a part of the heartbeats with their members' identity hashes; successive calls cover all members.
     void add_hashed_heartbeats(Packet& packet, TimePoint now);
-    // A heartbeat passed on by another member: proves that its member runs if it is later than the known one.
+    // Handles a heartbeat passed on by another member: a later one than the known one proves that its member
+    // runs.
     void learn_heartbeat(Record& record, std::uint8_t heartbeat, TimePoint now, Actions& actions);
-    // This process's own heartbeat as the sender knows it: proves that the sender hears this process.
+    // Handles this process's own heartbeat as repeated by the sender: proves that the sender receives it.
     void learn_echo(Record* sender, std::uint8_t heartbeat, TimePoint now);
     void learn_heartbeats(Record* sender, const Packet& packet, TimePoint now, Actions& actions);
     void learn_ordered_heartbeats(Record* sender, const Packet& packet, TimePoint now, Actions& actions);
 
     // ---- failure detection (probing.cpp) ----
 
-    // Since when the member could have been heard.
+    // Since when the silence of the member counts: its last contact, or the moment from which contact was
+    // first possible.
     TimePoint reachable_since(const Record& record) const;
     void handle_ack(const std::string& from, const Packet& packet, TimePoint now, Actions& actions);
     void handle_relayed_ack(const Packet& packet, TimePoint now, Actions& actions);
     void forward_ack(const std::string& from, std::uint32_t sequence_number, Actions& actions);
     void relay_ping(const std::string& requester, const Packet& packet, Actions& actions);
-    // include_entry: tells the member what is known of it, so that it refutes a suspicion.
+    // include_entry: sends the member its own entry, so that it can refute a suspicion.
     void send_ping(Record& record, std::uint32_t sequence_number, bool include_entry, TimePoint now,
                    Actions& actions);
     void send_ping_requests(const Record& record, std::uint32_t sequence_number, std::size_t helper_count,
                             Actions& actions);
-    // False if the member is probed already, or too many are.
+    // Returns false if the member is already probed, or the maximum number of probes is running.
     bool start_probe(Record& record, TimePoint now, Actions& actions);
     void retry_probes(TimePoint now, Actions& actions);
     bool may_suspect(const Probe& probe, TimePoint now) const;
@@ -194,50 +198,50 @@
     void schedule_next_round(TimePoint now);
     void ping_unreachable_member(TimePoint now, Actions& actions);
     void ping_missing_seed(Actions& actions);
-    // Suspect members become Dead, and Dead ones are erased, when their time is over.
+    // Turns Suspect members Dead, and erases Dead ones, after their timeouts.
     void expire_members(TimePoint now, Actions& actions);
     void erase_member(Record& record);
 
     // ---- selection of peers (peer_selection.cpp) ----
 
-    // Up to `count` random members that are Alive, without `excluded` (may be null).
+    // Up to `count` random members that are Alive, other than `excluded` (may be null).
     std::vector<Record*> choose_alive(std::size_t count, const Record* excluded);
     std::vector<Record*> choose_probe_targets(TimePoint now);
-    // Among all: the ones unheard for longest, then those whose last acknowledgement is the oldest.
+    // Among all members: first those silent for longest, then those with the oldest acknowledgement.
     std::vector<Record*> choose_targets_among_all(TimePoint now, std::size_t count);
-    // Each one the longest unheard among a few random members.
+    // Each target is the one silent for longest among a few random members.
     std::vector<Record*> choose_targets_by_sampling(std::size_t count);
 
     // ---- dissemination (dissemination.cpp) ----
 
     int max_transmissions() const;
     int max_eager_transmissions() const;
-    // Queues the latest change of a member before all that were sent as often.
+    // Queues the latest change of a member as gossip.
     void queue_gossip(Record& record, EntryForm form, int transmissions = 0);
-    // Adds queued changes that were sent less often than the limit, as far as they fit. `copies`: the number
+    // Adds queued changes with fewer transmissions than the limit, as far as they fit. `copies`: the number
     // of receivers.
     void add_gossip(Packet& packet, int copies, int transmission_limit);
     bool is_gossip_obsolete(const Record& record) const;
     void schedule_push();
-    // Sends new changes to a few members at once.
+    // Sends new changes to a few members without waiting for the next ping.
     void push_gossip(TimePoint now, Actions& actions);
 
     // ---- synchronization (synchronization.cpp) ----
 
     Duration min_sync_interval() const;
-    // Starts a synchronization if the sender's digest differs though nothing changed here lately.
+    // Starts a synchronization if the sender's digest differs although this process's table is stable.
     void compare_digest(const std::string& from, const Packet& packet, TimePoint now, Actions& actions);
     bool should_synchronize(const Packet& packet, TimePoint now) const;
-    // Stops spreading changes that all members met lately know.
-    void drop_spread_gossip();
+    // Stops sending changes once successive senders all have the same digest.
+    void drop_disseminated_gossip();
     std::vector<std::uint64_t> digest_buckets(std::size_t bucket_count) const;
     void send_sync_request(TimePoint now, Actions& actions);
     void send_sync_pages(const std::string& to, const Packet& request, Actions& actions);
-    std::vector<bool> compare_buckets(const std::vector<std::uint64_t>& theirs) const;
+    std::vector<bool> compare_buckets(const std::vector<std::uint64_t>& peer_buckets) const;
     bool is_in_sync_page(const Record& record, const std::vector<bool>& bucket_differs) const;
     Packet make_sync_page(const Packet& request, const std::string& after_address,
                           const std::vector<bool>& bucket_differs);
-    // Moves entries that do not fit a datagram to the next page.
+    // Moves entries that do not fit into a datagram to the next page.
     std::string encode_sync_page(Packet& page) const;
     void handle_sync_page(const Reception& reception);
     std::optional<Packet> take_next_page();
@@ -248,11 +252,11 @@
 
     std::vector<Seed> merge_seeds(const std::vector<std::string>& addresses) const;
     void start_join(TimePoint now, Actions& actions);
-    // The next one to request all members from; none: there is nobody left to ask.
+    // The next process to request all members from; none: no candidate is left.
     std::optional<std::string> choose_join_source();
     std::optional<std::string> choose_seed_as_controller();
     std::optional<std::string> choose_seed_as_gateway();
-    // The source has sent all members that it knows; `packet` is its last page.
+    // Called when the source has sent all members that it knows; `packet` is the last page.
     void on_full_sync(const std::string& source, const Packet& packet, TimePoint now);
 
     Settings settings_;
@@ -274,30 +278,30 @@
     std::vector<Probe> probes_;
     std::deque<RelayedPing> relays_;
     PingSamples samples_;
-    std::size_t heartbeat_cursor_ = 0;    // position of the heartbeat that was sent last
+    std::size_t heartbeat_cursor_ = 0;    // index of the last sent heartbeat
 
     GossipQueue gossip_queue_;
     TimePoint next_push_at_ = TimePoint::max();
     TimePoint last_push_at_{};
 
     std::optional<SyncPull> pull_;
-    TimePoint last_change_at_{};    // of this process's table
+    TimePoint last_change_at_{};    // last change of this process's table
     TimePoint last_sync_at_{};
     TimePoint next_sync_at_{};
     Duration sync_interval_ = kMinSyncInterval;
-    int consecutive_agreements_ = 0;    // packets in a row with the same digest
-    bool sync_requested_ = false;       // after a pause: synchronize without waiting
+    int consecutive_agreements_ = 0;    // successive packets with the same digest
+    bool sync_requested_ = false;       // after a pause: synchronize without delay
 
     std::vector<Seed> seeds_;
     std::size_t next_seed_ = 0;
-    std::size_t seeds_asked_ = 0;    // since the last answer or the last longer timeout
+    std::size_t seeds_asked_ = 0;    // since the last reply or the last increase of the timeout
     TimePoint next_join_at_{};
     Duration join_timeout_{};
 };
 
 template <typename Visitor>
 void Membership::Impl::for_each_in_order(const std::string& after_address, Visitor&& visit,
-                                         bool include_unheard) {
+                                         bool include_presumed_dead) {
     bool self_pending = after_address < self_record_.address;
     bool keep_going = true;
     table_.for_each_after(after_address, [&](Record& record) {
@@ -306,7 +310,7 @@
             keep_going = visit(self_record_);
         }
         const Member& member = *record.member;
-        const bool skipped = member.state == State::Dead && (!include_unheard || member.departed);
+        const bool skipped = member.state == State::Dead && (!include_presumed_dead || member.departed);
         keep_going = keep_going && (skipped || visit(record));
         return keep_going;
     });
--- a/src/cluster/membership/packet.cpp
+++ b/src/cluster/membership/packet.cpp
@@ -15,14 +15,14 @@
 namespace shaletray::membership {
 namespace {
 
-// Limits for received packets, far above what a datagram of a member holds.
+// Limits for received packets, far above what a member's datagram contains.
 constexpr std::size_t kMaxPacketBytes = 16 * 1024;
 constexpr std::size_t kMaxPacketWords = 32 * 1024;
 constexpr std::size_t kMaxTextBytes = 128;
 constexpr std::size_t kMaxEntries = 512;
 constexpr std::size_t kMaxHeartbeats = 512;
 constexpr int kMaxNesting = 6;
-// Sizes that fit a datagram, to spare allocations.
+// Initial buffer sizes that suffice for a datagram, to avoid reallocations.
 constexpr std::size_t kScratchWords = 1024;
 constexpr std::size_t kExpectedBytes = 1500;
 
@@ -41,7 +41,8 @@
     return formatted + std::to_string(address.port);
 }
 
-// The zero address unless the text is exactly what format_ipv4 returns for the parsed address.
+// Returns the zero address unless the text is exactly what format_ipv4 returns for the parsed address, so
+// that the text can be restored from it.
 Ipv4 parse_ipv4(const std::string& address) {
     Ipv4 parsed;
     const char* position = address.data();
@@ -59,9 +60,9 @@
 }
 
 std::string checked_text(capnp::Text::Reader text) {
-    KJ_REQUIRE(text.size() <= kMaxTextBytes, "a text is too long");
+    KJ_REQUIRE(text.size() <= kMaxTextBytes, "text field is too long");
     for (const char character : text)
-        KJ_REQUIRE(static_cast<unsigned char>(character) >= 0x20, "a text has control bytes");
+        KJ_REQUIRE(static_cast<unsigned char>(character) >= 0x20, "text field contains control characters");
     return std::string(text.begin(), text.size());
 }
 
@@ -177,7 +178,7 @@
     Entry entry;
     entry.info.address = reader.getIp() != 0 ? format_ipv4({reader.getIp(), reader.getPort()})
                                              : checked_text(reader.getAddress());
-    KJ_REQUIRE(!entry.info.address.empty(), "an entry without an address");
+    KJ_REQUIRE(!entry.info.address.empty(), "entry has no address");
     entry.info.incarnation = reader.getIncarnation();
     entry.state = static_cast<State>(reader.getState());
     entry.version = reader.getVersion();
@@ -191,7 +192,7 @@
     entry.info.name = checked_text(reader.getName());
     entry.info.control_address = checked_text(reader.getControlAddress());
     if (reader.getLocation() != 0) {
-        KJ_REQUIRE(reader.getLocation() <= locations.size(), "an entry's location is missing");
+        KJ_REQUIRE(reader.getLocation() <= locations.size(), "entry refers to a missing location");
         const auto location = locations[reader.getLocation() - 1u];
         entry.info.zone = checked_text(location.getZone());
         entry.info.region = checked_text(location.getRegion());
@@ -200,7 +201,7 @@
 }
 
 void read_header(wire::Packet::Reader reader, Packet& packet) {
-    KJ_REQUIRE(reader.getKind() <= static_cast<std::uint8_t>(PacketKind::SyncPage), "an unknown kind");
+    KJ_REQUIRE(reader.getKind() <= static_cast<std::uint8_t>(PacketKind::SyncPage), "unknown packet kind");
     packet.kind = static_cast<PacketKind>(reader.getKind());
     packet.wants_info = reader.getWantsInfo();
     packet.joined = reader.getJoined();
@@ -219,7 +220,7 @@
     packet.up_to_address = checked_text(reader.getUpToAddress());
 }
 
-// Rejects lists that are longer than a member sends, and bucket counts that are no power of two.
+// Rejects lists that are longer than any a member sends, and bucket counts that are not a power of two.
 void check_list_sizes(wire::Packet::Reader reader) {
     const auto hash_count = reader.getHeartbeatHashes().size();
     const auto bucket_count = reader.getDigestBuckets().size();
@@ -227,7 +228,7 @@
                    hash_count == reader.getHashedHeartbeats().size() &&
                    reader.getOrderedHeartbeats().size() <= kMaxHeartbeats && bucket_count <= kMaxBuckets &&
                    (bucket_count & (bucket_count - 1)) == 0,
-               "a list has a wrong size");
+               "list has an invalid size");
 }
 
 void read_entries(wire::Packet::Reader reader, Packet& packet) {
@@ -287,7 +288,7 @@
     capnp::word scratch[kScratchWords] = {};
     capnp::MallocMessageBuilder message(kj::arrayPtr(scratch, kScratchWords));
     auto root = message.initRoot<wire::Packet>();
-    // The order of these calls is the order in which the parts lie in the message.
+    // These calls determine the order of the parts in the encoded message.
     write_header(packet, root);
     write_entries(packet, root);
     write_heartbeats(packet, root);
@@ -304,9 +305,9 @@
 }
 
 boost::leaf::result<Packet> decode(std::string_view bytes) {
-    if (bytes.size() > kMaxPacketBytes) return boost::leaf::new_error(MalformedPacket{"too many bytes"});
-    if (bytes.size() <= kChecksumBytes) return boost::leaf::new_error(MalformedPacket{"too few bytes"});
-    if (!has_valid_checksum(bytes)) return boost::leaf::new_error(MalformedPacket{"the checksum is wrong"});
+    if (bytes.size() > kMaxPacketBytes) return boost::leaf::new_error(MalformedPacket{"packet is too large"});
+    if (bytes.size() <= kChecksumBytes) return boost::leaf::new_error(MalformedPacket{"packet is too short"});
+    if (!has_valid_checksum(bytes)) return boost::leaf::new_error(MalformedPacket{"checksum mismatch"});
     const std::string_view body = bytes.substr(kChecksumBytes);
     try {
         kj::ArrayInputStream stream(
--- a/src/cluster/membership/packet.h
+++ b/src/cluster/membership/packet.h
@@ -14,10 +14,10 @@
 enum class PacketKind : std::uint8_t {
     Ping,
     Ack,            // answers a Ping; with `target` set, reports that a relayed ping was answered
-    PingRequest,    // asks the receiver to ping `target` for the sender
+    PingRequest,    // asks the receiver to ping `target` on behalf of the sender
     Gossip,         // membership changes; not answered
-    SyncRequest,    // requests the members after `after_address` from the buckets that differ
-    SyncPage        // part of the answer to a SyncRequest
+    SyncRequest,    // requests the members after `after_address` in the buckets that differ
+    SyncPage        // part of the reply to a SyncRequest
 };
 
 // How much of a member's information an entry carries.
@@ -26,13 +26,13 @@
     Full      // all of MemberInfo
 };
 
-// What the sender of a packet knows of one member.
+// One member, as the sender of a packet knows it.
 struct Entry {
     MemberInfo info;
     State state = State::Alive;    // Dead: the member announced its departure
     std::uint32_t version = 0;     // of `info` within its incarnation
-    bool brief = false;            // role, name, location, control address and eligibility are left out
-    bool unheard = false;          // Suspect for so long that the sender holds the member dead
+    bool brief = false;            // role, name, location, control address and eligibility are omitted
+    bool unheard = false;          // the sender presumes the member dead for its silence
 };
 
 // The heartbeat of a member that is identified by MemberTable::identity_hash.
@@ -41,7 +41,7 @@
     std::uint8_t heartbeat = 0;
 };
 
-// One datagram; membership.capnp describes the fields.
+// One datagram. membership.capnp documents the fields.
 struct Packet {
     PacketKind kind = PacketKind::Ping;
     bool wants_info = false;
@@ -65,22 +65,22 @@
     std::vector<std::uint64_t> digest_buckets;
 };
 
-// The most digest buckets of a SyncRequest; their number is a power of two.
+// Maximum number of digest buckets in a SyncRequest; the number of buckets is a power of two.
 constexpr std::size_t kMaxBuckets = 128;
-// The size of the checksum in front of the packed Packet.
+// Size of the checksum in front of the packed Packet.
 constexpr std::size_t kChecksumBytes = 4;
 
-// Error of decode.
+// Error returned by decode().
 struct MalformedPacket {
     std::string reason;
 };
 
 // Upper estimate of the bytes that an entry adds to an encoded packet.
 std::size_t entry_size(const Entry& entry);
-// Writes the checksum of the remaining bytes into the first kChecksumBytes.
+// Computes the checksum of all but the first kChecksumBytes and writes it into these.
 void write_checksum(std::string& bytes);
 std::string encode(const Packet& packet);
-// Removes entries from the end of the packet until it encodes to at most max_bytes (or has none left).
+// Removes entries from the end of the packet until its encoding has at most max_bytes, or no entry is left.
 std::string encode_fitting(Packet& packet, std::size_t max_bytes);
 // Error: MalformedPacket. Entries with an unknown role or state are skipped.
 boost::leaf::result<Packet> decode(std::string_view bytes);
--- a/src/cluster/membership/packet_handling.cpp
+++ b/src/cluster/membership/packet_handling.cpp
@@ -1,4 +1,4 @@
-// Packets: construction, sending, and what is done with a received one.
+// Construction, sending and handling of packets.
 #include <algorithm>
 
 #include "cluster/membership/membership_impl.h"
@@ -6,12 +6,12 @@
 namespace shaletray::membership {
 namespace {
 
-// Upper estimates of the bytes of an encoded packet: its header, and each element of its lists.
+// Upper estimates of encoded sizes: of a packet's header, and of each element of its lists.
 constexpr std::size_t kHeaderBytes = 100;
 constexpr std::size_t kHashedHeartbeatBytes = 6;
 constexpr std::size_t kBucketBytes = 9;
 
-// Packed bytes carry one tag byte for each eight.
+// Cap'n Proto's packed encoding adds one tag byte per eight bytes.
 constexpr std::size_t packed_size(std::size_t bytes) { return bytes * 9 / 8; }
 
 }    // namespace
@@ -72,7 +72,7 @@
     dispatch_packet(reception);
 }
 
-// Right after a pause only answers to requests made since then are known to be new.
+// Right after a pause, only acks of pings sent since then are known to be new.
 bool Membership::Impl::is_fresh(const Packet& packet, TimePoint now) const {
     if (resumed_at_ == TimePoint{} || now - resumed_at_ > kPauseDrainTime) return true;
     return packet.kind == PacketKind::Ack &&
@@ -94,11 +94,12 @@
     return reception.packet.version > sender->version;
 }
 
-// The sender runs. If it was held unreachable, it is told so, and refutes that by a new version.
+// Records that the sender runs. If it was considered unreachable, it is sent its own entry as Suspect, which
+// it refutes by a new version.
 void Membership::Impl::confirm_sender(Reception& reception, bool was_unreachable,
                                       std::uint32_t previous_version) {
     if (!has_sender_incarnation(reception) || reception.sender->member->departed) return;
-    if (!reception.packet.target.empty()) return;    // says something of a third member
+    if (!reception.packet.target.empty()) return;    // a relayed ack, which is about a third member
     Record& sender = *reception.sender;
     sender.heartbeat = reception.packet.heartbeat;
     sender.heartbeat_at = reception.now;
@@ -115,7 +116,7 @@
     if (sender != nullptr) {
         if (packet.digest == digest() || packet.member_count <= table_.live_count())
             sender->member->last_in_sync = reception.now;
-        if (packet.kind == PacketKind::SyncPage)    // an answer to this process's request
+        if (packet.kind == PacketKind::SyncPage)    // a reply to a request of this process
             sender->member->last_acknowledged = reception.now;
     }
     learn_heartbeats(sender, packet, reception.now, reception.actions);
@@ -164,7 +165,7 @@
     send_packet(reception.from, ack, reception.actions);
 }
 
-// Sends what the sender should know, and asks for what is missing here, if there is anything of either.
+// Sends corrections to the sender, and requests its full entry if needed. Sends nothing if there is neither.
 void Membership::Impl::send_corrections(Reception& reception) {
     if (!reception.wants_info && !reception.packet.wants_info && reception.corrections.empty()) return;
     Packet gossip = make_packet(PacketKind::Gossip);
--- a/src/cluster/membership/peer_selection.cpp
+++ b/src/cluster/membership/peer_selection.cpp
@@ -1,4 +1,4 @@
-// The random choice of members to ping, to ask for help and to send changes to.
+// Random selection of the members to ping, to relay pings, and to send changes to.
 #include <algorithm>
 
 #include "cluster/membership/membership_impl.h"
@@ -15,7 +15,7 @@
 std::vector<Record*> Membership::Impl::choose_alive(std::size_t count, const Record* excluded) {
     std::vector<Record*> chosen;
     if (table_.size() == 0) return chosen;
-    // In a small table random positions would mostly hit members that are chosen already.
+    // In a small table, random positions would mostly hit members that are already chosen.
     if (table_.size() <= 2 * count + 8) {
         for (std::size_t i = 0; i < table_.size(); ++i) {
             Record* const record = table_.record_at(i);
@@ -43,8 +43,9 @@
     std::erase_if(chosen, [](const Record* record) { return record->probing; });
     const auto priority = [&](const Record* record) {
         const Member& member = *record->member;
-        const bool recently_heard = now - member.last_heard <= 2 * settings_.probe_interval;
-        return std::pair(recently_heard, recently_heard ? member.last_acknowledged : member.last_heard);
+        const bool had_recent_contact = now - member.last_heard <= 2 * settings_.probe_interval;
+        return std::pair(had_recent_contact,
+                         had_recent_contact ? member.last_acknowledged : member.last_heard);
     };
     std::stable_sort(chosen.begin(), chosen.end(),
                      [&](const Record* a, const Record* b) { return priority(a) < priority(b); });
@@ -55,14 +56,14 @@
 std::vector<Record*> Membership::Impl::choose_targets_by_sampling(std::size_t count) {
     std::vector<Record*> chosen;
     for (std::size_t i = 0; i < count; ++i) {
-        Record* longest_unheard = nullptr;
+        Record* longest_silent = nullptr;
         for (Record* candidate : choose_alive(kPingCandidates, nullptr)) {
             if (candidate->probing || contains(chosen, candidate)) continue;
-            if (longest_unheard == nullptr ||
-                candidate->member->last_heard < longest_unheard->member->last_heard)
-                longest_unheard = candidate;
+            if (longest_silent == nullptr ||
+                candidate->member->last_heard < longest_silent->member->last_heard)
+                longest_silent = candidate;
         }
-        if (longest_unheard != nullptr) chosen.push_back(longest_unheard);
+        if (longest_silent != nullptr) chosen.push_back(longest_silent);
     }
     return chosen;
 }
--- a/src/cluster/membership/ping_samples.cpp
+++ b/src/cluster/membership/ping_samples.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-void PingSamples::forget(const Record& record) {
+void PingSamples::remove_record(const Record& record) {
     std::erase_if(samples_, [&](const PingSample& sample) { return sample.record == &record; });
 }
 
@@ -41,15 +41,15 @@
 
 bool PingSamples::is_isolated(TimePoint now) const {
     std::size_t sample_count = 0;
-    std::size_t heard_count = 0;
+    std::size_t contacted_count = 0;
     for (auto sample = samples_.rbegin(); sample != samples_.rend() && sample_count < 2 * kMinSamples;
          ++sample) {
         if (now - sample->sent_at < kAckTimeout) continue;
         ++sample_count;
-        if (sample->heard_since()) ++heard_count;
-        if (sample_count == kMinSamples && heard_count == 0) return true;
+        if (sample->has_contact_since()) ++contacted_count;
+        if (sample_count == kMinSamples && contacted_count == 0) return true;
     }
-    return heard_count * 2 < sample_count;
+    return contacted_count * 2 < sample_count;
 }
 
 }    // namespace shaletray::membership
--- a/src/cluster/membership/ping_samples.h
+++ b/src/cluster/membership/ping_samples.h
@@ -1,4 +1,4 @@
-// The latest pings of the probe rounds, by which this process judges its own connectivity.
+// The latest pings of the probe rounds, from which this process estimates its own connectivity.
 #pragma once
 
 #include <deque>
@@ -13,27 +13,28 @@
     Record* record = nullptr;
     TimePoint sent_at{};
     std::uint32_t sequence_number = 0;
-    bool acknowledged = false;    // by the member that was pinged, perhaps through another one
+    bool acknowledged = false;    // by the pinged member, directly or through another one
 
-    // Whether anything of the member was received after the ping was sent.
-    bool heard_since() const { return record->member->last_heard >= sent_at; }
+    // Whether the member proved that it runs after the ping was sent.
+    bool has_contact_since() const { return record->member->last_heard >= sent_at; }
 };
 
-// The last kMaxSamples pings. Does not own the records; forget() has to be called before one is erased.
+// The last kMaxSamples pings. Does not own the records: call remove_record() before erasing one.
 class PingSamples {
 public:
     using Predicate = std::function<bool(const PingSample&)>;
 
     void add(Record& record, TimePoint sent_at, std::uint32_t sequence_number);
-    // The ping with this number was answered; renews last_acknowledged of its member.
+    // Marks the ping with this number as answered, and renews last_acknowledged of its member.
     void acknowledge(const Record& record, std::uint32_t sequence_number);
-    void forget(const Record& record);
+    // Removes the pings of the record.
+    void remove_record(const Record& record);
     void clear() { samples_.clear(); }
-    // Of the pings sent in the window (at least the last kMinSamples) that are `relevant`, the fraction that
-    // is `successful`; 0 where there are none. Pings that may still be answered in time are left out.
+    // The fraction of `successful` pings among the `relevant` ones sent in the window (at least the last
+    // kMinSamples); 0 if there are none. Pings whose ack timeout has not expired are not counted.
     double fraction(TimePoint now, Duration window, const Predicate& relevant,
                     const Predicate& successful) const;
-    // Whether this process has heard from few of those that it pinged lately.
+    // Whether only few of the recently pinged members have since proved that they run.
     bool is_isolated(TimePoint now) const;
 
 private:
--- a/src/cluster/membership/probing.cpp
+++ b/src/cluster/membership/probing.cpp
@@ -20,7 +20,7 @@
     forward_ack(from, packet.sequence_number, actions);
 }
 
-// Another member's ping was answered for this process. Counts only for the incarnation that is probed.
+// A ping that another member sent for this process was answered. Counts only for the probed incarnation.
 void Membership::Impl::handle_relayed_ack(const Packet& packet, TimePoint now, Actions& actions) {
     Record* const record = table_.find(packet.target);
     if (record == nullptr || record->member->departed) return;
@@ -35,7 +35,7 @@
     samples_.acknowledge(*record, packet.sequence_number);
 }
 
-// Reports the ack to the process for which the member was pinged, if there is one.
+// Reports the ack to the process that requested the ping, if there is one.
 void Membership::Impl::forward_ack(const std::string& from, std::uint32_t sequence_number, Actions& actions) {
     const auto relay = std::find_if(relays_.begin(), relays_.end(), [&](const RelayedPing& candidate) {
         return candidate.sequence_number == sequence_number && candidate.target == from;
@@ -106,7 +106,7 @@
 bool Membership::Impl::may_suspect(const Probe& probe, TimePoint now) const {
     if (probe.attempts < kMinProbeAttempts) return false;
     if (now - reachable_since(*probe.record) < settings_.suspect_after) return false;
-    // In large clusters a member may be unheard for long before it is probed.
+    // In large clusters a member may have been silent for long before it is probed.
     const Duration min_probe_time = is_large() ? settings_.suspect_after : settings_.suspect_after / 2;
     return now - probe.started_at >= min_probe_time;
 }
@@ -114,7 +114,7 @@
 void Membership::Impl::suspect(Record& record, TimePoint now, Actions& actions) {
     record.probing = false;
     table_.set_state(record, State::Suspect, now);
-    // A process that hears hardly anybody is likely to be partitioned itself: it does not pass this on.
+    // An isolated process is likely to be partitioned itself, so it does not pass the suspicion on.
     record.suspected_in_isolation = samples_.is_isolated(now);
     const int transmissions = record.suspected_in_isolation ? max_transmissions() : 0;
     publish_change(record, EntryForm::Brief, transmissions, now, actions);
@@ -133,7 +133,8 @@
     if (round_count_ % kRoundsPerSeedCheck == 0) ping_missing_seed(actions);
 }
 
-// The interval varies by a sixteenth to both sides, so that processes do not probe in step.
+// The interval varies randomly by up to a sixteenth in both directions, so that processes do not probe in
+// step.
 void Membership::Impl::schedule_next_round(TimePoint now) {
     const Duration::rep interval = settings_.probe_interval.count();
     const auto jitter_range = static_cast<std::size_t>(std::max<Duration::rep>(1, interval / 8));
@@ -152,7 +153,7 @@
         send_ping_requests(record, sequence_number_, kSuspectHelpers, actions);
 }
 
-// Parts of a cluster that hold each other dead, or started apart, find each other through the seeds.
+// Lets parts of a cluster that consider each other dead, or started separately, find each other.
 void Membership::Impl::ping_missing_seed(Actions& actions) {
     if (!joined_ || seeds_.empty()) return;
     const Seed& seed = seeds_[random_index(seeds_.size())];
@@ -182,7 +183,7 @@
 
 void Membership::Impl::erase_member(Record& record) {
     gossip_queue_.remove(record);
-    samples_.forget(record);
+    samples_.remove_record(record);
     std::erase_if(probes_, [&](const Probe& probe) { return probe.record == &record; });
     table_.erase(record);
 }
--- a/src/cluster/membership/synchronization.cpp
+++ b/src/cluster/membership/synchronization.cpp
@@ -7,16 +7,16 @@
 namespace shaletray::membership {
 namespace {
 
-// Members of a digest bucket, on average.
+// Average number of members per digest bucket.
 constexpr std::size_t kMembersPerBucket = 8;
 // Upper estimate of the bytes of the addresses in a sync page.
 constexpr std::size_t kPageAddressBytes = 60;
-// Pages that may arrive before the ones in front of them.
+// Maximum number of pages held until the preceding ones arrive.
 constexpr std::size_t kMaxEarlyPages = 4 * kPagesPerRequest;
 
 std::size_t bucket_count_for(std::size_t live_count) {
-    const std::size_t wanted = std::bit_ceil((live_count + 1) / kMembersPerBucket + 1);
-    return std::clamp<std::size_t>(wanted, 1, kMaxBuckets);
+    const std::size_t target_count = std::bit_ceil((live_count + 1) / kMembersPerBucket + 1);
+    return std::clamp<std::size_t>(target_count, 1, kMaxBuckets);
 }
 
 void end_page_at_last_entry(Packet& page) {
@@ -34,7 +34,7 @@
                                       Actions& actions) {
     if (packet.digest == digest()) {
         sync_requested_ = false;
-        if (++consecutive_agreements_ >= kAgreementsInSync) drop_spread_gossip();
+        if (++consecutive_agreements_ >= kAgreementsInSync) drop_disseminated_gossip();
         return;
     }
     consecutive_agreements_ = 0;
@@ -48,22 +48,23 @@
     send_sync_request(now, actions);
 }
 
-// Without need as long as changes are on their way; the need is clear if the sender knows many more members.
+// While changes are still being sent as gossip, synchronization is unnecessary, unless the sender knows many
+// more members.
 bool Membership::Impl::should_synchronize(const Packet& packet, TimePoint now) const {
     if (pull_ || !joined_) return false;
     if (sync_requested_) return true;
     if (now < next_sync_at_) return false;
     const std::size_t live_count = table_.live_count();
     const bool has_fewer_members = packet.member_count > live_count + live_count / 16 + 2;
-    const bool changed_lately = now - last_change_at_ < kQuietTime;
-    const bool synchronized_lately = now - last_sync_at_ < 2 * kQuietTime;
+    const bool changed_lately = now - last_change_at_ < kStableTime;
+    const bool synchronized_lately = now - last_sync_at_ < 2 * kStableTime;
     return has_fewer_members || !changed_lately || !synchronized_lately;
 }
 
-void Membership::Impl::drop_spread_gossip() {
+void Membership::Impl::drop_disseminated_gossip() {
     consecutive_agreements_ = 0;
     sync_interval_ = min_sync_interval();
-    gossip_queue_.drop_spread(max_eager_transmissions());
+    gossip_queue_.drop_disseminated(max_eager_transmissions());
 }
 
 std::vector<std::uint64_t> Membership::Impl::digest_buckets(std::size_t bucket_count) const {
@@ -95,12 +96,12 @@
     }
 }
 
-// Empty where nothing was given to compare with.
-std::vector<bool> Membership::Impl::compare_buckets(const std::vector<std::uint64_t>& theirs) const {
+// Which buckets differ; empty if there are no buckets to compare with.
+std::vector<bool> Membership::Impl::compare_buckets(const std::vector<std::uint64_t>& peer_buckets) const {
     std::vector<bool> differs;
-    if (theirs.empty()) return differs;
-    const std::vector<std::uint64_t> own = digest_buckets(theirs.size());
-    for (std::size_t i = 0; i < own.size(); ++i) differs.push_back(own[i] != theirs[i]);
+    if (peer_buckets.empty()) return differs;
+    const std::vector<std::uint64_t> own = digest_buckets(peer_buckets.size());
+    for (std::size_t i = 0; i < own.size(); ++i) differs.push_back(own[i] != peer_buckets[i]);
     return differs;
 }
 
@@ -130,8 +131,8 @@
         page.entries.push_back(std::move(entry));
         return true;
     };
-    const bool include_unheard = request.digest_buckets.empty();    // a joining process asks for all
-    for_each_in_order(after_address, add_entry, include_unheard);
+    const bool include_presumed_dead = request.digest_buckets.empty();    // the request of a joining process
+    for_each_in_order(after_address, add_entry, include_presumed_dead);
     if (!page.last_page) end_page_at_last_entry(page);
     return page;
 }
@@ -150,7 +151,7 @@
     const std::string& from = reception.from;
     const Packet& packet = reception.packet;
     const TimePoint now = reception.now;
-    // A full answer counts for joining even if the request for it was abandoned.
+    // A complete reply counts for joining even if its request was abandoned.
     if (packet.last_page && packet.after_address.empty() && !joined_) on_full_sync(from, packet, now);
     if (!pull_ || pull_->source != from) return;
     pull_->learned = pull_->learned || reception.learned;
@@ -175,8 +176,8 @@
     send_sync_request(now, reception.actions);
 }
 
-// The page that continues the accepted ones, if it has arrived. A page that does not get further is dropped,
-// since the transfer would never end.
+// The page that follows the accepted ones, if it has arrived. A page that makes no progress is dropped, since
+// the transfer would never end.
 std::optional<Packet> Membership::Impl::take_next_page() {
     const auto it = pull_->early_pages.find(pull_->after_address);
     if (it == pull_->early_pages.end()) return std::nullopt;
@@ -199,7 +200,7 @@
 
 void Membership::Impl::handle_pull_timeout(TimePoint now, Actions& actions) {
     const bool joining = pull_->purpose == PullPurpose::Join;
-    // A join request that nobody answered is not repeated: the next seed is asked.
+    // An unanswered join request is not repeated: the next seed is asked instead.
     const bool abandon = pull_->progressed ? pull_->attempts >= kMaxPullAttempts
                                            : joining || pull_->attempts >= kMaxFirstPullAttempts;
     if (!abandon) {
--- a/tests/cluster/membership/cluster_helpers.h
+++ b/tests/cluster/membership/cluster_helpers.h
@@ -1,5 +1,5 @@
-// Helpers of the membership tests: a stable cluster to begin with, and a record of what members hold each
-// other.
+// Helpers of the membership tests: a stable initial cluster, and a record of the states that members assign
+// to each other.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -22,7 +22,7 @@
     });
 }
 
-// Starts three controllers and eleven gateways, and waits until they know each other.
+// Starts three controllers and eleven gateways, and waits until all have joined and agree on the members.
 inline void start_stable_cluster(Network& net) {
     net.start_all(3, 11, std::chrono::milliseconds(300));
     net.run_for(std::chrono::seconds(3));
@@ -34,7 +34,7 @@
     return {Network::controller_address(0), Network::controller_address(1), Network::controller_address(2)};
 }
 
-// Records which members came to hold which others Suspect or Dead, during its lifetime.
+// Records, during its lifetime, which members considered which others Suspect or Dead.
 struct StateObserver {
     explicit StateObserver(Network& net) {
         net.on_actions = [this, &net](const std::string& observer, const Actions& actions) {
--- a/tests/cluster/membership/dissemination_test.cpp
+++ b/tests/cluster/membership/dissemination_test.cpp
@@ -1,4 +1,4 @@
-// How changes and departures spread, and what a member at rest costs.
+// Dissemination of changes and departures, and the load of idle members.
 #include <criterion/criterion.h>
 
 #include <cstdio>
@@ -22,7 +22,7 @@
     }
 }
 
-Test(membership, a_departure_is_known_at_once_and_is_final) {
+Test(membership, departure_spreads_quickly_and_is_final) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Network net(seed);
         start_stable_cluster(net);
@@ -35,7 +35,7 @@
         for (auto& [address, process] : net.processes) {
             if (process.member == nullptr) continue;
             cr_expect(process.member->members().at(subject).departed);
-            process.member->record_contact(subject, incarnation, net.now);    // a late message
+            process.member->record_contact(subject, incarnation, net.now);    // a message that arrives late
         }
         net.run_for(10s);
         cr_expect_eq(net.count_seen_as(subject, State::Dead), 13);
@@ -44,8 +44,8 @@
     }
 }
 
-// The load of a process at rest does not grow with the number of members.
-Test(membership, hundreds_of_members_converge_at_constant_cost_each) {
+// The load of an idle process does not grow with the number of members.
+Test(membership, hundreds_of_members_converge_at_constant_load_per_process) {
     for (const int gateway_count : {10, 97, 297}) {
         Network net(2);
         net.loss = 0.01;
@@ -75,7 +75,7 @@
         cr_expect_lt(bytes, 1500.0);
         cr_expect(observer.suspected.empty());
         cr_expect_gt(net[Network::gateway_address(2)].heard_fraction(net.now, 3s), 0.95);
-        // A tenth crashes, a tenth departs; one changes.
+        // A tenth of the gateways crashes, a tenth departs, and one changes its quota divisor.
         net.on_actions = nullptr;
         for (int i = 0; i < gateway_count / 10; ++i) {
             net.stop_process(Network::gateway_address(3 * i + 1));
--- a/tests/cluster/membership/joining_test.cpp
+++ b/tests/cluster/membership/joining_test.cpp
@@ -1,4 +1,4 @@
-// Joining: seeds, later processes at an address, and what a joining process learns.
+// Joining: seeds, restarted processes, and what a joining process learns.
 #include <criterion/criterion.h>
 
 #include "cluster/membership/cluster_helpers.h"
@@ -7,7 +7,7 @@
 using namespace shaletray::membership;
 using namespace std::chrono_literals;
 
-Test(membership, processes_started_together_soon_know_each_other) {
+Test(membership, processes_started_together_discover_each_other) {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         Network net(seed);
         net.loss = seed % 2 == 0 ? 0.02 : 0.0;
@@ -18,9 +18,9 @@
     }
 }
 
-// A clock that was set back gives the later process the lower incarnation, until it learns of the earlier
-// one.
-Test(membership, a_later_process_takes_over_its_address_whatever_its_clock_says) {
+// If the clock was set back, the restarted process starts with a lower incarnation than the earlier one, and
+// must raise it.
+Test(membership, restarted_process_takes_over_its_address_despite_a_clock_set_back) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Network net(seed);
         start_stable_cluster(net);
@@ -39,14 +39,14 @@
     }
 }
 
-// A member that all hold dead for its silence may run nevertheless: joining processes are told of it, other
-// than of departed members, and the digests do not differ for it.
-Test(membership, a_joining_process_is_told_of_unheard_members) {
+// A member that all others consider dead for its silence may still run: joining processes learn of it, unlike
+// of departed members, without differing digests.
+Test(membership, joining_process_learns_of_silent_members_but_not_of_departed_ones) {
     Network net(5);
     start_stable_cluster(net);
-    const std::string unheard = Network::gateway_address(3);
+    const std::string silent = Network::gateway_address(3);
     net.is_cut = [&](const std::string& from, const std::string& to) {
-        return from == unheard || to == unheard;
+        return from == silent || to == silent;
     };
     net.depart(Network::gateway_address(4));
     net.run_for(25s);
@@ -54,18 +54,18 @@
     net.start_process(late_joiner, seed_addresses(), 1);
     net.run_for(2s);
     const auto& known = net[late_joiner].members();
-    cr_assert(known.contains(unheard) && known.at(unheard).state == State::Dead);
-    cr_assert(!known.at(unheard).departed && known.at(unheard).last_heard == TimePoint{});
+    cr_assert(known.contains(silent) && known.at(silent).state == State::Dead);
+    cr_assert(!known.at(silent).departed && known.at(silent).last_heard == TimePoint{});
     cr_assert_not(known.contains(Network::gateway_address(4)));
     cr_assert_gt((known.at(Network::controller_address(1)).last_in_sync - net.now) / 1ms, -4000);
     net.is_cut = nullptr;
     cr_assert(net.run_until(4s, [&] { return net.all_agree(); }));
 }
 
-Test(membership, seeds_may_be_dead_or_wrong_and_be_replaced) {
+Test(membership, joins_despite_dead_or_wrong_seeds_and_after_seeds_are_replaced) {
     Network net(3);
     start_stable_cluster(net);
-    // A dead one, a gateway's, and one that runs.
+    // Seeds: a dead address, a gateway, and a running controller.
     net.start_process(Network::gateway_address(20),
                       {"10.9.9.9:7100", Network::gateway_address(0), Network::controller_address(2)}, 1);
     cr_assert(
@@ -74,12 +74,13 @@
     const std::uint64_t sent = net[Network::gateway_address(21)].statistics().sent;
     net.run_for(20s);
     cr_assert_not(net[Network::gateway_address(21)].joined());
-    cr_expect_lt(net[Network::gateway_address(21)].statistics().sent - sent, 40);    // ever slower
+    cr_expect_lt(net[Network::gateway_address(21)].statistics().sent - sent,
+                 40);    // the retry interval grows
     net[Network::gateway_address(21)].set_seeds({"10.9.9.7:7100", Network::controller_address(1)});
     net.reschedule_tick(Network::gateway_address(21));
     cr_assert(
         net.run_until(2s, [&] { return net[Network::gateway_address(21)].joined() && net.all_agree(); }));
-    // All seeds of the start have ended; controllers that came later are enough.
+    // All initial seeds have ended; a controller that joined later suffices.
     net.start_process(Network::controller_address(10), {Network::controller_address(2), "10.9.9.9:7100"}, 1);
     cr_assert(
         net.run_until(2s, [&] { return net[Network::controller_address(10)].joined() && net.all_agree(); }));
--- a/tests/cluster/membership/network.h
+++ b/tests/cluster/membership/network.h
@@ -1,5 +1,5 @@
-// Many members of one cluster in virtual time, with a simulated network that delays, loses and cuts off
-// messages. Deterministic for a seed; single-threaded.
+// Simulates the members of one cluster in virtual time, on a network that delays, loses and blocks messages.
+// Deterministic for a given seed; single-threaded.
 #pragma once
 
 #include <functional>
@@ -16,13 +16,13 @@
 
 namespace shaletray::membership {
 
-// The processes, the messages under way and the clock.
+// The processes, the messages in transit and the clock.
 class Network {
 public:
     explicit Network(std::uint64_t seed) : random_(seed) {}
 
     struct Process {
-        std::unique_ptr<Membership> member;    // none while the process is down
+        std::unique_ptr<Membership> member;    // null while the process is stopped
         TimePoint frozen_until{};
         TimePoint next_tick_at = TimePoint::max();
     };
@@ -30,9 +30,10 @@
     TimePoint now{std::chrono::hours(1)};
     double loss = 0.0;
     Duration delay = std::chrono::microseconds(900), jitter = std::chrono::microseconds(600);
-    std::function<bool(const std::string& from, const std::string& to)> is_cut;            // true: lost
-    std::function<std::string(const std::string& from, std::string bytes)> alter_bytes;    // on their way
-    std::function<void(const std::string& at, const Actions& actions)> on_actions;         // after each call
+    std::function<bool(const std::string& from, const std::string& to)> is_cut;    // true: blocks the message
+    std::function<std::string(const std::string& from, std::string bytes)> alter_bytes;    // in transit
+    // Called after each call of a member.
+    std::function<void(const std::string& at, const Actions& actions)> on_actions;
     std::map<std::string, Process> processes;
 
     static std::string controller_address(int index) {
@@ -60,7 +61,7 @@
         schedule_tick(address, process);
         return *process.member;
     }
-    // Starts so many controllers and gateways at random moments within the window.
+    // Starts the controllers and gateways at random times within the window.
     void start_all(int controller_count, int gateway_count, Duration window) {
         std::vector<std::string> seeds;
         for (int i = 0; i < controller_count && i < 3; ++i) seeds.push_back(controller_address(i));
@@ -86,7 +87,7 @@
         stop_process(address);
     }
     Membership& operator[](const std::string& address) { return *processes.at(address).member; }
-    // Has to be called after a direct call that may have made the next tick due sooner.
+    // Must be called after a direct call of a member that may have moved its next deadline forward.
     void reschedule_tick(const std::string& address) { schedule_tick(address, processes[address]); }
 
     void schedule(TimePoint when, std::function<void()> callback) {
@@ -102,8 +103,8 @@
         }
         now = end;
     }
-    // Runs until the condition holds, which is checked every 10 ms (50 ms with over 20 processes). None: it
-    // did not hold within max_duration.
+    // Runs until the condition holds, which is checked every 10 ms (50 ms with over 20 processes), and
+    // returns the time taken; none if it did not hold within max_duration.
     std::optional<Duration> run_until(Duration max_duration, const std::function<bool()>& condition) {
         const TimePoint started_at = now;
         while (now - started_at <= max_duration) {
@@ -121,7 +122,8 @@
             Duration(static_cast<Duration::rep>(random_() % static_cast<std::uint64_t>(jitter.count() + 1)));
         schedule(arrival, [this, from, to, bytes = std::move(bytes)] { deliver(from, to, bytes); });
     }
-    // Whether every running process holds exactly the running processes Alive.
+    // Whether every running process considers exactly the running processes Alive, with their current
+    // information.
     bool all_agree() {
         std::size_t running_count = 0;
         for (const auto& [address, process] : processes) running_count += process.member != nullptr;
@@ -140,7 +142,7 @@
         }
         return true;
     }
-    // The number of running processes that hold the member in the state.
+    // The number of running processes that have assigned this state to the member.
     int count_seen_as(const std::string& address, State state) {
         int count = 0;
         for (const auto& [other, process] : processes)
@@ -163,7 +165,7 @@
     void deliver(const std::string& from, const std::string& to, const std::string& bytes) {
         const auto it = processes.find(to);
         if (it == processes.end() || it->second.member == nullptr) return;
-        if (now < it->second.frozen_until) {    // read when it resumes
+        if (now < it->second.frozen_until) {    // received when the process resumes
             schedule(it->second.frozen_until, [this, from, to, bytes] { deliver(from, to, bytes); });
             return;
         }
--- a/tests/cluster/membership/packet_test.cpp
+++ b/tests/cluster/membership/packet_test.cpp
@@ -1,4 +1,4 @@
-// Packets of other versions, and damaged ones.
+// Compatibility of packets between versions, and damaged packets.
 #include "cluster/membership/packet.h"
 
 #include <capnp/message.h>
@@ -24,7 +24,8 @@
     return bytes;
 }
 
-// The packet as a version that knows only the first fields would have written it, or one that knows more.
+// The packet as written by an older version that knows only the first fields, or by a newer one with more
+// fields.
 std::string rewrite_as_version(bool older, const std::string& bytes) {
     kj::ArrayInputStream stream(kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size())
                                     .slice(kChecksumBytes, bytes.size()));
@@ -73,7 +74,7 @@
     }
 }
 
-Test(membership, damaged_bytes_are_dropped_and_counted) {
+Test(membership, damaged_packets_are_dropped_and_counted) {
     Network net(9);
     start_stable_cluster(net);
     std::mt19937_64 random(4);
@@ -94,7 +95,7 @@
     for (const auto& [address, process] : net.processes) malformed += process.member->statistics().malformed;
     cr_expect_eq(malformed, damaged);
     cr_expect(net.all_agree());
-    // With a valid checksum the bytes may mean anything; nothing breaks.
+    // Arbitrary changes under a valid checksum must do no harm.
     Actions actions;
     Membership& target = net[Network::gateway_address(0)];
     std::vector<std::string> packets;
--- a/tests/cluster/membership/probing_test.cpp
+++ b/tests/cluster/membership/probing_test.cpp
@@ -7,23 +7,23 @@
 using namespace shaletray::membership;
 using namespace std::chrono_literals;
 
-Test(membership, losses_of_a_few_percent_make_nobody_suspect) {
+Test(membership, packet_loss_of_a_few_percent_raises_no_suspicion) {
     for (const int gateway_count : {11, 87}) {
         Network net(static_cast<std::uint64_t>(gateway_count));
         net.loss = 0.03;
         net.start_all(3, gateway_count, 500ms);
         net.run_for(3s);
         StateObserver observer(net);
-        double min_heard_fraction = 1.0;
+        double min_fraction = 1.0;
         for (int i = 0; i < (gateway_count < 20 ? 180 : 60); ++i) {
             net.run_for(1s);
-            min_heard_fraction =
-                std::min(min_heard_fraction, net[Network::gateway_address(3)].heard_fraction(net.now, 3s));
+            min_fraction =
+                std::min(min_fraction, net[Network::gateway_address(3)].heard_fraction(net.now, 3s));
         }
         cr_expect(observer.suspected.empty(), "%zu with %d gateways", observer.suspected.size(),
                   gateway_count);
         cr_expect(observer.dead.empty());
-        cr_expect_gt(min_heard_fraction, 0.98);
+        cr_expect_gt(min_fraction, 0.98);
         cr_expect(net.all_agree());
     }
 }
@@ -40,7 +40,7 @@
         };
         const bool long_cut = seed % 4 < 2;
         net.run_for(3500ms);
-        // A member that is heard runs, whether it hears or not.
+        // A member whose packets arrive is not suspected, whether it receives any or not.
         cr_expect_eq(net.count_seen_as(subject, State::Suspect), outbound_cut ? 13 : 0, "seed %lu", seed);
         if (inbound_cut) cr_expect_lt(net[subject].heard_fraction(net.now, 2s), 0.1);
         if (!inbound_cut) cr_expect_eq(net[subject].heard_fraction(net.now, 2s), 1.0);
@@ -59,9 +59,9 @@
     }
 }
 
-// The proof that a member hears this process is renewed all the time, and ends when only that direction
+// last_acknowledged of every member is renewed continually, and stops when only the direction to that member
 // fails.
-Test(membership, each_member_keeps_acknowledging_this_process) {
+Test(membership, last_acknowledged_is_renewed_until_the_direction_to_the_member_fails) {
     for (const int gateway_count : {2, 11, 18}) {
         Network net(static_cast<std::uint64_t>(gateway_count));
         net.start_all(3, gateway_count, 300ms);
@@ -75,23 +75,23 @@
         for (int check = 0; check < 200; ++check) {
             net.run_for(100ms);
             for (const auto& [address, process] : net.processes)
-                for (const auto& [peer, m] : net[address].members())
+                for (const auto& [peer, unused_member] : net[address].members())
                     cr_assert_leq(acknowledgement_age(address, peer) / 1ms, 4000, "%d gateways",
                                   gateway_count);
         }
-        const std::string deaf = Network::gateway_address(0), hearing = Network::gateway_address(1);
-        net.is_cut = [&](const std::string&, const std::string& to) { return to == deaf; };
+        const std::string unreachable = Network::gateway_address(0), reachable = Network::gateway_address(1);
+        net.is_cut = [&](const std::string&, const std::string& to) { return to == unreachable; };
         const TimePoint since = net.now;
         net.run_for(15s);
-        cr_assert_leq((net[hearing].members().at(deaf).last_acknowledged - since) / 1ms, 1000,
-                      "it cannot have heard it");
-        cr_assert_gt((net[hearing].members().at(deaf).last_heard - since) / 1ms, 12'000);
-        cr_assert_gt((net[deaf].members().at(hearing).last_acknowledged - since) / 1ms, -4000);
-        cr_assert_leq((net[deaf].members().at(hearing).last_heard - since) / 1ms, 1000);
+        cr_assert_leq((net[reachable].members().at(unreachable).last_acknowledged - since) / 1ms, 1000,
+                      "acknowledged although nothing reached the member");
+        cr_assert_gt((net[reachable].members().at(unreachable).last_heard - since) / 1ms, 12'000);
+        cr_assert_gt((net[unreachable].members().at(reachable).last_acknowledged - since) / 1ms, -4000);
+        cr_assert_leq((net[unreachable].members().at(reachable).last_heard - since) / 1ms, 1000);
     }
 }
 
-// In a large cluster suspicions are spread by gossip, but not those of a process that hears nobody.
+// In a large cluster, suspicions are disseminated by gossip, but not those of an isolated process.
 Test(membership, an_isolated_process_does_not_spread_its_suspicions) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         Network net(seed);
@@ -113,8 +113,8 @@
     }
 }
 
-// Two members that do not hear each other, in one direction or both, learn from the rest that both run.
-Test(membership, a_cut_between_two_members_makes_nobody_suspect) {
+// If the link between two members fails in one direction or both, they learn from the others that both run.
+Test(membership, failed_link_between_two_members_raises_no_suspicion) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Network net(seed);
         start_stable_cluster(net);
@@ -129,8 +129,9 @@
     }
 }
 
-// What a process receives after a pause is old: it suspects nobody for it, and makes no others suspect.
-Test(membership, a_paused_process_hears_others_before_it_suspects_them) {
+// What a process receives right after a pause is old: it must neither suspect others for it nor cause
+// suspicions.
+Test(membership, paused_process_does_not_suspect_the_others_when_it_resumes) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Network net(seed);
         start_stable_cluster(net);
--- a/tests/cluster/membership/synchronization_test.cpp
+++ b/tests/cluster/membership/synchronization_test.cpp
@@ -1,4 +1,4 @@
-// Parts of a cluster that changed apart agree again.
+// Partitions whose tables diverged converge after the partition heals.
 #include <criterion/criterion.h>
 
 #include "cluster/membership/cluster_helpers.h"
@@ -7,12 +7,13 @@
 using namespace shaletray::membership;
 using namespace std::chrono_literals;
 
-Test(membership, two_partitions_change_apart_and_agree_again) {
+Test(membership, diverged_partitions_converge_after_healing) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Network net(seed);
         start_stable_cluster(net);
         const auto side = [](const std::string& address) {
-            return address < Network::gateway_address(5);    // three controllers and five gateways
+            return address <
+                   Network::gateway_address(5);    // the side with three controllers and five gateways
         };
         net.is_cut = [&](const std::string& from, const std::string& to) { return side(from) != side(to); };
         net.run_for(4s);
--- a/tests/cluster/membership/versions.capnp
+++ b/tests/cluster/membership/versions.capnp
@@ -1,5 +1,5 @@
 @0xa2f1c6f0f1f6a9d3;
-# The packet as an older version knows it (the first fields only), and as a newer one may (more fields).
+# The packet of an older version (only the first fields), and of a possible newer one (additional fields).
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::membership::versions");
