--- a/src/cluster/consensus/actions.h
+++ b/src/cluster/consensus/actions.h
@@ -1,4 +1,4 @@
-// What the replicated register asks its owner to do.
+// The actions that the replicated register requests of its owner.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +9,25 @@
 
 namespace shaletray::consensus {
 
-// Chosen by the caller; identifies a proposal or a read in its completion.
+// Assigned by the caller; identifies a proposal or a read in its completion.
 using RequestId = std::uint64_t;
 
 // How a proposal or a read ended.
 enum class Outcome {
-    Committed,        // the proposal was chosen, or the read confirmed
+    Committed,        // the proposal was chosen, or the read was confirmed
     Stale,            // a later version was chosen
-    Conflict,         // the version has, or had, another text
+    Conflict,         // the version has or had a different text
     Indeterminate,    // no majority answered in time: the proposal may still be chosen later
 };
 
-// Appended to by each call of the register, for the caller to carry out.
+// Each call of the register appends to these; the caller must carry them out.
 struct Actions {
     struct OutgoingMessage {
         std::string to;       // internal address of a controller
         std::string bytes;    // an encoded Message
     };
-    // To be written and synced in the order given. ReplicatedRegister::on_stored(token) then releases the
-    // messages that depend on it.
+    // To be written and synced in the given order. ReplicatedRegister::on_stored(token) then releases the
+    // messages that depend on the state.
     struct StateWrite {
         std::uint64_t token = 0;    // ascending
         PersistentState state;
--- a/src/cluster/consensus/consensus.capnp
+++ b/src/cluster/consensus/consensus.capnp
@@ -1,6 +1,6 @@
 # The messages between controllers about the replicated register, and the state that each controller keeps on
-# disk. Fields are only ever added, so that an older program can read the messages of a newer one: it ignores the
-# fields that it does not know.
+# disk. Fields are only ever added, so that an older version can read the messages of a newer one: it ignores
+# unknown fields.
 @0xd364bd51448e95ef;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -21,10 +21,10 @@
   voters @1 :List(Replica);
   version @2 :UInt64;
   text @3 :Data;
-  textOmitted @4 :Bool;  # the text is that of the entry of the same version that the reader already has
-  earlierDigests @5 :List(Digest);  # of earlier versions; omitted where the reader can derive them
-  ownershipTable @6 :Data;          # who owns which shard keys
-  ownershipTableOmitted @7 :Bool;   # it is that of the entry that the reader already has
+  textOmitted @4 :Bool;  # the text is that of the reader's entry of the same version
+  earlierDigests @5 :List(Digest);  # of earlier versions; omitted if the reader can derive them
+  ownershipTable @6 :Data;          # owners of shard keys, as ownership::encode writes them
+  ownershipTableOmitted @7 :Bool;   # the table is that of the reader's committed entry
 }
 
 struct Digest {
@@ -51,8 +51,8 @@
 struct Message {
   kind @0 :Kind;
   diskId @1 :UInt64;        # of the sender
-  nextInstance @2 :UInt64;  # the number of the sender's committed entry plus one; 0: the sender has none
-  instance @3 :UInt64;      # the number of the entry that the message is about
+  nextInstance @2 :UInt64;  # number of the sender's committed entry plus one; 0: it has none
+  instance @3 :UInt64;      # number of the entry that the message is about
   nonce @4 :UInt64;
   ballot @5 :Ballot;
   otherBallot @6 :Ballot;
@@ -60,7 +60,7 @@
   entry @8 :LogEntry;
 }
 
-# The texts of the entries are stored apart, each under its own key, so that each is written only once.
+# The texts of the entries are stored under separate keys, so that each is written only once.
 struct StateHeader {
   diskId @0 :UInt64;
   sequence @1 :UInt64;
--- a/src/cluster/consensus/database_folder.cpp
+++ b/src/cluster/consensus/database_folder.cpp
@@ -10,20 +10,20 @@
 namespace shaletray::consensus {
 namespace {
 
-// The state is a few entries: small buffers keep the files small.
+// The state consists of a few entries, so small buffers suffice and keep the files small.
 constexpr std::size_t kWriteBufferSize = 256 * 1024;
 constexpr std::size_t kMaxFileSize = 1024 * 1024;
 constexpr std::size_t kCacheSize = 64 * 1024;
 constexpr int kMaxOpenFiles = 64;    // far more than the few files of such a database
 
-constexpr auto kCurrentFile = "CURRENT";    // LevelDB's: names the MANIFEST in use
-constexpr auto kLostFolder = "lost";        // LevelDB's: what a repair could not use
+constexpr auto kCurrentFile = "CURRENT";    // of LevelDB: names the MANIFEST in use
+constexpr auto kLostFolder = "lost";        // of LevelDB: files that a repair could not use
 constexpr auto kWatermarkFile = "MARK";
 constexpr auto kUntrustedFile = "DISTRUST";
-// What may be in the folder though no database was ever completely created, and so nothing written to it.
+// Files that may exist although no database was ever completely created, and thus no state written to it.
 constexpr std::array<std::string_view, 5> kNamesWithoutDatabase{"LOCK", kWatermarkFile, kUntrustedFile,
                                                                 "MANIFEST-000001", "000001.dbtmp"};
-// What stays when the database is recreated.
+// Files that are kept when the database is recreated.
 constexpr std::array<std::string_view, 4> kNamesToKeep{".", "..", kWatermarkFile, kUntrustedFile};
 
 template <class Names>
@@ -62,7 +62,7 @@
     database_.reset();
     const bool database_exists = has_database_files();
     if (database_exists && !std::filesystem::exists(file_path(kCurrentFile)))
-        return leveldb::Status::Corruption("no CURRENT");
+        return leveldb::Status::Corruption("file CURRENT is missing");
     leveldb::Options options = make_options();
     options.create_if_missing = !database_exists;
     leveldb::DB* database = nullptr;
--- a/src/cluster/consensus/database_folder.h
+++ b/src/cluster/consensus/database_folder.h
@@ -1,4 +1,4 @@
-// The folder of a replica's LevelDB database.
+// The folder that contains a replica's LevelDB database.
 #pragma once
 
 #include <leveldb/cache.h>
@@ -11,28 +11,28 @@
 
 namespace shaletray::consensus {
 
-// Whether an operation failed for another reason than that the disk refused it, which may pass.
+// Whether an operation failed for another reason than an I/O error, which may be temporary.
 bool is_damaged(const leveldb::Status& status);
 
-// Opens, repairs and recreates the database, and marks it as untrusted meanwhile. Used by one thread at a
-// time.
+// Opens, repairs and recreates the database. Used by one thread at a time.
 //
-// A database that was repaired or recreated may open without error at any moment and yet lack acknowledged
-// writes. A marker file, whose name is made durable, says so until the complete state has been written.
+// A database that is being repaired or recreated may open without error at any time and yet lack acknowledged
+// writes. A marker file, whose name is made durable, marks it as untrusted until the complete state has been
+// written.
 class DatabaseFolder {
 public:
     // The file system must outlive the object.
     DatabaseFolder(std::string folder, SyncingFileSystem& file_system);
 
-    // Makes the folder, makes its name durable, and looks for the marker.
+    // Creates the folder if necessary, makes its name durable, and checks for the marker file.
     leveldb::Status prepare();
-    // Whether the folder holds more than what a database leaves that was never completely created.
+    // Whether the folder contains other files than those left by an incomplete creation of a database.
     bool has_database_files() const;
-    // Opens the database; creates it where the folder holds none. Closes it before, if it is open.
+    // Opens the database, or creates it if the folder contains none. An open database is closed first.
     leveldb::Status open();
-    // Lets LevelDB repair what it can, and leaves the database closed.
+    // Runs LevelDB's repair, and leaves the database closed.
     leveldb::Status repair();
-    // Removes the database and creates it anew. The folder must be marked as untrusted.
+    // Removes the database and creates a new one. The folder must be marked as untrusted.
     leveldb::Status recreate();
     bool is_open() const { return database_ != nullptr; }
     leveldb::DB& database() { return *database_; }
@@ -41,11 +41,11 @@
     leveldb::Status mark_untrusted();
     leveldb::Status mark_trusted();
 
-    // Where the file of the write watermark belongs.
+    // The path of the write watermark's file.
     std::string watermark_path() const;
 
 private:
-    // LevelDB would otherwise keep a log file of its own.
+    // Keeps LevelDB from writing an info log file.
     class NullLogger : public leveldb::Logger {
     public:
         void Logv(const char*, std::va_list) override {}
@@ -53,7 +53,7 @@
 
     leveldb::Options make_options();
     std::string file_path(const std::string& name) const { return folder_ + "/" + name; }
-    // Files that LevelDB's repair could not use.
+    // Removes the files that LevelDB's repair set aside as unusable.
     void remove_lost_files();
 
     const std::string folder_;
@@ -62,7 +62,7 @@
     NullLogger null_logger_;
     std::unique_ptr<leveldb::Cache> cache_;
     std::unique_ptr<leveldb::DB> database_;
-    bool is_untrusted_ = false;    // by a marker whose name is durable
+    bool is_untrusted_ = false;    // a marker file with a durable name exists
 };
 
 }    // namespace shaletray::consensus
--- a/src/cluster/consensus/directory_syncing_env.cpp
+++ b/src/cluster/consensus/directory_syncing_env.cpp
@@ -12,7 +12,7 @@
     leveldb::Status Sync() override {
         leveldb::Status status = file_->Sync();
         if (!status.ok() || name_is_synced_) return status;
-        // Not SyncDirectory(): a success here must not hide a failed rename of another thread.
+        // Not SyncDirectory(): success here must not hide that the sync after another thread's rename failed.
         status = env_.file_system_.SyncFolder(env_.folder_);
         name_is_synced_ = status.ok();
         return status;
@@ -39,7 +39,8 @@
 }
 
 leveldb::Status DirectorySyncingEnv::RemoveFile(const std::string& name) {
-    if (directory_sync_failed_) return leveldb::Status::IOError(name, "is kept until names last");
+    if (directory_sync_failed_)
+        return leveldb::Status::IOError(name, "not removed: the last directory sync failed");
     return target()->RemoveFile(name);
 }
 
--- a/src/cluster/consensus/disk_id.cpp
+++ b/src/cluster/consensus/disk_id.cpp
@@ -8,7 +8,7 @@
 namespace shaletray::consensus {
 namespace {
 
-// For kernels whose random generator is not ready: distinct for each process and moment.
+// Used if the kernel's random generator fails: differs between processes and times.
 std::uint64_t fallback_id() {
     const auto ticks = std::chrono::steady_clock::now().time_since_epoch().count();
     return static_cast<std::uint64_t>(ticks) ^ (static_cast<std::uint64_t>(getpid()) << 48);
--- a/src/cluster/consensus/in_memory_state_store.h
+++ b/src/cluster/consensus/in_memory_state_store.h
@@ -1,11 +1,11 @@
-// A state store for machines without a disk.
+// A state store that keeps nothing, for machines without a disk.
 #pragma once
 
 #include "cluster/consensus/state_store.h"
 
 namespace shaletray::consensus {
 
-// Reports each write as stored at once and keeps none. Its replica must not vote.
+// Reports each write as stored immediately and discards it, so its replica must not vote.
 class InMemoryStateStore : public StateStore {
 public:
     explicit InMemoryStateStore(bool founder);
--- a/src/cluster/consensus/leveldb_state_store.cpp
+++ b/src/cluster/consensus/leveldb_state_store.cpp
@@ -9,7 +9,8 @@
 
 using namespace std::chrono_literals;
 
-// A disk that is full or hangs briefly is soon tried again, and never loaded with more than a try a second.
+// After a failed write, retries start soon, as a full or hanging disk may recover, and back off to one a
+// second.
 constexpr std::chrono::milliseconds kMinRetryInterval = 100ms;
 constexpr std::chrono::milliseconds kMaxRetryInterval = 1000ms;
 
--- a/src/cluster/consensus/leveldb_state_store.h
+++ b/src/cluster/consensus/leveldb_state_store.h
@@ -13,16 +13,16 @@
 
 namespace shaletray::consensus {
 
-// Keeps the state in a LevelDB database, which a thread of its own writes.
+// Stores the state in a LevelDB database, written by a thread of the store.
 class LevelDbStateStore : public StateStore {
 public:
     // The file system must outlive the store.
     LevelDbStateStore(std::string folder, SyncingFileSystem& file_system)
         : database_(std::move(folder), file_system) {}
-    // Waits for a write under way, and makes a pending one unless writes are failing.
+    // Waits for a write in progress, and performs a pending one unless writes are failing.
     ~LevelDbStateStore() override;
 
-    // Loads the state and starts the writer. To be called once, before all else.
+    // Loads the state and starts the writer thread. Must be called once, before any other function.
     leveldb::Status start(bool founder);
 
     const PersistentState& loaded_state() const override { return database_.loaded_state(); }
@@ -33,23 +33,23 @@
     std::uint64_t failed_writes() const override { return failed_writes_; }
 
 private:
-    // What the writer has under way.
+    // The write that the writer thread is performing.
     struct WriterProgress {
         PersistentState state;
-        std::size_t token_count = 0;    // of pending_tokens_, those that the state covers
+        std::size_t token_count = 0;    // number of pending_tokens_ that the state covers
         bool recovering = false;        // the last attempt failed
         std::chrono::milliseconds retry_interval{};
     };
 
     void run_writer();
-    // Waits for a state to write; false when the store is stopping.
+    // Waits for a state to write; returns false when the store is stopping.
     bool take_pending_state(std::unique_lock<std::mutex>& lock, WriterProgress& progress);
     bool write_state(const WriterProgress& progress);
     void finish_write(std::unique_lock<std::mutex>& lock, WriterProgress& progress);
-    // False when the store is stopping.
+    // Returns false when the store is stopping.
     bool wait_to_retry(std::unique_lock<std::mutex>& lock, WriterProgress& progress);
 
-    StateDatabase database_;    // the writer's once it has started
+    StateDatabase database_;    // used only by the writer thread once that has started
     std::thread writer_thread_;
     std::mutex mutex_;    // guards the members below except failed_writes_
     std::condition_variable work_available_;
--- a/src/cluster/consensus/message.cpp
+++ b/src/cluster/consensus/message.cpp
@@ -12,7 +12,7 @@
 namespace shaletray::consensus {
 namespace {
 
-constexpr std::size_t kMaxVoters = 128;    // far above any real cluster; bounds what a message may allocate
+constexpr std::size_t kMaxVoters = 128;    // far above any real cluster; bounds what decoding may allocate
 constexpr std::size_t kMaxNameLength = 512;    // of an address or a proposer
 constexpr std::size_t kChecksumSize = 8;
 constexpr std::size_t kHeaderWords = 256;    // first segment of a state header, in words
@@ -109,15 +109,16 @@
     return bytes;
 }
 
-// Verifies the checksum and lets `read_message` fill a Decoded; errors: DecodeError, also where it throws.
+// Verifies the checksum and has `read_message` fill a Decoded. Error: DecodeError, also if `read_message`
+// throws.
 template <class Decoded>
 boost::leaf::result<Decoded> decode_checked(std::string_view bytes, auto&& read_message) {
     if (bytes.size() < kChecksumSize + sizeof(capnp::word) || bytes.size() % sizeof(capnp::word) != 0)
-        return boost::leaf::new_error(DecodeError{"cut"});
+        return boost::leaf::new_error(DecodeError{"truncated message"});
     std::uint64_t expected_checksum = 0;
     std::memcpy(&expected_checksum, bytes.data(), kChecksumSize);
     bytes.remove_prefix(kChecksumSize);
-    if (expected_checksum != checksum(bytes)) return boost::leaf::new_error(DecodeError{"checksum"});
+    if (expected_checksum != checksum(bytes)) return boost::leaf::new_error(DecodeError{"checksum mismatch"});
     try {
         auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
         std::memcpy(words.asBytes().begin(), bytes.data(), bytes.size());
@@ -175,7 +176,8 @@
     return decode_checked<Message>(bytes, [](capnp::MessageReader& reader, Message& decoded) {
         const auto root = reader.getRoot<wire::Message>();
         const auto kind = static_cast<std::uint16_t>(root.getKind());
-        KJ_REQUIRE(kind > 0 && kind <= static_cast<std::uint16_t>(Message::Kind::CommitAck), "unknown kind");
+        KJ_REQUIRE(kind > 0 && kind <= static_cast<std::uint16_t>(Message::Kind::CommitAck),
+                   "unknown message kind");
         decoded.kind = static_cast<Message::Kind>(kind);
         decoded.disk_id = root.getDiskId();
         decoded.next_instance = root.getNextInstance();
@@ -188,7 +190,7 @@
             decoded.text_omitted = root.getEntry().getTextOmitted();
             decoded.ownership_table_omitted = root.getEntry().getOwnershipTableOmitted();
             decoded.entry = read_fields(root.getEntry());
-            KJ_REQUIRE(!decoded.entry->voters.empty(), "an entry without voters");
+            KJ_REQUIRE(!decoded.entry->voters.empty(), "entry has no voters");
         }
     });
 }
--- a/src/cluster/consensus/message.h
+++ b/src/cluster/consensus/message.h
@@ -1,4 +1,5 @@
-// The messages between the replicas and the header of the stored state, with their encodings. Pure functions.
+// The messages between replicas and the header of the stored state, with their codecs. All functions are
+// pure.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -11,21 +12,21 @@
 
 namespace shaletray::consensus {
 
-// A message between replicas. After each kind: the fields that it uses beside those of the sender.
+// A message between replicas. The comment of each kind lists the fields it uses besides those of the sender.
 struct Message {
     enum class Kind : std::uint16_t {
         None,
-        Prepare,     // instance, ballot; other_ballot: what the sender accepted itself, need not be returned
-        Promise,     // instance, ballot; other_ballot, entry: what was accepted, if anything
-        Accept,      // instance, ballot, entry
-        Accepted,    // instance, ballot
-        Rejected,    // instance, ballot; other_ballot: what was promised instead
+        Prepare,    // instance, ballot; other_ballot: of the sender's own accepted entry, which promises omit
+        Promise,    // instance, ballot; other_ballot, entry: the accepted entry, if any
+        Accept,     // instance, ballot, entry
+        Accepted,        // instance, ballot
+        Rejected,        // instance, ballot; other_ballot: the promised ballot
         ReadRequest,     // nonce
         ReadReply,       // nonce; has_accepted_entry: whether anything is accepted for the next entry
-        Commit,          // ballot: under which the sender's entry was chosen, where known
-        FetchRequest,    // asks for a newer entry; nonce: the version that the sender has
+        Commit,          // ballot: under which the sender's entry was chosen, if known
+        FetchRequest,    // requests a newer entry; nonce: the version that the sender has
         FetchReply,      // entry: the sender's; ballot as in Commit; nonce as in the FetchRequest
-        CommitAck,       // the sender's entry is on its disk
+        CommitAck,       // the sender has stored its entry on disk
     };
     Kind kind = Kind::None;
     std::uint64_t disk_id = 0;          // of the sender
@@ -35,9 +36,9 @@
     Ballot ballot;
     Ballot other_ballot;
     bool has_accepted_entry = false;
-    bool text_omitted = false;    // the entry's text is that of the receiver's entry of the same version
+    bool text_omitted = false;    // the receiver's entry of the same version has the entry's text
     std::optional<LogEntry> entry;
-    bool ownership_table_omitted = false;    // of the entry: the receiver's committed entry has the same
+    bool ownership_table_omitted = false;    // the receiver's committed entry has the same table
 };
 
 // Why bytes could not be decoded.
@@ -46,12 +47,12 @@
 };
 
 std::string encode(const Message& message);
-// Errors: DecodeError, where the bytes are damaged, incomplete or of an unknown kind.
+// Error: DecodeError if the bytes are damaged, incomplete or of an unknown kind.
 boost::leaf::result<Message> decode(std::string_view bytes);
 
-// The persistent state as it is stored: without the texts of its entries, which have keys of their own.
+// The persistent state as stored, without the texts of its entries, which are stored under separate keys.
 struct StateHeader {
-    // Where a text is stored, and what it is.
+    // Where a text is stored, with its size and hash.
     struct TextReference {
         std::uint64_t slot = 0;    // 0: the empty text, which is not stored
         std::uint64_t size = 0;
@@ -62,14 +63,14 @@
         }
     };
     PersistentState state;
-    std::uint64_t sequence = 0;    // grows by one with each write
+    std::uint64_t sequence = 0;    // increases by one with each write
     TextReference committed_text, accepted_text;
 };
 
 std::string encode(const StateHeader& header);
-// Errors: DecodeError, where the bytes are damaged or incomplete.
+// Error: DecodeError if the bytes are damaged or incomplete.
 boost::leaf::result<StateHeader> decode_state_header(std::string_view bytes);
-// Refers to this text in this slot, or in none where the text is empty.
+// Returns a reference to this text in this slot, or without a slot if the text is empty.
 StateHeader::TextReference make_text_reference(std::uint64_t slot, std::string_view text);
 
 // The 64-bit XXH3 hash of the bytes.
--- a/src/cluster/consensus/peer_progress.cpp
+++ b/src/cluster/consensus/peer_progress.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kMaxPeers = 256;            // far above any real number of controllers
-constexpr std::uint64_t kMaxEntriesBehind = 2;    // one entry may just be on its way to the replica
+constexpr std::uint64_t kMaxEntriesBehind = 2;    // the newest entry may still be in transit to the replica
 
 }    // namespace
 
--- a/src/cluster/consensus/peer_progress.h
+++ b/src/cluster/consensus/peer_progress.h
@@ -1,4 +1,4 @@
-// What the other replicas last reported of themselves.
+// The progress that the other replicas last reported.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,15 @@
 
 namespace shaletray::consensus {
 
-// Tracks how far the other replicas have got in the log, by the messages that they send.
+// Tracks how far the other replicas have advanced in the log, from the messages that they send.
 class PeerProgress {
 public:
-    // Notes the sender's disk and progress. Unknown senders are ignored once the table is full.
+    // Records the sender's disk and progress. New senders are ignored once the table is full.
     void record(const std::string& from, const Message& message, TimePoint now);
-    // Forgets all senders but these.
+    // Removes the reports of all senders but these.
     void retain(const std::vector<std::string>& addresses);
-    // Whether this replica reported, after `since`, to have all entries below `next_instance` or nearly so.
+    // Whether this replica reported, at or after `since`, that it has the entries before `next_instance`,
+    // except at most the last few.
     bool is_caught_up(const Replica& replica, std::uint64_t next_instance, TimePoint since) const;
 
 private:
--- a/src/cluster/consensus/persistent_state.h
+++ b/src/cluster/consensus/persistent_state.h
@@ -1,4 +1,4 @@
-// The values that the replicas of the register agree on, and the state that each of them keeps on disk.
+// The values that the replicas of the register agree on, and the state that each replica keeps on disk.
 #pragma once
 
 #include <compare>
@@ -9,12 +9,12 @@
 
 namespace shaletray::consensus {
 
-// A controller with one particular disk. A controller whose disk was replaced or emptied is another replica:
-// it has forgotten its votes, so it must be made a voter again before it may vote.
+// A controller with one particular disk. A controller whose disk was replaced or wiped is a different
+// replica: it has lost its votes, so it must be made a voter again before it may vote.
 struct Replica {
     std::string address;    // internal address of the controller, such as "10.1.0.24:7100"
-    std::uint64_t disk_id =
-        0;    // 0: a founder's; else drawn at random when the empty folder was first opened
+    // 0: of a founder; else drawn at random when the empty folder was first opened.
+    std::uint64_t disk_id = 0;
     auto operator<=>(const Replica&) const = default;
 };
 
@@ -29,17 +29,18 @@
 // One agreed value of the register: the complete configuration, the ownership table, and the voters that
 // decide on the next entry.
 struct LogEntry {
-    std::uint64_t number = 0;         // 0: the initial entry, before anything was decided
+    std::uint64_t number = 0;         // 0: the initial entry, before any decision
     std::vector<Replica> voters{};    // sorted
     std::uint64_t version = 0;        // 0: no configuration yet
     std::string text{};               // the configuration as the operator sent it
-    // Of the preceding versions, ascending, at most kMaxEarlierDigests; a function of the preceding entry.
+    // Digests of the preceding versions, ascending, at most kMaxEarlierDigests. Determined by the preceding
+    // entry and this entry's version.
     std::vector<Digest> earlier_digests{};
     std::string ownership_table{};    // as ownership::encode writes it; empty: no table yet
     bool operator==(const LogEntry&) const = default;
 };
 
-// How many digests of preceding versions an entry carries.
+// Maximum number of digests of preceding versions in an entry.
 constexpr std::size_t kMaxEarlierDigests = 64;
 
 // A Paxos ballot number: ordered by round, ties broken by the proposer.
@@ -49,13 +50,13 @@
     auto operator<=>(const Ballot&) const = default;
 };
 
-// The durable state of a replica. It must be on disk before any message that follows from it is sent.
+// The durable state of a replica. It must be on disk before any message that depends on it is sent.
 struct PersistentState {
     std::uint64_t disk_id = 0;
     LogEntry committed;                        // the newest entry that is known to be chosen
     Ballot promised_ballot;                    // for entry committed.number + 1
     Ballot accepted_ballot;                    // likewise; round 0: nothing was accepted
-    std::optional<LogEntry> accepted_entry;    // what was accepted under accepted_ballot
+    std::optional<LogEntry> accepted_entry;    // the entry accepted under accepted_ballot
 };
 
 }    // namespace shaletray::consensus
--- a/src/cluster/consensus/random_source.h
+++ b/src/cluster/consensus/random_source.h
@@ -12,18 +12,18 @@
 class RandomSource {
 public:
     RandomSource() = default;
-    // Draws from everything that tells one start of one replica from another.
+    // Seeds the generator from all that distinguishes this start of this replica from others.
     RandomSource(std::uint64_t seed, TimePoint started_at, std::uint64_t disk_id, const std::string& address);
 
     std::uint64_t next();
-    // A duration in [lower, upper); `lower` where these are equal.
+    // A duration in [lower, upper), or `lower` if these are equal.
     Duration next(Duration lower, Duration upper);
 
 private:
     std::uint64_t state_ = 0;
 };
 
-// Sixteen hexadecimal digits.
+// Formats the value as 16 hexadecimal digits.
 std::string to_hex(std::uint64_t value);
 
 }    // namespace shaletray::consensus
--- a/src/cluster/consensus/register_acceptor.cpp
+++ b/src/cluster/consensus/register_acceptor.cpp
@@ -1,4 +1,4 @@
-// The register's acceptor: the votes of this replica. No vote leaves it before it is on disk.
+// The register's acceptor: the votes of this replica. No vote is sent before it is on disk.
 #include <algorithm>
 
 #include "cluster/consensus/register_impl.h"
@@ -9,7 +9,7 @@
 
 bool ReplicatedRegister::Impl::may_vote() const { return settings_.can_vote && is_voter(); }
 
-// A sender that is ahead is asked for its entry by handle_message().
+// If the sender is ahead, handle_message() requests its entry.
 bool ReplicatedRegister::Impl::concerns_next_instance(const std::string& from, const Message& message) {
     if (next_instance() > 0 && message.instance == next_instance()) return may_vote();
     if (message.instance < next_instance()) send_commit(from);
@@ -37,7 +37,7 @@
     if (!concerns_next_instance(from, message) || message.ballot.round == 0) return;
     highest_round_seen_ = std::max(highest_round_seen_, message.ballot.round);
     if (message.ballot < state_.promised_ballot) return reject_ballot(from, message);
-    if (state_.accepted_ballot != message.ballot) {    // else the message is a duplicate
+    if (state_.accepted_ballot != message.ballot) {    // otherwise the message is a duplicate
         std::optional<LogEntry> entry = entry_from_message(message);
         if (!entry) return;
         state_.promised_ballot = state_.accepted_ballot = message.ballot;
--- a/src/cluster/consensus/register_description.cpp
+++ b/src/cluster/consensus/register_description.cpp
@@ -1,4 +1,4 @@
-// The register's state as text.
+// The textual description of the register's state.
 #include <type_traits>
 
 #include "cluster/consensus/register_impl.h"
@@ -6,7 +6,7 @@
 namespace shaletray::consensus {
 namespace {
 
-// Joins words and numbers by spaces.
+// Joins words and numbers, each followed by a space.
 class Description {
 public:
     template <class... Parts>
@@ -57,9 +57,10 @@
         description.add_reply(reply.message);
     }
     for (const Proposal& proposal : proposals_)
-        description.add("proposal", proposal.version, proposal.text, proposal.turn <= confirmed_turn_);
+        description.add("proposal", proposal.version, proposal.text,
+                        proposal.call_number <= confirmed_call_number_);
     for (const PendingRead& read : pending_reads_)
-        description.add("pending_read", read.request_id, read_ && read_->turn >= read.turn);
+        description.add("pending_read", read.request_id, read_ && read_->call_number >= read.call_number);
     if (voter_change_)
         for (const Replica& replica : voter_change_->new_voters)
             description.add("new_voter", replica.address, replica.disk_id);
--- a/src/cluster/consensus/register_impl.cpp
+++ b/src/cluster/consensus/register_impl.cpp
@@ -1,4 +1,4 @@
-// The register's calls, messages and times.
+// The register's entry points, messages and deadlines.
 #include "cluster/consensus/register_impl.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 ReplicatedRegister::Impl::Impl(Settings settings, PersistentState state, TimePoint now)
     : settings_(std::move(settings)), state_(std::move(state)) {
-    // The identifier of an emptied disk counts whether it is in the state or in the settings.
+    // The identifier of a replaced or wiped disk applies whether it is in the state or in the settings.
     if (state_.disk_id == 0) state_.disk_id = settings_.self.disk_id;
     settings_.self.disk_id = state_.disk_id;
     random_ = RandomSource(settings_.seed, now, state_.disk_id, settings_.self.address);
@@ -31,7 +31,7 @@
 void ReplicatedRegister::Impl::begin_call(TimePoint now, Actions& actions) {
     now_ = std::max(now_, now);
     actions_ = &actions;
-    ++turn_;
+    ++call_number_;
 }
 
 void ReplicatedRegister::Impl::finish_call() {
@@ -159,7 +159,7 @@
     recipients.insert(settings_.founders.begin(), settings_.founders.end());
     recipients.erase(settings_.self.address);
     for (const Replica& voter : state_.committed.voters) recipients.erase(voter.address);
-    send_to_all(recipients, make_message(Kind::ReadRequest));    // any reply carries its sender's progress
+    send_to_all(recipients, make_message(Kind::ReadRequest));    // every reply contains its sender's progress
 }
 
 void ReplicatedRegister::Impl::advance_all() {
--- a/src/cluster/consensus/register_learner.cpp
+++ b/src/cluster/consensus/register_learner.cpp
@@ -1,4 +1,4 @@
-// The register's learner: the announcement of chosen entries, and catching up with those of others.
+// The register's learner: announces chosen entries, and fetches those that others have.
 #include <algorithm>
 
 #include "cluster/consensus/register_impl.h"
@@ -6,17 +6,18 @@
 namespace shaletray::consensus {
 namespace {
 
-// Who has not acknowledged by then is no longer told; it hears of the entry with the next message of any
-// replica.
+// Number of announcements after which a replica that has not acknowledged gets no more. It learns of the
+// entry from the next message of any replica.
 constexpr int kMaxCommitAttempts = 6;
-// After these, another replica that reports the entry is asked.
+// Number of retries after which the fetch is abandoned; it restarts with the next replica that reports the
+// entry.
 constexpr int kMaxFetchRetries = 3;
 
 }    // namespace
 
 using Kind = Message::Kind;
 
-// Puts the entry into a message about the next instance. Leaves out what the receiver, which has the same
+// Puts the entry into a message about the next instance. Omits what the receiver, which has the same
 // committed entry, can derive.
 void ReplicatedRegister::Impl::set_message_entry(Message& message, const LogEntry& entry) const {
     message.text_omitted = entry.version == state_.committed.version && entry.text == state_.committed.text;
@@ -27,7 +28,7 @@
     if (message.ownership_table_omitted) message.entry->ownership_table.clear();
 }
 
-// The complete entry of such a message; none where it cannot follow the committed entry.
+// The complete entry of a message from set_message_entry(); none if it cannot follow the committed entry.
 std::optional<LogEntry> ReplicatedRegister::Impl::entry_from_message(const Message& message) const {
     if (!message.entry || message.entry->number != next_instance()) return std::nullopt;
     LogEntry entry = *message.entry;
@@ -40,7 +41,7 @@
     return entry;
 }
 
-// The digests of the next entry if it has this version: the same at every voter.
+// The digests of the next entry if that has this version. The result is the same at every voter.
 std::vector<Digest> ReplicatedRegister::Impl::digests_before(std::uint64_t version) const {
     const LogEntry& current = state_.committed;
     std::vector<Digest> digests = current.earlier_digests;
@@ -50,7 +51,7 @@
     return digests;
 }
 
-// Makes the entry the committed one. All work and all votes for the next instance begin anew.
+// Makes the entry the committed one, and discards all work and votes for the previous instance.
 void ReplicatedRegister::Impl::install_entry(LogEntry entry, const Ballot& ballot) {
     state_.committed = std::move(entry);
     state_.promised_ballot = state_.accepted_ballot = {};
@@ -65,9 +66,9 @@
     highest_round_seen_ = 0;
     next_round_at_ = now_;
     if (voter_change_ && voter_change_->current_voters != state_.committed.voters)
-        voter_change_.reset();    // another change of the voters was chosen first
+        voter_change_.reset();    // the voters have changed
     if (table_change_ && table_change_->current_table != state_.committed.ownership_table)
-        table_change_.reset();    // likewise of the table, or this one
+        table_change_.reset();    // the table has changed, by this request or another
     if (commit_broadcast_ && commit_broadcast_->next_instance < next_instance()) commit_broadcast_.reset();
 }
 
@@ -81,7 +82,7 @@
     send_message(recipient, make_commit());
 }
 
-// Voters, old and new, are told until they acknowledge; the other peers once.
+// Old and new voters get the announcement until they acknowledge it, the other peers once.
 void ReplicatedRegister::Impl::start_commit_broadcast(const std::set<std::string>& previous_voter_addresses) {
     CommitBroadcast broadcast;
     broadcast.next_instance = next_instance();
@@ -98,7 +99,8 @@
 }
 
 void ReplicatedRegister::Impl::handle_commit(const std::string& from, const Message& message) {
-    // What this replica accepted under the ballot under which the next entry was chosen is that entry.
+    // If this replica accepted an entry under the ballot under which the next entry was chosen, that is the
+    // chosen one.
     if (next_instance() > 0 && message.next_instance == next_instance() + 1 && state_.accepted_entry &&
         state_.accepted_ballot == message.ballot)
         install_entry(LogEntry(*state_.accepted_entry), message.ballot);
@@ -110,7 +112,7 @@
     if (commit_broadcast_ && message.next_instance >= commit_broadcast_->next_instance)
         commit_broadcast_->unacknowledged.erase(from);
     if (commit_broadcast_ && commit_broadcast_->unacknowledged.empty()) commit_broadcast_.reset();
-    // A voter that was behind when it was asked has caught up: ask it again.
+    // A voter that was behind at the read request has caught up: send the request again.
     if (read_ && message.next_instance == next_instance() && is_from_voter(from, message) &&
         !read_->replies.contains(from))
         send_read_requests({from});
@@ -130,7 +132,8 @@
 void ReplicatedRegister::Impl::handle_fetch_reply(const std::string& from, const Message& message) {
     if (!message.entry || message.entry->number + 1 != message.next_instance) return;
     const bool expected =
-        catch_up_ && message.nonce == catch_up_->known_version;    // else the reply to an earlier request
+        catch_up_ &&
+        message.nonce == catch_up_->known_version;    // otherwise this replies to an earlier request
     if (expected) {
         const Duration allowance = (now_ - catch_up_->requested_at) * 2;
         catch_up_timeout_ =
@@ -144,7 +147,7 @@
         }
         install_entry(std::move(entry), message.ballot);
     }
-    if (expected && catch_up_->target_instance > next_instance())    // a still newer entry was reported
+    if (expected && catch_up_->target_instance > next_instance())    // an even newer entry was reported
         start_catch_up(catch_up_->source, catch_up_->target_instance);
     else if (expected) catch_up_.reset();
     if (message.next_instance == next_instance()) reply_when_stored(from, make_message(Kind::CommitAck));
@@ -152,7 +155,7 @@
 
 void ReplicatedRegister::Impl::request_entry(const std::string& source, std::uint64_t target_instance) {
     if (!catch_up_) return start_catch_up(source, target_instance);
-    // An older report counts only once the present source has failed to answer.
+    // An older report counts only after the current source has failed to answer.
     if (target_instance < catch_up_->target_instance && catch_up_->attempts == 0) return;
     catch_up_->target_instance = target_instance;
     catch_up_->source = source;
@@ -177,7 +180,8 @@
 
 void ReplicatedRegister::Impl::advance_catch_up() {
     if (!catch_up_ || now_ < catch_up_->retry_at) return;
-    if (catch_up_->target_instance <= next_instance()) return catch_up_.reset();    // it came another way
+    if (catch_up_->target_instance <= next_instance())
+        return catch_up_.reset();    // the entry arrived by other messages
     if (++catch_up_->attempts > kMaxFetchRetries) {
         catch_up_.reset();
         catch_up_timeout_ = settings_.round_timeout;
--- a/src/cluster/consensus/register_proposer.cpp
+++ b/src/cluster/consensus/register_proposer.cpp
@@ -1,4 +1,4 @@
-// The register's proposer: rounds of Paxos by which this replica has the next entry chosen.
+// The register's proposer: the Paxos rounds in which this replica has the next entry chosen.
 #include <algorithm>
 
 #include "cluster/consensus/register_impl.h"
@@ -6,11 +6,11 @@
 namespace shaletray::consensus {
 namespace {
 
-// A lost round is followed by a random delay, of at most round_timeout / kBackoffDivisor * 2^failed_rounds,
-// so that competing proposers drift apart.
+// A failed round is followed by a random delay of at most round_timeout / kBackoffDivisor * 2^failed_rounds,
+// so that competing proposers do not keep interrupting each other.
 constexpr int kBackoffDivisor = 16;
 constexpr int kMaxBackoffDoublings = 5;
-constexpr int kMinBackoffDivisor = 8;    // of the longest delay: the shortest
+constexpr int kMinBackoffDivisor = 8;    // the shortest delay is the longest divided by this
 
 }    // namespace
 
@@ -23,7 +23,7 @@
     round.ballot = {highest_round + 1, proposer_id_};
     highest_round_seen_ = round.ballot.round;
     round.started_at = now_;
-    round.turn = turn_;
+    round.call_number = call_number_;
     round.retry.start(now_, settings_.round_timeout);
     if (state_.accepted_entry) {
         round.own_ballot = state_.accepted_ballot;
@@ -53,8 +53,8 @@
     if (!adopt_accepted_entry(message)) return;
     round_->approvals.insert(from);
     if (round_->approvals.size() < majority_size(state_.committed.voters)) return;
-    if (round_->highest_ballot.round == 0) {    // no next entry was chosen when this round began
-        record_confirmation(round_->started_at, round_->turn);
+    if (round_->highest_ballot.round == 0) {    // no next entry had been chosen when this round began
+        record_confirmation(round_->started_at, round_->call_number);
         must_complete_accepted_ = false;
         round_->entry = choose_entry();
         if (!round_->entry) return round_.reset();
@@ -77,7 +77,7 @@
 void ReplicatedRegister::Impl::start_accept_phase() {
     round_->phase = BallotRound::Phase::Accept;
     round_->started_at = now_;
-    round_->turn = turn_;
+    round_->call_number = call_number_;
     round_->retry.start(now_, settings_.round_timeout);
     round_->approvals.clear();
     round_->rejections.clear();
@@ -85,8 +85,8 @@
     send_round_messages(voter_addresses());
 }
 
-// The highest version that is proposed here, and the wanted change of the ownership table; without either,
-// the wanted change of the voters, if any.
+// An entry with the highest version proposed here and the requested change of the ownership table; without
+// either, with the requested change of the voters, if any.
 std::optional<LogEntry> ReplicatedRegister::Impl::choose_entry() const {
     const Proposal* proposal = newest_proposal();
     if (!proposal && !table_change_ && !voter_change_) return std::nullopt;
@@ -136,15 +136,15 @@
     const std::set<std::string> previous_voter_addresses = voter_addresses();
     const std::vector<Replica> previous_voters = state_.committed.voters;
     const TimePoint started_at = round_->started_at;
-    const std::uint64_t turn = round_->turn;
+    const std::uint64_t call_number = round_->call_number;
     const Ballot ballot = round_->ballot;
     install_entry(std::move(*round_->entry), ballot);
     if (state_.committed.voters == previous_voters) {
-        // Any later entry needs a voter that has stored this one now, so none was chosen when it was sent
-        // out.
-        record_confirmation(started_at, turn);
+        // Any later entry needs the vote of a voter that has now stored this one, so no later entry had been
+        // chosen when this one was sent.
+        record_confirmation(started_at, call_number);
     } else {
-        must_confirm_ = true;    // nothing is answered before a majority of the new voters has stored it
+        must_confirm_ = true;    // no request is answered before a majority of the new voters has stored it
     }
     start_commit_broadcast(previous_voter_addresses);
 }
--- a/src/cluster/consensus/register_reads.cpp
+++ b/src/cluster/consensus/register_reads.cpp
@@ -6,7 +6,7 @@
 namespace shaletray::consensus {
 namespace {
 
-// Bounds, as fractions of round_timeout, of the random time that another proposer is left to finish its
+// Bounds, as fractions of round_timeout, of the random time that another proposer is given to finish its
 // round.
 constexpr int kMinContentionDivisor = 16;
 constexpr int kMaxContentionDivisor = 4;
@@ -19,7 +19,7 @@
     QuorumRead read;
     read.nonce = ++nonce_;
     read.started_at = now_;
-    read.turn = turn_;
+    read.call_number = call_number_;
     read.retry.start(now_, settings_.round_timeout);
     read_ = std::move(read);
     send_read_requests(voter_addresses());
@@ -40,14 +40,15 @@
 
 void ReplicatedRegister::Impl::handle_read_reply(const std::string& from, const Message& message) {
     if (!read_ || message.nonce != read_->nonce || !is_from_voter(from, message)) return;
-    if (message.next_instance < next_instance()) return send_commit(from);    // asked again at its CommitAck
+    if (message.next_instance < next_instance())
+        return send_commit(from);    // the request is sent again at its CommitAck
     if (message.next_instance > next_instance()) return;
     read_->replies[from] = message.has_accepted_entry;
     const std::size_t majority = majority_size(state_.committed.voters);
     const auto without_accepted = static_cast<std::size_t>(std::count_if(
         read_->replies.begin(), read_->replies.end(), [](const auto& reply) { return !reply.second; }));
     if (without_accepted >= majority) {
-        record_confirmation(read_->started_at, read_->turn);
+        record_confirmation(read_->started_at, read_->call_number);
         read_.reset();
     } else if (read_->replies.size() >= majority && !read_->contention_deadline) {
         read_->contention_deadline = now_ + random_.next(settings_.round_timeout / kMinContentionDivisor,
@@ -55,16 +56,18 @@
     }
 }
 
-// Notes that since then a majority, each of which has stored the entry, said to have accepted none after it.
-void ReplicatedRegister::Impl::record_confirmation(TimePoint since, std::uint64_t turn) {
+// Records that each voter of a majority, at some time after `since`, had stored the committed entry and
+// accepted no later one.
+void ReplicatedRegister::Impl::record_confirmation(TimePoint since, std::uint64_t call_number) {
     quorum_confirmed_at_ = quorum_confirmed_at_ ? std::max(*quorum_confirmed_at_, since) : since;
-    confirmed_turn_ = std::max(confirmed_turn_, turn);
+    confirmed_call_number_ = std::max(confirmed_call_number_, call_number);
     confirmed_instance_ = next_instance();
     must_confirm_ = false;
 }
 
-bool ReplicatedRegister::Impl::is_confirmed_since(std::uint64_t turn) const {
-    return next_instance() > 0 && confirmed_instance_ == next_instance() && confirmed_turn_ >= turn;
+bool ReplicatedRegister::Impl::is_confirmed_since(std::uint64_t call_number) const {
+    return next_instance() > 0 && confirmed_instance_ == next_instance() &&
+           confirmed_call_number_ >= call_number;
 }
 
 void ReplicatedRegister::Impl::advance_read() {
@@ -76,7 +79,8 @@
         send_read_requests(recipients);
         probe_peers();
     }
-    // While this replica's own round is in its accept phase, a read would only find that entry accepted.
+    // During the accept phase of this replica's own round, a read would only find that round's entry
+    // accepted.
     const bool is_accepting = round_ && round_->phase == BallotRound::Phase::Accept &&
                               now_ < round_->started_at + settings_.round_timeout;
     if (!read_ && needs_read() && !is_accepting) start_read();
--- a/src/cluster/consensus/register_requests.cpp
+++ b/src/cluster/consensus/register_requests.cpp
@@ -1,4 +1,4 @@
-// The register's proposals, reads and changes of voters, from the request to its outcome.
+// The register's proposals, reads and changes, from the request to its outcome.
 #include <algorithm>
 
 #include "cluster/consensus/register_impl.h"
@@ -6,11 +6,11 @@
 namespace shaletray::consensus {
 namespace {
 
-// Requests beyond these are answered at once as Indeterminate, so that a lost quorum cannot exhaust the
-// memory.
+// Further requests complete as Indeterminate immediately, so that a lost quorum cannot exhaust the memory.
 constexpr std::size_t kMaxProposals = 64;
 constexpr std::size_t kMaxReads = 4096;
-// Enough for several attempts; a voter change that takes longer is decided anew from the state by then.
+// Round timeouts until a change is abandoned: enough for several attempts. After that, the caller decides
+// again from the current state.
 constexpr int kVoterChangeRounds = 20;
 
 }    // namespace
@@ -18,12 +18,12 @@
 void ReplicatedRegister::Impl::propose(RequestId request_id, std::uint64_t version, std::string text,
                                        TimePoint deadline) {
     if (proposals_.size() >= kMaxProposals) return complete_request(request_id, Outcome::Indeterminate);
-    proposals_.push_back({request_id, version, std::move(text), turn_, deadline});
+    proposals_.push_back({request_id, version, std::move(text), call_number_, deadline});
 }
 
 void ReplicatedRegister::Impl::quorum_read(RequestId request_id, TimePoint deadline) {
     if (pending_reads_.size() >= kMaxReads) return complete_request(request_id, Outcome::Indeterminate);
-    pending_reads_.push_back({request_id, turn_, deadline});
+    pending_reads_.push_back({request_id, call_number_, deadline});
 }
 
 void ReplicatedRegister::Impl::change_voters(std::vector<Replica> current_voters,
@@ -46,16 +46,17 @@
 
 void ReplicatedRegister::Impl::complete_proposals() {
     std::erase_if(proposals_, [this](const Proposal& proposal) {
-        if (is_newer(proposal) || !is_confirmed_since(proposal.turn)) return false;
+        if (is_newer(proposal) || !is_confirmed_since(proposal.call_number)) return false;
         complete_request(proposal.request_id, proposal_outcome(proposal));
         return true;
     });
 }
 
-// A confirmation from before the process was suspended is of no use after its deadline.
+// A read whose deadline has passed, such as while the process was suspended, is not answered by a
+// confirmation.
 void ReplicatedRegister::Impl::complete_reads() {
     std::erase_if(pending_reads_, [this](const PendingRead& read) {
-        if (!is_confirmed_since(read.turn) || now_ >= read.deadline) return false;
+        if (!is_confirmed_since(read.call_number) || now_ >= read.deadline) return false;
         complete_request(read.request_id, Outcome::Committed);
         return true;
     });
--- a/src/cluster/consensus/reply_queue.cpp
+++ b/src/cluster/consensus/reply_queue.cpp
@@ -5,7 +5,8 @@
 namespace shaletray::consensus {
 namespace {
 
-// Bounds the memory while a disk hangs. What is dropped looks like a lost message, which is sent again.
+// Bounds the memory use while a disk hangs. A dropped reply is like a lost message: the request is sent
+// again.
 constexpr std::size_t kMaxDelayedReplies = 512;
 
 }    // namespace
--- a/src/cluster/consensus/reply_queue.h
+++ b/src/cluster/consensus/reply_queue.h
@@ -1,4 +1,4 @@
-// Replies that must not be sent before the state that they rest on is on disk.
+// Delays replies until the state that they depend on is on disk.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace shaletray::consensus {
 
-// Delays each reply until the write that was issued last before it has been stored. Keeps their order.
+// Releases each reply, in order, once the write of the state that it depends on has been stored.
 class ReplyQueue {
 public:
     struct Reply {
@@ -19,14 +19,14 @@
         Message message;
     };
 
-    // Adds a reply. It belongs to the next write that is issued before the next call of take_sendable(), if
-    // any.
+    // Adds a reply. It depends on the last write issued before the next call of take_sendable().
     void add(std::string recipient, Message message);
-    // The token for a write of the present state, greater than all before.
+    // Returns the token for a write of the current state, greater than all earlier tokens.
     std::uint64_t issue_token();
-    // Tells that the write with this token and all before it are on disk.
+    // Reports that the write with this token and all earlier ones are on disk.
     void on_stored(std::uint64_t token);
-    // Binds the replies added so far to the last write, and returns those whose write is on disk.
+    // Assigns the replies added so far to the last issued write, and returns all replies whose write is on
+    // disk.
     std::vector<Reply> take_sendable();
 
     std::uint64_t unstored_writes() const { return issued_token_ - stored_token_; }
@@ -37,7 +37,7 @@
     std::uint64_t issued_token_ = 0;
     std::uint64_t stored_token_ = 0;
     std::vector<Reply> unbound_;    // added since the last take_sendable()
-    std::deque<Reply> delayed_;     // by ascending token
+    std::deque<Reply> delayed_;     // ordered by token
 };
 
 }    // namespace shaletray::consensus
--- a/src/cluster/consensus/state_database.cpp
+++ b/src/cluster/consensus/state_database.cpp
@@ -16,13 +16,13 @@
     status = folder_.open();
     if (status.ok() && !is_new) status = read_records(folder_.database(), records);
     if (status.IsIOError()) return status;
-    if (status.IsNotFound() && may_be_new) {    // the disk failed before the first write
+    if (status.IsNotFound() && may_be_new) {    // the disk failed before the first write completed
         is_new = true;
         status = {};
     }
-    if (status.ok() && folder_.is_untrusted()) status = leveldb::Status::Corruption("was being repaired");
+    if (status.ok() && folder_.is_untrusted()) status = leveldb::Status::Corruption("repair was interrupted");
     if (status.ok() && records.header.sequence < watermark_->value())
-        status = leveldb::Status::Corruption("older than what was stored");
+        status = leveldb::Status::Corruption("older than the last acknowledged write");
     sequence_ = std::max(records.header.sequence, watermark_->value());
     if (!status.ok()) return discard_state(status.ToString(), std::move(records));
     if (is_new) {
@@ -49,7 +49,7 @@
 }
 
 leveldb::Status StateDatabase::repair(LoadedRecords& records) {
-    if (!folder_.repair().ok()) return leveldb::Status::OK();    // it will be recreated
+    if (!folder_.repair().ok()) return leveldb::Status::OK();    // the caller recreates the database
     leveldb::Status status = folder_.open();
     if (status.ok()) status = read_records(folder_.database(), records);
     if (!status.IsIOError()) sequence_ = std::max(records.header.sequence, watermark_->value());
--- a/src/cluster/consensus/state_database.h
+++ b/src/cluster/consensus/state_database.h
@@ -1,4 +1,4 @@
-// A replica's state in its database: loading, writing, and recovering from damage.
+// Loads and writes a replica's state in its database, and recovers from damage.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 
 namespace shaletray::consensus {
 
-// Used by one thread at a time. Each function may block on the disk.
+// The database with the persistent state of one replica. Used by one thread at a time; functions may block on
+// the disk.
 class StateDatabase {
 public:
     // The file system must outlive the database.
@@ -19,20 +20,21 @@
         : folder_(std::move(folder), file_system) {}
 
     // Opens the database and reads its state; discards a state that cannot be trusted (see StateStore::open).
-    // Errors: IOError; load() may then be called again on another object.
+    // Error: IOError; load() may then be retried with a new object.
     leveldb::Status load(bool founder);
-    // Writes and syncs the state. After an error the database takes no writes until it is reopened.
+    // Writes and syncs the state. After an error, reopen() must succeed before the next write.
     leveldb::Status write(const PersistentState& state);
-    // Opens the database again, or recreates it where it is damaged: the caller must then write the state.
+    // Reopens the database, or recreates it if it is damaged. The caller must then write the state.
     leveldb::Status reopen();
 
-    // As it was found by load().
+    // The state that load() found.
     const PersistentState& loaded_state() const { return loaded_state_; }
-    // Why load() discarded the state; empty: it did not.
+    // Why load() discarded the state; empty if it did not.
     const std::string& discard_reason() const { return discard_reason_; }
 
 private:
-    // Starts afresh under a new disk identifier, with the committed entry if that can be read or repaired.
+    // Starts with a new state under a new disk identifier, keeping the committed entry if it can be read or
+    // repaired.
     leveldb::Status discard_state(std::string reason, LoadedRecords records);
     leveldb::Status repair(LoadedRecords& records);
     leveldb::Status recreate();
@@ -41,7 +43,7 @@
     std::optional<WriteWatermark> watermark_;
     PersistentState loaded_state_;
     std::string discard_reason_;
-    std::optional<StateHeader> stored_header_;    // without texts; none: what the database holds is not known
+    std::optional<StateHeader> stored_header_;    // without texts; none: the database's contents are unknown
     std::uint64_t sequence_ = 0;                  // of the last write
 };
 
--- a/src/cluster/consensus/state_records.cpp
+++ b/src/cluster/consensus/state_records.cpp
@@ -14,7 +14,7 @@
 
 std::string text_key(std::uint64_t slot) { return "text" + std::to_string(slot); }
 
-// Each write has two slots of its own for texts.
+// Each write has its own two slots for texts.
 std::uint64_t committed_slot(std::uint64_t sequence) { return sequence * 2; }
 std::uint64_t accepted_slot(std::uint64_t sequence) { return sequence * 2 + 1; }
 
@@ -29,8 +29,8 @@
             BOOST_LEAF_ASSIGN(header, decode_state_header(bytes));
             return leveldb::Status::OK();
         },
-        [](const DecodeError& error) { return leveldb::Status::Corruption("head", error.reason); },
-        [] { return leveldb::Status::Corruption("head"); });
+        [](const DecodeError& error) { return leveldb::Status::Corruption("state header", error.reason); },
+        [] { return leveldb::Status::Corruption("state header"); });
 }
 
 leveldb::Status read_text(leveldb::DB& database, const StateHeader::TextReference& reference,
@@ -40,11 +40,11 @@
         read_options.verify_checksums = true;
         read_options.fill_cache = false;
         const leveldb::Status status = database.Get(read_options, text_key(reference.slot), &text);
-        if (status.IsNotFound()) return leveldb::Status::Corruption("a text is missing");
+        if (status.IsNotFound()) return leveldb::Status::Corruption("text is missing");
         if (!status.ok()) return status;
     }
     if (!make_text_reference(reference.slot, text).has_same_content(reference))
-        return leveldb::Status::Corruption("a text of other bytes");
+        return leveldb::Status::Corruption("text does not match its hash");
     return leveldb::Status::OK();
 }
 
@@ -68,7 +68,7 @@
     return copy;
 }
 
-// Refers to the text where it is stored already, else puts it into the slot.
+// Returns a reference to the text if it is already stored, else adds it to the batch under this slot.
 StateHeader::TextReference add_text(const std::string& text, std::uint64_t slot,
                                     const StateHeader* stored_header, leveldb::WriteBatch& batch) {
     const StateHeader::TextReference reference = make_text_reference(slot, text);
@@ -80,7 +80,7 @@
     return reference;
 }
 
-// Puts the texts that are not stored yet into the batch, and the references into the header.
+// Adds the texts that are not stored yet to the batch, and the references to the header.
 void add_texts(const PersistentState& state, const StateHeader* stored_header, StateHeader& header,
                leveldb::WriteBatch& batch) {
     header.committed_text =
--- a/tests/cluster/consensus/message_test.cpp
+++ b/tests/cluster/consensus/message_test.cpp
@@ -1,4 +1,4 @@
-// Messages exchanged between versions of the program, and bytes that are no message.
+// Compatibility of messages between versions, and malformed messages.
 #include "cluster/consensus/message.h"
 
 #include <capnp/message.h>
@@ -18,7 +18,7 @@
     return std::string(reinterpret_cast<const char*>(&value), sizeof value) + body;
 }
 
-Message example() {
+Message make_example_message() {
     Message message;
     message.kind = Message::Kind::Accept;
     message.disk_id = 5;
@@ -30,11 +30,11 @@
     return message;
 }
 
-// Reads our bytes with the newer schema, and writes them again with its additional fields.
+// Reads an encoded message with the newer schema, and writes it again with the additional fields.
 std::string round_trip_newer_schema(const Message& message, std::uint16_t kind) {
-    const std::string ours = encode(message).substr(8);
-    auto words = kj::heapArray<capnp::word>(ours.size() / 8);
-    std::memcpy(words.asBytes().begin(), ours.data(), ours.size());
+    const std::string encoded = encode(message).substr(8);
+    auto words = kj::heapArray<capnp::word>(encoded.size() / 8);
+    std::memcpy(words.asBytes().begin(), encoded.data(), encoded.size());
     capnp::FlatArrayMessageReader reader(words);
     capnp::MallocMessageBuilder builder;
     builder.setRoot(reader.getRoot<newer::Message>());
@@ -44,12 +44,13 @@
     root.getBallot().setIncarnation(9);
     root.setUrgent(false);
     root.setReason("a field that this version does not know");
-    const auto theirs = capnp::messageToFlatArray(builder);
-    return add_checksum({reinterpret_cast<const char*>(theirs.asBytes().begin()), theirs.asBytes().size()});
+    const auto rewritten = capnp::messageToFlatArray(builder);
+    return add_checksum(
+        {reinterpret_cast<const char*>(rewritten.asBytes().begin()), rewritten.asBytes().size()});
 }
 
-Test(message, is_read_by_earlier_and_later_programs) {
-    const Message message = example();
+Test(message, is_compatible_with_a_newer_schema) {
+    const Message message = make_example_message();
     for (const std::string& bytes :
          {encode(message), round_trip_newer_schema(message, static_cast<std::uint16_t>(message.kind))}) {
         const Message read = decode(bytes).value();
@@ -61,29 +62,31 @@
     }
 }
 
-Test(message, that_is_none_is_dropped_and_counted) {
+Test(message, malformed_bytes_are_dropped_and_counted) {
     Settings settings;
     settings.self = {"10.1.0.1:7100", 0};
     settings.founders = {"10.1.0.1:7100", "10.1.0.2:7100"};
     ReplicatedRegister replica(settings, {}, TimePoint{});
     Actions founding, actions;
     replica.tick(TimePoint{}, founding);
-    const std::string before = replica.describe_state(), complete = encode(example());
-    std::vector<std::string> bad{round_trip_newer_schema(example(), 12)};    // of an unknown kind
-    for (std::size_t size = 0; size < complete.size(); ++size) bad.push_back(complete.substr(0, size));
+    const std::string before = replica.describe_state(), complete = encode(make_example_message());
+    std::vector<std::string> malformed{
+        round_trip_newer_schema(make_example_message(), 12)};    // an unknown kind
+    for (std::size_t size = 0; size < complete.size(); ++size) malformed.push_back(complete.substr(0, size));
     std::mt19937_64 random(1);
     for (int i = 0; i < 2000; ++i) {
-        bad.push_back(complete);
+        malformed.push_back(complete);
         const int flipped = 1 << random() % 8;
-        char& byte = bad.back()[random() % complete.size()];
+        char& byte = malformed.back()[random() % complete.size()];
         byte = static_cast<char>(byte ^ flipped);
         // Damage under a correct checksum must not make decode() read outside the message.
         std::string body = complete.substr(8);
-        for (int n = 0; n < 4; ++n) body[random() % body.size()] = static_cast<char>(random());
+        for (int change = 0; change < 4; ++change) body[random() % body.size()] = static_cast<char>(random());
         (void)decode(add_checksum(body));
     }
-    for (const std::string& bytes : bad) replica.on_message("10.1.0.2:7100", bytes, TimePoint{}, actions);
-    cr_assert_eq(replica.dropped_messages(), bad.size());
+    for (const std::string& bytes : malformed)
+        replica.on_message("10.1.0.2:7100", bytes, TimePoint{}, actions);
+    cr_assert_eq(replica.dropped_messages(), malformed.size());
     cr_assert(actions.messages.empty() && actions.writes.empty() && replica.describe_state() == before);
 }
 
--- a/tests/cluster/consensus/newer_schema.capnp
+++ b/tests/cluster/consensus/newer_schema.capnp
@@ -1,4 +1,4 @@
-# The messages of a future version of the program: the present fields and some that are added to them.
+# The messages of a possible newer version: the current fields and some additional ones.
 @0xaa31be1ffa2ab5a8;
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::consensus::newer");
--- a/tests/cluster/consensus/power_loss_file_system.h
+++ b/tests/cluster/consensus/power_loss_file_system.h
@@ -1,4 +1,4 @@
-// A file system that loses power, for tests of what is stored on it.
+// A simulated file system that loses power, hangs or fails, for tests of the state store.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -23,7 +23,7 @@
 
 namespace fs = std::filesystem;
 
-// A temporary folder, removed with the object.
+// A temporary folder, removed by the destructor.
 struct TemporaryFolder {
     fs::path path;
     TemporaryFolder() {
@@ -35,11 +35,11 @@
     std::string at(const char* name) const { return (path / name).string(); }
 };
 
-// Counts syncs instead of making them. In a loss of power, what was written to a file since its last sync may
-// be kept, lost or torn, and each creation, renaming or removal of a name since its folder's last sync is
-// kept or lost independently. Each write, sync and change of a name is a step: after `steps_left` of them all
-// further ones fail. Of the syncs of folders, the one after `syncs_before_failure` others fails, and later
-// ones succeed.
+// Records syncs instead of performing them. In a loss of power, the data written to a file since its last
+// sync may be kept, lost or torn, and each creation, renaming or removal of a name since the last sync of its
+// folder is kept or lost independently. Each write, sync and change of a name is a step: after `steps_left`
+// steps, all further ones fail. The folder sync after `syncs_before_failure` others fails, and later ones
+// succeed.
 class PowerLossFileSystem : public SyncingFileSystem {
 public:
     explicit PowerLossFileSystem(std::uint64_t seed) : random_(seed) {}
@@ -48,25 +48,26 @@
     leveldb::Status NewWritableFile(const std::string& name, leveldb::WritableFile** out) override {
         const std::lock_guard lock(mutex_);
         if (leveldb::Status status = take_step(); !status.ok()) return status;
-        changes_.push_back({Change::Made, {}, name, move_to_attic(name)});
-        leveldb::WritableFile* real = nullptr;
-        if (leveldb::Status status = target()->NewWritableFile(name, &real); !status.ok()) return status;
+        changes_.push_back({Change::Made, {}, name, move_to_replaced_files(name)});
+        leveldb::WritableFile* wrapped_file = nullptr;
+        if (leveldb::Status status = target()->NewWritableFile(name, &wrapped_file); !status.ok())
+            return status;
         files_[name] = {};
-        *out = new File(*this, name, real);
+        *out = new File(*this, name, wrapped_file);
         return {};
     }
     leveldb::Status RenameFile(const std::string& from, const std::string& to) override {
         const std::lock_guard lock(mutex_);
         if (leveldb::Status status = take_step(); !status.ok()) return status;
-        changes_.push_back({Change::Renamed, from, to, move_to_attic(to)});
+        changes_.push_back({Change::Renamed, from, to, move_to_replaced_files(to)});
         move(from, to);
         return {};
     }
     leveldb::Status RemoveFile(const std::string& name) override {
         const std::lock_guard lock(mutex_);
         if (leveldb::Status status = take_step(); !status.ok()) return status;
-        if (!fs::exists(name)) return leveldb::Status::IOError(name, "there is none");
-        changes_.push_back({Change::Removed, {}, name, move_to_attic(name)});
+        if (!fs::exists(name)) return leveldb::Status::IOError(name, "no such file");
+        changes_.push_back({Change::Removed, {}, name, move_to_replaced_files(name)});
         return {};
     }
     leveldb::Status SyncFolder(const std::string& folder) override {
@@ -74,24 +75,24 @@
         ++folder_syncs;
         return sync_folder(folder);
     }
-    // From now on calls do not return until set_trouble() says otherwise, or fail.
-    enum class Trouble { None, Hangs, Refuses };
-    void set_trouble(Trouble trouble) {
-        const std::lock_guard lock(trouble_mutex_);
-        refuses_ = trouble == Trouble::Refuses;
-        hangs_ = trouble == Trouble::Hangs;
-        trouble_changed_.notify_all();
+    // Hang: calls do not return until the fault mode changes. Fail: calls fail.
+    enum class FaultMode { None, Hang, Fail };
+    void set_fault_mode(FaultMode mode) {
+        const std::lock_guard lock(fault_mutex_);
+        fails_ = mode == FaultMode::Fail;
+        hangs_ = mode == FaultMode::Hang;
+        fault_changed_.notify_all();
     }
     void wait_for_hanging_call() {
-        std::unique_lock lock(trouble_mutex_);
-        trouble_changed_.wait(lock, [this] { return hanging_calls_ > 0; });
+        std::unique_lock lock(fault_mutex_);
+        fault_changed_.wait(lock, [this] { return hanging_calls_ > 0; });
     }
-    // What a loss of power takes of that which was not synced: chance decides, or all is lost.
-    enum class Unsynced { ByChance, Lost };
-    void simulate_power_loss(Unsynced unsynced = Unsynced::ByChance) {
-        // 0: everything unsynced is lost; 1: nothing is
-        const std::uint64_t outcome_roll = unsynced == Unsynced::Lost ? 0 : random_() % 4;
-        const auto lost = [&] { return outcome_roll == 0 || (outcome_roll != 1 && random_() % 2); };
+    // What happens to unsynced changes in a loss of power: each is kept or lost at random, or all are lost.
+    enum class Unsynced { KeptAtRandom, Lost };
+    void simulate_power_loss(Unsynced unsynced = Unsynced::KeptAtRandom) {
+        // 0: all unsynced changes are lost; 1: none is; otherwise each at random
+        const std::uint64_t outcome = unsynced == Unsynced::Lost ? 0 : random_() % 4;
+        const auto lost = [&] { return outcome == 0 || (outcome != 1 && random_() % 2); };
         for (auto change = changes_.rbegin(); change != changes_.rend(); ++change) {
             if (!lost()) continue;
             if (change->kind == Change::Renamed) move(change->name, change->from);
@@ -102,10 +103,10 @@
             if (!fs::exists(name) || file.written == file.synced) continue;
             const std::uint64_t size = fs::file_size(name),
                                 keep = file.synced + random_() % (size - std::min(size, file.synced) + 1);
-            if (outcome_roll == 0) fs::resize_file(name, std::min(file.synced, size));
+            if (outcome == 0) fs::resize_file(name, std::min(file.synced, size));
             else if (file.synced == 0 && random_() % 2) fs::remove(name);
             else if (random_() % 2) fs::resize_file(name, std::min(keep, size));
-            else {    // zeros where the data was, then what came after
+            else {    // the unsynced data is replaced by zeros, up to a random position
                 std::fstream stream(name, std::ios::in | std::ios::out | std::ios::binary);
                 stream.seekp(static_cast<std::streamoff>(file.synced));
                 stream << std::string(std::min(keep, size) - std::min(size, file.synced), '\0');
@@ -120,28 +121,29 @@
     struct Sizes {
         std::uint64_t written = 0, synced = 0;
     };
-    // A change of a name since its folder was last synced.
+    // A change of a name since the last sync of its folder.
     struct Change {
         enum Kind { Made, Renamed, Removed } kind;
-        std::string from, name, before;    // before: where the file that had the name is kept; empty: none
+        // before: where the file that had the name before is kept; empty: there was none
+        std::string from, name, before;
     };
     class File : public leveldb::WritableFile {
     public:
-        File(PowerLossFileSystem& disk, std::string name, leveldb::WritableFile* real)
-            : disk_(disk), name_(std::move(name)), real_(real) {}
+        File(PowerLossFileSystem& disk, std::string name, leveldb::WritableFile* wrapped_file)
+            : disk_(disk), name_(std::move(name)), file_(wrapped_file) {}
         leveldb::Status Append(const leveldb::Slice& data) override {
             const std::lock_guard lock(disk_.mutex_);
             leveldb::Status status = disk_.take_step();
             if (!status.ok()) return status;
             disk_.files_[name_].written += data.size();
-            status = real_->Append(data);
-            return status.ok() ? real_->Flush() : status;
+            status = file_->Append(data);
+            return status.ok() ? file_->Flush() : status;
         }
-        leveldb::Status Close() override { return real_->Close(); }
+        leveldb::Status Close() override { return file_->Close(); }
         leveldb::Status Flush() override { return {}; }
         leveldb::Status Sync() override {
             const std::lock_guard lock(disk_.mutex_);
-            leveldb::Status status;    // LevelDB's files sync the folder before a MANIFEST
+            leveldb::Status status;    // as LevelDB does, sync the folder before a MANIFEST
             if (fs::path(name_).filename().string().starts_with("MANIFEST"))
                 status = disk_.sync_folder(fs::path(name_).parent_path().string());
             if (status.ok()) status = disk_.take_step();
@@ -153,12 +155,12 @@
     private:
         PowerLossFileSystem& disk_;
         std::string name_;
-        std::unique_ptr<leveldb::WritableFile> real_;
+        std::unique_ptr<leveldb::WritableFile> file_;
     };
     leveldb::Status take_step() {
-        pass_trouble_gate();
-        if (refuses_) return leveldb::Status::IOError("the disk refuses");
-        if (steps_left == 0) return leveldb::Status::IOError("no power");
+        wait_while_hanging();
+        if (fails_) return leveldb::Status::IOError("simulated disk failure");
+        if (steps_left == 0) return leveldb::Status::IOError("simulated loss of power");
         --steps_left;
         return {};
     }
@@ -166,7 +168,7 @@
         if (leveldb::Status status = take_step(); !status.ok()) return status;
         if (syncs_before_failure-- == 0) {
             ++failed_syncs;
-            return leveldb::Status::IOError("refused");
+            return leveldb::Status::IOError("simulated failure of a folder sync");
         }
         std::erase_if(changes_, [&](const Change& change) {
             if (fs::path(change.name).parent_path() != folder) return false;
@@ -185,28 +187,28 @@
             files_.insert(std::move(sizes));
         }
     }
-    // Moves the file there, if there is one; returns its new name.
-    std::string move_to_attic(const std::string& name) {
+    // Moves the file, if it exists, to the folder of replaced files; returns its new name, empty if none.
+    std::string move_to_replaced_files(const std::string& name) {
         if (!fs::exists(name)) return {};
-        const std::string kept_name = attic_.at(std::to_string(++kept_files_).c_str());
+        const std::string kept_name = replaced_files_.at(std::to_string(++kept_files_).c_str());
         move(name, kept_name);
         return kept_name;
     }
-    void pass_trouble_gate() {
-        std::unique_lock lock(trouble_mutex_);
+    void wait_while_hanging() {
+        std::unique_lock lock(fault_mutex_);
         ++hanging_calls_;
-        trouble_changed_.notify_all();
-        trouble_changed_.wait(lock, [this] { return !hangs_; });
+        fault_changed_.notify_all();
+        fault_changed_.wait(lock, [this] { return !hangs_; });
         --hanging_calls_;
     }
-    std::mutex trouble_mutex_;
-    std::condition_variable trouble_changed_;
+    std::mutex fault_mutex_;
+    std::condition_variable fault_changed_;
     bool hangs_ = false;
     int hanging_calls_ = 0;
-    std::atomic<bool> refuses_ = false;
+    std::atomic<bool> fails_ = false;
     std::mutex mutex_;
     std::mt19937_64 random_;
-    TemporaryFolder attic_;    // where replaced and removed files are kept until that is durable
+    TemporaryFolder replaced_files_;    // keeps replaced and removed files until the change is durable
     std::uint64_t kept_files_ = 0;
     std::map<std::string, Sizes> files_;
     std::vector<Change> changes_;
--- a/tests/cluster/consensus/register_catch_up_test.cpp
+++ b/tests/cluster/consensus/register_catch_up_test.cpp
@@ -1,5 +1,5 @@
-// A replica that was down for hundreds of changes, or is empty, catches up while changes go on: it must have
-// the newest entry within kMaxCatchUpTime, also over a slow link. Time is virtual.
+// A replica that missed hundreds of changes, or is empty, catches up while changes continue: it must have the
+// newest entry within kMaxCatchUpTime, also over a slow link. Time is virtual.
 #include <cstdio>
 
 #include "cluster/consensus/register_cluster.h"
@@ -7,12 +7,12 @@
 namespace shaletray::consensus::test {
 namespace {
 
-constexpr Duration kMaxCatchUpTime = 4s;    // of the bounds for small sites
-constexpr Duration kMaxLag = 1s;            // afterwards
+constexpr Duration kMaxCatchUpTime = 4s;    // the bound for small sites
+constexpr Duration kMaxLag = 1s;            // after catching up
 constexpr Duration kChangeInterval = 250ms, kReadInterval = 500ms, kSampleInterval = 50ms;
 constexpr std::size_t kTextSize = 40'000;
 
-// Changes proposed at any replica but one, and the reads that each controller makes regularly.
+// Proposes changes at random replicas except one, and reads regularly at all.
 struct CatchUpScenario {
     Cluster& cluster;
     std::size_t excluded;    // proposes nothing
@@ -20,13 +20,13 @@
     std::size_t text_size;
     TimePoint next_change = cluster.now, next_read = cluster.now;
 
-    void change() {
+    void propose_change() {
         std::size_t proposer = cluster.random_below(cluster.nodes.size());
         while (proposer == excluded || !cluster.is_up(proposer))
             proposer = cluster.random_below(cluster.nodes.size());
-        std::string text = std::to_string(cluster.versions + 1) + ' ';
+        std::string text = std::to_string(cluster.highest_version + 1) + ' ';
         text.resize(std::max(text_size, text.size()), 'x');
-        cluster.propose(proposer, cluster.versions + 1, std::move(text));
+        cluster.propose(proposer, cluster.highest_version + 1, std::move(text));
     }
     void run(Duration duration) {
         const TimePoint deadline = cluster.now + duration;
@@ -34,7 +34,7 @@
             cluster.run(std::min({next_change, next_read, deadline}));
             if (cluster.now >= next_change) {
                 next_change = cluster.now + change_interval;
-                change();
+                propose_change();
             }
             if (cluster.now >= next_read) {
                 next_read = cluster.now + kReadInterval;
@@ -43,7 +43,7 @@
             }
         }
     }
-    // Drops the records of the test itself that are of no use any more.
+    // Drops old records of the test itself, which would distort the measurement of memory use.
     void clear_history() {
         while (cluster.requests.size() > 512) cluster.requests.erase(cluster.requests.begin());
         while (cluster.committed.entries.size() > 64)
@@ -53,25 +53,26 @@
     }
 };
 
-// Checks one replica that was down for this many changes; none: that is empty and no voter.
+// Checks the catching up of a replica that was down for this many changes; none: of one that is empty and not
+// a voter.
 void check_catch_up(std::uint64_t seed, std::size_t voters, std::optional<int> changes, double mbps,
                     std::size_t text_size = kTextSize, Duration change_interval = kChangeInterval) {
     Cluster cluster(seed, voters);
-    std::size_t late = 0;
-    CatchUpScenario scenario{cluster, late, 20ms, 100};
+    std::size_t lagging = 0;
+    CatchUpScenario scenario{cluster, lagging, 20ms, 100};
     scenario.run(500ms);
     if (changes) {
-        cluster.stop(late, true);
-        const std::uint64_t target_version = cluster.versions + static_cast<std::uint64_t>(*changes);
-        while (cluster.versions < target_version) scenario.run(scenario.change_interval);
+        cluster.stop(lagging, true);
+        const std::uint64_t target_version = cluster.highest_version + static_cast<std::uint64_t>(*changes);
+        while (cluster.highest_version < target_version) scenario.run(scenario.change_interval);
         cluster.run(200ms);
     }
     scenario.change_interval = change_interval;
     scenario.text_size = text_size;
     scenario.run(2s);
-    if (changes) cluster.start(late);
-    else late = scenario.excluded = cluster.join();
-    if (mbps > 0) cluster.mbps[late] = mbps;
+    if (changes) cluster.start(lagging);
+    else lagging = scenario.excluded = cluster.join();
+    if (mbps > 0) cluster.mbps[lagging] = mbps;
     std::vector<std::string> addresses;
     for (const auto& node : cluster.nodes) addresses.push_back(node.address);
     for (const auto& node : cluster.nodes)
@@ -80,12 +81,12 @@
                          [&](ReplicatedRegister& replica, Actions&) { replica.set_peers(addresses); });
     const TimePoint started_at = cluster.now;
     std::map<TimePoint, std::uint64_t> newest = {
-        {started_at - 60s, cluster.newest().number}};    // number of the newest entry, by when it was that
+        {started_at - 60s, cluster.newest_entry().number}};    // number of the newest entry, by time
     Duration caught_up_after{}, max_lag{};
     while (cluster.now < started_at + (kSanitizerDivisor == 1 ? 12s : 8s)) {
-        newest[cluster.now] = cluster.newest().number;
+        newest[cluster.now] = cluster.newest_entry().number;
         scenario.run(kSampleInterval);
-        const std::uint64_t known_number = cluster.nodes[late].replica->committed_entry().number;
+        const std::uint64_t known_number = cluster.nodes[lagging].replica->committed_entry().number;
         Duration lag{};
         for (const auto& [when, number] : newest)
             if (known_number < number) {
@@ -97,15 +98,15 @@
     }
     const auto milliseconds = [](Duration duration) { return duration / 1ms; };
     printf(
-        "%zu voters, away for %d, %.0f Mbit/s: caught up after %ld ms, then at most %ld ms behind, %ld ms "
-        "queued\n",
+        "%zu voters, down for %d changes, %.0f Mbit/s: caught up after %ld ms, then at most %ld ms behind, "
+        "%ld ms queued\n",
         voters, changes.value_or(-1), mbps, milliseconds(caught_up_after), milliseconds(max_lag),
-        milliseconds(std::max(cluster.link_busy_until[{late, true}], cluster.now) - cluster.now));
+        milliseconds(std::max(cluster.link_busy_until[{lagging, true}], cluster.now) - cluster.now));
     cr_expect(caught_up_after > Duration{} && caught_up_after <= kMaxCatchUpTime);
     cr_expect(max_lag <= kMaxLag);
 }
 
-Test(catch_up, after_changes_that_go_on) {
+Test(catch_up, replica_catches_up_while_changes_continue) {
     const int divisor = static_cast<int>(kSanitizerDivisor);
     for (const std::size_t voters : {3, 5})
         for (const double mbps : {2.0, 0.0})
@@ -115,28 +116,29 @@
                     check_catch_up(7 + voters, voters, changes, mbps);
 }
 
-// Changes exceed the bandwidth of the link: the replica must skip superseded entries.
-Test(catch_up, though_changes_come_faster_than_the_link_carries_them) {
+// The changes exceed the bandwidth of the link, so the replica must skip superseded entries.
+Test(catch_up, replica_skips_superseded_entries_on_a_slow_link) {
     check_catch_up(11, 3, {}, 2.0, 100'000, 100ms);
     check_catch_up(12, 5, {}, 2.0, 60'000, 150ms);
 }
 
-Test(catch_up, memory_stays_flat_over_ten_thousand_changes) {
+Test(catch_up, memory_use_stays_bounded_over_ten_thousand_changes) {
     Cluster cluster(1, 3);
     cluster.join();
     CatchUpScenario scenario{cluster, 3, 10ms, 500};
     constexpr std::uint64_t kChanges = 10'000 / kSanitizerDivisor;
     std::size_t early_heap = 0, late_heap = 0, max_description = 0;
-    while (cluster.versions < kChanges) {
+    while (cluster.highest_version < kChanges) {
         scenario.run(1s);
         scenario.clear_history();
-        std::size_t& maximum = cluster.versions < kChanges / 5 ? early_heap : late_heap;
+        std::size_t& maximum = cluster.highest_version < kChanges / 5 ? early_heap : late_heap;
         maximum = std::max(maximum, allocated_bytes());
         for (const auto& node : cluster.nodes)
             max_description = std::max(max_description, node.replica->describe_state().size());
     }
-    printf("%lu changes: heap at most %zu until a fifth, then %zu; the longest state %zu\n", cluster.versions,
-           early_heap, late_heap, max_description);
+    printf(
+        "%lu changes: heap at most %zu bytes in the first fifth, then %zu; longest description %zu bytes\n",
+        cluster.highest_version, early_heap, late_heap, max_description);
     cr_assert_eq(cluster.indeterminate_count, 0);
     cr_assert(late_heap < early_heap + 500'000);
     cr_assert(max_description < 20'000);
--- a/tests/cluster/consensus/register_cluster.h
+++ b/tests/cluster/consensus/register_cluster.h
@@ -1,11 +1,11 @@
-// A cluster of replicas in virtual time: links that delay, lose and duplicate messages, machines that are
+// Simulates a cluster of replicas in virtual time: links delay, lose and duplicate messages, and machines are
 // killed, lose power or lose their disks. The safety properties are checked at every step.
 #pragma once
 
 #include <criterion/criterion.h>
 #include <malloc.h>
 #ifdef __SANITIZE_ADDRESS__
-extern "C" std::size_t __sanitizer_get_current_allocated_bytes();    // its header is not always there
+extern "C" std::size_t __sanitizer_get_current_allocated_bytes();    // its header is not always installed
 #endif
 
 #include <algorithm>
@@ -27,12 +27,13 @@
 using namespace std::chrono_literals;
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::uint64_t kSanitizerDivisor = 10;    // everything takes so much longer
+constexpr std::uint64_t kSanitizerDivisor = 10;    // sanitizers slow everything down by about this factor
 #else
 constexpr std::uint64_t kSanitizerDivisor = 1;
 #endif
 
-// The voters with `added` in the place of `removed`; an emptied disk takes its own former place instead.
+// The voters with `added` in place of `removed`, or in place of the voter with the same address, if there is
+// one (the former disk of the same machine).
 inline std::vector<Replica> replace_voter(std::vector<Replica> voters, const Replica& removed,
                                           const Replica& added) {
     const auto former = std::find_if(voters.begin(), voters.end(),
@@ -43,7 +44,7 @@
     return voters;
 }
 
-// Bytes in use on the heap.
+// Number of allocated heap bytes.
 inline std::size_t allocated_bytes() {
 #ifdef __SANITIZE_ADDRESS__
     return __sanitizer_get_current_allocated_bytes();
@@ -53,14 +54,14 @@
 #endif
 }
 
-// All entries that any replica ever took for chosen, and the properties that must hold of them.
+// All entries that any replica ever considered chosen, and the properties that they must have.
 struct CommittedEntries {
     std::map<std::uint64_t, LogEntry> entries;     // by number
     std::map<std::uint64_t, std::string> texts;    // by version
-    std::uint64_t acknowledged_version = 0;        // the highest
+    std::uint64_t acknowledged_version = 0;        // the highest acknowledged
 
-    // Whether requests may be answered from this entry: if it changed the voters, a majority of the new ones
-    // must have stored it.
+    // Whether requests may be answered from this entry: if it changed the voters, a majority of the new
+    // voters must have stored it.
     template <class HasStored>
     bool may_answer(const LogEntry& entry, HasStored&& has_stored) const {
         const auto before = entries.find(entry.number - 1);
@@ -69,21 +70,22 @@
         return static_cast<std::size_t>(std::count_if(entry.voters.begin(), entry.voters.end(), has_stored)) >
                entry.voters.size() / 2;
     }
-    // Whether another text is known for this version, which must still be remembered.
+    // Whether this version had another text, recently enough that replicas must still have its digest.
     bool conflicts(std::uint64_t version, const std::string& text) const {
         const auto it = texts.find(version);
         return it != texts.end() && it->second != text &&
                static_cast<std::size_t>(std::distance(it, texts.end())) <= kMaxEarlierDigests + 1;
     }
-    // Why the entry contradicts the earlier ones; empty: it does not.
+    // Records the entry; returns why it contradicts the earlier ones, empty if it does not.
     std::string record_entry(const LogEntry& entry) {
         if (entry.voters.empty()) return {};
         if (entries.try_emplace(entry.number, entry).first->second != entry)
-            return "two entries of one number";
+            return "two entries with the same number";
         if (texts.try_emplace(entry.version, entry.text).first->second != entry.text)
-            return "two texts of one version";
+            return "two texts for the same version";
         const auto next = entries.upper_bound(entry.number);
-        if (next != entries.end() && next->second.version < entry.version) return "a version went back";
+        if (next != entries.end() && next->second.version < entry.version)
+            return "a later entry has a lower version";
         return {};
     }
 };
@@ -91,7 +93,7 @@
 struct Cluster {
     struct Node {
         std::string address;
-        PersistentState persisted_state;    // what is left after a loss of power
+        PersistentState persisted_state;    // what survives a loss of power
         std::vector<Actions::StateWrite> unsynced;
         std::optional<ReplicatedRegister> replica;    // none: stopped
         std::uint64_t incarnation = 0;                // unique in the cluster
@@ -101,8 +103,8 @@
         TimePoint at;
         std::uint64_t order = 0;
         std::size_t node = 0;
-        std::uint64_t incarnation = 0;    // of the node for which it is meant; 0: any
-        std::uint64_t token = 0;          // of a stored write; 0: this is a message
+        std::uint64_t incarnation = 0;    // of the receiving node; 0: any
+        std::uint64_t token = 0;          // of a completed write; 0: the event is a message
         std::size_t from = 0;
         std::string bytes;
         bool operator<(const Event& event) const {
@@ -112,7 +114,7 @@
     struct PendingRequest {
         bool proposal = false;
         std::uint64_t version = 0;
-        std::uint64_t min_version = 0;    // what had been acknowledged before
+        std::uint64_t min_version = 0;    // the highest version acknowledged before the request
         std::string text;
     };
 
@@ -122,16 +124,17 @@
     std::priority_queue<Event> events;
     std::set<std::pair<std::size_t, std::size_t>> partitioned_links;
     std::map<RequestId, PendingRequest> requests;
-    std::function<void(RequestId, Outcome, const LogEntry&)> on_completion;    // with the node's entry
-    std::map<Replica, std::uint64_t> stored_numbers;    // of the newest entry that each disk ever held
+    // Receives the committed entry of the node that completed the request.
+    std::function<void(RequestId, Outcome, const LogEntry&)> on_completion;
+    std::map<Replica, std::uint64_t> stored_numbers;    // number of the newest entry on each disk
     CommittedEntries committed;
     double loss_rate = 0.0, duplicate_rate = 0.0;
     Duration link_delay = 1ms, sync_delay = 2ms, max_retry_interval = 2s;
-    std::map<std::size_t, double> mbps;    // of a node's own link, each way; none: unlimited
-    std::map<std::pair<std::size_t, bool>, TimePoint> link_busy_until;    // of such a link; true: inbound
+    std::map<std::size_t, double> mbps;    // bandwidth of a node's link per direction; none: unlimited
+    std::map<std::pair<std::size_t, bool>, TimePoint> link_busy_until;    // of such a link; bool: inbound
     std::uint64_t last_event_order = 0, last_request_id = 0;
     std::uint64_t indeterminate_count = 0;    // of requests
-    std::uint64_t versions = 0;               // the highest proposed
+    std::uint64_t highest_version = 0;        // the highest proposed
 
     explicit Cluster(std::uint64_t seed, std::size_t founders) : random(seed) {
         std::vector<std::string> addresses;
@@ -160,14 +163,14 @@
         node.replica->set_peers(addresses);
         check(*node.replica);
     }
-    // Starts an empty machine at an address of its own.
+    // Starts an empty machine at a new address.
     std::size_t join() {
         nodes.push_back({name(nodes.size()), {}, {}, {}, 0, {}});
         nodes.back().persisted_state.disk_id = random() | 1;
         start(nodes.size() - 1);
         return nodes.size() - 1;
     }
-    // A killed process leaves what it wrote, synced or not; a loss of power leaves only what was synced.
+    // The writes of a killed process may survive without a sync; after a loss of power only synced ones do.
     void stop(std::size_t i, bool power_loss) {
         Node& node = nodes[i];
         if (!power_loss && !node.unsynced.empty() && chance(0.5))
@@ -184,7 +187,7 @@
         const std::string error = committed.record_entry(replica.committed_entry());
         cr_assert(error.empty(), "%s", error.c_str());
     }
-    // When a message has passed a node's link: after those that were sent through it before.
+    // When a message has passed a node's link, after the messages sent through it before.
     TimePoint link_arrival_time(std::size_t i, bool inbound, std::size_t size, TimePoint time) {
         const auto speed = mbps.find(i);
         if (speed == mbps.end()) return time;
@@ -193,7 +196,7 @@
         busy_until = std::max(busy_until, time) + Duration(static_cast<Duration::rep>(microseconds));
         return busy_until;
     }
-    // A time between half and one and a half of this.
+    // A random duration between 0.5 and 1.5 times the typical one.
     Duration random_around(Duration typical) {
         return typical / 2 + Duration(random_below(static_cast<std::uint64_t>(typical.count())));
     }
@@ -218,11 +221,11 @@
             if (chance(loss_rate)) continue;
             Duration delay = random_around(link_delay);
             if (chance(duplicate_rate))
-                delay += Duration(random_below(3'000'000));    // perhaps only to the next incarnation
+                delay += Duration(random_below(3'000'000));    // may arrive only at the next incarnation
             const TimePoint sent_at = link_arrival_time(from, false, message.bytes.size(), now);
             const TimePoint arrives_at = nodes[to].replica
                                              ? link_arrival_time(to, true, message.bytes.size(), sent_at)
-                                             : sent_at;    // nobody receives it
+                                             : sent_at;    // the node is stopped and will not receive it
             events.push({arrives_at + delay, ++last_event_order, to, 0, 0, from, message.bytes});
         }
     }
@@ -234,7 +237,8 @@
             ++indeterminate_count;
             return;
         }
-        cr_assert(current.version >= request.min_version, "answered %lu after %lu", current.version,
+        cr_assert(current.version >= request.min_version,
+                  "answered with version %lu after %lu was acknowledged", current.version,
                   request.min_version);
         cr_assert(committed.may_answer(current, [&](const Replica& replica) {
             const auto found = stored_numbers.find(replica);
@@ -255,7 +259,7 @@
         apply_actions(i, actions);
     }
     void propose(std::size_t i, std::uint64_t version, std::string text, Duration timeout = 3s) {
-        versions = std::max(versions, version);
+        highest_version = std::max(highest_version, version);
         requests[++last_request_id] = {true, version, committed.acknowledged_version, text};
         call(i, [&](ReplicatedRegister& replica, Actions& actions) {
             replica.propose(last_request_id, version, text, now + timeout, now, actions);
@@ -284,7 +288,8 @@
                  [&](ReplicatedRegister& replica, Actions& actions) { replica.tick(now, actions); });
         }
     }
-    // The node whose tick is due first before the deadline, and when; none: the deadline.
+    // The node whose tick is due first, and when; none and the deadline if no tick is due before the
+    // deadline.
     std::pair<std::optional<std::size_t>, TimePoint> next_tick(TimePoint deadline) const {
         std::optional<std::size_t> due_node;
         TimePoint due_at = deadline;
@@ -300,7 +305,7 @@
     void deliver(Event event) {
         Node& node = nodes[event.node];
         if (!node.replica || (event.incarnation != 0 && event.incarnation != node.incarnation)) return;
-        if (!is_up(event.node)) {    // it waits until the process is resumed
+        if (!is_up(event.node)) {    // delivered when the process is resumed
             event.at = node.frozen_until;
             event.order = ++last_event_order;
             events.push(std::move(event));
@@ -325,7 +330,7 @@
     }
     void run(Duration duration) { run(now + duration); }
     // The newest entry that any replica knows to be chosen.
-    const LogEntry& newest() const { return committed.entries.rbegin()->second; }
+    const LogEntry& newest_entry() const { return committed.entries.rbegin()->second; }
 };
 
 }    // namespace shaletray::consensus::test
--- a/tests/cluster/consensus/register_exploration_test.cpp
+++ b/tests/cluster/consensus/register_exploration_test.cpp
@@ -1,5 +1,5 @@
 // Explores all states that three replicas can reach in a few steps: messages are reordered, lost and
-// duplicated, writes take any time, processes die with and without their unsynced writes, a disk is emptied
+// duplicated, writes take any time, processes end with and without their unsynced writes, and a disk is wiped
 // and made a voter again. A lost message is one that is never delivered.
 #include <cstdio>
 #include <cstdlib>
@@ -12,24 +12,25 @@
 namespace shaletray::consensus::test {
 namespace {
 
-// How many steps of each kind an exploration may take, and its circumstances.
+// The number of steps of each kind that an exploration may take, and its conditions.
 struct Budget {
     int proposals = 1, reads = 0, ticks = 0, kills = 0, power_losses = 0, wipes = 0, duplicates = 0;
     int voter_changes = 0;
-    std::uint64_t second_version = 2;    // of the second proposal
-    bool slow_disks = true;              // else writes are stored at once
-    // Both proposals are node 0's: its disk hangs until it loses power, and the second comes after that.
+    std::uint64_t second_version = 2;    // version of the second proposal
+    bool slow_disks = true;              // else writes are stored immediately
+    // Node 0 makes both proposals: its disk hangs until it loses power, and the second proposal follows after
+    // that.
     bool same_proposer = false;
     bool announces_commits = true;    // else Commit messages are lost
     bool delivers_reads = true;       // else ReadRequest messages are lost
-    bool starts_committed = false;    // begin with a first version that all replicas have
-    bool has_spare = false;           // a fourth, empty machine runs, and is to replace the third as a voter
-    int permanent_losses = 0;         // the third may end for good, with its disk
+    bool starts_committed = false;    // start with a first version that all replicas have
+    bool has_spare = false;           // a fourth, empty machine may replace the third as a voter
+    int permanent_losses = 0;         // the third machine may be lost permanently, with its disk
 };
 constexpr std::size_t kNodes = 4;
 struct Node {
     ReplicatedRegister replica;
-    PersistentState persisted_state;    // what is left after a loss of power
+    PersistentState persisted_state;    // what survives a loss of power
     std::vector<Actions::StateWrite> unsynced;
     TimePoint now;
     std::uint64_t state_hash = 0;
@@ -43,11 +44,11 @@
     }
 };
 struct State {
-    std::array<std::shared_ptr<const Node>, kNodes> nodes;    // none: not started, or lost for good
+    std::array<std::shared_ptr<const Node>, kNodes> nodes;    // null: not started, or lost permanently
     std::vector<MessageInFlight> messages;                    // sorted
     Budget left;
     CommittedEntries committed;
-    std::vector<std::uint64_t> min_versions;    // by request: what had been acknowledged before
+    std::vector<std::uint64_t> min_versions;    // by request: the highest version acknowledged before it
     std::uint64_t incarnations = 3;
 };
 
@@ -70,7 +71,7 @@
         state.left = {.slow_disks = false};
         if (budget.has_spare) {
             PersistentState empty;
-            empty.disk_id = kNewcomer;
+            empty.disk_id = kSpareDisk;
             state.nodes[3] = std::make_shared<const Node>(start_node(3, empty, 3));
         }
         for (std::size_t i = 0; i < 3; ++i) {
@@ -80,7 +81,7 @@
             apply_actions(state, i, node, actions);
         }
         push(std::move(state));
-        // Any one way to a state in which all have the first version; or the initial state.
+        // Starts from the initial state, or from any state in which all replicas have the first version.
         while (budget.starts_committed &&
                (!open_.back().messages.empty() || open_.back().committed.acknowledged_version == 0)) {
             const State last = std::move(open_.back());
@@ -93,7 +94,7 @@
         first.left = budget;
         push(std::move(first));
     }
-    // Explores until this many states were found or there are no more; returns how many.
+    // Explores until max_states were found or no more exist; returns the number found.
     std::size_t run(std::size_t max_states) {
         while (!open_.empty() && seen_.size() < max_states) {
             const State state = std::move(open_.back());
@@ -105,7 +106,7 @@
     bool exhausted() const { return open_.empty(); }
 
 private:
-    static constexpr std::uint64_t kEmptied = 77, kNewcomer = 88;    // disks
+    static constexpr std::uint64_t kWipedDisk = 77, kSpareDisk = 88;    // disk identifiers
     static Node start_node(std::size_t i, const PersistentState& disk, std::uint64_t seed,
                            bool is_founder = false) {
         Settings settings;
@@ -146,13 +147,14 @@
             if (completion.outcome == Outcome::Indeterminate) continue;
             const std::uint64_t version = node.replica.committed_entry().version;
             const std::uint64_t min_version = state.min_versions.at(completion.request_id - 1);
-            cr_assert(version >= min_version, "answered with %lu after %lu", version, min_version);
+            cr_assert(version >= min_version, "answered with version %lu after %lu was acknowledged", version,
+                      min_version);
             cr_assert(state.committed.may_answer(node.replica.committed_entry(), [&](const Replica& replica) {
-                for (std::size_t o = 0; o < kNodes; ++o) {
-                    if (o != i && !state.nodes[o]) continue;
+                for (std::size_t index = 0; index < kNodes; ++index) {
+                    if (index != i && !state.nodes[index]) continue;
                     const PersistentState& disk =
-                        o == i ? node.persisted_state : state.nodes[o]->persisted_state;
-                    if (replica == Replica{Cluster::name(o), disk.disk_id})
+                        index == i ? node.persisted_state : state.nodes[index]->persisted_state;
+                    if (replica == Replica{Cluster::name(index), disk.disk_id})
                         return disk.committed.number >= node.replica.committed_entry().number;
                 }
                 return false;
@@ -184,14 +186,15 @@
         if (state.committed.acknowledged_version > 0) check_durability(state);
         open_.push_back(std::move(state));
     }
-    // Whether this node, with the disk that it has, is a voter of the entry.
+    // Whether this node, with its current disk, is a voter of the entry.
     static bool is_voter(const State& state, const LogEntry& entry, std::size_t i) {
         if (!state.nodes[i]) return false;
         const Replica replica{Cluster::name(i), state.nodes[i]->persisted_state.disk_id};
         return std::find(entry.voters.begin(), entry.voters.end(), replica) != entry.voters.end();
     }
-    // Checks that what was acknowledged is found again if all lose power, and one more disk is lost. While a
-    // change of the voters is not stored by a majority of the new ones, no further loss need be survived.
+    // Checks that the acknowledged version is found again if all machines lose power and one more disk is
+    // lost. While a change of the voters is not stored by a majority of the new voters, no disk loss needs to
+    // be survived.
     static void check_durability(const State& state) {
         const LogEntry& newest = state.committed.entries.rbegin()->second;
         std::size_t voters = 0, stored = 0;
@@ -222,7 +225,8 @@
             const std::uint64_t found = votes < 2  ? 0
                                         : accepted ? accepted->accepted_entry->version
                                                    : best.version;
-            cr_assert(found >= state.committed.acknowledged_version, "%lu of %lu is left without %zu", found,
+            cr_assert(found >= state.committed.acknowledged_version,
+                      "version %lu instead of %lu is found without node %zu", found,
                       state.committed.acknowledged_version, lost);
         }
     }
@@ -245,11 +249,11 @@
     void explore_successors(const State& state) {
         for (std::size_t k = 0; k < state.messages.size(); ++k) {
             if (k > 0 && !(state.messages[k - 1] < state.messages[k]))
-                continue;    // a duplicate of the one before
-            for (int again = 0; again <= (state.left.duplicates > 0 ? 1 : 0); ++again)
+                continue;    // identical to the previous message
+            for (int duplicate = 0; duplicate <= (state.left.duplicates > 0 ? 1 : 0); ++duplicate)
                 step(state, state.messages[k].to, [&](State& next, Node& n, Actions& actions) {
                     const MessageInFlight message = next.messages[k];
-                    if (again) --next.left.duplicates;
+                    if (duplicate) --next.left.duplicates;
                     else next.messages.erase(next.messages.begin() + static_cast<std::ptrdiff_t>(k));
                     n.replica.on_message(Cluster::name(message.from), *message.bytes, n.now, actions);
                 });
@@ -282,7 +286,7 @@
                 restart_node(state, i, node.unsynced.back().state, &Budget::kills);
             if (state.left.wipes > 0 && i == 2) {
                 PersistentState empty;
-                empty.disk_id = kEmptied;
+                empty.disk_id = kWipedDisk;
                 restart_node(state, i, empty, &Budget::wipes);
             }
         }
@@ -304,12 +308,12 @@
             std::erase_if(next.messages, [](const MessageInFlight& message) { return message.to == 2; });
             push(std::move(next));
         }
-        const bool emptied = state.nodes[2] && state.nodes[2]->persisted_state.disk_id == kEmptied;
-        if (state.left.voter_changes > 0 && (emptied || state.left.has_spare))
+        const bool is_wiped = state.nodes[2] && state.nodes[2]->persisted_state.disk_id == kWipedDisk;
+        if (state.left.voter_changes > 0 && (is_wiped || state.left.has_spare))
             step(state, 1, [&](State& next, Node& n, Actions& actions) {
                 --next.left.voter_changes;
                 const Replica in =
-                    emptied ? Replica{Cluster::name(2), kEmptied} : Replica{Cluster::name(3), kNewcomer};
+                    is_wiped ? Replica{Cluster::name(2), kWipedDisk} : Replica{Cluster::name(3), kSpareDisk};
                 const auto to = replace_voter(n.replica.committed_entry().voters, {Cluster::name(2), 0}, in);
                 n.replica.change_voters(n.replica.committed_entry().voters, to, n.now, actions);
             });
@@ -319,81 +323,82 @@
     std::unordered_set<std::uint64_t> seen_;
 };
 
-void explore(const char* what, const Budget& budget) {
+void explore(const char* scenario, const Budget& budget) {
     const char* override = std::getenv("CONSENSUS_STATES");
     const std::size_t max_states =
         override ? std::strtoull(override, nullptr, 10) : 300'000 / (kSanitizerDivisor * kSanitizerDivisor);
     Explorer explorer(budget);
     const std::size_t states = explorer.run(max_states);
-    printf("%s: %zu states%s\n", what, states, explorer.exhausted() ? ", all" : "");
+    printf("%s: %zu states%s\n", scenario, states, explorer.exhausted() ? ", all" : "");
     cr_assert(states > 1000 && (explorer.exhausted() || states >= max_states));
 }
 
-Test(explore, a_reader) {
-    explore("reader", {.proposals = 1, .reads = 1, .slow_disks = false, .announces_commits = false});
-    explore("reader of the second", {.proposals = 1,
-                                     .reads = 1,
-                                     .slow_disks = false,
-                                     .announces_commits = false,
-                                     .starts_committed = true});
+Test(explore, reads_return_no_older_version_than_acknowledged) {
+    explore("read", {.proposals = 1, .reads = 1, .slow_disks = false, .announces_commits = false});
+    explore("read with a committed version", {.proposals = 1,
+                                              .reads = 1,
+                                              .slow_disks = false,
+                                              .announces_commits = false,
+                                              .starts_committed = true});
 }
-Test(explore, dead_processes) {
-    explore("losses of power", {.proposals = 1, .power_losses = 2, .announces_commits = false});
-    explore("a loss of power, told", {.proposals = 1, .power_losses = 1});
-    explore("a kill, a loss of power",
+Test(explore, acknowledged_versions_survive_crashes) {
+    explore("power losses", {.proposals = 1, .power_losses = 2, .announces_commits = false});
+    explore("power loss with announcements", {.proposals = 1, .power_losses = 1});
+    explore("kill and power loss",
             {.proposals = 1, .kills = 1, .power_losses = 1, .announces_commits = false});
-    explore("copies", {.proposals = 1, .power_losses = 1, .duplicates = 2, .announces_commits = false});
+    explore("duplicate messages",
+            {.proposals = 1, .power_losses = 1, .duplicates = 2, .announces_commits = false});
     explore("timers",
             {.proposals = 1, .ticks = 2, .power_losses = 1, .slow_disks = false, .announces_commits = false});
 }
-Test(explore, another_life_with_another_value) {
-    explore("another life", {.proposals = 2,
-                             .power_losses = 1,
-                             .slow_disks = false,
-                             .same_proposer = true,
-                             .announces_commits = false,
-                             .delivers_reads = false});
+Test(explore, restarted_proposer_may_propose_another_value) {
+    explore("restarted proposer", {.proposals = 2,
+                                   .power_losses = 1,
+                                   .slow_disks = false,
+                                   .same_proposer = true,
+                                   .announces_commits = false,
+                                   .delivers_reads = false});
 }
-Test(explore, two_operators) {
+Test(explore, competing_proposals_choose_one_value) {
     explore("two versions",
             {.proposals = 2, .slow_disks = false, .announces_commits = false, .delivers_reads = false});
     explore("one version",
             {.proposals = 2, .second_version = 1, .slow_disks = false, .announces_commits = false});
 }
-Test(explore, an_emptied_disk) {
-    explore("emptied", {.proposals = 1, .wipes = 1});
-    explore("emptied, power lost", {.proposals = 1,
-                                    .power_losses = 1,
-                                    .wipes = 1,
-                                    .announces_commits = false,
-                                    .starts_committed = true});
-    explore("voted in", {.proposals = 0,
-                         .power_losses = 1,
-                         .wipes = 1,
-                         .voter_changes = 1,
-                         .slow_disks = false,
-                         .starts_committed = true});
-    explore("voted in, untold", {.proposals = 0,
-                                 .power_losses = 1,
-                                 .wipes = 1,
-                                 .voter_changes = 1,
-                                 .announces_commits = false,
-                                 .starts_committed = true});
-    explore("voted in, a proposal", {.proposals = 1,
-                                     .wipes = 1,
-                                     .voter_changes = 1,
-                                     .slow_disks = false,
-                                     .announces_commits = false,
-                                     .starts_committed = true});
+Test(explore, wiped_disk_may_become_a_voter_again) {
+    explore("wiped disk", {.proposals = 1, .wipes = 1});
+    explore("wiped disk, power loss", {.proposals = 1,
+                                       .power_losses = 1,
+                                       .wipes = 1,
+                                       .announces_commits = false,
+                                       .starts_committed = true});
+    explore("readmitted", {.proposals = 0,
+                           .power_losses = 1,
+                           .wipes = 1,
+                           .voter_changes = 1,
+                           .slow_disks = false,
+                           .starts_committed = true});
+    explore("readmitted without announcements", {.proposals = 0,
+                                                 .power_losses = 1,
+                                                 .wipes = 1,
+                                                 .voter_changes = 1,
+                                                 .announces_commits = false,
+                                                 .starts_committed = true});
+    explore("readmitted during a proposal", {.proposals = 1,
+                                             .wipes = 1,
+                                             .voter_changes = 1,
+                                             .slow_disks = false,
+                                             .announces_commits = false,
+                                             .starts_committed = true});
 }
-Test(explore, one_replaced_by_an_empty_machine) {
+Test(explore, voter_may_be_replaced_by_an_empty_machine) {
     explore("replaced", {.proposals = 0,
                          .voter_changes = 1,
                          .slow_disks = false,
                          .starts_committed = true,
                          .has_spare = true,
                          .permanent_losses = 1});
-    explore("replaced, power lost", {.proposals = 0,
+    explore("replaced, power loss", {.proposals = 0,
                                      .power_losses = 1,
                                      .voter_changes = 1,
                                      .slow_disks = false,
@@ -401,13 +406,13 @@
                                      .starts_committed = true,
                                      .has_spare = true,
                                      .permanent_losses = 1});
-    explore("replaced, a proposal", {.proposals = 1,
-                                     .voter_changes = 1,
-                                     .slow_disks = false,
-                                     .announces_commits = false,
-                                     .starts_committed = true,
-                                     .has_spare = true,
-                                     .permanent_losses = 1});
+    explore("replaced during a proposal", {.proposals = 1,
+                                           .voter_changes = 1,
+                                           .slow_disks = false,
+                                           .announces_commits = false,
+                                           .starts_committed = true,
+                                           .has_spare = true,
+                                           .permanent_losses = 1});
 }
 
 }    // namespace
--- a/tests/cluster/consensus/register_linearizability_test.cpp
+++ b/tests/cluster/consensus/register_linearizability_test.cpp
@@ -1,4 +1,5 @@
-// What operators see of the register is linearizable, by the checker of operation histories. In virtual time.
+// The operations on the register are linearizable, according to the checker of operation histories. Time is
+// virtual.
 #include "cluster/consensus/register_cluster.h"
 #include "operation_history.h"
 
@@ -7,7 +8,7 @@
 
 using history::Operation;
 
-// Operators that send commands to any replica and retry them, unchanged, until they get a definite answer;
+// Operators that send commands to random replicas and retry them unchanged until they get a definite answer,
 // and readers, which do not retry. Records the history of all operations.
 struct Operators {
     struct Command {
@@ -66,7 +67,7 @@
         const auto it = calls.find(request_id);
         if (it == calls.end()) return;
         const Call call = it->second;
-        if (call.is_answer_lost) return;    // it times out
+        if (call.is_answer_lost) return;    // the call times out
         calls.erase(it);
         if (call.command) commands[*call.command].in_flight = false;
         if (outcome == Outcome::Indeterminate) return;
@@ -81,7 +82,7 @@
             operation.body_digest = current.version == 0 ? 0 : std::stoull(current.text);
         }
     }
-    // Calls that had no answer for a second are retried at another replica.
+    // Retries calls without an answer for a second, at a random replica.
     void retry_abandoned_calls() {
         std::erase_if(calls, [this](const auto& entry) {
             if (entry.second.abandon_at > cluster.now) return false;
@@ -99,7 +100,7 @@
     }
 };
 
-// Empties disks of voters and has them made voters again, one at a time with a pause of a second between.
+// Wipes disks of voters and has them made voters again, one at a time, with a pause of one second in between.
 struct DiskWiper {
     Cluster& cluster;
     std::optional<Replica> lost{};
@@ -107,7 +108,7 @@
     TimePoint ready{};
 
     void wipe(std::size_t i) {
-        const LogEntry& newest = cluster.newest();
+        const LogEntry& newest = cluster.newest_entry();
         const Replica wiped{cluster.nodes[i].address, cluster.nodes[i].persisted_state.disk_id};
         std::size_t stored = 0;
         for (const Cluster::Node& n : cluster.nodes) {
@@ -124,7 +125,7 @@
     void restore_wiped_voter(std::size_t by) {
         if (!lost) return;
         const Replica in{cluster.nodes[node].address, cluster.nodes[node].persisted_state.disk_id};
-        const auto& voters = cluster.newest().voters;
+        const auto& voters = cluster.newest_entry().voters;
         if (std::find(voters.begin(), voters.end(), in) != voters.end()) {
             lost.reset();
             ready = cluster.now + 1s;
@@ -135,7 +136,7 @@
     }
 };
 
-std::uint64_t run_order_races(std::uint64_t seed, std::size_t voters) {
+std::uint64_t run_concurrent_operators(std::uint64_t seed, std::size_t voters) {
     Cluster cluster(seed, voters);
     Operators operators(cluster);
     DiskWiper wiper{cluster};
@@ -150,9 +151,9 @@
         const std::size_t i = operators.any_running_node();
         switch (cluster.random_below(8)) {
             case 0:
-            case 1: {    // two to eight at once, some of the same version, some older
+            case 1: {    // two to eight commands at once, some of the same version, some older
                 const std::uint64_t from =
-                    cluster.versions > 1 ? cluster.versions - cluster.random_below(2) : 1;
+                    cluster.highest_version > 1 ? cluster.highest_version - cluster.random_below(2) : 1;
                 for (std::uint64_t n = 2 + cluster.random_below(7); n > 0; --n)
                     operators.send_new(from + cluster.random_below(3), operators.any_running_node());
                 break;
@@ -171,25 +172,25 @@
                     cluster.nodes[i].frozen_until = cluster.now + Duration(cluster.random_below(2'500'000));
                 break;
             case 5:
-                for (std::size_t o = 0; with_pauses && o < cluster.nodes.size(); ++o) {
-                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({i, o});
-                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({o, i});
+                for (std::size_t index = 0; with_pauses && index < cluster.nodes.size(); ++index) {
+                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({i, index});
+                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({index, i});
                 }
                 break;
             case 6: cluster.partitioned_links.clear(); break;
-            default:    // a command that was answered may also be repeated
+            default:    // an answered command may also be repeated
                 if (!operators.commands.empty())
                     operators.send(cluster.random_below(operators.commands.size()),
                                    operators.any_running_node());
                 break;
         }
-        for (std::size_t o = 0; o < cluster.nodes.size(); ++o)
-            if (cluster.chance(0.3)) operators.read(o);
+        for (std::size_t index = 0; index < cluster.nodes.size(); ++index)
+            if (cluster.chance(0.3)) operators.read(index);
         wiper.restore_wiped_voter(operators.any_running_node());
         operators.retry_abandoned_calls();
         cluster.run(Duration(cluster.random_below(400'000)));
     }
-    // The faults end: each command gets a definite answer, and the same one from every replica.
+    // Without faults, each command must get a definite answer, and a consistent one from every replica.
     cluster.partitioned_links.clear();
     cluster.loss_rate = cluster.duplicate_rate = operators.loss_rate = 0.0;
     for (Cluster::Node& n : cluster.nodes) n.frozen_until = {};
@@ -199,11 +200,12 @@
         cluster.run(1s);
     }
     const std::uint64_t indeterminate_before = cluster.indeterminate_count;
-    for (const Operators::Command& o : operators.commands)
-        cr_assert(o.answered, "seed %lu: r%lu has no answer", seed, o.version);
+    for (const Operators::Command& sent_command : operators.commands)
+        cr_assert(sent_command.answered, "seed %lu: version %lu has no answer", seed, sent_command.version);
     for (std::size_t node = 0; node < cluster.nodes.size(); ++node) {
-        for (std::size_t o = 0; o < operators.commands.size(); o += 1 + cluster.random_below(4))
-            operators.send(o, node);
+        for (std::size_t command_index = 0; command_index < operators.commands.size();
+             command_index += 1 + cluster.random_below(4))
+            operators.send(command_index, node);
         cluster.run(1s);
         operators.read(node);
         cluster.run(1s);
@@ -215,35 +217,36 @@
 
 void run_seeds(std::size_t voters, std::uint64_t seeds) {
     std::uint64_t conflicts = 0;
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed) conflicts += run_order_races(seed, voters);
+    for (std::uint64_t seed = 1; seed <= seeds; ++seed) conflicts += run_concurrent_operators(seed, voters);
     cr_assert(conflicts > seeds);
 }
 
 }    // namespace
 
-Test(orders, of_many_operators_at_once_have_one_order_of_effects_3) { run_seeds(3, 400 / kSanitizerDivisor); }
-Test(orders, of_many_operators_at_once_have_one_order_of_effects_5) { run_seeds(5, 200 / kSanitizerDivisor); }
+Test(linearizability, concurrent_operators_with_3_voters) { run_seeds(3, 400 / kSanitizerDivisor); }
+Test(linearizability, concurrent_operators_with_5_voters) { run_seeds(5, 200 / kSanitizerDivisor); }
 
-// A version that is sent again: the same text is always acknowledged, another one only once the text of that
-// version is no longer remembered.
-Test(orders, know_the_body_of_a_number_also_when_it_is_overtaken_and_by_members_that_came_later) {
+// If a version is sent again, the same text is always acknowledged, and another text only once the digest of
+// that version is no longer kept. This also holds after the version was superseded, and at members that
+// joined later.
+Test(linearizability, resent_version_is_acknowledged_only_with_its_original_text) {
     Cluster cluster(1, 3);
     cluster.run(200ms);
     std::map<RequestId, Outcome> answers;
     cluster.on_completion = [&](RequestId request_id, Outcome answer, const LogEntry&) {
         answers[request_id] = answer;
     };
-    const auto ask = [&](std::size_t node, std::uint64_t version, const std::string& text) {
+    const auto propose_and_wait = [&](std::size_t node, std::uint64_t version, const std::string& text) {
         cluster.propose(node, version, text);
         cluster.run(1s);
         return answers.at(cluster.last_request_id);
     };
-    cr_assert_eq(ask(0, 4, "{ }"), Outcome::Committed);
-    cr_assert_eq(ask(1, 4, "{ }"), Outcome::Committed);
-    cr_assert_eq(ask(1, 4, "{}"), Outcome::Conflict);    // texts are compared by their bytes
-    cr_assert_eq(ask(2, 3, "c"), Outcome::Stale);
-    cr_assert_eq(ask(2, 6, "f"), Outcome::Committed);
-    cr_assert_eq(ask(0, 5, "e"), Outcome::Stale);    // a version that was never chosen
+    cr_assert_eq(propose_and_wait(0, 4, "{ }"), Outcome::Committed);
+    cr_assert_eq(propose_and_wait(1, 4, "{ }"), Outcome::Committed);
+    cr_assert_eq(propose_and_wait(1, 4, "{}"), Outcome::Conflict);    // texts are compared by their bytes
+    cr_assert_eq(propose_and_wait(2, 3, "c"), Outcome::Stale);
+    cr_assert_eq(propose_and_wait(2, 6, "f"), Outcome::Committed);
+    cr_assert_eq(propose_and_wait(0, 5, "e"), Outcome::Stale);    // a version that was never chosen
     cluster.wipe(2);
     cluster.start(2);
     const std::size_t joined = cluster.join();
@@ -257,24 +260,24 @@
     });
     cluster.run(2s);
     cr_assert(cluster.nodes[2].replica->is_voter());
-    for (std::size_t o = 0; o < cluster.nodes.size(); ++o) cluster.stop(o, true);
-    for (std::size_t o = 0; o < cluster.nodes.size(); ++o) cluster.start(o);
+    for (std::size_t index = 0; index < cluster.nodes.size(); ++index) cluster.stop(index, true);
+    for (std::size_t index = 0; index < cluster.nodes.size(); ++index) cluster.start(index);
     for (const std::size_t node : {std::size_t{0}, std::size_t{2}, joined}) {
-        cr_assert_eq(ask(node, 4, "{ }"), Outcome::Stale);
-        cr_assert_eq(ask(node, 4, "{}"), Outcome::Conflict);
-        cr_assert_eq(ask(node, 6, "g"), Outcome::Conflict);
+        cr_assert_eq(propose_and_wait(node, 4, "{ }"), Outcome::Stale);
+        cr_assert_eq(propose_and_wait(node, 4, "{}"), Outcome::Conflict);
+        cr_assert_eq(propose_and_wait(node, 6, "g"), Outcome::Conflict);
     }
     for (std::uint64_t version = 7; version < 7 + kMaxEarlierDigests; ++version)
-        cr_assert_eq(ask(joined, version, "x"), Outcome::Committed);
-    cr_assert_eq(cluster.newest().earlier_digests.size(), kMaxEarlierDigests);
-    cr_assert_eq(ask(0, 6, "g"), Outcome::Conflict);
-    cr_assert_eq(ask(0, 4, "{}"), Outcome::Stale);    // forgotten
-    cr_assert_eq(ask(0, 4, "{ }"), Outcome::Stale);
+        cr_assert_eq(propose_and_wait(joined, version, "x"), Outcome::Committed);
+    cr_assert_eq(cluster.newest_entry().earlier_digests.size(), kMaxEarlierDigests);
+    cr_assert_eq(propose_and_wait(0, 6, "g"), Outcome::Conflict);
+    cr_assert_eq(propose_and_wait(0, 4, "{}"), Outcome::Stale);    // its digest is no longer kept
+    cr_assert_eq(propose_and_wait(0, 4, "{ }"), Outcome::Stale);
 }
 
-// A process that is resumed finds the replies of before it was suspended: they answer neither a new read nor
-// one whose deadline has passed.
-Test(orders, reads_are_not_answered_by_what_was_borne_out_before_a_freeze) {
+// A resumed process receives replies from before its suspension: they must answer neither a new read nor one
+// whose deadline has passed.
+Test(linearizability, reads_are_not_answered_by_confirmations_from_before_a_suspension) {
     Cluster cluster(2, 3);
     cluster.run(200ms);
     std::map<RequestId, Outcome> answers;
@@ -285,11 +288,11 @@
     cluster.run(1s);
     cluster.quorum_read(0, 900ms);
     const RequestId before = cluster.last_request_id;
-    cluster.nodes[0].frozen_until = cluster.now + 25s;    // its read requests are on their way
+    cluster.nodes[0].frozen_until = cluster.now + 25s;    // its read requests are in transit
     cluster.run(5s);
     cluster.propose(1, 2, "b");
     cluster.run(20s);
-    cluster.quorum_read(0, 900ms);    // the first thing that it handles after resuming
+    cluster.quorum_read(0, 900ms);    // the first call after resuming
     const RequestId after = cluster.last_request_id;
     cluster.run(2s);
     cr_assert_eq(answers.at(before), Outcome::Indeterminate);
--- a/tests/cluster/consensus/register_ownership_table_test.cpp
+++ b/tests/cluster/consensus/register_ownership_table_test.cpp
@@ -1,5 +1,5 @@
-// The ownership table in the register's entries: replaced by compare and swap, kept by all other changes, and
-// on disk wherever its entry is.
+// The ownership table in the register's entries is replaced by compare-and-swap, kept by all other changes,
+// and durable with its entry.
 #include "cluster/consensus/register_cluster.h"
 
 namespace shaletray::consensus::test {
@@ -17,7 +17,7 @@
 
 }    // namespace
 
-Test(ownership_table, of_two_changes_of_one_table_one_is_chosen) {
+Test(ownership_table, one_of_two_concurrent_changes_is_chosen) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         Cluster cluster(seed, 3);
         cluster.run(cluster.now + 1s);
@@ -27,13 +27,13 @@
         const std::string chosen = entry_of(cluster, 0).ownership_table;
         cr_assert(chosen == "a" || chosen == "b");
         for (std::size_t i = 1; i < 3; ++i) cr_assert(entry_of(cluster, i).ownership_table == chosen);
-        change_table(cluster, 2, "", "c");    // made from a table that is no more
+        change_table(cluster, 2, "", "c");    // based on a table that was replaced
         cluster.run(cluster.now + 3s);
         cr_assert(entry_of(cluster, 2).ownership_table == chosen);
     }
 }
 
-Test(ownership_table, outlives_configurations_changes_of_voters_and_restarts) {
+Test(ownership_table, survives_configuration_changes_voter_changes_and_restarts) {
     Cluster cluster(1, 3);
     cluster.run(cluster.now + 1s);
     change_table(cluster, 0, "", "owners");
--- a/tests/cluster/consensus/register_random_faults_test.cpp
+++ b/tests/cluster/consensus/register_random_faults_test.cpp
@@ -1,4 +1,4 @@
-// Clusters in virtual time with random faults, which must recover once the faults end.
+// Clusters in virtual time with random faults: they stay safe, and recover once the faults end.
 #include <cstdio>
 #include <cstdlib>
 
@@ -7,11 +7,11 @@
 namespace shaletray::consensus::test {
 namespace {
 
-// Replaces voters whose disks are lost, one after the other, as the controller does.
+// Replaces voters whose disks are lost one at a time, as the controller does.
 struct VoterReplacer {
     Cluster& cluster;
 
-    // The node with this disk; null: it is lost.
+    // The node with this disk; null if the disk is lost.
     const Cluster::Node* find_node(const Replica& replica) const {
         for (const auto& node : cluster.nodes)
             if (node.address == replica.address && node.persisted_state.disk_id == replica.disk_id)
@@ -19,23 +19,23 @@
         return nullptr;
     }
     std::vector<Replica> lost_voters() const {
-        std::vector<Replica> lost = cluster.newest().voters;
+        std::vector<Replica> lost = cluster.newest_entry().voters;
         std::erase_if(lost, [this](const Replica& replica) { return find_node(replica) != nullptr; });
         return lost;
     }
     // Whether a majority of the newest voters has stored the newest entry.
     bool is_newest_stored() const {
-        const auto& voters = cluster.newest().voters;
+        const auto& voters = cluster.newest_entry().voters;
         return static_cast<std::size_t>(
                    std::count_if(voters.begin(), voters.end(), [this](const Replica& replica) {
-                       return find_node(replica) &&
-                              find_node(replica)->persisted_state.committed.number == cluster.newest().number;
+                       return find_node(replica) && find_node(replica)->persisted_state.committed.number ==
+                                                        cluster.newest_entry().number;
                    })) > voters.size() / 2;
     }
     void step() {
         const std::vector<Replica> lost = lost_voters();
         for (std::size_t i = 0; i < cluster.nodes.size() && !lost.empty(); ++i) {
-            const auto& voters = cluster.newest().voters;
+            const auto& voters = cluster.newest_entry().voters;
             const Replica spare{cluster.nodes[i].address, cluster.nodes[i].persisted_state.disk_id};
             if (!cluster.is_up(i) || std::find(voters.begin(), voters.end(), spare) != voters.end()) continue;
             if (spare.address != lost[0].address && cluster.chance(0.5)) continue;
@@ -69,11 +69,11 @@
         switch (cluster.random_below(16)) {
             case 0:
             case 1:
-            case 2: propose(cluster.versions + 1, "v"); break;
-            case 3: {    // two operators, sometimes with the same version
+            case 2: propose(cluster.highest_version + 1, "v"); break;
+            case 3: {    // two concurrent operators, sometimes with the same version
                 const std::uint64_t other =
-                    std::max<std::uint64_t>(cluster.versions + cluster.random_below(2), 1);
-                propose(cluster.versions + 1, "x");
+                    std::max<std::uint64_t>(cluster.highest_version + cluster.random_below(2), 1);
+                propose(cluster.highest_version + 1, "x");
                 propose(other, "y");
                 break;
             }
@@ -83,9 +83,9 @@
                 if (cluster.is_up(i)) cluster.quorum_read(i);
                 break;
             case 7:
-                for (std::size_t o = 0; o < cluster.nodes.size(); ++o) {
-                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({i, o});
-                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({o, i});
+                for (std::size_t index = 0; index < cluster.nodes.size(); ++index) {
+                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({i, index});
+                    if (cluster.chance(0.3)) cluster.partitioned_links.insert({index, i});
                 }
                 break;
             case 8:
@@ -94,8 +94,9 @@
                 if (cluster.nodes[i].replica) cluster.stop(i, cluster.chance(0.5));
                 break;
             case 11:
-                if (cluster.chance(0.2))    // all lose power at once
-                    for (std::size_t o = 0; o < cluster.nodes.size(); ++o) cluster.stop(o, true);
+                if (cluster.chance(0.2))    // all machines lose power at once
+                    for (std::size_t index = 0; index < cluster.nodes.size(); ++index)
+                        cluster.stop(index, true);
                 break;
             case 12:
                 cluster.nodes[i].frozen_until = cluster.now + Duration(cluster.random_below(3'000'000));
@@ -108,48 +109,51 @@
                     safe_to_wipe = cluster.now + (max_lost > 1 ? 0ms : 1000ms);
                     if (cluster.chance(0.3) && cluster.nodes.size() < voters + 6) cluster.join();
                     if (cluster.chance(0.3))
-                        for (std::size_t o = 0; o < cluster.nodes.size(); ++o) cluster.stop(o, true);
+                        for (std::size_t index = 0; index < cluster.nodes.size(); ++index)
+                            cluster.stop(index, true);
                 }
                 break;
             default: break;
         }
-        for (std::size_t o = 0; o < cluster.nodes.size(); ++o)
-            if (!cluster.nodes[o].replica && cluster.chance(0.3)) cluster.start(o);
+        for (std::size_t index = 0; index < cluster.nodes.size(); ++index)
+            if (!cluster.nodes[index].replica && cluster.chance(0.3)) cluster.start(index);
         if (cluster.chance(0.5)) replacer.step();
         cluster.run(Duration(cluster.random_below(300'000)));
     }
-    // The faults end: all requests must complete at every replica.
+    // Without faults, all requests must complete at every replica.
     cluster.partitioned_links.clear();
     cluster.loss_rate = cluster.duplicate_rate = 0.0;
-    for (std::size_t o = 0; o < cluster.nodes.size(); ++o) {
-        cluster.nodes[o].frozen_until = {};
-        if (!cluster.nodes[o].replica) cluster.start(o);
+    for (std::size_t index = 0; index < cluster.nodes.size(); ++index) {
+        cluster.nodes[index].frozen_until = {};
+        if (!cluster.nodes[index].replica) cluster.start(index);
     }
     cluster.run(6s);
-    for (int tries = 0; !replacer.lost_voters().empty() && tries < 40; ++tries) {
+    for (int attempts = 0; !replacer.lost_voters().empty() && attempts < 40; ++attempts) {
         replacer.step();
         cluster.run(1s);
     }
-    cr_assert(replacer.lost_voters().empty(), "seed %lu: a lost voter is not replaced", seed);
-    cr_assert_eq(cluster.newest().voters.size(), voters, "seed %lu", seed);
+    cr_assert(replacer.lost_voters().empty(), "seed %lu: a lost voter was not replaced", seed);
+    cr_assert_eq(cluster.newest_entry().voters.size(), voters, "seed %lu", seed);
     const std::uint64_t indeterminate_before = cluster.indeterminate_count;
-    for (std::size_t o = 0; o < cluster.nodes.size(); ++o) {
-        cluster.propose(o, cluster.versions + 1, "z" + std::to_string(cluster.versions + 1));
-        cluster.quorum_read(o);
+    for (std::size_t index = 0; index < cluster.nodes.size(); ++index) {
+        cluster.propose(index, cluster.highest_version + 1,
+                        "z" + std::to_string(cluster.highest_version + 1));
+        cluster.quorum_read(index);
     }
     cluster.run(4s);
     cr_assert_eq(cluster.indeterminate_count, indeterminate_before,
                  "seed %lu: %lu indeterminate without faults", seed,
                  cluster.indeterminate_count - indeterminate_before);
-    cr_assert_eq(cluster.newest().version, cluster.versions, "seed %lu", seed);
-    for (std::size_t o = 0; o < cluster.nodes.size(); ++o)
-        cr_assert_eq(cluster.nodes[o].replica->committed_entry().number, cluster.newest().number, "seed %lu",
-                     seed);
+    cr_assert_eq(cluster.newest_entry().version, cluster.highest_version, "seed %lu", seed);
+    for (std::size_t index = 0; index < cluster.nodes.size(); ++index)
+        cr_assert_eq(cluster.nodes[index].replica->committed_entry().number, cluster.newest_entry().number,
+                     "seed %lu", seed);
 }
 
-// Concurrent operators and readers on links with very different delays, and replicas that lose power
-// meanwhile and get other requests right after their restart.
-Test(lamp, races) {
+// Concurrent operators and readers on links with very different delays, while replicas lose power and receive
+// further requests right after the restart. Guards against answers before a majority has stored an entry, and
+// votes sent before they are on disk.
+Test(random_faults, concurrent_requests_stay_consistent_despite_power_losses) {
     for (std::uint64_t seed = 1; seed <= 4000 / kSanitizerDivisor; ++seed) {
         Cluster cluster(seed, 3);
         cluster.run(200ms);
@@ -175,16 +179,16 @@
     }
 }
 
-#define SEEDS(voters, count)                                                                 \
-    Test(lamp, troubles_of_##voters) {                                                       \
+#define RECOVERY_TEST(voters, count)                                                         \
+    Test(random_faults, cluster_recovers_with_voters_##voters) {                             \
         const char* override = std::getenv("CONSENSUS_SEEDS");                               \
         const std::uint64_t seeds =                                                          \
             override ? std::strtoull(override, nullptr, 10) : (count) / kSanitizerDivisor;   \
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) run_random_faults(seed, voters); \
     }
-SEEDS(3, 150)
-SEEDS(5, 100)
-SEEDS(8, 60)
+RECOVERY_TEST(3, 150)
+RECOVERY_TEST(5, 100)
+RECOVERY_TEST(8, 60)
 
 }    // namespace
 }    // namespace shaletray::consensus::test
--- a/tests/cluster/consensus/state_store_test.cpp
+++ b/tests/cluster/consensus/state_store_test.cpp
@@ -1,4 +1,4 @@
-// The state store on a disk that loses power, tears files and refuses writes.
+// The state store on a disk that loses power, tears files, hangs and fails writes.
 #include "cluster/consensus/state_store.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 namespace shaletray::consensus::test {
 namespace {
 
-// A store whose writes can be waited for. `store` is null where it could not be opened.
+// A state store with functions that wait for its writes. `store` is null if it could not be opened.
 struct TestStateStore {
     std::unique_ptr<StateStore> store;
     std::mutex mutex;
@@ -30,7 +30,7 @@
         });
     }
     ~TestStateStore() { store.reset(); }
-    // Saves the state and waits until it is stored; false where writes began to fail.
+    // Saves the state and waits until it is stored; returns false if writes fail.
     bool save_and_wait(std::uint64_t token, const PersistentState& saved) {
         store->save({token, saved});
         std::unique_lock lock(mutex);
@@ -59,20 +59,20 @@
 
 std::uintmax_t size_of(const fs::path& folder) {
     std::uintmax_t size = 0;
-    std::error_code error;    // the database may remove files meanwhile
+    std::error_code error;    // the database may remove files concurrently
     for (const auto& entry : fs::directory_iterator(folder)) {
-        const auto one = fs::file_size(entry, error);
-        if (!error) size += one;
+        const auto entry_size = fs::file_size(entry, error);
+        if (!error) size += entry_size;
     }
     return size;
 }
 
-std::string bytes_of(const std::string& file) {
-    std::ifstream in(file, std::ios::binary);
-    return {std::istreambuf_iterator<char>(in), {}};
+std::string read_file(const std::string& file) {
+    std::ifstream stream(file, std::ios::binary);
+    return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-// Generates successive states, as a voter writes them.
+// Generates successive states like those that a voter writes.
 struct StateGenerator {
     std::mt19937_64 random;
     PersistentState saved;
@@ -100,7 +100,7 @@
     }
 };
 
-Test(store, stays_small_however_much_is_written) {
+Test(store, database_size_stays_bounded) {
     TemporaryFolder folder;
     PowerLossFileSystem disk(1);
     TestStateStore test_store(folder.at("database"), true, &disk);
@@ -112,16 +112,16 @@
         cr_assert(test_store.save_and_wait(token, saved));
         maximum = std::max(maximum, size_of(folder.path / "database"));
     }
-    printf("at most %ju bytes on disk for texts of 100000\n", maximum);
+    printf("at most %ju bytes on disk for texts of 100000 bytes\n", maximum);
     cr_assert(maximum < 8'000'000, "%ju", maximum);
 }
 
-Test(store, stays_flat_over_ten_thousand_changes) {
+Test(store, memory_and_disk_use_stay_bounded_over_ten_thousand_changes) {
     TemporaryFolder folder;
     PowerLossFileSystem disk(1);
     TestStateStore test_store(folder.at("database"), true, &disk);
     StateGenerator generator(1, test_store.store->loaded_state());
-    constexpr std::uint64_t kChanges = 10'000 / kSanitizerDivisor, kWarm = kChanges / 5;
+    constexpr std::uint64_t kChanges = 10'000 / kSanitizerDivisor, kWarmUpChanges = kChanges / 5;
     std::uintmax_t early = 0, late = 0;
     std::size_t heap = 0, max_heap = 0;
     for (std::uint64_t token = 1; token <= kChanges; ++token) {
@@ -129,36 +129,37 @@
         if (generator.saved.accepted_entry) generator.saved.accepted_entry->text.resize(800);
         cr_assert(test_store.save_and_wait(token, generator.saved));
         if (token % 25 != 0) continue;
-        std::uintmax_t& maximum = token <= kWarm ? early : late;
+        std::uintmax_t& maximum = token <= kWarmUpChanges ? early : late;
         maximum = std::max(maximum, size_of(folder.path / "database"));
-        if (token <= kWarm) heap = std::max(heap, allocated_bytes());
+        if (token <= kWarmUpChanges) heap = std::max(heap, allocated_bytes());
         else max_heap = std::max(max_heap, allocated_bytes());
     }
     printf(
         "%lu changes: at most %ju bytes on disk until the %luth, then %ju; heap %zu, then %zu; %lu syncs of "
         "the "
         "folder\n",
-        kChanges, early, kWarm, late, heap, max_heap, disk.folder_syncs);
+        kChanges, early, kWarmUpChanges, late, heap, max_heap, disk.folder_syncs);
     cr_assert(late < 2'000'000);
     cr_assert(max_heap < heap + 1'000'000);
 }
 
 using Unsynced = PowerLossFileSystem::Unsynced;
 
-// Successive incarnations of one store, each of which may end at any step of its disk.
+// Successive incarnations of one store, each of which may end at any step of the disk.
 struct CrashTestStore {
     TemporaryFolder folder;
     PowerLossFileSystem disk;
-    std::string place = folder.at("database"), watermark = place + "/MARK", old_watermark;
-    std::vector<PersistentState> possible_states;    // what was stored last, and what was saved after it
+    std::string database_path = folder.at("database"), watermark_path = database_path + "/MARK",
+                old_watermark;
+    std::vector<PersistentState> possible_states;    // the last stored state, and those saved after it
     std::mt19937_64 random;
     std::size_t writes = 0, failed_opens = 0;
 
     explicit CrashTestStore(std::uint64_t seed) : disk(seed), random(seed) {}
-    void run_incarnation(bool founder, std::uint64_t seed, std::uint64_t puts,
+    void run_incarnation(bool founder, std::uint64_t seed, std::uint64_t write_count,
                          std::optional<std::uint64_t> steps_left = {}) {
-        TestStateStore test_store(place, founder, &disk);
-        if (!test_store.store) {    // the power was lost meanwhile
+        TestStateStore test_store(database_path, founder, &disk);
+        if (!test_store.store) {    // the power was lost while opening
             ++failed_opens;
             return;
         }
@@ -171,27 +172,27 @@
         StateGenerator writer(seed, loaded);
         if (steps_left) disk.steps_left = *steps_left;
         possible_states = {loaded};
-        for (std::uint64_t token = 1; token <= puts; ++token, ++writes) {
+        for (std::uint64_t token = 1; token <= write_count; ++token, ++writes) {
             possible_states.push_back(writer.next_state());
             if (!test_store.save_and_wait(token, writer.saved)) break;
             possible_states = {writer.saved};
-            if (random() % 32 == 0) old_watermark = bytes_of(watermark);
+            if (random() % 32 == 0) old_watermark = read_file(watermark_path);
         }
     }
-    void simulate_power_loss(Unsynced unsynced = Unsynced::ByChance) {
+    void simulate_power_loss(Unsynced unsynced = Unsynced::KeptAtRandom) {
         disk.simulate_power_loss(unsynced);
-        switch (random() % 4) {    // the watermark is never synced
-            case 0: fs::remove(watermark); break;
+        switch (random() % 4) {    // the watermark may be lost, truncated or outdated, as it is never synced
+            case 0: fs::remove(watermark_path); break;
             case 1:
-                if (fs::exists(watermark)) fs::resize_file(watermark, random() % 17);
+                if (fs::exists(watermark_path)) fs::resize_file(watermark_path, random() % 17);
                 break;
-            case 2: std::ofstream(watermark, std::ios::binary) << old_watermark; break;
+            case 2: std::ofstream(watermark_path, std::ios::binary) << old_watermark; break;
             default: break;
         }
     }
 };
 
-Test(store, keeps_its_votes_through_losses_of_power) {
+Test(store, votes_survive_power_losses) {
     std::size_t writes = 0, unopened = 0;
     std::uint64_t folder_syncs = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -207,26 +208,26 @@
         unopened += scenario.failed_opens;
         folder_syncs += scenario.disk.folder_syncs;
     }
-    printf("%zu writes, %zu losses of power while opening, %lu syncs of the folder\n", writes, unopened,
-           folder_syncs);
+    printf("%zu writes, %zu power losses while opening, %lu folder syncs\n", writes, unopened, folder_syncs);
 }
 
-// Repeats the same writes, ended one step later each time by a kill or a loss of power; the next incarnation
-// soon loses power as well.
-Test(store, keeps_its_votes_whichever_step_is_its_last) {
-    // After a loss of power: enough for a second log file, whose name nothing else makes last.
+// Repeats the same writes, and ends them one step later each time by a kill or a loss of power; the next
+// incarnation soon loses power as well.
+Test(store, votes_survive_a_crash_at_every_disk_step) {
+    // The trials with a loss of power need enough writes for a second log file, whose name only the sync of
+    // that log makes durable.
     constexpr std::uint64_t kWrites = 40, kWritesOfTwoLogs = 100;
     std::uint64_t steps = 0, trials = 0;
-    for (const bool power : {true, false})
+    for (const bool loses_power : {true, false})
         for (std::uint64_t last = 0;;
-             last += power ? 1 + kSanitizerDivisor / 2 : 1 + 2 * kSanitizerDivisor, ++trials) {
+             last += loses_power ? 1 + kSanitizerDivisor / 2 : 1 + 2 * kSanitizerDivisor, ++trials) {
             CrashTestStore scenario(last + 1);
             scenario.disk.steps_left = last;
-            scenario.run_incarnation(true, 5, power ? kWritesOfTwoLogs : kWrites);
+            scenario.run_incarnation(true, 5, loses_power ? kWritesOfTwoLogs : kWrites);
             const bool complete = scenario.disk.steps_left > 0;
-            // By chance, a name that is not durable would be seen in some runs only: other threads of the
-            // database change names as well.
-            if (power) scenario.simulate_power_loss(Unsynced::Lost);
+            // All unsynced changes are lost: with random losses, a name that is not durable would be detected
+            // only in some runs, since other threads of the database also change names.
+            if (loses_power) scenario.simulate_power_loss(Unsynced::Lost);
             scenario.disk.steps_left = scenario.random() % 60;
             scenario.run_incarnation(false, 6, 8);
             scenario.simulate_power_loss();
@@ -239,12 +240,12 @@
     cr_assert(steps > 100);
 }
 
-// A failed sync of the folder is repeated before anything is reported as stored: the nth of the first
-// incarnation, which creates the database, or of the second.
-Test(store, bears_a_folder_that_cannot_be_synced) {
+// A failed folder sync is repeated before any write is reported as stored. The failing one is the nth of the
+// first incarnation, which creates the database, or of the second.
+Test(store, failed_folder_sync_loses_no_stored_state) {
     constexpr std::uint64_t kTrials = 6;
     std::uint64_t trials = 0;
-    for (const int victim : {0, 1})
+    for (const int failing_incarnation : {0, 1})
         for (std::uint64_t trial = 0;; ++trial, ++trials) {
             const std::uint64_t nth = trial / kTrials;
             const bool lost_soon = trial % 2 == 0;
@@ -252,36 +253,39 @@
             std::uint64_t failed = 0;
             PersistentState last;
             for (int incarnation = 0; incarnation < 3; ++incarnation) {
-                if (incarnation == victim) scenario.disk.syncs_before_failure = nth;
-                std::optional<TestStateStore> test_store(std::in_place, scenario.place, incarnation == 0,
-                                                         &scenario.disk);
+                if (incarnation == failing_incarnation) scenario.disk.syncs_before_failure = nth;
+                std::optional<TestStateStore> test_store(std::in_place, scenario.database_path,
+                                                         incarnation == 0, &scenario.disk);
                 for (; !test_store->store && failed < 3; ++failed)
-                    test_store.emplace(scenario.place, incarnation == 0, &scenario.disk);
+                    test_store.emplace(scenario.database_path, incarnation == 0, &scenario.disk);
                 cr_assert(test_store->store && test_store->store->discard_reason().empty(), "sync %lu of %d",
-                          nth, victim);
-                cr_assert(test_store->store->loaded_state() == last, "sync %lu of %d", nth, victim);
+                          nth, failing_incarnation);
+                cr_assert(test_store->store->loaded_state() == last, "sync %lu of %d", nth,
+                          failing_incarnation);
                 StateGenerator writer(nth, last);
                 for (std::uint64_t token = 1; token <= 80; ++token) {
                     test_store->store->save({token, writer.next_state()});
                     test_store->wait_for(token);
-                    // Soon: each later sync of the folder makes up for one that was refused before.
-                    if (lost_soon && incarnation == victim && scenario.disk.failed_syncs > 0) break;
+                    // Loses power right after the failure, since each later folder sync makes up for the
+                    // failed one.
+                    if (lost_soon && incarnation == failing_incarnation && scenario.disk.failed_syncs > 0)
+                        break;
                 }
                 failed += test_store->store->failed_writes();
                 last = writer.saved;
                 test_store.reset();
-                scenario.simulate_power_loss(lost_soon ? Unsynced::Lost : Unsynced::ByChance);
+                scenario.simulate_power_loss(lost_soon ? Unsynced::Lost : Unsynced::KeptAtRandom);
             }
             if (scenario.disk.failed_syncs == 0) break;
         }
-    printf("%lu syncs refused\n", trials);
+    printf("%lu failed folder syncs\n", trials);
     cr_assert(trials > 10 * kTrials);
 }
 
-// A disk that gives no answer, then refuses, then works again: nothing is reported as stored before it is,
-// the thread of the event loop never waits, and nothing is lost.
-Test(store, reports_nothing_while_its_disk_hangs_or_refuses) {
-    using Trouble = PowerLossFileSystem::Trouble;
+// The disk hangs, then fails, then works again: no write is reported as stored before it is, the thread of
+// the event loop never blocks, and no write is lost.
+Test(store, reports_no_write_as_stored_while_the_disk_hangs_or_fails) {
+    using FaultMode = PowerLossFileSystem::FaultMode;
     TemporaryFolder folder;
     PowerLossFileSystem disk(1);
     PersistentState last;
@@ -289,19 +293,19 @@
         TestStateStore test_store(folder.at("database"), true, &disk);
         StateGenerator generator(3, test_store.store->loaded_state());
         cr_assert(test_store.save_and_wait(1, generator.next_state()));
-        disk.set_trouble(Trouble::Hangs);
+        disk.set_fault_mode(FaultMode::Hang);
         test_store.store->save({2, generator.next_state()});
         disk.wait_for_hanging_call();
         for (std::uint64_t token = 3; token <= 50; ++token)
-            test_store.store->save({token, generator.next_state()});    // returns at once
+            test_store.store->save({token, generator.next_state()});    // must not block
         cr_assert(test_store.store->take_stored_tokens().empty() && test_store.store->failed_writes() == 0);
-        disk.set_trouble(Trouble::Refuses);
+        disk.set_fault_mode(FaultMode::Fail);
         {
             std::unique_lock lock(test_store.mutex);
             while (test_store.store->failed_writes() < 2) test_store.tokens_stored.wait_for(lock, 1ms);
         }
         cr_assert(test_store.store->take_stored_tokens().empty());
-        disk.set_trouble(Trouble::None);
+        disk.set_fault_mode(FaultMode::None);
         test_store.wait_for(50);
         last = generator.saved;
     }
@@ -311,8 +315,9 @@
     cr_assert(reopened.store->loaded_state() == last);
 }
 
-// A damaged database may lack acknowledged votes: however far its repair came, its votes are not used again.
-Test(store, takes_no_votes_from_a_repair_that_was_cut_short) {
+// A damaged database may lack acknowledged votes, so its votes must not be used again, at whichever step its
+// repair was interrupted.
+Test(store, ignores_votes_of_an_interrupted_repair) {
     TemporaryFolder folder;
     PersistentState last;
     {
@@ -325,13 +330,13 @@
     std::uint64_t step = 0;
     for (bool complete = false; !complete; ++step) {
         CrashTestStore scenario(step + 1);
-        fs::copy(folder.at("database"), scenario.place);
-        for (const char* name : {"CURRENT", "MARK"}) fs::remove(scenario.place + "/" + name);
+        fs::copy(folder.at("database"), scenario.database_path);
+        for (const char* name : {"CURRENT", "MARK"}) fs::remove(scenario.database_path + "/" + name);
         scenario.disk.steps_left = step;
-        complete = TestStateStore(scenario.place, false, &scenario.disk).store != nullptr &&
+        complete = TestStateStore(scenario.database_path, false, &scenario.disk).store != nullptr &&
                    scenario.disk.steps_left > 0;
         scenario.disk.simulate_power_loss();
-        const TestStateStore reopened(scenario.place, false, &scenario.disk);
+        const TestStateStore reopened(scenario.database_path, false, &scenario.disk);
         cr_assert(reopened.store && reopened.store->loaded_state().disk_id != last.disk_id, "step %lu", step);
         cr_assert_eq(reopened.store->loaded_state().promised_ballot.round, 0, "step %lu", step);
     }
@@ -339,7 +344,7 @@
     cr_assert(step > 10);
 }
 
-Test(store, never_votes_from_a_state_that_was_cut) {
+Test(store, discards_the_votes_of_truncated_or_damaged_files) {
     std::size_t complete = 0, restarted = 0;
     TemporaryFolder folder;
     PersistentState last;
@@ -355,13 +360,13 @@
         const std::uintmax_t size = entry.file_size();
         for (int i = 0; i < 24 && size > 0; ++i) {
             const std::string copy = folder.at("copy"),
-                              truncated = copy + "/" + entry.path().filename().string();
+                              damaged_file = copy + "/" + entry.path().filename().string();
             fs::remove_all(copy);
             fs::copy(folder.at("database"), copy);
             const std::uintmax_t at = i == 0 ? 0 : random() % size;
-            if (i % 2 == 0) fs::resize_file(truncated, at);
+            if (i % 2 == 0) fs::resize_file(damaged_file, at);
             else {
-                std::fstream file(truncated, std::ios::in | std::ios::out | std::ios::binary);
+                std::fstream file(damaged_file, std::ios::in | std::ios::out | std::ios::binary);
                 file.seekp(static_cast<std::streamoff>(at));
                 file << static_cast<char>(random());
             }
@@ -372,7 +377,7 @@
             if (loaded == last) continue;
             cr_assert(
                 loaded.disk_id != last.disk_id && loaded.promised_ballot.round == 0 && !loaded.accepted_entry,
-                "%s at %ju", truncated.c_str(), at);
+                "%s at %ju", damaged_file.c_str(), at);
             cr_assert(!test_store.store->discard_reason().empty() && test_store.save_and_wait(1, loaded));
         }
     }
@@ -380,14 +385,14 @@
     cr_assert(complete > 0 && restarted > 0);
 }
 
-Test(store, tries_again_until_the_disk_takes_it) {
+Test(store, retries_failed_writes_until_they_succeed) {
     TemporaryFolder folder;
     cr_assert_neq(TestStateStore(folder.at("other"), false).store->loaded_state().disk_id, 0);
     PowerLossFileSystem disk(1);
     std::mt19937_64 random(1);
     PersistentState last;
     for (disk.steps_left = 0; disk.steps_left < 30;
-         disk.steps_left += 3) {    // fails at ever later steps of the creation
+         disk.steps_left += 3) {    // fails at a later step of the creation each time
         const std::uint64_t left = disk.steps_left;
         if (const TestStateStore first(folder.at("database"), true, &disk); first.store) break;
         disk.steps_left = left;
