--- a/src/decision/queue.cpp
+++ b/src/decision/admission_queue.cpp
@@ -1,5 +1,5 @@
 // Arrival, and the requests held for units or for room.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/attempts.cpp
+++ b/src/decision/attempts.cpp
@@ -1,5 +1,5 @@
 // Sends, their outcomes, and further attempts.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "decision/gateway_state.h"
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/pressure.cpp
+++ b/src/decision/overload_control.cpp
@@ -1,5 +1,5 @@
 // How much may be out at once, what goes beyond a quota, and what is too slow for its class.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/balancing.cpp
+++ b/src/decision/quota_balancing.cpp
@@ -1,6 +1,6 @@
 // Balancing between the stores of a set: what is told to whom, and what moves (the design page's halving).
 // Values marked "page" are the design page's.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/choice.cpp
+++ b/src/decision/server_selection.cpp
@@ -1,5 +1,5 @@
 // Which server a request may go to, and which it goes to.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/servers.cpp
+++ b/src/decision/servers.cpp
@@ -1,5 +1,5 @@
 // The view of servers: lists, health, reports and cold starts.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/timers.cpp
+++ b/src/decision/timers.cpp
@@ -1,5 +1,5 @@
 // The tick: what is done as time passes.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
--- a/src/decision/stores.cpp
+++ b/src/decision/token_buckets.cpp
@@ -1,6 +1,6 @@
 // Quota stores: what a customer holds here, what that covers, and when more is due. Its part of the quota is
 // 1 / width of the plan's; what moves between gateways is in balancing.cpp.
-#include "decision/tuned.h"
+#include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
