--- a/include/decision/control.h
+++ b/include/decision/control.h
@@ -1,6 +1,6 @@
-// The decision module's interface: settings, events, actions, and the Gateway that turns events into actions.
-// Plain values only: no clock, no threads, no I/O, so that other gateways can embed it. The decisions are in
-// src/decision/, one file per concern. Units are those in which quotas are counted; rates are per second.
+// Interface of the decision module: settings, events, actions, and the Gateway that turns events into
+// actions. It has no clock, threads or I/O, so that other gateways can embed it. The decisions are in
+// src/decision/, one file per concern. "Units" are those in which quotas are counted; rates are per second.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 
 namespace shaletray::decision {
 
-// The caller supplies all times; they never go back.
+// The caller supplies all times, which must not go back.
 using Duration = std::chrono::microseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
@@ -25,7 +25,7 @@
 enum class PeerId : std::int32_t {};
 
 // ---- settings ----
-// Whether a request may be sent again after it may have run: always, to hosts of a key group that drop
+// Whether a request may be sent again after it may have run: always, only to hosts of a key group that drop
 // duplicates, or never.
 enum class Repeat { Safe, Keyed, Unsafe };
 // The hosts that drop duplicates of each other's requests.
@@ -39,17 +39,17 @@
     Repeat repeat = Repeat::Unsafe;
     KeyGroup group = KeyGroup::All;
     Duration window{0};         // Keyed: how long hosts of the group drop duplicates
-    Duration aim{0};            // target latency: a response within it earns the full worth
+    Duration aim{0};            // target latency: a response within it counts with its full value
     Duration give_up{0};        // the client's deadline over all of its own retries
     double worth = 1.0;         // value of a response in time, relative to other classes
-    double late_share = 0.0;    // part of the worth that a later response still earns
+    double late_share = 0.0;    // part of the value that a later response still has
     int max_attempts = 0;       // of a request, if below send_cap; 0: send_cap applies
 
     bool operator==(const ClassSettings&) const = default;
 };
 
-// A plan: the quota of each of its customers, over all gateways. The ceiling is a second token bucket, a rate
-// limit that no grant may exceed.
+// A plan: the quota of each of its customers, over all gateways. The ceiling is a second token bucket: a hard
+// limit that no grant may exceed, not even one beyond the quota.
 struct PlanSettings {
     std::string name;
     double rate = 0.0;             // units per second for each customer; 0: no rate quota
@@ -59,8 +59,8 @@
     double ceiling_burst = 0.0;    // units
     double ceiling_slack = 0.0;    // units by which a check of the ceiling may be exceeded
     double price = 1.0;            // relative value of a unit of its customers
-    double over_worth = 0.0;       // value of a request beyond the quota, and its cost: such requests are
-    double over_cost = 0.0;        // admitted only if the value is larger and there is capacity
+    double over_worth = 0.0;       // value of a request beyond the quota
+    double over_cost = 0.0;    // its cost: it is admitted only if its value is larger and there is capacity
 };
 
 // Limits that may change at runtime, beside the classes.
@@ -69,19 +69,19 @@
     bool second_copies = false;     // whether requests may be hedged
     bool may_cancel = false;        // whether attempts may be cancelled
     bool may_probe = false;         // whether hosts may be probed
-    Duration max_retry_after{0};    // longest retry time of a rejection; 0: none is stated
+    Duration max_retry_after{0};    // longest retry time of a rejection; 0: rejections have none
     int max_open = 20000;           // open requests
-    int sharing = 0;                // gateways that send to the same servers; 0: Settings::gateways
+    int sharing = 0;                // number of gateways that send to the same servers; 0: Settings::gateways
     // Retry budget: each further attempt takes a token, whatever the outcome of the one before.
     double retry_share = 0.2;           // tokens that each request's first attempt adds
     double retry_burst = 20.0;          // most tokens kept
-    double retry_start = 20.0;          // tokens at the start; adopt() does not add any
+    double retry_start = 20.0;          // tokens at the start; adopt() adds none
     double retry_refill_per_s = 0.0;    // tokens added per second
-    // Only attempts that may have reached a server count: one that could not connect or was never sent takes
-    // no token, nor does the one after it, which is then the first to arrive.
+    // Only attempts that may have reached a server take a token: one that could not connect or was never sent
+    // leaves its token to the next attempt, or has none if it was the first.
     bool retry_refunds = false;
-    // If responses take longer on average than this part of the aim, fewer attempts are in flight at once,
-    // but at least `least_out` for each server, over all gateways.
+    // If responses take longer on average than this part of their target latency, the concurrency limit
+    // shrinks, but not below `least_out` attempts per server, over all gateways.
     double latency_goal = 0.3;
     double least_out = 2.0;
 
@@ -90,27 +90,27 @@
 
 // All settings of one gateway; classes and RequestLimits may change at runtime (Gateway::adopt).
 struct Settings : RequestLimits {
-    int me = 0;          // this gateway's index
-    int gateways = 1;    // all gateways, whose indexes are also their PeerIds
+    int me = 0;          // this gateway's index, which is also its PeerId
+    int gateways = 1;    // number of all gateways
     int zone = 0;        // this gateway's failure domain
     std::vector<ClassSettings> classes;
     std::vector<PlanSettings> plans;
     bool may_tell = false;          // whether peer messages may be sent
     Duration drain_grace{0};        // how long a draining host may still get requests
-    Duration cold{0};               // slow start: a started host is warm after this at the latest
-    double start_capacity = 1.0;    // and begins with this part of its capacity
+    Duration cold{0};               // slow start: at most this long after its start a host is warm
+    double start_capacity = 1.0;    // part of its capacity that a host has at its start
     // A cold host may get at most `fall_multiple` times its share of the work in each period of `fall`.
     double fall_multiple = 1.0;
     Duration fall{0};
     bool ask_for_list = false;    // whether host lists must be requested (Subscribe)
     ReportVia reports = ReportVia::Off;
-    double peer_messages_per_s = 0.0;    // messages that a gateway can take in
-    double most_units = 1.0;             // the most that one request costs
+    double peer_messages_per_s = 0.0;    // peer messages that a gateway can receive
+    double most_units = 1.0;             // highest cost of one request, in units
     bool settles = false;                // whether AttemptFinished reports the actual units
 };
 
 // ---- events ----
-// A client's request, to be decided.
+// A client's request has arrived.
 struct RequestArrived {
     RequestId request{};
     CustomerId customer{};
@@ -121,9 +121,9 @@
     // The customer's gateway set: first index, and how many gateways share its quota.
     int first_gateway = 0;
     int width = 1;
-    HostId only_host{};    // the one that may run it; HostId{}: any
+    HostId only_host{};    // only this host may run it; HostId{}: any host
 };
-// How an attempt or probe ended. Full, ConnectFailed and NotSent: nothing of the request ran.
+// How an attempt or probe ended. After Full (rejected), ConnectFailed and NotSent nothing of the request ran.
 enum class Outcome { Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, NotSent };
 // Load figures of a host by name.
 using LoadReport = std::map<std::string, double>;
@@ -162,7 +162,7 @@
 // Full replaces all hosts, Delta changes some, Cached is a full list that may be old, Failed has no hosts.
 enum class ListKind { Full, Delta, Cached, Failed };
 enum class HostState { Healthy, Draining, Gone };
-// A server as it is listed.
+// A server as the host list describes it.
 struct HostEntry {
     HostId host{};
     HostState state = HostState::Healthy;
@@ -172,7 +172,7 @@
     int zone = 0;
     int cell = 0;
 };
-// A list or a change of it.
+// A host list, or a change of it.
 struct HostList {
     ListKind kind = ListKind::Full;
     std::vector<HostEntry> hosts;
@@ -182,9 +182,8 @@
     PeerId from{};
     std::vector<std::uint8_t> bytes;
 };
-// What this gateway may grant a customer from now on, if shares are computed outside of the module: its part
-// of the quota, units moved into (or, below 0, out of) it, and its part of the ceiling with its present
-// level.
+// What this gateway may grant a customer from now on, if shares are computed outside of the module: its share
+// of the quota, units moved into (or, if negative, out of) it, and its share of the ceiling with its level.
 struct Allowance {
     CustomerId customer{};
     int plan_index = 0, first_gateway = 0, width = 1;
@@ -255,13 +254,14 @@
     // long as a request of it is open; statistics of a class follow its name. Throws BadSettings, and changes
     // nothing, if they are invalid.
     void adopt(const Settings& next);
-    // State for the successor process, as text: everything that must not be granted twice. From then on this
-    // instance grants only what its queued requests were promised, and must get no new requests.
+    // Returns the state for the successor process, as text: everything that must not be granted twice. From
+    // then on this instance grants only the units that its queued requests wait for; it must get no new
+    // requests.
     std::string hand_over(TimePoint now);
-    // Takes over a predecessor's state. Only before any event but a timer's. Throws std::invalid_argument if
-    // the text is malformed; the instance must then be replaced.
+    // Takes over a predecessor's state, before any event other than TimerFired. Throws std::invalid_argument
+    // if the text is malformed; the instance must then be replaced.
     void take_over(std::string_view text, TimePoint now);
-    // Healthy hosts that are ejected now.
+    // Number of healthy hosts that are ejected now.
     std::size_t avoided() const;
 
 private:
--- a/src/decision/admission_queue.cpp
+++ b/src/decision/admission_queue.cpp
@@ -1,113 +1,115 @@
-// Arrival, and the requests held for units or for room.
+// Admission of requests, and the queue of those that wait for quota or for capacity at the servers.
 #include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
-constexpr double kHoldShare = 0.5;          // of the time left inside the aim
-constexpr double kRoomShare = 0.2;          // the same for room at the servers: queues come on top
-constexpr Duration kAnswerMargin = 20ms;    // held requests are answered this long before the client goes
-constexpr std::size_t kFewHeld = 128;       // up to here all are looked at after each answer
+constexpr double kUnitHoldShare = 0.5;         // of the slack within the latency target
+constexpr double kCapacityHoldShare = 0.2;     // smaller, as queueing at the servers comes on top
+constexpr Duration kDeadlineMargin = 20ms;     // queued requests are answered this long before their deadline
+constexpr std::size_t kFullScanLimit = 128;    // longer queues are not scanned whole after each outcome
 
-void Gateway::Impl::arrive(const RequestArrived& ask, TimePoint now) {
-    check(s_, ask);
-    Request& r = requests_[ask.request] = Request{};
-    r.ask = ask;
-    r.arrived = now;
-    r.deadline = now + ask.budget;
-    r.hold_until = now + from_seconds(kHoldShare * seconds(inside_aim(r)));
-    earn_messages();
-    Customer* c = customer_for(now, ask.customer, ask.plan_index, ask.first_gateway, ask.width);
-    if (c == nullptr) return finish(r, now);
-    r.of = c;
-    c->used = now;
-    refill(*c, now);
-    const bool units = c->queue.empty() && has_units(r, *c, now);
-    if (units && try_send(r, now)) return;
-    // A customer far over its quota: units that will not come in time are not waited for.
-    if (!units && plan(c->plan).rate > 0.0 &&
-        soon(*c, seconds(r.hold_until - now)) < std::min(ask.units, c->quota.cap) + c->waiting) {
-        return finish(r, now);
+void Gateway::Impl::on_request_arrived(const RequestArrived& arrival, TimePoint now) {
+    validate(settings_, arrival);
+    Request& request = requests_[arrival.request] = Request{};
+    request.arrival = arrival;
+    request.arrived_at = now;
+    request.deadline = now + arrival.budget;
+    request.hold_until = now + from_seconds(kUnitHoldShare * seconds(slack_within_target(request)));
+    earn_send_budget();
+    Customer* customer =
+        customer_for(now, arrival.customer, arrival.plan_index, arrival.first_gateway, arrival.width);
+    if (customer == nullptr) return reject_or_fail(request, now);
+    request.customer = customer;
+    customer->last_used = now;
+    refill(*customer, now);
+    const bool has_quota = customer->queue.empty() && units_allowed(request, *customer, now);
+    if (has_quota && try_send(request, now)) return;
+    if (!has_quota && plan_at(customer->plan).rate > 0.0 &&
+        expected_units(*customer, seconds(request.hold_until - now)) <
+            std::min(arrival.units, customer->quota.burst) + customer->backlog) {
+        return reject_or_fail(request, now);
     }
-    if (units) wait_for_room(r, now);
-    hold(r, now);    // which may end it
-    if (Request* held = units ? nullptr : find(ask.request); held && held->held) wait_for_units(*held, true);
+    if (has_quota) shorten_hold(request, now);
+    enqueue(request, now);    // may reject and remove the request
+    if (Request* held = has_quota ? nullptr : find_request(arrival.request); held && held->held)
+        set_queued_for_units(*held, true);
 }
 
-// What of the aim, or of the client's time, is left beside being served.
-Duration Gateway::Impl::inside_aim(const Request& r) const {
-    const Duration wanted = std::min(class_of(r).aim, r.ask.budget);
-    return std::max(Duration(0), wanted - std::min(2 * typical_latency(r), wanted / 2));
+Duration Gateway::Impl::slack_within_target(const Request& request) const {
+    const Duration target = std::min(class_of(request).aim, request.arrival.budget);
+    return std::max(Duration(0), target - std::min(2 * latency_of(request), target / 2));
 }
 
-void Gateway::Impl::hold(Request& r, TimePoint now) {
-    if (r.held) return;
-    r.hold_until = std::min(r.hold_until, r.deadline - kAnswerMargin);
-    if (r.hold_until <= now) return finish(r, now);
-    r.held = true;
-    r.turn = ++turns_;
-    held_[r.turn] = for_room_[r.turn] = &r;
-    arm(std::min(now + kBusyTick, r.hold_until));
+void Gateway::Impl::enqueue(Request& request, TimePoint now) {
+    if (request.held) return;
+    request.hold_until = std::min(request.hold_until, request.deadline - kDeadlineMargin);
+    if (request.hold_until <= now) return reject_or_fail(request, now);
+    request.held = true;
+    request.queue_position = ++last_queue_position_;
+    queued_[request.queue_position] = capacity_queue_[request.queue_position] = &request;
+    schedule_tick(std::min(now + kBusyTick, request.hold_until));
 }
 
-void Gateway::Impl::unhold(Request& r) {
-    if (!r.held) return;
-    r.held = false;
-    held_.erase(r.turn);
-    for_room_.erase(r.turn);
-    wait_for_units(r, false);
+void Gateway::Impl::dequeue(Request& request) {
+    if (!request.held) return;
+    request.held = false;
+    queued_.erase(request.queue_position);
+    capacity_queue_.erase(request.queue_position);
+    set_queued_for_units(request, false);
 }
 
-// A request held for room at the servers must not stand in the way of its customer's others.
-void Gateway::Impl::wait_for_units(Request& r, bool waits) {
-    if (r.wants_units == waits) return;
-    r.wants_units = waits;
-    Customer& c = *r.of;
-    if (waits) c.queue[r.turn] = &r;
-    else c.queue.erase(r.turn);
-    if (waits) for_room_.erase(r.turn);
-    else if (r.held) for_room_[r.turn] = &r;
-    active_.insert(r.ask.customer);
-    c.waiting = c.queue.empty() ? 0.0 : c.waiting + (waits ? r.ask.units : -r.ask.units);
+void Gateway::Impl::set_queued_for_units(Request& request, bool queued) {
+    if (request.queued_for_units == queued) return;
+    request.queued_for_units = queued;
+    Customer& customer = *request.customer;
+    if (queued) customer.queue[request.queue_position] = &request;
+    else customer.queue.erase(request.queue_position);
+    if (queued) capacity_queue_.erase(request.queue_position);
+    else if (request.held) capacity_queue_[request.queue_position] = &request;
+    customers_to_balance_.insert(request.arrival.customer);
+    customer.backlog = customer.queue.empty()
+                           ? 0.0
+                           : customer.backlog + (queued ? request.arrival.units : -request.arrival.units);
 }
 
-// Load shedding: a long queue here would be the servers' queue, moved.
-void Gateway::Impl::wait_for_room(Request& r, TimePoint now) {
-    if (r.short_of_room) return;
-    r.short_of_room = true;
-    r.hold_until = std::min(r.hold_until, now + from_seconds(kRoomShare * seconds(inside_aim(r))));
+void Gateway::Impl::shorten_hold(Request& request, TimePoint now) {
+    if (request.hold_shortened) return;
+    request.hold_shortened = true;
+    request.hold_until = std::min(
+        request.hold_until, now + from_seconds(kCapacityHoldShare * seconds(slack_within_target(request))));
 }
 
-bool Gateway::Impl::has_units(const Request& r, Customer& c, TimePoint now) {
-    refill(c, now);
-    return r.counted || ((r.beyond || covered(c, r.ask.units, now)) && ceiling_allows(c, r.ask.units));
+bool Gateway::Impl::units_allowed(const Request& request, Customer& customer, TimePoint now) {
+    refill(customer, now);
+    return request.charged || ((request.over_quota || quota_allows(customer, request.arrival.units, now)) &&
+                               hard_limit_allows(customer, request.arrival.units));
 }
 
-// Ends, sends or holds on. False where it is held for units.
-bool Gateway::Impl::go_on(Request& r, TimePoint now) {
-    if (now >= r.hold_until) return finish(r, now), true;
-    const bool units = has_units(r, *r.of, now);
-    wait_for_units(r, !units);
-    if (units && !try_send(r, now)) wait_for_room(r, now);
-    return units;
+bool Gateway::Impl::resume_request(Request& request, TimePoint now) {
+    if (now >= request.hold_until) return reject_or_fail(request, now), true;
+    const bool units_available = units_allowed(request, *request.customer, now);
+    set_queued_for_units(request, !units_available);
+    if (units_available && !try_send(request, now)) shorten_hold(request, now);
+    return units_available;
 }
 
-void Gateway::Impl::pump(TimePoint now) {
-    std::set<CustomerId> blocked;    // in order within a customer
-    for (auto it = held_.begin(); it != held_.end();) {
-        Request& r = *(it++)->second;
-        const CustomerId customer = r.ask.customer;
-        if (!r.counted && now < r.hold_until && blocked.contains(customer)) continue;
-        if (!go_on(r, now)) blocked.insert(customer);
+void Gateway::Impl::dispatch_queue(TimePoint now) {
+    std::set<CustomerId> blocked;    // keeps the order within a customer
+    for (auto it = queued_.begin(); it != queued_.end();) {
+        Request& request = *(it++)->second;
+        const CustomerId customer_id = request.arrival.customer;
+        if (!request.charged && now < request.hold_until && blocked.contains(customer_id)) continue;
+        if (!resume_request(request, now)) blocked.insert(customer_id);
     }
 }
 
-// After an answer: what is held for room, and for units of its customer. The others' turn is at the tick.
-void Gateway::Impl::pump_freed(TimePoint now) {
-    if (held_.size() <= kFewHeld) return pump(now);
-    for (auto it = for_room_.begin(); it != for_room_.end() && static_cast<double>(in_flight_) < limit_;)
-        go_on(*(it++)->second, now);
-    while (freed_ != nullptr && !freed_->queue.empty()) {
-        if (!go_on(*freed_->queue.begin()->second, now)) break;
+void Gateway::Impl::dispatch_after_outcome(TimePoint now) {
+    if (queued_.size() <= kFullScanLimit) return dispatch_queue(now);
+    for (auto it = capacity_queue_.begin();
+         it != capacity_queue_.end() && static_cast<double>(in_flight_) < max_in_flight_;)
+        resume_request(*(it++)->second, now);
+    while (freed_customer_ != nullptr && !freed_customer_->queue.empty()) {
+        if (!resume_request(*freed_customer_->queue.begin()->second, now)) break;
     }
 }
 
--- a/src/decision/attempts.cpp
+++ b/src/decision/attempts.cpp
@@ -1,161 +1,167 @@
-// Sends, their outcomes, and further attempts.
+// Sending attempts, handling their outcomes, and deciding on retries.
 #include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
-constexpr int kHungAfter = 10;    // times the class's usual latency
+constexpr int kHungFactor = 10;    // times the typical latency of the class
 
-// True where it went out. Only the first send of a request takes units.
-bool Gateway::Impl::try_send(Request& r, TimePoint now) {
-    Customer& c = *r.of;
-    if (!has_units(r, c, now)) return false;
-    if (static_cast<double>(in_flight_) >= limit_) return false;
-    if (now + typical_latency(r) > r.deadline) return false;    // would be answered too late
-    Server* v = choose(r, now);
-    if (v == nullptr) return false;
-    unhold(r);
-    if (!r.counted) {
-        r.counted = true;
-        if (!r.beyond) c.quota.level -= r.ask.units;
-        active_.insert(r.ask.customer);
-        c.ceiling.level -= r.ask.units;
-        retries_left_ = std::min(s_.retry_burst, retries(now) + s_.retry_share);
+bool Gateway::Impl::try_send(Request& request, TimePoint now) {
+    Customer& customer = *request.customer;
+    if (!units_allowed(request, customer, now)) return false;
+    if (static_cast<double>(in_flight_) >= max_in_flight_) return false;
+    if (now + latency_of(request) > request.deadline) return false;    // too late for the client
+    Server* server = select_server(request, now);
+    if (server == nullptr) return false;
+    dequeue(request);
+    if (!request.charged) {
+        request.charged = true;
+        if (!request.over_quota) customer.quota.level -= request.arrival.units;
+        customers_to_balance_.insert(request.arrival.customer);
+        customer.hard_limit.level -= request.arrival.units;
+        retry_tokens_ = std::min(settings_.retry_burst, retry_tokens(now) + settings_.retry_share);
     }
-    const double work = seconds(typical_latency(r));
-    if (coldness(*v, now) < 1.0) v->cold_work -= work;
+    const double work = seconds(latency_of(request));
+    if (capacity_share(*server, now) < 1.0) server->slow_start_budget -= work;
     else warm_work_ += work;
-    if (v->in_flight == 0) v->quiet_since = now;
-    ++c.in_flight;
-    r.attempts.push_back({v->entry.host, now});
-    load(r.attempts.back(), 1);
-    arm(now + kBusyTick);
-    actions_->push_back(Send{r.ask.request, v->entry.host, Duration(0)});
+    if (server->in_flight == 0) server->silent_since = now;
+    ++customer.in_flight;
+    request.attempts.push_back({server->entry.host, now});
+    adjust_in_flight(request.attempts.back(), 1);
+    schedule_tick(now + kBusyTick);
+    actions_->push_back(Send{request.arrival.request, server->entry.host, Duration(0)});
     return true;
 }
 
-// Tokens for further attempts.
-double Gateway::Impl::retries(TimePoint now) {
-    const double gained = s_.retry_refill_per_s * seconds(now - std::exchange(retries_seen_, now));
-    return retries_left_ = std::min(s_.retry_burst, retries_left_ + gained);
+double Gateway::Impl::retry_tokens(TimePoint now) {
+    const double earned = settings_.retry_refill_per_s * seconds(now - std::exchange(retry_tokens_at_, now));
+    return retry_tokens_ = std::min(settings_.retry_burst, retry_tokens_ + earned);
 }
 
-// Counts an attempt into, or out of, what is held to be in work.
-void Gateway::Impl::load(Attempt& a, int by) {
-    if (a.hung) return;
-    in_flight_ += by;
-    if (const auto it = servers_.find(a.host); it != servers_.end()) it->second.in_flight += by;
+void Gateway::Impl::adjust_in_flight(Attempt& attempt, int delta) {
+    if (attempt.hung) return;
+    in_flight_ += delta;
+    if (const auto it = servers_.find(attempt.host); it != servers_.end()) it->second.in_flight += delta;
 }
 
-// An attempt far over its class's usual time at a server that answers others quickly hangs or was lost: it is
-// no load (i632478: part of a class hung). Covers lossy links. Not while all is slow: then late attempts are
-// load.
-void Gateway::Impl::watch_attempts(TimePoint now) {
-    for (auto& [id, r] : requests_) {
-        if (r.attempts.empty() || r.attempts.back().ran != Ran::Out || r.streaming) continue;
-        Attempt& a = r.attempts.back();
-        if (a.hung || now - a.sent < kHungAfter * typical_latency(r) ||
-            typical_latency(r) > class_of(r).aim / 7)
+void Gateway::Impl::detect_hung_attempts(TimePoint now) {
+    for (auto& [id, request] : requests_) {
+        if (request.attempts.empty() || request.attempts.back().state != Run::Pending || request.streaming)
             continue;
-        const auto it = servers_.find(a.host);
-        if (it == servers_.end() || it->second.quiet_since < a.sent + 2 * typical_latency(r)) continue;
-        load(a, -1);
-        a.hung = true;
+        Attempt& attempt = request.attempts.back();
+        if (attempt.hung || now - attempt.sent_at < kHungFactor * latency_of(request) ||
+            latency_of(request) > class_of(request).aim / 7)
+            continue;
+        const auto it = servers_.find(attempt.host);
+        if (it == servers_.end() || it->second.silent_since < attempt.sent_at + 2 * latency_of(request))
+            continue;
+        adjust_in_flight(attempt, -1);
+        attempt.hung = true;
     }
 }
 
-// Calls an attempt off where another may follow in time; the rest is decided on its outcome.
-void Gateway::Impl::give_up_attempt(RequestId id, Request& r, TimePoint now) {
-    Attempt& a = r.attempts.back();
-    const ClassSettings& c = class_of(r);
-    if (a.ran != Ran::Out || a.stopped || r.streaming || !s_.may_cancel || c.repeat == Repeat::Unsafe) return;
-    if (static_cast<int>(r.attempts.size()) >= most_attempts(r) || retries(now) < 1.0) return;
-    if (c.repeat == Repeat::Keyed && now - r.attempts.front().sent + kBusyTick >= c.window) return;
-    if (now + typical_latency(r) > std::min(r.deadline, r.arrived + c.aim)) return;
-    a.stopped = true;
-    actions_->push_back(CancelAttempt{id, static_cast<int>(r.attempts.size()) - 1});
+void Gateway::Impl::cancel_for_retry(RequestId id, Request& request, TimePoint now) {
+    Attempt& attempt = request.attempts.back();
+    const ClassSettings& policy = class_of(request);
+    if (attempt.state != Run::Pending || attempt.cancelled || request.streaming || !settings_.may_cancel ||
+        policy.repeat == Repeat::Unsafe)
+        return;
+    if (static_cast<int>(request.attempts.size()) >= max_attempts(request) || retry_tokens(now) < 1.0) return;
+    if (policy.repeat == Repeat::Keyed && now - request.attempts.front().sent_at + kBusyTick >= policy.window)
+        return;
+    if (now + latency_of(request) > std::min(request.deadline, request.arrived_at + policy.aim)) return;
+    attempt.cancelled = true;
+    actions_->push_back(CancelAttempt{id, static_cast<int>(request.attempts.size()) - 1});
 }
 
-void Gateway::Impl::learn_latency(Server& v, const AttemptFinished& e, const Request& r, TimePoint now) {
-    const double took = std::max(1e-4, seconds(e.took));
-    double& typical = typical_latency_[static_cast<std::size_t>(r.ask.class_index)];
-    // The median: a few hung or costly attempts must not stretch what counts as usual.
-    typical = typical == 0.0 ? took : typical * (took > typical ? 1.03 : 1.0 / 1.03);
-    v.slowness = std::clamp(0.95 * v.slowness + 0.05 * std::min(5.0, took / typical), 0.5, 4.0);
-    pressed(now, std::min(2.0, took / std::max(1e-3, seconds(class_of(r).aim))));
+void Gateway::Impl::record_latency(Server& server, const AttemptFinished& event, const Request& request,
+                                   TimePoint now) {
+    const double took = std::max(1e-4, seconds(event.took));
+    double& typical = typical_latency_[static_cast<std::size_t>(request.arrival.class_index)];
+    typical = typical == 0.0 ? took : typical * (took > typical ? 1.03 : 1.0 / 1.03);    // follows the median
+    server.slowness = std::clamp(0.95 * server.slowness + 0.05 * std::min(5.0, took / typical), 0.5, 4.0);
+    adjust_limit(now, std::min(2.0, took / std::max(1e-3, seconds(class_of(request).aim))));
 }
 
-void Gateway::Impl::finished(const AttemptFinished& e, TimePoint now) {
-    const auto sit = servers_.find(e.host);
-    Server* v = sit == servers_.end() ? nullptr : &sit->second;
-    Request* r = find(e.request);
-    if (v != nullptr) heard(*v, e, now);
-    if (r == nullptr || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= r->attempts.size()) return;
-    Attempt& a = r->attempts[static_cast<std::size_t>(e.attempt)];
-    if (a.ran != Ran::Out) return;
-    load(a, -1);
-    const bool never =
-        e.outcome == Outcome::Full || e.outcome == Outcome::ConnectFailed || e.outcome == Outcome::NotSent;
-    a.ran = never ? Ran::Never : Ran::Maybe;
-    // Nothing came to the server: the token that this attempt took, if any, is the next one's.
-    const bool nowhere = s_.retry_refunds && never && e.outcome != Outcome::Full;
-    if (!nowhere) r->reached = true, r->token = false;
-    Customer& c = *r->of;
-    --c.in_flight;
-    freed_ = &c;
-    if (e.outcome == Outcome::Ok) {
-        if (v != nullptr) learn_latency(*v, e, *r, now);
-        if (v != nullptr && !a.slow) note_pace(*v, r->ask.class_index, false, now);
-        // Squared locally; the ceiling goes by the guess.
-        if (e.settled_units > 0.0 && s_.settles && !r->beyond) {
-            c.quota.level -= e.settled_units - r->ask.units;
-            active_.insert(r->ask.customer);
+void Gateway::Impl::on_attempt_finished(const AttemptFinished& event, TimePoint now) {
+    const auto it = servers_.find(event.host);
+    Server* server = it == servers_.end() ? nullptr : &it->second;
+    Request* request = find_request(event.request);
+    if (server != nullptr) on_server_outcome(*server, event, now);
+    if (request == nullptr || event.attempt < 0 ||
+        static_cast<std::size_t>(event.attempt) >= request->attempts.size())
+        return;
+    Attempt& attempt = request->attempts[static_cast<std::size_t>(event.attempt)];
+    if (attempt.state != Run::Pending) return;
+    adjust_in_flight(attempt, -1);
+    const bool not_run = event.outcome == Outcome::Full || event.outcome == Outcome::ConnectFailed ||
+                         event.outcome == Outcome::NotSent;
+    attempt.state = not_run ? Run::NotRun : Run::MaybeRun;
+    const bool refund_token = settings_.retry_refunds && not_run && event.outcome != Outcome::Full;
+    if (!refund_token) request->reached_server = true, request->retry_token = false;    // the token is spent
+    Customer& customer = *request->customer;
+    --customer.in_flight;
+    freed_customer_ = &customer;
+    if (event.outcome == Outcome::Ok) {
+        if (server != nullptr) record_latency(*server, event, *request, now);
+        if (server != nullptr && !attempt.slow) add_pace(*server, request->arrival.class_index, false, now);
+        if (event.settled_units > 0.0 && settings_.settles && !request->over_quota) {
+            customer.quota.level -= event.settled_units - request->arrival.units;
+            customers_to_balance_.insert(request->arrival.customer);
         }
-    } else if (e.outcome == Outcome::Timeout && v != nullptr && v->quiet_since <= a.sent) {
-        pressed(now, 1.5);    // nothing came back meanwhile; else it hung, and says nothing of the load
+    } else if (event.outcome == Outcome::Timeout && server != nullptr &&
+               server->silent_since <= attempt.sent_at) {
+        adjust_limit(now, 1.5);    // if the server responded meanwhile, the attempt hung: no sign of load
     }
-    if (e.final || e.outcome == Outcome::Ok) return drop(*r);
-    if (e.outcome == Outcome::NotSent) return finish(*r, now);
-    after_failure(*r, now);
+    if (event.final || event.outcome == Outcome::Ok) return remove_request(*request);
+    if (event.outcome == Outcome::NotSent) return reject_or_fail(*request, now);
+    on_attempt_failed(*request, now);
 }
 
-void Gateway::Impl::after_failure(Request& r, TimePoint now) {
-    const ClassSettings& c = class_of(r);
-    const Duration left = (c.late_share > 0.0 ? r.deadline : std::min(r.deadline, r.arrived + c.aim)) - now;
-    const bool takes = r.reached && !r.token;
-    if ((takes && retries(now) < 1.0) || left < typical_latency(r)) return finish(r, now);
-    if (std::none_of(by_draw_.begin(), by_draw_.end(), [&](Server* v) { return legal(r, v, now); }))
-        return finish(r, now);
-    if (takes) retries_left_ -= 1.0;
-    r.token = r.reached;
-    if (try_send(r, now)) return;
-    r.hold_until = now + left / 2;
-    hold(r, now);
+void Gateway::Impl::on_attempt_failed(Request& request, TimePoint now) {
+    const ClassSettings& policy = class_of(request);
+    const Duration time_left =
+        (policy.late_share > 0.0 ? request.deadline
+                                 : std::min(request.deadline, request.arrived_at + policy.aim)) -
+        now;
+    const bool takes_token = request.reached_server && !request.retry_token;
+    if ((takes_token && retry_tokens(now) < 1.0) || time_left < latency_of(request))
+        return reject_or_fail(request, now);
+    if (std::none_of(draw_order_.begin(), draw_order_.end(),
+                     [&](Server* server) { return permitted(request, server, now); }))
+        return reject_or_fail(request, now);
+    if (takes_token) retry_tokens_ -= 1.0;
+    request.retry_token = request.reached_server;
+    if (try_send(request, now)) return;
+    request.hold_until = now + time_left / 2;
+    enqueue(request, now);
 }
 
-// The final answer where nothing more is sent: a refusal where that is allowed, else a failure.
-void Gateway::Impl::finish(Request& r, TimePoint now) {
-    if (beyond_pays(r) && r.of != nullptr) {
-        r.beyond = true;
-        if (try_send(r, now)) return;
+void Gateway::Impl::reject_or_fail(Request& request, TimePoint now) {
+    if (admits_over_quota(request) && request.customer != nullptr) {
+        request.over_quota = true;
+        if (try_send(request, now)) return;
     }
-    if (legal(r, nullptr, now)) {
-        const Duration wait = r.of == nullptr ? Duration(0) : refilled_in(*r.of, r.ask.units, now);
-        actions_->push_back(Refuse{r.ask.request, std::clamp(wait, Duration(0), s_.max_retry_after)});
+    if (permitted(request, nullptr, now)) {
+        const Duration wait = request.customer == nullptr
+                                  ? Duration(0)
+                                  : refill_time(*request.customer, request.arrival.units, now);
+        actions_->push_back(
+            Refuse{request.arrival.request, std::clamp(wait, Duration(0), settings_.max_retry_after)});
     } else {
-        actions_->push_back(Fail{r.ask.request});
+        actions_->push_back(Fail{request.arrival.request});
     }
-    drop(r);
+    remove_request(request);
 }
 
-void Gateway::Impl::drop(Request& r) {
-    unhold(r);
-    if (!r.attempts.empty() && r.attempts.back().ran == Ran::Out) {
-        load(r.attempts.back(), -1);
-        --r.of->in_flight;
-    } else if (r.token && s_.retry_refunds) {
-        retries_left_ = std::min(s_.retry_burst, retries_left_ + 1.0);
+void Gateway::Impl::remove_request(Request& request) {
+    dequeue(request);
+    if (!request.attempts.empty() && request.attempts.back().state == Run::Pending) {
+        adjust_in_flight(request.attempts.back(), -1);
+        --request.customer->in_flight;
+    } else if (request.retry_token && settings_.retry_refunds) {
+        retry_tokens_ = std::min(settings_.retry_burst, retry_tokens_ + 1.0);
     }
-    requests_.erase(r.ask.request);
+    requests_.erase(request.arrival.request);
 }
 
 }    // namespace shaletray::decision
--- a/src/decision/fleet/cold_start.h
+++ b/src/decision/fleet/cold_start.h
@@ -1,5 +1,5 @@
-// Cold servers in a fleet: what one gateway may send to one that started a short while ago, so that all
-// gateways together neither push it over nor leave it idle. Pure: values in, values out.
+// Slow start of servers in a fleet of gateways: what one gateway may send to a server that started a short
+// while ago, so that all gateways together neither overload it nor leave it idle. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,27 @@
 
 namespace shaletray::decision::fleet {
 
-/// Attempts out a server, over all gateways, that the concurrency limits begin with.
-constexpr double kStartOut = 12.0;
+/// Attempts in flight per server, over all gateways, that the concurrency limits start with.
+constexpr double kInitialInFlight = 12.0;
 
-/// True where a gateway has less than one attempt out at a server on average, so that what it has out itself
-/// tells nothing of how busy that server is.
-bool sparse(const Settings& s);
+/// Whether a gateway has less than one attempt in flight at a server on average, so that its own attempts
+/// there say nothing about the server's load.
+bool is_sparse(const Settings& settings);
 
-/// The share of its full capacity, above 0 and at most 1, that a server which started at `since` surely has
-/// at `now`; 1 when warm, or where `since` is the zero time.
-double cold_share(const Settings& s, TimePoint since, TimePoint now);
+/// The share of its full capacity, above 0 and at most 1, that a server which started at `since` has at least
+/// at `now`; 1 if it is warm, or if `since` is the zero time.
+double capacity_share(const Settings& settings, TimePoint since, TimePoint now);
 
-/// Whether a server of that share may be a candidate now, by chance in a sparse fleet: it is then drawn at
-/// half of the multiple of its share that the rule allows, which in the sum over all gateways is half of the
-/// rule's N. `random` is any number drawn evenly from 64 bits.
-bool cold_drawn(const Settings& s, double share, std::uint64_t random);
+/// Whether a cold server with that share of its capacity may be a candidate now, decided at random for sparse
+/// fleets: with half of the probability that the rule on cold servers allows, so that all gateways together
+/// send half of the rule's N. `random` is a uniformly distributed number of 64 bits.
+bool draw_cold(const Settings& settings, double share, std::uint64_t random);
 
-/// The budget (seconds of work) of one gateway for one cold server, `dt` seconds after it was `budget`.
-/// `each`: the work (seconds a second) that this gateway sends to a warm server; `warm`: there are such
-/// servers, so that draws bound what is sent as well. Over all gateways budgets then grow by at most three
-/// quarters of the rule's N a window, where a warm server takes what it can; else by half.
-double cold_budget(const Settings& s, double budget, double share, double each, bool warm, double dt);
+/// The budget (seconds of work) of one gateway for one cold server, `elapsed` seconds after it was `budget`.
+/// `warm_rate` is the work (seconds per second) that this gateway sends to a warm server; `any_warm`: there
+/// are such servers, so that draws limit what is sent as well. The budgets of all gateways then grow by at
+/// most three quarters of the rule's N per window, if warm servers are fully loaded; otherwise by half of it.
+double slow_start_budget(const Settings& settings, double budget, double share, double warm_rate,
+                         bool any_warm, double elapsed);
 
 }    // namespace shaletray::decision::fleet
--- a/src/decision/gateway.cpp
+++ b/src/decision/gateway.cpp
@@ -1,5 +1,4 @@
-// What is no decision: checks of the settings, which part hears of which event, and the public class around
-// the module's state.
+// The public class Gateway, validation of settings, and dispatch of events. Holds no decisions.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -9,92 +8,102 @@
 
 namespace shaletray::decision {
 
-Gateway::Impl::Impl(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
-    check(s_);
-    if (s_.plans.empty()) s_.plans.emplace_back();
-    typical_latency_.assign(s_.classes.size(), 0.0);
-    retries_left_ = std::min(s_.retry_burst, s_.retry_start);
-    set_message_pace();
+Gateway::Impl::Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
+    validate(settings_);
+    if (settings_.plans.empty()) settings_.plans.emplace_back();
+    typical_latency_.assign(settings_.classes.size(), 0.0);
+    retry_tokens_ = std::min(settings_.retry_burst, settings_.retry_start);
+    init_message_pacing();
 }
 
 void Gateway::Impl::handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
     actions_ = &actions;
     if (!started_) {
         started_ = true;
-        boot_ = warm_seen_ = slot_seen_ = retries_seen_ = now;
-        mail_at_ = now - 2 * kAlone;
-        if (s_.ask_for_list) actions.push_back(Subscribe{});
-        arm(now + kBusyTick);
+        started_at_ = warm_work_at_ = send_budget_at_ = retry_tokens_at_ = now;
+        last_peer_message_at_ = now - 2 * kIsolatedAfter;
+        if (settings_.ask_for_list) actions.push_back(Subscribe{});
+        schedule_tick(now + kBusyTick);
     }
-    std::visit(
-        Overloaded{[&](const RequestArrived& e) { arrive(e, now); },
-                   [&](const AttemptFinished& e) { finished(e, now); },
-                   [&](const AttemptStarted& e) { begun(e); }, [&](const RequestAborted& e) { aborted(e); },
-                   [&](const ProbeFinished& e) { probe_heard(e, now); },
-                   [&](const HostList& e) { list_heard(e, now); },
-                   [&](const PeerBytes& e) { peer_heard(e, now); },
-                   [&](const Allowance& e) { allowed(e, now); }, [&](const TimerFired&) { tick(now); }},
-        event);
-    if (std::holds_alternative<AttemptFinished>(event)) pump_freed(now);
-    else if (std::holds_alternative<PeerBytes>(event)) pump(now);
-    freed_ = nullptr;
+    std::visit(Overloaded{[&](const RequestArrived& e) { on_request_arrived(e, now); },
+                          [&](const AttemptFinished& e) { on_attempt_finished(e, now); },
+                          [&](const AttemptStarted& e) { on_attempt_started(e); },
+                          [&](const RequestAborted& e) { on_request_aborted(e); },
+                          [&](const ProbeFinished& e) { on_probe_finished(e, now); },
+                          [&](const HostList& e) { on_host_list(e, now); },
+                          [&](const PeerBytes& e) { on_peer_message(e, now); },
+                          [&](const Allowance& e) { on_allowance(e, now); },
+                          [&](const TimerFired&) { on_timer(now); }},
+               event);
+    if (std::holds_alternative<AttemptFinished>(event)) dispatch_after_outcome(now);
+    else if (std::holds_alternative<PeerBytes>(event)) dispatch_queue(now);
+    freed_customer_ = nullptr;
 }
 
-void Gateway::Impl::check(const Settings& s) {
-    if (s.gateways < 1) throw BadSettings("settings: there must be at least one gateway");
-    if (s.me < 0 || s.me >= s.gateways) throw BadSettings("settings: own number out of range");
-    if (s.classes.empty()) throw BadSettings("settings: no request classes");
-    for (const ClassSettings& c : s.classes) {
-        if (c.aim < Duration(0) || c.window < Duration(0))
-            throw BadSettings("settings: negative time in a class");
+void Gateway::Impl::validate(const Settings& settings) {
+    if (settings.gateways < 1) throw BadSettings("settings: there must be at least one gateway");
+    if (settings.me < 0 || settings.me >= settings.gateways)
+        throw BadSettings("settings: index of this gateway is out of range");
+    if (settings.classes.empty()) throw BadSettings("settings: no request classes");
+    for (const ClassSettings& request_class : settings.classes) {
+        if (request_class.aim < Duration(0) || request_class.window < Duration(0))
+            throw BadSettings("settings: a class has a negative duration");
     }
-    for (const PlanSettings& p : s.plans) {
-        for (const double value : {p.rate, p.burst, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack}) {
+    for (const PlanSettings& plan : settings.plans) {
+        for (const double value :
+             {plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack}) {
             if (!(value >= 0.0) || !std::isfinite(value))
-                throw BadSettings("settings: negative figure in a plan");
+                throw BadSettings("settings: a plan has a negative or infinite number");
         }
-        if (p.max_out < 0) throw BadSettings("settings: negative limit in a plan");
+        if (plan.max_out < 0) throw BadSettings("settings: a plan has a negative limit");
     }
-    for (const double value : {s.retry_share, s.retry_burst, s.retry_start, s.retry_refill_per_s}) {
+    for (const double value :
+         {settings.retry_share, settings.retry_burst, settings.retry_start, settings.retry_refill_per_s}) {
         if (!(value >= 0.0) || !std::isfinite(value))
-            throw BadSettings("settings: negative figure for retries");
+            throw BadSettings("settings: a retry budget number is negative or infinite");
     }
-    if (!(s.latency_goal > 0.0) || s.sharing < 0) throw BadSettings("settings: no such goal or sharing");
-    if (s.cold < Duration(0) || s.fall < Duration(0) || !(s.start_capacity >= 0.0)) {
-        throw BadSettings("settings: negative figure in the rules");
+    if (!(settings.latency_goal > 0.0) || settings.sharing < 0)
+        throw BadSettings(
+            "settings: the latency goal must be positive and the number of sharing gateways not negative");
+    if (settings.cold < Duration(0) || settings.fall < Duration(0) || !(settings.start_capacity >= 0.0)) {
+        throw BadSettings("settings: a slow start number is negative");
     }
 }
 
-void Gateway::Impl::check(const Settings& s, const RequestArrived& ask) {
-    if (ask.class_index < 0 || static_cast<std::size_t>(ask.class_index) >= s.classes.size() ||
-        ask.plan_index < 0 || static_cast<std::size_t>(ask.plan_index) >= s.plans.size() ||
-        !(ask.units >= 0.0)) {
+void Gateway::Impl::validate(const Settings& settings, const RequestArrived& arrival) {
+    if (arrival.class_index < 0 || static_cast<std::size_t>(arrival.class_index) >= settings.classes.size() ||
+        arrival.plan_index < 0 || static_cast<std::size_t>(arrival.plan_index) >= settings.plans.size() ||
+        !(arrival.units >= 0.0)) {
         throw std::out_of_range("request with an unknown class or plan, or negative units");
     }
 }
 
 void Gateway::Impl::adopt(const Settings& next) {
-    check(next);
-    const std::vector<ClassSettings> before = std::exchange(s_.classes, next.classes);
-    const std::vector<double> learned =
-        std::exchange(typical_latency_, std::vector<double>(s_.classes.size(), 0.0));
-    for (std::size_t i = 0; i < s_.classes.size(); ++i) {
-        const bool stays = i < before.size() && before[i].name == s_.classes[i].name;
-        const auto like = std::find_if(before.begin(), before.end(),
-                                       [&](const ClassSettings& c) { return c.name == s_.classes[i].name; });
-        if (stays) typical_latency_[i] = learned[i];
-        else if (like != before.end())
-            typical_latency_[i] = learned[static_cast<std::size_t>(like - before.begin())];
-        if (stays) continue;
-        for (auto& [id, v] : servers_) v.slow.erase(static_cast<int>(i));
+    validate(next);
+    const std::vector<ClassSettings> previous_classes = std::exchange(settings_.classes, next.classes);
+    const std::vector<double> previous_latency =
+        std::exchange(typical_latency_, std::vector<double>(settings_.classes.size(), 0.0));
+    for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
+        const bool unchanged =
+            i < previous_classes.size() && previous_classes[i].name == settings_.classes[i].name;
+        const auto same_name = std::find_if(previous_classes.begin(), previous_classes.end(),
+                                            [&](const ClassSettings& request_class) {
+                                                return request_class.name == settings_.classes[i].name;
+                                            });
+        if (unchanged) typical_latency_[i] = previous_latency[i];
+        else if (same_name != previous_classes.end())
+            typical_latency_[i] =
+                previous_latency[static_cast<std::size_t>(same_name - previous_classes.begin())];
+        if (unchanged) continue;
+        for (auto& [id, server] : servers_) server.class_latency.erase(static_cast<int>(i));
     }
-    static_cast<RequestLimits&>(s_) = next;
+    static_cast<RequestLimits&>(settings_) = next;
 }
 
 std::size_t Gateway::Impl::avoided() const {
-    return static_cast<std::size_t>(std::count_if(by_draw_.begin(), by_draw_.end(), [](const Server* v) {
-        return v->ejected && v->entry.state == HostState::Healthy;
-    }));
+    return static_cast<std::size_t>(std::count_if(
+        draw_order_.begin(), draw_order_.end(),
+        [](const Server* server) { return server->ejected && server->entry.state == HostState::Healthy; }));
 }
 
 Gateway::Gateway(Settings settings, std::uint64_t seed)
--- a/src/decision/handover_state.cpp
+++ b/src/decision/handover_state.cpp
@@ -1,5 +1,5 @@
-// What one process of a gateway hands to the next: the module's state as text, a record a line, so that the
-// two act as one gateway. No decision: stores, links and what was learned go over as they stand.
+// The state that a gateway process hands over to its successor, as text with one record a line, so that the
+// two act as one gateway. Buckets, links and learned values are written as they are; nothing is decided here.
 #include <array>
 #include <charconv>
 #include <stdexcept>
@@ -11,7 +11,7 @@
 namespace shaletray::decision {
 namespace {
 
-constexpr std::string_view kFirst = "module 1";    // of this form; another one is not read
+constexpr std::string_view kFormatLine = "module 1";    // format version; others are rejected
 
 class Writer {
 public:
@@ -54,7 +54,7 @@
     bool next() {
         if (text_.empty()) return false;
         const std::size_t end = text_.find('\n');
-        if (end == std::string_view::npos) throw std::invalid_argument("a handover that was cut off");
+        if (end == std::string_view::npos) throw std::invalid_argument("handover state: truncated line");
         line_ = text_.substr(0, end);
         text_.remove_prefix(end + 1);
         return true;
@@ -64,7 +64,7 @@
         while (line_.starts_with(' ')) line_.remove_prefix(1);
         const std::string_view found = line_.substr(0, line_.find(' '));
         line_.remove_prefix(found.size());
-        if (found.empty()) throw std::invalid_argument("a handover with a field missing");
+        if (found.empty()) throw std::invalid_argument("handover state: missing field");
         return found;
     }
     template <class... Fields>
@@ -79,12 +79,12 @@
         Number value{};
         const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
         if (error != std::errc{} || end != text.data() + text.size())
-            throw std::invalid_argument("a handover with a field that is no number");
+            throw std::invalid_argument("handover state: field is not a number");
         return value;
     }
     void field(double& value) {
         value = number<double>();
-        if (!std::isfinite(value)) throw std::invalid_argument("a handover with a figure beyond all measure");
+        if (!std::isfinite(value)) throw std::invalid_argument("handover state: number is not finite");
     }
     void field(int& value) { value = number<int>(); }
     void field(bool& value) { value = number<int>() != 0; }
@@ -99,99 +99,109 @@
 
 }    // namespace
 
-// From here on this process grants nothing new: what it keeps of each store is what its held requests wait
-// for.
 std::string Gateway::Impl::hand_over(TimePoint now) {
-    Writer w;
-    w.line(kFirst, boot_, mail_at_, limit_, lateness_, retries_left_, warm_work_);
+    Writer writer;
+    writer.line(kFormatLine, started_at_, last_peer_message_at_, max_in_flight_, latency_ratio_,
+                retry_tokens_, warm_work_);
     for (std::size_t i = 0; i < typical_latency_.size(); ++i)
-        w.line("usual", typical_latency_[i], std::string_view(s_.classes[i].name));
-    for (const auto& [id, v] : servers_)
-        w.line("server", id, v.entry.born, v.cold_since, v.cold_work, v.slowness, v.ok, v.bad, v.counted,
-               v.ejections, v.ejected, v.hard, v.ejected_until);
-    for (const auto& [id, p] : peers_)
-        w.line("peer", id, p.incarnation, p.sequence, p.stamp_ms, p.sent, p.heard, p.told, p.known,
-               p.ever_told);
-    std::map<const Customer*, double> held;
-    for (const auto& [turn, r] : held_) {
-        if (!r->counted) held[r->of] += r->ask.units;
+        writer.line("usual", typical_latency_[i], std::string_view(settings_.classes[i].name));
+    for (const auto& [id, server] : servers_)
+        writer.line("server", id, server.entry.born, server.cold_since, server.slow_start_budget,
+                    server.slowness, server.successes, server.failures, server.counted_at,
+                    server.ejection_count, server.ejected, server.unreachable, server.ejected_until);
+    for (const auto& [id, peer] : peers_)
+        writer.line("peer", id, peer.incarnation, peer.received_sequence, peer.stamp_ms, peer.sent_sequence,
+                    peer.last_received_at, peer.last_sent_at, peer.known, peer.ever_sent);
+    std::map<const Customer*, double> queued_by_customer;
+    for (const auto& [position, request] : queued_) {
+        if (!request->charged) queued_by_customer[request->customer] += request->arrival.units;
     }
-    for (auto& [id, c] : customers_) {
-        refill(c, now);
-        const auto waits = held.find(&c);
-        const double wanted = waits == held.end() ? 0.0 : waits->second;
-        const double kept = std::clamp(c.quota.level, 0.0, wanted),
-                     rights = std::clamp(c.ceiling.level, 0.0, wanted);
-        w.line("customer", id, c.plan, c.first, c.width, c.quota.level - kept, c.quota.cap, c.quota.rate,
-               c.ceiling.level - rights, c.ceiling.cap, c.ceiling.rate, c.used);
-        for (const Lent& l : c.lent) w.line("lent", l.units, l.until);
-        for (const Neighbour& n : c.neighbours)
-            w.line("link", n.peer, n.told.has_value(), n.told.value_or(0.0), n.told_at, n.said, n.said_at,
-                   n.gave, n.got);
-        c.fine = false;
-        c.quota = {kept, kept + 1.0, 0.0, now};    // never full, since a full store passes any request
-        c.ceiling = {rights, rights, 0.0, now};
+    for (auto& [id, customer] : customers_) {
+        refill(customer, now);
+        const auto it = queued_by_customer.find(&customer);
+        const double backlog = it == queued_by_customer.end() ? 0.0 : it->second;
+        const double kept_units = std::clamp(customer.quota.level, 0.0, backlog),
+                     kept_hard_limit = std::clamp(customer.hard_limit.level, 0.0, backlog);
+        writer.line("customer", id, customer.plan, customer.first_gateway, customer.width,
+                    customer.quota.level - kept_units, customer.quota.burst, customer.quota.rate,
+                    customer.hard_limit.level - kept_hard_limit, customer.hard_limit.burst,
+                    customer.hard_limit.rate, customer.last_used);
+        for (const PendingTransfer& transfer : customer.transfers)
+            writer.line("lent", transfer.units, transfer.expires_at);
+        for (const Link& link : customer.links)
+            writer.line("link", link.peer_id, link.reported.has_value(), link.reported.value_or(0.0),
+                        link.reported_at, link.announced, link.announced_at, link.units_sent,
+                        link.units_received);
+        customer.pooled = false;
+        // Never full, since a full bucket admits a request of any size.
+        customer.quota = {kept_units, kept_units + 1.0, 0.0, now};
+        customer.hard_limit = {kept_hard_limit, kept_hard_limit, 0.0, now};
     }
-    s_.may_tell = false;
-    return w.take();
+    settings_.may_tell = false;
+    return writer.take();
 }
 
-// Into an instance that has heard of nothing yet but its start.
 void Gateway::Impl::take_over(std::string_view text, TimePoint now) {
-    Reader r(text);
-    if (!r.next() || !r.line().starts_with(kFirst)) throw std::invalid_argument("a handover of another form");
-    r.word();
-    r.word();
-    r.read(boot_, mail_at_, limit_, lateness_, retries_left_, warm_work_);
-    boot_ = std::min(boot_, now);
-    Customer* c = nullptr;
-    while (r.next()) {
-        const std::string_view what = r.word();
-        if (what == "usual") {
+    Reader reader(text);
+    if (!reader.next() || !reader.line().starts_with(kFormatLine))
+        throw std::invalid_argument("handover state: unknown format");
+    reader.word();
+    reader.word();
+    reader.read(started_at_, last_peer_message_at_, max_in_flight_, latency_ratio_, retry_tokens_,
+                warm_work_);
+    started_at_ = std::min(started_at_, now);
+    Customer* customer = nullptr;
+    while (reader.next()) {
+        const std::string_view record = reader.word();
+        if (record == "usual") {
             double learned = 0.0;
-            r.read(learned);
-            const std::string_view name = r.line().substr(1);    // which may be empty
+            reader.read(learned);
+            const std::string_view name = reader.line().substr(1);    // may be empty
             for (std::size_t i = 0; i < typical_latency_.size(); ++i) {
-                if (s_.classes[i].name == name) typical_latency_[i] = learned;
+                if (settings_.classes[i].name == name) typical_latency_[i] = learned;
             }
-        } else if (what == "server") {
+        } else if (record == "server") {
             HostId id{};
-            Server v;
-            r.read(id, v.entry.born, v.cold_since, v.cold_work, v.slowness, v.ok, v.bad, v.counted,
-                   v.ejections, v.ejected, v.hard, v.ejected_until);
-            v.entry.host = id;
-            v.entry.state = HostState::Gone;    // until a list names it
-            v.quiet_since = now;
-            servers_.insert_or_assign(id, v);
-        } else if (what == "peer") {
+            Server server;
+            reader.read(id, server.entry.born, server.cold_since, server.slow_start_budget, server.slowness,
+                        server.successes, server.failures, server.counted_at, server.ejection_count,
+                        server.ejected, server.unreachable, server.ejected_until);
+            server.entry.host = id;
+            server.entry.state = HostState::Gone;    // until a host list names it
+            server.silent_since = now;
+            servers_.insert_or_assign(id, server);
+        } else if (record == "peer") {
             PeerId id{};
-            Peer p;
-            r.read(id, p.incarnation, p.sequence, p.stamp_ms, p.sent, p.heard, p.told, p.known, p.ever_told);
-            peers_.insert_or_assign(id, p);
-        } else if (what == "customer") {
+            Peer peer;
+            reader.read(id, peer.incarnation, peer.received_sequence, peer.stamp_ms, peer.sent_sequence,
+                        peer.last_received_at, peer.last_sent_at, peer.known, peer.ever_sent);
+            peers_.insert_or_assign(id, peer);
+        } else if (record == "customer") {
             CustomerId id{};
-            int plan_index = 0, first = 0, width = 1;
-            r.read(id, plan_index, first, width);
-            if (plan_index < 0 || static_cast<std::size_t>(plan_index) >= s_.plans.size())
-                throw std::invalid_argument("a handover with an unknown plan");
-            c = customer_for(now, id, plan_index, first, width);
-            if (c == nullptr) continue;
-            r.read(c->quota.level, c->quota.cap, c->quota.rate, c->ceiling.level, c->ceiling.cap,
-                   c->ceiling.rate, c->used);
-            active_.insert(id);
-        } else if (what == "lent" && c != nullptr) {
-            Lent l{};
-            r.read(l.units, l.until);
-            c->lent.push_back(l);
-        } else if (what == "link" && c != nullptr) {
+            int plan_index = 0, first_gateway = 0, width = 1;
+            reader.read(id, plan_index, first_gateway, width);
+            if (plan_index < 0 || static_cast<std::size_t>(plan_index) >= settings_.plans.size())
+                throw std::invalid_argument("handover state: unknown plan");
+            customer = customer_for(now, id, plan_index, first_gateway, width);
+            if (customer == nullptr) continue;
+            reader.read(customer->quota.level, customer->quota.burst, customer->quota.rate,
+                        customer->hard_limit.level, customer->hard_limit.burst, customer->hard_limit.rate,
+                        customer->last_used);
+            customers_to_balance_.insert(id);
+        } else if (record == "lent" && customer != nullptr) {
+            PendingTransfer transfer{};
+            reader.read(transfer.units, transfer.expires_at);
+            customer->transfers.push_back(transfer);
+        } else if (record == "link" && customer != nullptr) {
             PeerId id{};
-            bool told = false;
-            r.read(id, told);
-            for (Neighbour& n : c->neighbours) {
-                if (n.peer != id) continue;
-                double amount = 0.0;
-                r.read(amount, n.told_at, n.said, n.said_at, n.gave, n.got);
-                if (told) n.told = amount;
+            bool has_reported_level = false;
+            reader.read(id, has_reported_level);
+            for (Link& link : customer->links) {
+                if (link.peer_id != id) continue;
+                double reported = 0.0;
+                reader.read(reported, link.reported_at, link.announced, link.announced_at, link.units_sent,
+                            link.units_received);
+                if (has_reported_level) link.reported = reported;
             }
         }
     }
--- a/src/decision/overload_control.cpp
+++ b/src/decision/overload_control.cpp
@@ -1,73 +1,67 @@
-// How much may be out at once, what goes beyond a quota, and what is too slow for its class.
+// Concurrency limit, admission of requests over quota, and detection of servers that are slow for one class.
 #include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
-constexpr double kBeyondRoom = 0.5;      // of the limit and of the latency goal, for requests beyond quota
-constexpr int kSlowAfter = 5;            // times the class's usual latency: far over it
-constexpr double kSlowHalfLife = 4.0;    // seconds
-constexpr double kSlowSeen = 2.5;        // slow attempts of a class at a server before it may stand out,
-constexpr double kSlowShare = 0.3;       // their share of all there,
-constexpr double kSlowApart = 3.0;       // and how many times the middle server's
+constexpr double kOverQuotaShare = 0.5;     // of concurrency limit and latency goal, for over-quota requests
+constexpr int kSlowFactor = 5;              // times the typical latency of the class
+constexpr double kSlowHalfLife = 4.0;       // seconds
+constexpr double kMinSlowAttempts = 2.5;    // (decayed) of a class at a server
+constexpr double kMinSlowShare = 0.3;       // of all attempts of the class there
+constexpr double kSlowOutlierFactor = 3.0;    // times the median server's share
 
-// One concurrency limit over all servers, so that queues stay inside the aim; each gateway finds its own.
-void Gateway::Impl::pressed(TimePoint now, double by) {
-    lateness_ = 0.95 * lateness_ + 0.05 * by;
-    const double n = static_cast<double>(servers_.size());
-    if (lateness_ > s_.latency_goal && now - limit_cut_ > 200ms) {
-        const double used = std::min(limit_, 1.2 * static_cast<double>(in_flight_ + 1));
-        limit_ = std::max(1.0 + s_.least_out * n / sharing(), used * 0.85);
-        limit_cut_ = now;
-    } else if (lateness_ <= s_.latency_goal && static_cast<double>(in_flight_) > 0.8 * limit_) {
-        limit_ = std::min(100.0 * n, limit_ + std::max(1.0, n / 4) / limit_);
+void Gateway::Impl::adjust_limit(TimePoint now, double ratio) {
+    latency_ratio_ = 0.95 * latency_ratio_ + 0.05 * ratio;
+    const double count = static_cast<double>(servers_.size());
+    if (latency_ratio_ > settings_.latency_goal && now - limit_cut_at_ > 200ms) {
+        const double used = std::min(max_in_flight_, 1.2 * static_cast<double>(in_flight_ + 1));
+        max_in_flight_ = std::max(1.0 + settings_.least_out * count / sharing(), used * 0.85);
+        limit_cut_at_ = now;
+    } else if (latency_ratio_ <= settings_.latency_goal &&
+               static_cast<double>(in_flight_) > 0.8 * max_in_flight_) {
+        max_in_flight_ = std::min(100.0 * count, max_in_flight_ + std::max(1.0, count / 4) / max_in_flight_);
     }
 }
 
-// Beyond quota: only where the plan pays more than it costs, and of the room, which others may need soon, a
-// part.
-bool Gateway::Impl::beyond_pays(const Request& r) const {
-    const PlanSettings& p = plan(r.ask.plan_index);
-    if (r.counted || r.beyond || p.over_worth <= p.over_cost) return false;
-    return lateness_ < kBeyondRoom * s_.latency_goal &&
-           static_cast<double>(in_flight_) < kBeyondRoom * limit_;
+bool Gateway::Impl::admits_over_quota(const Request& request) const {
+    const PlanSettings& plan = plan_at(request.arrival.plan_index);
+    if (request.charged || request.over_quota || plan.over_worth <= plan.over_cost) return false;
+    return latency_ratio_ < kOverQuotaShare * settings_.latency_goal &&
+           static_cast<double>(in_flight_) < kOverQuotaShare * max_in_flight_;
 }
 
-// Part of one class may hang at a server that answers all else quickly: then neither silence nor errors show
-// it.
-void Gateway::Impl::note_pace(Server& v, int class_index, bool slow, TimePoint now) {
-    Slow& s = v.slow[class_index];
-    s.decay(now, kSlowHalfLife);
-    (slow ? s.slow : s.ok) += 1.0;
+void Gateway::Impl::add_pace(Server& server, int class_index, bool slow, TimePoint now) {
+    ClassLatency& latency = server.class_latency[class_index];
+    latency.decay(now, kSlowHalfLife);
+    (slow ? latency.slow : latency.on_time) += 1.0;
 }
 
-// Costly requests are slow at all servers alike, and where all are slow the load is: neither says anything of
-// one.
-bool Gateway::Impl::stands_out(const Server& v, int class_index, TimePoint now) const {
-    const auto paced = [&](const Server& server) {
-        const auto it = server.slow.find(class_index);
-        Slow s = it == server.slow.end() ? Slow{} : it->second;
-        s.decay(now, kSlowHalfLife);
-        return s;
+bool Gateway::Impl::slow_outlier(const Server& server, int class_index, TimePoint now) const {
+    const auto decayed = [&](const Server& candidate) {
+        const auto it = candidate.class_latency.find(class_index);
+        ClassLatency latency = it == candidate.class_latency.end() ? ClassLatency{} : it->second;
+        latency.decay(now, kSlowHalfLife);
+        return latency;
     };
-    const Slow own = paced(v);
-    if (own.slow < kSlowSeen || own.share() < kSlowShare) return false;
+    const ClassLatency own = decayed(server);
+    if (own.slow < kMinSlowAttempts || own.slow_share() < kMinSlowShare) return false;
     std::vector<double> shares;
-    for (const Server* other : by_draw_) shares.push_back(paced(*other).share());
-    const auto middle = shares.begin() + static_cast<std::ptrdiff_t>(shares.size() / 2);
-    std::nth_element(shares.begin(), middle, shares.end());
-    return own.share() > kSlowApart * *middle;
+    for (const Server* other : draw_order_) shares.push_back(decayed(*other).slow_share());
+    const auto median = shares.begin() + static_cast<std::ptrdiff_t>(shares.size() / 2);
+    std::nth_element(shares.begin(), median, shares.end());
+    return own.slow_share() > kSlowOutlierFactor * *median;
 }
 
-// Attempts far over their class's usual time, and what they say of their server.
-void Gateway::Impl::watch_pace(TimePoint now) {
-    for (auto& [id, r] : requests_) {
-        if (r.attempts.empty() || r.attempts.back().ran != Ran::Out || r.streaming) continue;
-        Attempt& a = r.attempts.back();
-        if (now - a.sent < kSlowAfter * typical_latency(r)) continue;
-        const auto it = servers_.find(a.host);
+void Gateway::Impl::detect_slow_attempts(TimePoint now) {
+    for (auto& [id, request] : requests_) {
+        if (request.attempts.empty() || request.attempts.back().state != Run::Pending || request.streaming)
+            continue;
+        Attempt& attempt = request.attempts.back();
+        if (now - attempt.sent_at < kSlowFactor * latency_of(request)) continue;
+        const auto it = servers_.find(attempt.host);
         if (it == servers_.end()) continue;
-        if (!std::exchange(a.slow, true)) note_pace(it->second, r.ask.class_index, true, now);
-        if (stands_out(it->second, r.ask.class_index, now)) give_up_attempt(id, r, now);
+        if (!std::exchange(attempt.slow, true)) add_pace(it->second, request.arrival.class_index, true, now);
+        if (slow_outlier(it->second, request.arrival.class_index, now)) cancel_for_retry(id, request, now);
     }
 }
 
--- a/src/decision/peer_message.cpp
+++ b/src/decision/peer_message.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 3;
-constexpr std::uint8_t kHasRights = 1, kHasIntroduction = 2;    // an entry's flags
-constexpr std::uint64_t kLargestNumber = 1u << 20;              // of gateways and plans
+constexpr std::uint8_t kHasRights = 1, kHasIntroduction = 2;    // flags of an entry
+constexpr std::uint64_t kLargestNumber = 1u << 20;              // of a gateway or plan
 constexpr double kLargestSteps = 1e12;
 
 void put_varint(std::vector<std::uint8_t>& out, std::uint64_t value) {
@@ -23,7 +23,7 @@
     put_varint(out, (static_cast<std::uint64_t>(value) << 1) ^ static_cast<std::uint64_t>(value >> 63));
 }
 
-// Reads forward over the bytes; once something is missing or malformed it stays failed.
+// Decodes numbers in order. After a missing or malformed one, failed() stays true.
 class Reader {
 public:
     explicit Reader(const std::vector<std::uint8_t>& bytes) : bytes_(bytes) {}
@@ -46,7 +46,7 @@
         }
         return bytes_[at_++];
     }
-    double amount() {    // zigzag: small amounts of either sign stay short
+    double amount() {    // zigzag encoded, so that small negative amounts are short
         const std::uint64_t zigzag = varint();
         return static_cast<double>(static_cast<std::int64_t>(zigzag >> 1) ^
                                    -static_cast<std::int64_t>(zigzag & 1));
@@ -84,7 +84,7 @@
     const std::int64_t rights = std::max<std::int64_t>(0, to_steps(entry.rights));
     bytes_.push_back(static_cast<std::uint8_t>((rights > 0 ? kHasRights : 0) |
                                                (entry.introduction ? kHasIntroduction : 0)));
-    put_varint(bytes_, static_cast<std::uint64_t>(entry.customer));    // the platform's are below 2^33
+    put_varint(bytes_, static_cast<std::uint64_t>(entry.customer));    // below 2^33 in practice
     put_signed(bytes_, to_steps(entry.free));
     put_signed(bytes_, to_steps(entry.passed));
     if (rights > 0) put_varint(bytes_, static_cast<std::uint64_t>(rights));
--- a/src/decision/policy_constants.h
+++ b/src/decision/policy_constants.h
@@ -1,4 +1,4 @@
-// Tuned values that more than one concern goes by; the others stand where they are used.
+// Constants that several policy files share; the others are defined where they are used.
 #pragma once
 
 #include "decision/gateway_state.h"
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kAlone = 3s;          // no mail at all for this long: each lives on its own refill
-constexpr Duration kBusyTick = 10ms;     // between two ticks while anything is held or out
-constexpr double kFailHalfLife = 3.0;    // seconds
+constexpr Duration kIsolatedAfter = 3s;     // without any peer message; pooled buckets then work alone
+constexpr Duration kBusyTick = 10ms;        // tick interval while requests are queued or in flight
+constexpr double kFailureHalfLife = 3.0;    // seconds
 
 }    // namespace shaletray::decision
--- a/src/decision/server_selection.cpp
+++ b/src/decision/server_selection.cpp
@@ -1,90 +1,90 @@
-// Which server a request may go to, and which it goes to.
+// Which servers a request may be sent to, and which of them it is sent to.
 #include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
-constexpr std::size_t kCandidates = 4;
-constexpr double kSlowCost = 20.0;    // of a server that stands out as slow for the class
-constexpr int kAimPerUsual = 8;       // the aim over the usual latency, until that is seen
+constexpr std::size_t kMaxCandidates = 4;
+constexpr double kSlowCost = 20.0;        // cost factor of a slow outlier
+constexpr int kInitialTargetRatio = 8;    // target over typical latency until one is observed
 
-// The one place that says whether a request may be sent to `target`, or refused (no target).
-bool Gateway::Impl::legal(const Request& r, const Server* target, TimePoint now) const {
-    const ClassSettings& c = class_of(r);
-    const Attempt* first = nullptr;    // the first that may have run
-    for (const Attempt& a : r.attempts) {
-        if (a.ran == Ran::Out && target != nullptr) return false;    // never two at once
-        if (a.ran != Ran::Never && first == nullptr) first = &a;
+bool Gateway::Impl::permitted(const Request& request, const Server* target, TimePoint now) const {
+    const ClassSettings& policy = class_of(request);
+    const Attempt* first_run = nullptr;    // first attempt that may have run
+    for (const Attempt& attempt : request.attempts) {
+        if (attempt.state == Run::Pending && target != nullptr) return false;
+        if (attempt.state != Run::NotRun && first_run == nullptr) first_run = &attempt;
     }
     if (target == nullptr) {
-        if (first == nullptr || c.repeat == Repeat::Safe) return true;
-        return c.repeat == Repeat::Keyed && c.group == KeyGroup::All;
+        if (first_run == nullptr || policy.repeat == Repeat::Safe) return true;
+        return policy.repeat == Repeat::Keyed && policy.group == KeyGroup::All;
     }
-    if (r.streaming || static_cast<int>(r.attempts.size()) >= most_attempts(r) || now >= r.deadline)
+    if (request.streaming || static_cast<int>(request.attempts.size()) >= max_attempts(request) ||
+        now >= request.deadline)
         return false;
-    if (r.ask.only_host != HostId{} && r.ask.only_host != target->entry.host) return false;
-    if (target->entry.state != HostState::Healthy) return false;    // drains: nothing new, at once
-    if (first == nullptr || c.repeat == Repeat::Safe) return true;
-    if (c.repeat == Repeat::Unsafe || now - first->sent >= c.window) return false;
-    if (c.group == KeyGroup::All) return true;
-    const auto it = servers_.find(first->host);
-    if (it == servers_.end()) return false;
-    return c.group == KeyGroup::Zone ? it->second.entry.zone == target->entry.zone
-                                     : it->second.entry.cell == target->entry.cell;
+    if (request.arrival.only_host != HostId{} && request.arrival.only_host != target->entry.host)
+        return false;
+    if (target->entry.state != HostState::Healthy) return false;    // draining servers get nothing new
+    if (first_run == nullptr || policy.repeat == Repeat::Safe) return true;
+    if (policy.repeat == Repeat::Unsafe || now - first_run->sent_at >= policy.window) return false;
+    if (policy.group == KeyGroup::All) return true;
+    const auto first_server = servers_.find(first_run->host);
+    if (first_server == servers_.end()) return false;
+    return policy.group == KeyGroup::Zone ? first_server->second.entry.zone == target->entry.zone
+                                          : first_server->second.entry.cell == target->entry.cell;
 }
 
-Duration Gateway::Impl::typical_latency(std::size_t class_index) const {
-    const double seen = typical_latency_[class_index];
-    return seen > 0.0 ? from_seconds(seen) : s_.classes[class_index].aim / kAimPerUsual;
+Duration Gateway::Impl::latency_of(std::size_t class_index) const {
+    const double observed = typical_latency_[class_index];
+    return observed > 0.0 ? from_seconds(observed) : settings_.classes[class_index].aim / kInitialTargetRatio;
 }
 
-bool Gateway::Impl::usable(const Request& r, const Server& v, TimePoint now, bool any) const {
-    if (!legal(r, &v, now)) return false;
-    const double warm = coldness(v, now);
-    if (warm < 1.0 && v.cold_work <= 0.0) return false;
-    if (any) return true;
-    for (const Attempt& a : r.attempts) {
-        if (a.host == v.entry.host) return false;    // avoid the one that just failed
+bool Gateway::Impl::usable(const Request& request, const Server& server, TimePoint now, bool fallback) const {
+    if (!permitted(request, &server, now)) return false;
+    const double share = capacity_share(server, now);
+    if (share < 1.0 && server.slow_start_budget <= 0.0) return false;
+    if (fallback) return true;
+    for (const Attempt& attempt : request.attempts) {
+        if (attempt.host == server.entry.host) return false;    // it failed there before
     }
-    if (now < v.avoid_until) return false;
-    if (v.ejected) {
-        // Trial traffic: one at a time, and nothing that could be lost for good.
-        return now >= v.ejected_until && !v.hard && v.in_flight == 0 && class_of(r).repeat == Repeat::Safe;
+    if (now < server.avoid_until) return false;
+    if (server.ejected) {    // trial traffic: one request at a time that may be repeated
+        return now >= server.ejected_until && !server.unreachable && server.in_flight == 0 &&
+               class_of(request).repeat == Repeat::Safe;
     }
-    return !suspect(v, now);
+    return !is_unresponsive(server, now);
 }
 
-double Gateway::Impl::cost(const Request& r, const Server& v, TimePoint now) const {
-    const double others =
-        v.reported == TimePoint{} ? 0.0 : v.others * std::exp2(-seconds(now - v.reported) / 0.5);
-    const double keep = std::exp2(-seconds(now - v.counted) / kFailHalfLife);
-    const double failing = v.bad * keep / (1.0 + (v.ok + v.bad) * keep);
-    const double far = v.entry.zone == s_.zone ? 1.0 : 1.1;
-    // In a sparse fleet cold servers are drawn less often; what is out there would not make up for their
-    // size.
-    const double size = std::max(0.01, v.entry.rating * (fleet::sparse(s_) ? 1.0 : coldness(v, now)));
-    const double slow = stands_out(v, r.ask.class_index, now) ? kSlowCost : 1.0;
-    return (1.0 + v.in_flight + others) * v.slowness * (1.0 + 10.0 * failing) * slow * far / size;
+double Gateway::Impl::selection_cost(const Request& request, const Server& server, TimePoint now) const {
+    const double other_load = server.reported == TimePoint{}
+                                  ? 0.0
+                                  : server.other_load * std::exp2(-seconds(now - server.reported) / 0.5);
+    const double decay = std::exp2(-seconds(now - server.counted_at) / kFailureHalfLife);
+    const double failing = server.failures * decay / (1.0 + (server.successes + server.failures) * decay);
+    const double zone_factor = server.entry.zone == settings_.zone ? 1.0 : 1.1;
+    const double capacity = std::max(
+        0.01, server.entry.rating * (fleet::is_sparse(settings_) ? 1.0 : capacity_share(server, now)));
+    const double slow = slow_outlier(server, request.arrival.class_index, now) ? kSlowCost : 1.0;
+    return (1.0 + server.in_flight + other_load) * server.slowness * (1.0 + 10.0 * failing) * slow *
+           zone_factor / capacity;
 }
 
-// Least expected wait among a few random candidates, so that gateways do not all run to the same server.
-Gateway::Impl::Server* Gateway::Impl::choose(const Request& r, TimePoint now) {
-    std::vector<Server*> fit;
-    // A few draws find candidates in a large fleet without testing every host.
-    for (std::size_t i = 0; i < by_draw_.size() && fit.size() < kCandidates; ++i) {
-        std::swap(by_draw_[i], by_draw_[i + random_() % (by_draw_.size() - i)]);
-        if (!usable(r, *by_draw_[i], now, false)) continue;
-        const double share = coldness(*by_draw_[i], now);
-        if (share >= 1.0 || !fleet::sparse(s_) || fleet::cold_drawn(s_, share, random_()))
-            fit.push_back(by_draw_[i]);
+Gateway::Impl::Server* Gateway::Impl::select_server(const Request& request, TimePoint now) {
+    std::vector<Server*> candidates;
+    for (std::size_t i = 0; i < draw_order_.size() && candidates.size() < kMaxCandidates; ++i) {
+        std::swap(draw_order_[i], draw_order_[i + random_() % (draw_order_.size() - i)]);
+        if (!usable(request, *draw_order_[i], now, false)) continue;
+        const double share = capacity_share(*draw_order_[i], now);
+        if (share >= 1.0 || !fleet::is_sparse(settings_) || fleet::draw_cold(settings_, share, random_()))
+            candidates.push_back(draw_order_[i]);
     }
-    for (std::size_t i = 0; i < by_draw_.size() && fit.empty(); ++i) {
-        if (usable(r, *by_draw_[i], now, true)) fit.push_back(by_draw_[i]);
+    for (std::size_t i = 0; i < draw_order_.size() && candidates.empty(); ++i) {
+        if (usable(request, *draw_order_[i], now, true)) candidates.push_back(draw_order_[i]);
     }
-    if (fit.empty()) return nullptr;
-    const auto cheaper = [&](const Server* a, const Server* b) {
-        return cost(r, *a, now) < cost(r, *b, now);
+    if (candidates.empty()) return nullptr;
+    const auto cheaper = [&](const Server* left, const Server* right) {
+        return selection_cost(request, *left, now) < selection_cost(request, *right, now);
     };
-    return *std::min_element(fit.begin(), fit.end(), cheaper);
+    return *std::min_element(candidates.begin(), candidates.end(), cheaper);
 }
 
 }    // namespace shaletray::decision
--- a/src/decision/timers.cpp
+++ b/src/decision/timers.cpp
@@ -1,37 +1,35 @@
-// The tick: what is done as time passes.
+// The periodic tick.
 #include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
 constexpr Duration kIdleTick = 100ms;
-constexpr Duration kSweepEvery = 50ms;    // of all servers: budgets, silence, probes due
+constexpr Duration kServerCheckInterval = 50ms;
 
-// Brings the next tick forward: a client may leave before an idle gateway's tick. Overtaken timers are
-// ignored.
-void Gateway::Impl::arm(TimePoint at) {
-    if (next_tick_ <= at) return;
-    next_tick_ = at;
+void Gateway::Impl::schedule_tick(TimePoint at) {
+    if (next_tick_at_ <= at) return;
+    next_tick_at_ = at;
     actions_->push_back(SetTimer{at, 0});
 }
 
-void Gateway::Impl::tick(TimePoint now) {
-    if (now < next_tick_) return;
-    next_tick_ = TimePoint::max();
-    if (ask_list_at_ != TimePoint{} && now >= ask_list_at_) {
-        ask_list_at_ = TimePoint{};
+void Gateway::Impl::on_timer(TimePoint now) {
+    if (now < next_tick_at_) return;
+    next_tick_at_ = TimePoint::max();
+    if (resubscribe_at_ != TimePoint{} && now >= resubscribe_at_) {
+        resubscribe_at_ = TimePoint{};
         actions_->push_back(Subscribe{});
     }
-    if (now >= next_sweep_) {
-        next_sweep_ = now + kSweepEvery;
-        feed_cold(now);
-        watch_servers(now);
-        watch_attempts(now);
-        watch_pace(now);
+    if (now >= next_server_check_at_) {
+        next_server_check_at_ = now + kServerCheckInterval;
+        refill_slow_start_budgets(now);
+        check_servers(now);
+        detect_hung_attempts(now);
+        detect_slow_attempts(now);
     }
-    pump(now);
-    tell_neighbours(now);
-    expire(now);
-    arm(now + (held_.empty() && in_flight_ == 0 ? kIdleTick : kBusyTick));
+    dispatch_queue(now);
+    send_peer_update(now);
+    expire_customers(now);
+    schedule_tick(now + (queued_.empty() && in_flight_ == 0 ? kIdleTick : kBusyTick));
 }
 
 }    // namespace shaletray::decision
--- a/src/decision/token_buckets.cpp
+++ b/src/decision/token_buckets.cpp
@@ -1,135 +1,133 @@
-// Quota stores: what a customer holds here, what that covers, and when more is due. Its part of the quota is
-// 1 / width of the plan's; what moves between gateways is in balancing.cpp.
+// Quota token buckets: what this gateway may grant a customer, and when more units arrive.
 #include "decision/policy_constants.h"
 
 namespace shaletray::decision {
 
-constexpr double kFineShare = 2.0;    // largest requests in a share: below it stores are read together
-constexpr double kKeepFree = 0.5;     // of the burst: what others may be granting meanwhile
-constexpr double kForgive = 3.0;      // seconds
-constexpr std::size_t kMostCustomers = 50000;
-constexpr Duration kIdleCustomer = 60s;
+constexpr double kPooledLimit = 2.0;           // largest requests; buckets with smaller shares are pooled
+constexpr double kReserve = 0.5;               // of the burst, for grants of other gateways meanwhile
+constexpr double kForgivenessSeconds = 3.0;    // for debts of a whole set
+constexpr std::size_t kMaxCustomers = 50000;
+constexpr Duration kIdleTime = 60s;
 
-Gateway::Impl::Customer* Gateway::Impl::customer_for(TimePoint now, CustomerId id, int plan_index, int first,
-                                                     int set_width) {
+Gateway::Impl::Customer* Gateway::Impl::customer_for(TimePoint now, CustomerId id, int plan_index,
+                                                     int first_gateway, int set_width) {
     if (const auto it = customers_.find(id); it != customers_.end()) return &it->second;
-    if (customers_.size() >= kMostCustomers) return nullptr;
-    Customer& c = customers_[id];
-    const PlanSettings& p = plan(plan_index);
-    const int width = std::clamp(set_width, 1, s_.gateways);
-    const int place = place_in_set(s_.me, first);
-    c.plan = plan_index;
-    c.first = first;
-    c.width = width;
-    c.quota = {p.burst / width, p.burst / width, p.rate / width, now};
-    const double largest = std::max(1.0, s_.most_units);
-    // Where a share is too small for one large request, only the first gateways of the set hold any.
-    const int holders = std::clamp(static_cast<int>(p.ceiling_burst / largest), 1, width);
-    if (place < holders) {    // an earlier life may have spent the share: it counts from this start
-        c.ceiling = {0.0, p.ceiling_burst / holders, p.ceiling_rate / holders, now};
-        c.ceiling.level = std::min(c.ceiling.cap, c.ceiling.rate * seconds(now - boot_));
+    if (customers_.size() >= kMaxCustomers) return nullptr;
+    Customer& customer = customers_[id];
+    const PlanSettings& plan = plan_at(plan_index);
+    const int width = std::clamp(set_width, 1, settings_.gateways);
+    const int position = position_in_set(settings_.me, first_gateway);
+    customer.plan = plan_index;
+    customer.first_gateway = first_gateway;
+    customer.width = width;
+    customer.quota = {plan.burst / width, plan.burst / width, plan.rate / width, now};
+    const double largest = std::max(1.0, settings_.most_units);
+    const int holder_count = std::clamp(static_cast<int>(plan.ceiling_burst / largest), 1, width);
+    if (position < holder_count) {    // an earlier process may have spent it: refills from zero
+        customer.hard_limit = {0.0, plan.ceiling_burst / holder_count, plan.ceiling_rate / holder_count, now};
+        customer.hard_limit.level =
+            std::min(customer.hard_limit.burst, customer.hard_limit.rate * seconds(now - started_at_));
     }
-    if (place < width && s_.may_tell) {
-        // Distances double, both ways, so that pairs agree and units cross a wide set in a few steps.
-        std::set<int> seen{place};
-        for (int d = 1; 2 * d <= width + 1; d *= 2) {
-            for (const int at : {(place + d) % width, ((place - d) % width + width) % width}) {
-                if (!seen.insert(at).second) continue;
-                const PeerId peer{(first + at) % s_.gateways};
-                c.neighbours.emplace_back(peer, peers_[peer], c.quota.cap, now);
+    if (position < width && settings_.may_tell) {
+        std::set<int> used_positions{position};
+        for (int distance = 1; 2 * distance <= width + 1; distance *= 2) {
+            for (const int other_position :
+                 {(position + distance) % width, ((position - distance) % width + width) % width}) {
+                if (!used_positions.insert(other_position).second) continue;
+                const PeerId peer{(first_gateway + other_position) % settings_.gateways};
+                customer.links.emplace_back(peer, peers_[peer], customer.quota.burst, now);
             }
         }
     }
-    c.fine = !all_hear_ && !c.neighbours.empty() && c.quota.cap < kFineShare * largest;
-    // The more of the set is out of sight, the more of the burst is left for what others may be granting.
-    c.keep = kKeepFree * p.burst * (1.0 - static_cast<double>(c.neighbours.size() + 1) / width);
-    return &c;
+    customer.pooled = !full_mesh_ && !customer.links.empty() && customer.quota.burst < kPooledLimit * largest;
+    customer.reserve = kReserve * plan.burst * (1.0 - static_cast<double>(customer.links.size() + 1) / width);
+    return &customer;
 }
 
-// Units have to pass through gateways that no request of the customer has reached yet.
-Gateway::Impl::Customer* Gateway::Impl::introduced(const PeerEntry& entry, PeerId from, TimePoint now) {
+Gateway::Impl::Customer* Gateway::Impl::customer_from(const PeerEntry& entry, PeerId from, TimePoint now) {
     if (const auto it = customers_.find(entry.customer); it != customers_.end()) return &it->second;
-    const std::optional<PeerIntroduction>& i = entry.introduction;
-    if (!i || static_cast<std::size_t>(i->plan) >= s_.plans.size() || i->first_gateway >= s_.gateways ||
-        i->width < 2 || i->width > s_.gateways)
+    const std::optional<PeerIntroduction>& intro = entry.introduction;
+    if (!intro || static_cast<std::size_t>(intro->plan) >= settings_.plans.size() ||
+        intro->first_gateway >= settings_.gateways || intro->width < 2 || intro->width > settings_.gateways)
         return nullptr;
-    for (const int member : {s_.me, static_cast<int>(from)}) {
-        if (place_in_set(member, i->first_gateway) >= i->width) return nullptr;
+    for (const int member : {settings_.me, static_cast<int>(from)}) {
+        if (position_in_set(member, intro->first_gateway) >= intro->width) return nullptr;
     }
-    return customer_for(now, entry.customer, i->plan, i->first_gateway, i->width);
+    return customer_for(now, entry.customer, intro->plan, intro->first_gateway, intro->width);
 }
 
-void Gateway::Impl::refill(Customer& c, TimePoint now) {
-    // What went beyond the quota took nothing from it: a set's debts below nothing are forgiven over a while.
-    if (c.fine && c.quota.level < 0.0) {
-        const double owed = -std::min(0.0, set_free(c, now)) / c.width;
-        c.quota.level +=
-            std::min(owed, -c.quota.level) * std::min(1.0, seconds(now - c.quota.touched) / kForgive);
+void Gateway::Impl::refill(Customer& customer, TimePoint now) {
+    if (customer.pooled && customer.quota.level < 0.0) {
+        const double debt = -std::min(0.0, free_in_set(customer, now)) / customer.width;
+        customer.quota.level +=
+            std::min(debt, -customer.quota.level) *
+            std::min(1.0, seconds(now - customer.quota.refilled_at) / kForgivenessSeconds);
     }
-    c.quota.refill(now);
-    c.ceiling.refill(now);
-    c.ceiling.level = std::min(c.ceiling.level, ceiling_cap(c, now));
+    customer.quota.refill(now);
+    customer.hard_limit.refill(now);
+    customer.hard_limit.level = std::min(customer.hard_limit.level, hard_limit_burst(customer, now));
 }
 
-// The ledger outside knows the shares, and what was taken of the ceiling: it was told of each send.
-void Gateway::Impl::allowed(const Allowance& e, TimePoint now) {
-    Customer* c = customer_for(now, e.customer, e.plan_index, e.first_gateway, e.width);
-    if (c == nullptr) return;
-    refill(*c, now);
-    c->plan = e.plan_index;
-    c->quota.rate = e.rate;
-    c->quota.cap = e.burst;
-    c->quota.level = std::min(e.burst, c->quota.level + e.gain);
-    c->ceiling = {e.ceiling_level, e.ceiling_burst, e.ceiling_rate, now};
+void Gateway::Impl::on_allowance(const Allowance& allowance, TimePoint now) {
+    Customer* customer =
+        customer_for(now, allowance.customer, allowance.plan_index, allowance.first_gateway, allowance.width);
+    if (customer == nullptr) return;
+    refill(*customer, now);
+    customer->plan = allowance.plan_index;
+    customer->quota.rate = allowance.rate;
+    customer->quota.burst = allowance.burst;
+    customer->quota.level = std::min(allowance.burst, customer->quota.level + allowance.gain);
+    customer->hard_limit = {allowance.ceiling_level, allowance.ceiling_burst, allowance.ceiling_rate, now};
 }
 
-bool Gateway::Impl::covered(const Customer& c, double units, TimePoint now) const {
-    const PlanSettings& p = plan(c.plan);
-    if (p.rate > 0.0 && c.quota.level < units - 1e-9) {
-        // A full store passes any request; a small share that reads with others, where those hold enough.
-        const bool alone = !c.fine || now - mail_at_ > kAlone;
-        if (alone ? c.quota.level < c.quota.cap - 1e-9 : set_free(c, now) < units + c.keep) return false;
+bool Gateway::Impl::quota_allows(const Customer& customer, double units, TimePoint now) const {
+    const PlanSettings& plan = plan_at(customer.plan);
+    if (plan.rate > 0.0 && customer.quota.level < units - 1e-9) {
+        const bool alone = !customer.pooled || now - last_peer_message_at_ > kIsolatedAfter;
+        if (alone ? customer.quota.level < customer.quota.burst - 1e-9
+                  : free_in_set(customer, now) < units + customer.reserve)
+            return false;
     }
-    return p.max_out <= 0 || c.in_flight < std::max(1, p.max_out / c.width);
+    return plan.max_out <= 0 || customer.in_flight < std::max(1, plan.max_out / customer.width);
 }
 
-// Free units over the whole set of a fine customer, with the neighbours standing for all others.
-double Gateway::Impl::set_free(const Customer& c, TimePoint now) const {
-    double told = 0.0;
-    for (const Neighbour& n : c.neighbours) told += holds(c, n, now);
-    return c.quota.level + told / static_cast<double>(c.neighbours.size()) * (c.width - 1);
+double Gateway::Impl::free_in_set(const Customer& customer, TimePoint now) const {
+    double units = 0.0;
+    for (const Link& link : customer.links) units += estimated_level(customer, link, now);
+    return customer.quota.level + units / static_cast<double>(customer.links.size()) * (customer.width - 1);
 }
 
-// Units likely here within `horizon` seconds: own refill, and half of what neighbours have more.
-double Gateway::Impl::soon(const Customer& c, double horizon) const {
-    if (c.fine) return -1.0;    // all of its gateways would see the same refill, and all grant at once
-    double units = c.quota.level + c.quota.rate * horizon;
-    for (const Neighbour& n : c.neighbours) {
-        if (n.told) units += std::max(0.0, *n.told - std::max(0.0, c.quota.level)) / 2.0;
+double Gateway::Impl::expected_units(const Customer& customer, double horizon) const {
+    if (customer.pooled) return -1.0;    // all gateways of the set would grant the same refill
+    double units = customer.quota.level + customer.quota.rate * horizon;
+    for (const Link& link : customer.links) {
+        if (link.reported) units += std::max(0.0, *link.reported - std::max(0.0, customer.quota.level)) / 2.0;
     }
     return units;
 }
 
-// For a refusal's advice: another try may reach any gateway of a set whose stores are read together.
-Duration Gateway::Impl::refilled_in(const Customer& c, double units, TimePoint now) const {
-    if (c.quota.rate <= 0.0) return Duration(0);
-    const double missing =
-        c.fine ? (units + c.keep - set_free(c, now)) / c.width : units + c.waiting - c.quota.level;
-    return from_seconds(std::max(0.0, missing) / c.quota.rate);
+Duration Gateway::Impl::refill_time(const Customer& customer, double units, TimePoint now) const {
+    if (customer.quota.rate <= 0.0) return Duration(0);
+    const double missing = customer.pooled
+                               ? (units + customer.reserve - free_in_set(customer, now)) / customer.width
+                               : units + customer.backlog - customer.quota.level;
+    return from_seconds(std::max(0.0, missing) / customer.quota.rate);
 }
 
-void Gateway::Impl::expire(TimePoint now) {
-    if (now < next_expire_) return;
-    next_expire_ = now + 1s;
-    std::set<CustomerId> held;    // those held for room too, which the customer does not count
-    for (const auto& [turn, r] : held_) held.insert(r->ask.customer);
+void Gateway::Impl::expire_customers(TimePoint now) {
+    if (now < next_expiry_at_) return;
+    next_expiry_at_ = now + 1s;
+    std::set<CustomerId> queued;    // also for capacity, unlike Customer::queue
+    for (const auto& [position, request] : queued_) queued.insert(request->arrival.customer);
     for (auto it = customers_.begin(); it != customers_.end();) {
-        Customer& c = it->second;
-        const bool old = now - c.used >= kIdleCustomer || customers_.size() >= kMostCustomers / 2;
-        refill(c, now);
-        const bool full = c.quota.level >= c.quota.cap && c.ceiling.level >= c.ceiling.cap && c.lent.empty();
-        it = old && full && c.in_flight == 0 && !held.contains(it->first) ? customers_.erase(it)
-                                                                          : std::next(it);
+        Customer& customer = it->second;
+        const bool idle = now - customer.last_used >= kIdleTime || customers_.size() >= kMaxCustomers / 2;
+        refill(customer, now);
+        const bool full = customer.quota.level >= customer.quota.burst &&
+                          customer.hard_limit.level >= customer.hard_limit.burst &&
+                          customer.transfers.empty();
+        it = idle && full && customer.in_flight == 0 && !queued.contains(it->first) ? customers_.erase(it)
+                                                                                    : std::next(it);
     }
 }
 
--- a/src/decision/wire/wire_codec.cpp
+++ b/src/decision/wire/wire_codec.cpp
@@ -13,13 +13,13 @@
     throw BadMessage("event " + event + ", field " + field + ": " + what);
 }
 
-// Reads fields of one object; `where` names it in errors.
+// Typed access to the fields of one object; `where` names it in errors.
 struct Fields {
     const Json& object;
     std::string where;
 
     const Json* find(const char* name) const {
-        if (!object.is_object()) bad_field(where, name, "its holder is not an object");
+        if (!object.is_object()) bad_field(where, name, "its parent is not an object");
         const auto it = object.find(name);
         return it == object.end() || it->is_null() ? nullptr : &*it;
     }
@@ -68,10 +68,10 @@
         if (!value->is_boolean()) bad_field(where, name, "not true or false");
         return value->get<bool>();
     }
-    std::string text(const char* name, bool must = true) const {
+    std::string text(const char* name, bool required_field = true) const {
         const Json* value = find(name);
         if (value == nullptr) {
-            if (must) bad_field(where, name, "missing");
+            if (required_field) bad_field(where, name, "missing");
             return {};
         }
         if (!value->is_string()) bad_field(where, name, "not text");
@@ -175,24 +175,24 @@
     return values;
 }
 
-Json fields_of(const Send& a) {
-    return {{"msgId", static_cast<std::uint32_t>(a.request)},
-            {"host", static_cast<std::uint32_t>(a.host)},
-            {"limit", a.limit.count()}};
+Json fields_of(const Send& action) {
+    return {{"msgId", static_cast<std::uint32_t>(action.request)},
+            {"host", static_cast<std::uint32_t>(action.host)},
+            {"limit", action.limit.count()}};
 }
-Json fields_of(const CancelAttempt& a) {
-    return {{"msgId", static_cast<std::uint32_t>(a.request)}, {"n", a.attempt}};
+Json fields_of(const CancelAttempt& action) {
+    return {{"msgId", static_cast<std::uint32_t>(action.request)}, {"n", action.attempt}};
 }
-Json fields_of(const Refuse& a) {
-    return {{"msgId", static_cast<std::uint32_t>(a.request)}, {"wait", a.retry_after.count()}};
+Json fields_of(const Refuse& action) {
+    return {{"msgId", static_cast<std::uint32_t>(action.request)}, {"wait", action.retry_after.count()}};
 }
-Json fields_of(const Fail& a) { return {{"msgId", static_cast<std::uint32_t>(a.request)}}; }
-Json fields_of(const SetTimer& a) {
-    return {{"time", a.at.time_since_epoch().count()}, {"tag", std::to_string(a.token)}};
+Json fields_of(const Fail& action) { return {{"msgId", static_cast<std::uint32_t>(action.request)}}; }
+Json fields_of(const SetTimer& action) {
+    return {{"time", action.at.time_since_epoch().count()}, {"tag", std::to_string(action.token)}};
 }
-Json fields_of(const Probe& a) { return {{"host", static_cast<std::uint32_t>(a.host)}}; }
-Json fields_of(const TellPeer& a) {
-    return {{"whom", static_cast<std::int32_t>(a.peer)}, {"octets", base64_encode(a.bytes)}};
+Json fields_of(const Probe& action) { return {{"host", static_cast<std::uint32_t>(action.host)}}; }
+Json fields_of(const TellPeer& action) {
+    return {{"whom", static_cast<std::int32_t>(action.peer)}, {"octets", base64_encode(action.bytes)}};
 }
 Json fields_of(const Subscribe&) { return {{"on", true}}; }
 
@@ -222,102 +222,108 @@
 
 Settings parse_settings(const Json& setup) {
     const Fields top{setup, "BOOT.setup"};
-    Settings s;
-    s.me = top.small_or("me", 0);
-    s.gateways = top.small_or("replicasOfMe", 1);
-    s.zone = top.small_or("zone", 0);
+    Settings settings;
+    settings.me = top.small_or("me", 0);
+    settings.gateways = top.small_or("replicasOfMe", 1);
+    settings.zone = top.small_or("zone", 0);
     for (const Json& item : top.list("classes")) {
-        const Fields f{item, "BOOT.setup.classes"};
-        ClassSettings c;
-        c.name = f.text("name", false);
-        const std::string repeat = f.text("idempotency");
-        if (repeat == "safe") c.repeat = Repeat::Safe;
-        else if (repeat == "keyed") c.repeat = Repeat::Keyed;
-        else if (repeat == "unsafe") c.repeat = Repeat::Unsafe;
-        else bad_field(f.where, "idempotency", "unknown");
-        const std::string group = f.text("group", false);
-        c.group = group == "cell" ? KeyGroup::Cell : group == "zone" ? KeyGroup::Zone : KeyGroup::All;
-        c.window = f.duration("window");
-        c.aim = f.duration("slo");
-        c.give_up = f.duration("hardLimit");
-        c.worth = f.number("gain", 1.0);
-        c.late_share = f.number("lateShare", 0.0);
-        s.classes.push_back(c);
+        const Fields fields{item, "BOOT.setup.classes"};
+        ClassSettings request_class;
+        request_class.name = fields.text("name", false);
+        const std::string repeat = fields.text("idempotency");
+        if (repeat == "safe") request_class.repeat = Repeat::Safe;
+        else if (repeat == "keyed") request_class.repeat = Repeat::Keyed;
+        else if (repeat == "unsafe") request_class.repeat = Repeat::Unsafe;
+        else bad_field(fields.where, "idempotency", "unknown");
+        const std::string group = fields.text("group", false);
+        request_class.group = group == "cell"   ? KeyGroup::Cell
+                              : group == "zone" ? KeyGroup::Zone
+                                                : KeyGroup::All;
+        request_class.window = fields.duration("window");
+        request_class.aim = fields.duration("slo");
+        request_class.give_up = fields.duration("hardLimit");
+        request_class.worth = fields.number("gain", 1.0);
+        request_class.late_share = fields.number("lateShare", 0.0);
+        settings.classes.push_back(request_class);
     }
     for (const Json& item : top.list("tiersOfService")) {
-        const Fields f{item, "BOOT.setup.tiersOfService"};
-        PlanSettings p;
-        p.name = f.text("name", false);
-        p.rate = f.number("unitsPerS", 0.0);
-        p.burst = f.number("peakUnits", 0.0);
-        p.max_out = f.small_or("maxOut", 0);
-        p.ceiling_rate = f.number("ceilingRate", 0.0);
-        p.ceiling_burst = f.number("hardBurst", 0.0);
-        p.ceiling_slack = f.number("hardSlack", 0.0);
-        p.price = f.number("pays", 1.0);
-        p.over_worth = f.number("overWorth", 0.0);
-        p.over_cost = f.number("overCost", 0.0);
-        s.plans.push_back(p);
+        const Fields fields{item, "BOOT.setup.tiersOfService"};
+        PlanSettings plan;
+        plan.name = fields.text("name", false);
+        plan.rate = fields.number("unitsPerS", 0.0);
+        plan.burst = fields.number("peakUnits", 0.0);
+        plan.max_out = fields.small_or("maxOut", 0);
+        plan.ceiling_rate = fields.number("ceilingRate", 0.0);
+        plan.ceiling_burst = fields.number("hardBurst", 0.0);
+        plan.ceiling_slack = fields.number("hardSlack", 0.0);
+        plan.price = fields.number("pays", 1.0);
+        plan.over_worth = fields.number("overWorth", 0.0);
+        plan.over_cost = fields.number("overCost", 0.0);
+        settings.plans.push_back(plan);
     }
     const Fields limits = top.inner("limits");
-    s.send_cap = limits.small_or("sendCap", 1);
-    s.second_copies = limits.flag("secondCopies");
-    s.may_cancel = limits.flag("mayCancel");
-    s.may_probe = limits.flag("mayProbe");
-    s.may_tell = limits.flag("mayTell");
-    s.max_retry_after = limits.flag("retryAfter") ? limits.duration("maxRetryAfter") : Duration(0);
-    s.max_open = limits.small_or("maxOpen", s.max_open);
+    settings.send_cap = limits.small_or("sendCap", 1);
+    settings.second_copies = limits.flag("secondCopies");
+    settings.may_cancel = limits.flag("mayCancel");
+    settings.may_probe = limits.flag("mayProbe");
+    settings.may_tell = limits.flag("mayTell");
+    settings.max_retry_after = limits.flag("retryAfter") ? limits.duration("maxRetryAfter") : Duration(0);
+    settings.max_open = limits.small_or("maxOpen", settings.max_open);
     const Fields rules = top.inner("rules");
-    s.drain_grace = rules.duration("drainGrace");
-    s.cold = rules.duration("cold");
-    s.start_capacity = rules.number("startCapacity", 1.0);
-    s.fall_multiple = rules.number("fallMultiple", 1.0);
-    s.fall = rules.duration("fall");
-    s.ask_for_list = top.text("membershipMode", false) == "ask";
+    settings.drain_grace = rules.duration("drainGrace");
+    settings.cold = rules.duration("cold");
+    settings.start_capacity = rules.number("startCapacity", 1.0);
+    settings.fall_multiple = rules.number("fallMultiple", 1.0);
+    settings.fall = rules.duration("fall");
+    settings.ask_for_list = top.text("membershipMode", false) == "ask";
     const std::string via = top.inner("loadInfo").text("via", false);
-    s.reports = via == "inline" ? ReportVia::Inline : via == "on_probe" ? ReportVia::Probe : ReportVia::Off;
+    settings.reports = via == "inline"     ? ReportVia::Inline
+                       : via == "on_probe" ? ReportVia::Probe
+                                           : ReportVia::Off;
     const Fields specifics = top.inner("specifics");
-    s.peer_messages_per_s = specifics.number("mailPerS", 0.0);
-    s.most_units = specifics.number("mostUnits", 1.0);
-    s.settles = specifics.flag("settles");
-    return s;
+    settings.peer_messages_per_s = specifics.number("mailPerS", 0.0);
+    settings.most_units = specifics.number("mostUnits", 1.0);
+    settings.settles = specifics.flag("settles");
+    return settings;
 }
 
 bool parse_event(const Message& message, Event& event) {
-    const Fields f{message.fields, message.name};
+    const Fields fields{message.fields, message.name};
     const std::string& name = message.name;
     if (name == "REQUEST") {
-        event = parse_request(f);
+        event = parse_request(fields);
     } else if (name == "FINISHED") {
         AttemptFinished finished;
-        finished.request = RequestId{f.id("msgId")};
-        finished.attempt = f.small_or("n", 0);
-        finished.host = HostId{f.id("host")};
-        finished.outcome = parse_outcome(f);
-        finished.took = f.duration("costTime");
-        finished.settled_units = f.number("cost", 0.0);
-        finished.final = f.flag("final");
-        finished.report = parse_report(f);
+        finished.request = RequestId{fields.id("msgId")};
+        finished.attempt = fields.small_or("n", 0);
+        finished.host = HostId{fields.id("host")};
+        finished.outcome = parse_outcome(fields);
+        finished.took = fields.duration("costTime");
+        finished.settled_units = fields.number("cost", 0.0);
+        finished.final = fields.flag("final");
+        finished.report = parse_report(fields);
         event = std::move(finished);
     } else if (name == "STARTED") {
-        event = AttemptStarted{RequestId{f.id("msgId")}, f.small_or("n", 0), HostId{f.id("host")}};
+        event =
+            AttemptStarted{RequestId{fields.id("msgId")}, fields.small_or("n", 0), HostId{fields.id("host")}};
     } else if (name == "ABORTED") {
-        event = RequestAborted{RequestId{f.id("msgId")}};
+        event = RequestAborted{RequestId{fields.id("msgId")}};
     } else if (name == "ELAPSED") {
-        const std::string tag = f.text("tag");
+        const std::string tag = fields.text("tag");
         std::uint64_t token = 0;
         const auto [end, error] = std::from_chars(tag.data(), tag.data() + tag.size(), token);
-        if (error != std::errc{} || end != tag.data() + tag.size()) bad_field(name, "tag", "not one of ours");
+        if (error != std::errc{} || end != tag.data() + tag.size())
+            bad_field(name, "tag", "not a timer of this module");
         event = TimerFired{token};
     } else if (name == "CHECKED") {
-        event =
-            ProbeFinished{HostId{f.id("host")}, parse_outcome(f), f.duration("costTime"), parse_report(f)};
+        event = ProbeFinished{HostId{fields.id("host")}, parse_outcome(fields), fields.duration("costTime"),
+                              parse_report(fields)};
     } else if (name == "DISCOVERY") {
-        event = parse_list(f);
+        event = parse_list(fields);
     } else if (name == "PEER_DATA") {
-        const int from = f.small("from", f.required("from"));
+        const int from = fields.small("from", fields.required("from"));
         try {
-            event = PeerBytes{PeerId{from}, base64_decode(f.text("octets"))};
+            event = PeerBytes{PeerId{from}, base64_decode(fields.text("octets"))};
         } catch (const std::invalid_argument& error) {
             bad_field(name, "octets", error.what());
         }
@@ -330,7 +336,7 @@
 }
 
 void write_action(std::int64_t who, const Action& action, std::string& out) {
-    Json fields = std::visit([](const auto& a) { return fields_of(a); }, action);
+    Json fields = std::visit([](const auto& typed) { return fields_of(typed); }, action);
     fields["who"] = who;
     out += Json{{kActionNames[action.index()], std::move(fields)}}.dump();
     out += '\n';
--- a/src/decision/wire/wire_host.cpp
+++ b/src/decision/wire/wire_host.cpp
@@ -1,4 +1,5 @@
-// Hosts gateway instances on the simulator's wire: reads batches, hands events on, writes replies.
+// Runs gateway instances for the simulator: reads batches of events from standard input, passes them to the
+// instances, and writes their actions to standard output.
 #include <iostream>
 #include <map>
 #include <string>
@@ -15,10 +16,11 @@
 using shaletray::decision::TimePoint;
 namespace wire = shaletray::decision::wire;
 
+// The instances by number, and the replies of the current batch.
 class Host {
 public:
-    // One line of input; replies to a batch once it is complete.
-    void take(const std::string& line) {
+    // Processes one line of input. Writes the replies to a batch when it is complete.
+    void process_line(const std::string& line) {
         const wire::Message message = wire::parse_line(line);
         if (message.name == "ROUND") {
             now_ = TimePoint(shaletray::decision::Duration(message.integer("wall")));
@@ -88,7 +90,7 @@
     for (std::size_t number = 1; std::getline(std::cin, line); ++number) {
         if (line.empty()) continue;
         try {
-            host.take(line);
+            host.process_line(line);
         } catch (const std::exception& error) {
             std::cerr << "line " << number << ": " << error.what() << '\n';
             return 1;
--- a/tests/decision/fleet/cold_start_test.cpp
+++ b/tests/decision/fleet/cold_start_test.cpp
@@ -1,4 +1,4 @@
-// Cold servers under a whole fleet: never over the rule, never left idle.
+// Tests of slow start in a fleet of gateways: cold servers are neither overloaded nor left idle.
 #include "decision/fleet/cold_start.h"
 
 #include <gtest/gtest.h>
@@ -22,11 +22,11 @@
     return s;
 }
 
-// One gateway of a hundred, six requests a second, five of nine servers just started: what one gateway has
-// out is no measure, so that a cold server costs more than any warm one, and was never chosen (join+vast,
-// seed 1049668931579: of 3,100 sends between the 9th and the 18th second 32 went to the 36 cold servers of
-// 60, warm ones took 700 ms).
-TEST(ColdStart, ServersThatStartedGetTheirPartFromASparseFleet) {
+// One gateway of a hundred, with six requests per second; five of nine servers have just started. Its own
+// attempts in flight say little about a server's load, so that a cold server cost more than any warm one and
+// was not selected (join+vast, seed 1049668931579: of 3,100 attempts between the 9th and the 18th second 32
+// went to the 36 cold servers of 60, while warm ones took 700 ms).
+TEST(ColdStart, SparseFleetSendsToColdServers) {
     int cold = 0, all = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Script s(fleet_site(100), seed);
@@ -53,10 +53,10 @@
     EXPECT_LT(cold, all * 3 / 4);
 }
 
-// All gateways together, each with a budget and draws of its own, in virtual time. Capacity unknown to them;
-// some of them dead without anybody knowing; traffic uneven; and every gateway has a request in hand whenever
-// it may send, so that the budgets alone must hold. No window holds more than N + 3 root N + 3.
-TEST(ColdStart, AllGatewaysTogetherStayInsideTheRule) {
+// All gateways, each with its own budget and random draws, in virtual time. They do not know the capacity,
+// some of them have no traffic, the rest has uneven traffic, and each sends whenever it may, so that the
+// budgets alone must limit it. No window may hold more than N + 3 sqrt(N) + 3 attempts.
+TEST(ColdStart, AllGatewaysTogetherKeepTheColdServerRule) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         std::mt19937_64 random(seed);
         const auto uniform = [&](double from, double to) {
@@ -70,7 +70,7 @@
         double sum = 0.0;
         for (int g = 0; g < gateways; ++g)
             sum += traffic.emplace_back(uniform(0, 1) < alive ? uniform(0.2, 3) : 0);
-        // What a warm server gets of each gateway, up to all that it can serve.
+        // What each gateway sends to a warm server, in all up to its capacity.
         for (double& t : traffic) {
             t *= load * capacity / sum;
             each.push_back(t * work);
@@ -79,12 +79,13 @@
         std::deque<double> window;
         const double dt = 0.02;
         for (double at = 0.0; at < 17.0; at += dt) {
-            const double share = fleet::cold_share(
+            const double share = fleet::capacity_share(
                 s, TimePoint(1s), TimePoint(1s) + Duration(static_cast<std::int64_t>(at * 1e6)));
             for (int g = 0; g < gateways; ++g) {
                 auto& budget = budgets[static_cast<std::size_t>(g)];
-                budget = fleet::cold_budget(s, budget, share, each[static_cast<std::size_t>(g)], true, dt);
-                if (budget <= 0.0 || !fleet::cold_drawn(s, share, random())) continue;
+                budget =
+                    fleet::slow_start_budget(s, budget, share, each[static_cast<std::size_t>(g)], true, dt);
+                if (budget <= 0.0 || !fleet::draw_cold(s, share, random())) continue;
                 budget -= work;
                 window.push_back(at);
             }
@@ -96,15 +97,15 @@
     }
 }
 
-TEST(ColdStart, SettingsWithoutARuleOrWithOneGatewayWorkAsSuch) {
+TEST(ColdStart, WorksWithOneGatewayAndWithoutSlowStart) {
     Settings s = fleet_site(1);
-    EXPECT_FALSE(fleet::sparse(s));
+    EXPECT_FALSE(fleet::is_sparse(s));
     s = fleet_site(1000);
     s.cold = Duration(0);
-    EXPECT_TRUE(fleet::sparse(s));
-    EXPECT_EQ(fleet::cold_share(s, TimePoint(1s), TimePoint(1s)), 1.0);
-    EXPECT_TRUE(fleet::cold_drawn(s, 1.0, ~0ULL));
-    EXPECT_FALSE(fleet::cold_drawn(s, 0.2, ~0ULL));
+    EXPECT_TRUE(fleet::is_sparse(s));
+    EXPECT_EQ(fleet::capacity_share(s, TimePoint(1s), TimePoint(1s)), 1.0);
+    EXPECT_TRUE(fleet::draw_cold(s, 1.0, ~0ULL));
+    EXPECT_FALSE(fleet::draw_cold(s, 0.2, ~0ULL));
 }
 
 }    // namespace
