--- a/tests/decision/control_rules_test.cpp
+++ b/tests/decision/control_rules_test.cpp
@@ -1,4 +1,5 @@
-// The five rules, each for one gateway alone.
+// Tests of the rules that a gateway must keep: final answers, effects of repeated requests, draining hosts,
+// cold hosts, and the hard limit.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -24,7 +25,7 @@
     EXPECT_TRUE(s.all<Fail>().empty());
 }
 
-TEST(FinalAnswer, HeldRequestIsAnsweredBeforeTheClientLeaves) {
+TEST(FinalAnswer, QueuedRequestIsAnsweredBeforeItsDeadline) {
     Script s;    // no server known: nothing can be sent
     s.ask(kUnsafe, 1.0, 7, kPlain, 300ms);
     s.pass(300ms);
@@ -32,14 +33,14 @@
     EXPECT_TRUE(s.all<Send>().empty());
 }
 
-TEST(FinalAnswer, BudgetTooShortToHoldIsRefusedAtOnce) {
+TEST(FinalAnswer, RequestWithTooLittleTimeToQueueIsRejectedAtOnce) {
     Script s;
     s.ask(kSafe, 1.0, 7, kPlain, 5ms);
     EXPECT_EQ(s.all<Refuse>().size(), 1U);
 }
 
-TEST(FinalAnswer, ShortBudgetIsKeptByAGatewayThatWasIdle) {
-    // Found by a hunt on campus-vale (h88e934): the tick of an idle gateway came after the client had left.
+TEST(FinalAnswer, IdleGatewayAnswersShortRequestsBeforeTheirDeadline) {
+    // The tick of an idle gateway once came after the deadline (found on campus-vale, h88e934).
     for (const Duration budget : {21ms, 26ms, 60ms, 110ms}) {
         for (const Duration after : {0ms, 3ms, 40ms, 97ms}) {
             Script s;
@@ -79,7 +80,7 @@
     EXPECT_TRUE(s.actions.empty());
 }
 
-TEST(FinalAnswer, AbortedRequestIsOwedNothing) {
+TEST(FinalAnswer, AbortedRequestGetsNoAnswer) {
     Script s;
     const RequestId id = s.ask();
     s.clear();
@@ -89,7 +90,7 @@
     EXPECT_TRUE(s.all<Fail>().empty());
 }
 
-TEST(Effects, UnsafeThatMayHaveRunIsFailedNeverResentNorRefused) {
+TEST(Effects, UnsafeRequestThatMayHaveRunIsFailedNotResentOrRejected) {
     for (const Outcome outcome : {Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled}) {
         Script s;
         s.hosts(4);
@@ -104,7 +105,7 @@
     }
 }
 
-TEST(Effects, UnsafeThatNeverRanIsTriedElsewhere) {
+TEST(Effects, UnsafeRequestThatDidNotRunIsRetriedElsewhere) {
     for (const Outcome outcome : {Outcome::Full, Outcome::ConnectFailed}) {
         Script s;
         s.hosts(4);
@@ -117,7 +118,7 @@
     }
 }
 
-TEST(Effects, KeyedStaysInTheCellOfItsFirstAttempt) {
+TEST(Effects, KeyedRequestStaysInTheCellOfItsFirstAttempt) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Script s(small_site(), seed);
         s.hosts(8);
@@ -131,7 +132,7 @@
     }
 }
 
-TEST(Effects, KeyedIsNotResentAfterItsWindowNorRefused) {
+TEST(Effects, KeyedRequestIsNotResentOrRejectedAfterItsWindow) {
     Script s;
     s.hosts(8);
     const RequestId id = s.ask(kKeyed);
@@ -145,7 +146,7 @@
     EXPECT_EQ(s.all<Fail>().size(), 1U);
 }
 
-TEST(Effects, SendCapIsKept) {
+TEST(Effects, AttemptLimitIsKept) {
     Script s;
     s.hosts(8);
     const RequestId id = s.ask(kSafe, 1.0, 7, kPlain, 20s);
@@ -161,7 +162,7 @@
     EXPECT_EQ(s.all<Refuse>().size(), 1U);
 }
 
-TEST(Drains, NothingNewOnceToldOfADrainOrAGoneHost) {
+TEST(Drains, DrainingOrGoneHostsGetNoRequests) {
     for (const HostState state : {HostState::Draining, HostState::Gone}) {
         Script s;
         s.hosts(2);
@@ -177,7 +178,7 @@
     }
 }
 
-TEST(Drains, HostLeftOutOfAWholeListIsGone) {
+TEST(Drains, HostMissingFromAFullListIsGone) {
     Script s;
     s.hosts(3);
     s.hosts(1);
@@ -190,7 +191,7 @@
     }
 }
 
-TEST(Drains, FailedListLeavesTheOldOne) {
+TEST(Drains, FailedListKeepsTheOldOne) {
     Script s;
     s.hosts(2);
     HostList failed;
@@ -201,7 +202,7 @@
     EXPECT_TRUE(s.last<Send>());
 }
 
-TEST(ColdHosts, OneAmongWarmOnesGetsItsColdShareOnly) {
+TEST(ColdHosts, ColdHostAmongWarmOnesGetsItsShareOnly) {
     Settings site = wide_open();
     Script s(site);
     s.hosts(4);
@@ -222,13 +223,13 @@
         }
         s.pass(10ms);
     }
-    // By then it surely has 53% of its capacity; half of three times that is the bound.
+    // At the end it has at least 53% of its capacity; half of three times that is the limit.
     const double warm = (sent[HostId{1}] + sent[HostId{2}] + sent[HostId{3}]) / 3.0;
     EXPECT_GT(sent[HostId{4}], 0);
     EXPECT_LT(sent[HostId{4}], 1.5 * 0.53 * warm);
 }
 
-TEST(ColdHosts, FleetThatIsAllColdIsStillServed) {
+TEST(ColdHosts, RequestsAreServedWhileAllHostsAreCold) {
     Script s;
     s.hosts(4, s.now - 100ms);
     s.pass(20ms);
@@ -240,11 +241,11 @@
     }
     for (const Send& send : s.all<Send>()) sent += send.host != HostId{0} ? 1 : 0;
     EXPECT_GT(sent, 0);
-    EXPECT_LE(sent, 4);    // one at a time each
+    EXPECT_LE(sent, 4);    // one at a time per host
 }
 
 TEST(ColdHosts, HundredsOfGatewaysDoNotAllSendAtOnce) {
-    // A budget may be overdrawn by one request: 300 gateways that all begin with one would push a host over.
+    // A budget may be overdrawn by one request. 300 gateways that all start with one would overload a host.
     Settings site = wide_open();
     site.gateways = 300;
     int sent = 0;
@@ -259,11 +260,12 @@
         sent += static_cast<int>(s.all<Send>().size());
     }
     EXPECT_GT(sent, 0);
-    // One second; a core's work at 20% to 28% of its capacity, times three, at 125 ms a request.
+    // Within one second: the work of a core at 20% to 28% of its capacity, times three, at 125 ms per
+    // request.
     EXPECT_LE(sent, static_cast<int>(3.0 * 0.24 / 0.125));
 }
 
-TEST(Ceiling, StoreOfALateBornGatewayCountsFromItsBootOnly) {
+TEST(Ceiling, BucketOfAStartedGatewayRefillsFromZero) {
     Settings site = wide_open(kCeiling);
     Script s(site);
     s.hosts(8);
@@ -273,7 +275,7 @@
     EXPECT_NEAR(s.drain(7, kCeiling), 20.0, 1.0);
 }
 
-TEST(Ceiling, ShareSmallerThanTheLargestRequestGoesToFewerHolders) {
+TEST(Ceiling, ShareSmallerThanTheLargestRequestGoesToFewerGateways) {
     Settings site = wide_open(kCeiling);
     site.plans[kCeiling].ceiling_burst = 7.0;
     double most = 0.0;
@@ -285,18 +287,18 @@
         const double sent = s.drain(7, kCeiling, 6.0);
         most += sent;
     }
-    EXPECT_EQ(most, 6.0);    // served by one holder, and all together within the ceiling
+    EXPECT_EQ(most, 6.0);    // served by one gateway, and in all within the hard limit
 }
 
-// Several gateways, one customer under a ceiling, mail that is lost, late, doubled and overtaken, and
-// restarts.
-struct FleetRun {
-    double lowest;    // of the true store of the ceiling
-    double sent;      // units
+// Three gateways and a customer with a hard limit, with messages that are lost, late, duplicated and
+// reordered, and restarts of gateways.
+struct FleetResult {
+    double lowest_level;    // level of the true bucket of the hard limit
+    double sent;            // units
 };
-constexpr Duration kFleetSpan = 40s;
+constexpr Duration kFleetDuration = 40s;
 
-FleetRun run_fleet(std::uint64_t seed, Settings site, bool restarts, bool pauses) {
+FleetResult run_fleet(std::uint64_t seed, Settings site, bool restarts, bool pauses) {
     std::mt19937_64 random(seed);
     std::vector<std::unique_ptr<Script>> gateways;
     const auto boot = [&](int me, TimePoint at) {
@@ -307,18 +309,18 @@
     };
     const TimePoint start = TimePoint(100s);
     for (int me = 0; me < 3; ++me) gateways.push_back(boot(me, start));
-    struct Mail {
+    struct MessageInFlight {
         TimePoint at;
         int from, to;
         std::vector<std::uint8_t> bytes;
     };
-    std::vector<Mail> mail;
+    std::vector<MessageInFlight> messages;
     const PlanSettings& plan = site.plans[kCeiling];
-    double store = plan.ceiling_burst, lowest = store, sent = 0.0;
-    int busiest = 0;
-    for (TimePoint t = start; t < start + kFleetSpan; t += 10ms) {
-        store = std::min(plan.ceiling_burst, store + plan.ceiling_rate * 0.01);
-        if (random() % 300 == 0) busiest = static_cast<int>(random() % 3);
+    double level = plan.ceiling_burst, lowest_level = level, sent = 0.0;
+    int busiest_gateway = 0;
+    for (TimePoint t = start; t < start + kFleetDuration; t += 10ms) {
+        level = std::min(plan.ceiling_burst, level + plan.ceiling_rate * 0.01);
+        if (random() % 300 == 0) busiest_gateway = static_cast<int>(random() % 3);
         if (restarts && random() % 800 == 0) {
             const int me = static_cast<int>(random() % 3);
             gateways[static_cast<std::size_t>(me)] = boot(me, t);
@@ -327,54 +329,57 @@
             Script& s = *gateways[static_cast<std::size_t>(me)];
             s.clear();
             s.pass(t - s.now);
-            for (const Mail& m : mail) {
-                if (m.to == me && m.at <= t) s.feed(PeerBytes{PeerId{m.from}, m.bytes});
+            for (const MessageInFlight& message : messages) {
+                if (message.to == me && message.at <= t)
+                    s.feed(PeerBytes{PeerId{message.from}, message.bytes});
             }
-            const bool quiet = pauses && (t - start) % 8s > 5s;    // lets stores fill, then all spend
-            if (!quiet) {
-                for (int i = 0; i < (me == busiest ? 4 : 1); ++i) s.ask(kSafe, 1.0, 7, kCeiling, 200ms);
+            const bool paused = pauses && (t - start) % 8s > 5s;    // buckets fill, then all gateways spend
+            if (!paused) {
+                for (int i = 0; i < (me == busiest_gateway ? 4 : 1); ++i)
+                    s.ask(kSafe, 1.0, 7, kCeiling, 200ms);
             }
             for (const Send& send : s.all<Send>()) {
-                store -= 1.0;
+                level -= 1.0;
                 sent += 1.0;
                 s.served(send);
             }
-            for (const TellPeer& tell : s.all<TellPeer>()) {
+            for (const TellPeer& sent_message : s.all<TellPeer>()) {
                 for (int copy = random() % 10 == 0 ? 2 : 1; copy > 0; --copy) {
                     if (random() % 10 == 0) continue;
                     const auto delay = random() % 5 == 0 ? Duration(random() % 3000000) : Duration(20ms);
-                    mail.push_back({t + 10ms + delay, me, static_cast<int>(tell.peer), tell.bytes});
+                    messages.push_back(
+                        {t + 10ms + delay, me, static_cast<int>(sent_message.peer), sent_message.bytes});
                 }
             }
-            lowest = std::min(lowest, store);
+            lowest_level = std::min(lowest_level, level);
         }
-        std::erase_if(mail, [&](const Mail& m) { return m.at <= t; });
+        std::erase_if(messages, [&](const MessageInFlight& message) { return message.at <= t; });
     }
-    return {lowest, sent};
+    return {lowest_level, sent};
 }
 
-TEST(Ceiling, HoldsOverGatewaysWithLossDelayAndRestarts) {
+TEST(Ceiling, HoldsOverAllGatewaysWithLossDelayAndRestarts) {
     Settings site = small_site();
-    site.plans[kCeiling].rate = 50.0;    // wide open: only the ceiling stands in the way
+    site.plans[kCeiling].rate = 50.0;    // only the hard limit restricts grants
     site.plans[kCeiling].burst = 100.0;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        EXPECT_GE(run_fleet(seed, site, true, true).lowest, -site.plans[kCeiling].ceiling_slack)
+        EXPECT_GE(run_fleet(seed, site, true, true).lowest_level, -site.plans[kCeiling].ceiling_slack)
             << "seed " << seed;
     }
 }
 
-TEST(QuotaStore, ExchangesOverLossyMailMintNoUnits) {
+TEST(QuotaBucket, TransfersOverALossyNetworkCreateNoUnits) {
     Settings site = small_site();
-    site.plans[kCeiling].ceiling_rate = 0.0;    // only the quota stands in the way, and demand never ends
+    site.plans[kCeiling].ceiling_rate = 0.0;    // only the quota restricts grants, and demand never ends
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        const FleetRun run = run_fleet(seed, site, false, false);
+        const FleetResult run = run_fleet(seed, site, false, false);
         const double granted = site.plans[kCeiling].burst + site.plans[kCeiling].rate * 40.0;
         EXPECT_LE(run.sent, granted + 1.0) << "seed " << seed;
         EXPECT_GE(run.sent, 0.7 * granted) << "seed " << seed;
     }
 }
 
-TEST(Settings, NonsenseIsRefusedAtStart) {
+TEST(Settings, InvalidSettingsAreRejected) {
     const auto bad = [](auto change) {
         Settings s = small_site();
         change(s);
--- a/tests/decision/control_servers_test.cpp
+++ b/tests/decision/control_servers_test.cpp
@@ -1,4 +1,4 @@
-// Choice of server, health and shedding.
+// Tests of server selection, health, load shedding and retries.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,7 +8,8 @@
 namespace shaletray::decision::test {
 namespace {
 
-// Traffic for a while; host `bad` answers with `outcome`, the others serve.
+// Sends requests, with up to three retries each. Host `bad` answers with `outcome`, the others succeed.
+// Returns the number of attempts by host.
 std::map<HostId, int> run(Script& s, int requests, HostId bad, Outcome outcome, int class_index = kSafe) {
     std::map<HostId, int> sent;
     for (int i = 0; i < requests; ++i) {
@@ -35,7 +36,7 @@
     EXPECT_GT(sent.at(HostId{1}), 60);
 }
 
-TEST(Health, UnreachableHostIsLeftAloneAndProbed) {
+TEST(Health, UnreachableHostIsEjectedAndProbed) {
     Script s(wide_open());
     s.hosts(5);
     run(s, 40, HostId{2}, Outcome::ConnectFailed);
@@ -46,9 +47,9 @@
     EXPECT_EQ(sent.count(HostId{2}), 0U);
 }
 
-// Found on a quiet day of a whole system, whose servers become known one by one: the limit was that of a list
-// of one server for good, and 2680 requests were refused while servers stood idle.
-TEST(Health, TheLimitFollowsAListThatGrowsAtTheStart) {
+// Servers may become known one by one. The concurrency limit once stayed that of the first list of one
+// server, and 2680 requests were rejected while servers were idle.
+TEST(Health, ConcurrencyLimitFollowsAHostListThatGrowsAtTheStart) {
     Settings settings = wide_open();
     settings.gateways = 13;
     Script s(settings);
@@ -57,8 +58,8 @@
     EXPECT_EQ(s.all<Send>().size(), 8U);
 }
 
-TEST(Health, ConnectionsThatBreakNowAndThenDoNotPutAServerOut) {
-    // Found on a day when servers cut kept connections: most were held to have ended, and then to be cold.
+TEST(Health, OccasionalConnectionResetsDoNotEjectAServer) {
+    // When servers closed idle connections, most were once taken for ended, and then for cold.
     Script s(wide_open());
     s.hosts(5);
     std::map<HostId, int> sent;
@@ -79,7 +80,7 @@
     EXPECT_EQ(sent.size(), 5U);
 }
 
-TEST(Health, ProbeThatSucceedsBringsItBackByTrialTraffic) {
+TEST(Health, SuccessfulProbeStartsTrialTraffic) {
     Script s(wide_open());
     s.hosts(3);
     run(s, 40, HostId{2}, Outcome::ConnectFailed);
@@ -89,14 +90,14 @@
     ProbeFinished ok;
     ok.host = HostId{2};
     s.feed(ok);
-    // Its connections were refused, so its process may be new: presumed cold, it takes little at first.
+    // Its connections failed, so its process may be new: it goes through a slow start.
     EXPECT_LT(run(s, 60, HostId{0}, Outcome::Ok)[HostId{2}], 10);
     s.pass(10s);
     const auto sent = run(s, 200, HostId{0}, Outcome::Ok);
     EXPECT_GT(sent.at(HostId{2}), 20);
 }
 
-TEST(Health, WhenAllFailAllStayInUse) {
+TEST(Health, ServersStayInUseWhenAllFail) {
     Script s(wide_open());
     s.hosts(5);
     std::map<HostId, int> sent;
@@ -115,10 +116,10 @@
     EXPECT_EQ(total, 300);
 }
 
-TEST(Health, SilentHostIsGivenUpAndItsSafeWorkTriedElsewhere) {
+TEST(Health, RequestsOfAnUnresponsiveHostAreRetriedElsewhere) {
     Script s(wide_open());
     s.hosts(5);
-    run(s, 100, HostId{0}, Outcome::Ok);    // learns what is usual
+    run(s, 100, HostId{0}, Outcome::Ok);    // establishes the typical latency
     std::vector<Send> stuck, out;
     for (int i = 0; i < 100; ++i) {
         s.clear();
@@ -140,7 +141,7 @@
     EXPECT_NE(s.last<Send>()->host, HostId{2});
 }
 
-// How many of a hundred requests at once go out, before and after answers took `took` for a while.
+// How many of a hundred simultaneous requests are sent, before and after responses took `took` for a while.
 std::pair<std::size_t, std::size_t> sent_at_once(const Settings& settings, Duration took) {
     Script s(settings);
     s.hosts(4);
@@ -149,7 +150,7 @@
         std::vector<RequestId> asked;
         for (int i = 0; i < 100; ++i) asked.push_back(s.ask());
         const std::vector<Send> sent = s.all<Send>();
-        // The clients whose requests were held leave at once, so that only `sent` is out.
+        // Queued requests are aborted at once, so that only `sent` is in flight.
         for (const RequestId id : asked) {
             const bool out =
                 std::any_of(sent.begin(), sent.end(), [&](const Send& x) { return x.request == id; });
@@ -167,14 +168,14 @@
     return {before, out.size()};
 }
 
-TEST(Overload, LatencyNearTheAimShrinksWhatIsOut) {
+TEST(Overload, LatencyNearTheTargetShrinksTheConcurrencyLimit) {
     const auto [before, after] = sent_at_once(wide_open(), 900ms);
     EXPECT_LT(after, before / 2);
     EXPECT_GT(after, 0U);
 }
 
-// Where work takes a third of the aim, an answer in that time is no sign of pressure.
-TEST(Overload, TheGoalIsASetting) {
+// If work takes a third of the target latency, such latencies are no sign of overload.
+TEST(Overload, LatencyGoalIsASetting) {
     Settings settings = wide_open();
     const auto by_default = sent_at_once(settings, 400ms);
     EXPECT_LT(by_default.second, by_default.first / 2);
@@ -183,16 +184,16 @@
     EXPECT_GE(with_more.second, with_more.first);
     const std::size_t least = sent_at_once(settings, 900ms).second;
     EXPECT_LT(least, with_more.first / 2);
-    settings.sharing = 30;    // the least, and the limit at the start, are a part of what all may have out
+    settings.sharing = 30;    // the minimum and the initial limit are shared by all gateways
     EXPECT_LT(sent_at_once(settings, 900ms).second, least);
     EXPECT_LT(sent_at_once(settings, 400ms).first, with_more.first / 2);
 }
 
-TEST(Overload, HungAttemptsDoNotUseUpTheLimit) {
-    // Found on i632478: part of one class hung until its deadline and kept all others waiting for room.
+TEST(Overload, HungAttemptsDoNotUseUpTheConcurrencyLimit) {
+    // Part of one class hung until its deadline and kept all others waiting for capacity (found on i632478).
     Script s(wide_open());
     s.hosts(4);
-    run(s, 100, HostId{0}, Outcome::Ok);    // 50 ms is usual
+    run(s, 100, HostId{0}, Outcome::Ok);    // typical latency: 50 ms
     int hung = 0, sent = 0;
     for (int i = 0; i < 400; ++i) {
         s.clear();
@@ -204,12 +205,12 @@
         }
         s.pass(20ms);
     }
-    EXPECT_GT(hung, 60);    // four hosts begin with a limit of sixteen
+    EXPECT_GT(hung, 60);    // the initial limit for four hosts is 16
     EXPECT_EQ(sent, 400);
 }
 
-TEST(Health, AServerWhereOneClassHangsIsLeftToTheOthers) {
-    // Found on a wide day: reads hung at four of nine servers until their time ran out, submits were served.
+TEST(Health, ServerWhereOneClassHangsServesTheOtherClasses) {
+    // Reads hung at four of nine servers until they timed out, while submits were served.
     Script s(wide_open());
     s.hosts(5);
     run(s, 100, HostId{0}, Outcome::Ok);
@@ -238,12 +239,12 @@
         }
         s.pass(10ms);
     }
-    EXPECT_LT(hung, 20);       // 28 where nothing marks the server
-    EXPECT_GT(others, 150);    // 51: hung attempts there kept all else away
+    EXPECT_LT(hung, 20);       // 28 without detection of slow outliers
+    EXPECT_GT(others, 150);    // 51 when hung attempts kept all others away
 }
 
-TEST(Health, OneLongAttemptIsNoSilence) {
-    // Found on the quiet day of quimper-tiles and on ic04773: hosts were ejected for a single costly request.
+TEST(Health, OneLongAttemptDoesNotEjectAServer) {
+    // Hosts were once ejected for a single costly request (found on quimper-tiles and ic04773).
     Script s(wide_open());
     s.hosts(3);
     run(s, 100, HostId{0}, Outcome::Ok);
@@ -254,8 +255,8 @@
     EXPECT_TRUE(s.all<Probe>().empty());
 }
 
-TEST(Overload, RequestWithoutRoomIsShedWellBeforeItsAim) {
-    // Found on the overload day of runner-pasig: long holds for room only made answers late.
+TEST(Overload, RequestWithoutCapacityIsShedWellBeforeItsTarget) {
+    // Long waits for capacity only made responses late (found on runner-pasig).
     Script s(wide_open());
     s.hosts(1);
     for (int i = 0; i < 30; ++i) s.ask();
@@ -265,8 +266,8 @@
     EXPECT_EQ(s.all<Send>().size() + s.all<Refuse>().size(), 30U);
 }
 
-TEST(Overload, CustomerHeldForRoomIsNotForgottenInACrowd) {
-    Script s;    // no server known, so all that may wait waits for room
+TEST(Overload, CustomerWithQueuedRequestsIsNotDropped) {
+    Script s;    // without servers all requests wait for capacity
     const RequestId id = s.ask();
     for (std::uint64_t other = 100; other < 26100; ++other) s.ask(kSafe, 1.0, other, kPlain, 5ms);
     s.clear();
@@ -275,7 +276,7 @@
     EXPECT_EQ(s.last<Refuse>()->request, id);
 }
 
-TEST(Lists, AsksAgainAfterAFailureButNotAtOnce) {
+TEST(Lists, SubscribesAgainSomeTimeAfterAFailure) {
     Settings site = small_site();
     site.ask_for_list = true;
     Script s(site);
@@ -290,7 +291,7 @@
     EXPECT_EQ(s.all<Subscribe>().size(), 1U);
 }
 
-TEST(Retries, BudgetBoundsThem) {
+TEST(Retries, BudgetLimitsRetries) {
     Script s(wide_open());
     s.hosts(8);
     int sends = 0;
@@ -309,7 +310,7 @@
     EXPECT_LE(sends, 500 + 100 + 20);
 }
 
-// Sends that one request gets, `outcome` each, and whether a refusal or failure was its answer.
+// The number of attempts of one request whose attempts end with `outcomes`, one after the other.
 int sends_of_one(Script& s, std::initializer_list<Outcome> outcomes) {
     s.clear();
     const RequestId id = s.ask();
@@ -330,7 +331,7 @@
     return s;
 }
 
-TEST(Retries, WhatNeverRanTakesATokenAllTheSame) {
+TEST(Retries, RetryTakesATokenEvenIfTheAttemptDidNotRun) {
     for (const Outcome outcome : {Outcome::Full, Outcome::ConnectFailed, Outcome::Reset, Outcome::Error}) {
         Script s(few_retries(2.0));
         s.hosts(8);
@@ -339,25 +340,25 @@
     }
 }
 
-TEST(Retries, OnlyArrivalsCountWhereTokensAreRefunded) {
+TEST(Retries, OnlyAttemptsThatReachAServerTakeTokensIfRefunded) {
     Settings settings = few_retries(1.0);
     settings.retry_refunds = true;
     Script s(settings);
     s.hosts(30);
-    // Two that could not connect, the first arrival, a further arrival after a failed connect: one token.
+    // Two failed connects, the first attempt that arrives, and another one: one token.
     EXPECT_EQ(sends_of_one(s, {Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Full, Outcome::Ok}),
               4);
     EXPECT_EQ(sends_of_one(s, {Outcome::Full, Outcome::Ok}), 1);
     EXPECT_EQ(sends_of_one(s, {Outcome::ConnectFailed, Outcome::Full, Outcome::Ok}), 2);
-    // Nothing comes of what never arrived: no token is made of it.
+    // Attempts that did not arrive do not create tokens.
     EXPECT_EQ(sends_of_one(s, {Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::ConnectFailed,
                                Outcome::ConnectFailed}),
               4);
     EXPECT_EQ(sends_of_one(s, {Outcome::Reset, Outcome::Ok}), 1);
 }
 
-// The token of a further attempt that finds no server, or cannot connect, before its request ends.
-TEST(Retries, ATokenThatWasNotUsedComesBack) {
+// The token of a retry that finds no server, or cannot connect, until its request ends.
+TEST(Retries, UnusedTokenIsRefunded) {
     Settings settings = few_retries(1.0);
     settings.retry_refunds = true;
     settings.send_cap = 2;
@@ -371,7 +372,7 @@
     EXPECT_EQ(sends_of_one(s, {Outcome::Full, Outcome::Ok}), 1);
 }
 
-TEST(Retries, RefillAndCapMayBeAdopted) {
+TEST(Retries, RefillAndBurstMayChangeAtRuntime) {
     Settings settings = few_retries(0.0);
     Script s(settings);
     s.hosts(8);
@@ -391,7 +392,7 @@
     EXPECT_THROW(s.gateway().adopt(settings), BadSettings);
 }
 
-TEST(Choice, WorkSpreadsOverHosts) {
+TEST(Choice, RequestsAreDistributedOverHosts) {
     Script s(wide_open());
     s.hosts(5);
     const auto sent = run(s, 500, HostId{0}, Outcome::Ok);
--- a/tests/decision/gateway_settings.h
+++ b/tests/decision/gateway_settings.h
@@ -1,4 +1,4 @@
-// A small site, as a gateway's configuration holds it.
+// Settings of a small site in the format of a gateway's configuration, and builders of whole configurations.
 #pragma once
 
 #include <string>
@@ -19,7 +19,7 @@
  "startCapacity":0.17},"membershipMode":"push","loadInfo":{"via":"inline"},
 "specifics":{"mailPerS":40,"mostUnits":4}})";
 
-// Where units are settled afterwards: answers tell the true ones.
+// The settings with actual units reported by responses.
 inline std::string settled(std::string settings) {
     const std::string units = R"("mostUnits":4)";
     return settings.replace(settings.find(units), units.size(), units + R"(,"settles":true)");
--- a/tests/decision/module_limits.cmake
+++ b/tests/decision/module_limits.cmake
@@ -1,6 +1,5 @@
-# The auditor's limits: at most 850 lines that are not blank in a file of the module's decisions and 940 in all, none
-# longer than 110 characters.
-# Each of them is named under `policy` of the deploy file, whose sum the bench prints.
+# Size limits of the policy files, which hold the module's decisions: at most 850 non-blank lines in a file and 940 in
+# all, none longer than 110 characters. Each file must be listed under `policy` in the deploy file.
 set(sum 0)
 file(STRINGS ${DEPLOY} policy REGEX "^policy = ")
 foreach(file ${MODULE})
--- a/tests/decision/peer_message_test.cpp
+++ b/tests/decision/peer_message_test.cpp
@@ -32,31 +32,31 @@
     EXPECT_EQ(message->entries[0].introduction->width, 135);
 }
 
-TEST(PeerMessage, FillsUpToTheLimitAndNoFurther) {
+TEST(PeerMessage, WriterStopsAtTheSizeLimit) {
     PeerMessageWriter writer(PeerHeader{});
-    std::size_t fitted = 0;
-    while (fitted < 1000 && writer.add({CustomerId{fitted}, 2.0, 1.0, 0.5, {}})) ++fitted;
-    EXPECT_GE(fitted, 15U);
-    EXPECT_EQ(writer.entries(), fitted);
+    std::size_t written = 0;
+    while (written < 1000 && writer.add({CustomerId{written}, 2.0, 1.0, 0.5, {}})) ++written;
+    EXPECT_GE(written, 15U);
+    EXPECT_EQ(writer.entries(), written);
     const auto bytes = writer.take();
     EXPECT_LE(bytes.size(), kPeerMessageLimit);
-    EXPECT_EQ(parse_peer_message(bytes)->entries.size(), fitted);
+    EXPECT_EQ(parse_peer_message(bytes)->entries.size(), written);
 }
 
-// Each gateway of a hundred has hundreds of customers to tell of and a few messages a second: bytes are what
-// is short.
-TEST(PeerMessage, ThePlatformsCustomersTakeFewBytes) {
+// A gateway in a fleet of a hundred has hundreds of customers to announce and sends a few messages per
+// second, so that entries must be short.
+TEST(PeerMessage, SmallCustomerIdsTakeFewBytes) {
     PeerMessageWriter writer(PeerHeader{1764633599412000ULL, 1000, 25000, 1764633599512000ULL, 25000});
-    std::size_t fitted = 0;
-    while (fitted < 1000 && writer.add({CustomerId{(1ULL << 33) - 1 - fitted}, -1.5, -40.0, 0.0, {}}))
-        ++fitted;
-    EXPECT_GE(fitted, 22U);    // 17 with eight bytes a customer
+    std::size_t written = 0;
+    while (written < 1000 && writer.add({CustomerId{(1ULL << 33) - 1 - written}, -1.5, -40.0, 0.0, {}}))
+        ++written;
+    EXPECT_GE(written, 22U);    // 17 with eight bytes per customer ID
     const auto message = parse_peer_message(writer.take());
     ASSERT_TRUE(message);
-    EXPECT_EQ(message->entries.back().customer, CustomerId{(1ULL << 33) - fitted});
+    EXPECT_EQ(message->entries.back().customer, CustomerId{(1ULL << 33) - written});
 }
 
-TEST(PeerMessage, SenderDebitsExactlyWhatArrives) {
+TEST(PeerMessage, SenderDebitsExactlyTheDecodedAmount) {
     for (const double amount : {0.0, 0.1, 0.124, 1.0, 7.9, 12345.67}) {
         PeerMessageWriter writer(PeerHeader{});
         writer.add({CustomerId{1}, 0.0, amount, 0.0, {}});
@@ -65,18 +65,18 @@
     }
 }
 
-TEST(PeerMessage, EveryTruncationInsideAnEntryIsRefusedWhole) {
+TEST(PeerMessage, MessageTruncatedInsideAnEntryIsRejected) {
     PeerMessageWriter writer(PeerHeader{1, 2, 3, 4, 5});
     writer.add({CustomerId{1}, 2.0, 1.0, 0.5, {}});
     const auto bytes = writer.take();
     for (std::size_t n = 0; n < bytes.size(); ++n) {
         const std::vector<std::uint8_t> cut(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(n));
         const auto message = parse_peer_message(cut);
-        EXPECT_TRUE(!message || message->entries.empty()) << n;    // cut just behind the header
+        EXPECT_TRUE(!message || message->entries.empty()) << n;    // cut exactly after the header
     }
 }
 
-TEST(PeerMessage, OtherVersionsAndOversizeAreRefused) {
+TEST(PeerMessage, OtherVersionsAndOversizeMessagesAreRejected) {
     auto bytes = PeerMessageWriter(PeerHeader{}).take();
     ASSERT_TRUE(parse_peer_message(bytes));
     bytes[0] = 1;
@@ -85,7 +85,7 @@
     EXPECT_FALSE(parse_peer_message({}));
 }
 
-TEST(PeerMessage, RandomBytesNeverYieldNegativeOrBoundlessGifts) {
+TEST(PeerMessage, RandomBytesNeverYieldNegativeOrUnlimitedAmounts) {
     std::mt19937_64 random(3);
     for (int i = 0; i < 20000; ++i) {
         std::vector<std::uint8_t> bytes(random() % (kPeerMessageLimit + 20));
--- a/tests/decision/wire/wire_test.cpp
+++ b/tests/decision/wire/wire_test.cpp
@@ -1,4 +1,4 @@
-// The wire's codec, and the adapter run as a process.
+// Tests of the simulator's wire codec, and of decision_wire_host as a process.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -25,12 +25,12 @@
     R"({"REQUEST":{"who":3,"msgId":11,"sizeUnits":1,"budget":500000,"width":3,"profile":0,"member":"91f03b7c55d20a64","tariff":0,"fromNo":1}})"
     "\n";
 
-struct Ran {
+struct ProcessResult {
     int exit;
     std::string out, err;
 };
 
-Ran run(const std::string& input) {
+ProcessResult run(const std::string& input) {
     const std::string base = ::testing::TempDir() + "wire_" + std::to_string(::getpid());
     std::ofstream(base + ".in") << input;
     const std::string command =
@@ -40,38 +40,38 @@
         std::ifstream file(path);
         return std::string(std::istreambuf_iterator<char>(file), {});
     };
-    Ran ran{WEXITSTATUS(status), read(base + ".out"), read(base + ".err")};
+    ProcessResult result{WEXITSTATUS(status), read(base + ".out"), read(base + ".err")};
     for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
-    return ran;
+    return result;
 }
 
-TEST(Wirehost, EmptyBatchAndEndOfInput) {
-    const Ran ran = run(kRound + kTurn);
-    EXPECT_EQ(ran.exit, 0);
-    EXPECT_EQ(ran.out, "{\"NEXT\":{}}\n");
+TEST(WireHost, EmptyBatchAndEndOfInput) {
+    const ProcessResult result = run(kRound + kTurn);
+    EXPECT_EQ(result.exit, 0);
+    EXPECT_EQ(result.out, "{\"NEXT\":{}}\n");
 }
 
-TEST(Wirehost, RoutesARequest) {
-    const Ran ran = run(kRound + kBoot + kList + kAsk + kTurn);
-    EXPECT_EQ(ran.exit, 0) << ran.err;
-    EXPECT_NE(ran.out.find(R"({"ROUTE":{"host":7,"limit":0,"msgId":11,"who":3}})"), std::string::npos)
-        << ran.out;
+TEST(WireHost, RoutesARequest) {
+    const ProcessResult result = run(kRound + kBoot + kList + kAsk + kTurn);
+    EXPECT_EQ(result.exit, 0) << result.err;
+    EXPECT_NE(result.out.find(R"({"ROUTE":{"host":7,"limit":0,"msgId":11,"who":3}})"), std::string::npos)
+        << result.out;
 }
 
-TEST(Wirehost, KilledInstanceIsForgottenAndMayStartAgain) {
-    const Ran ran = run(kRound + kBoot +
-                        R"({"CRASH_NOW":{"who":3}})"
-                        "\n" +
-                        kBoot + kList + kTurn);
-    EXPECT_EQ(ran.exit, 0) << ran.err;
-    const Ran gone = run(kRound + kBoot +
-                         R"({"CRASH_NOW":{"who":3}})"
-                         "\n" +
-                         kList + kTurn);
-    EXPECT_NE(gone.exit, 0);
+TEST(WireHost, CrashedInstanceIsRemovedAndMayStartAgain) {
+    const ProcessResult result = run(kRound + kBoot +
+                                     R"({"CRASH_NOW":{"who":3}})"
+                                     "\n" +
+                                     kBoot + kList + kTurn);
+    EXPECT_EQ(result.exit, 0) << result.err;
+    const ProcessResult after_crash = run(kRound + kBoot +
+                                          R"({"CRASH_NOW":{"who":3}})"
+                                          "\n" +
+                                          kList + kTurn);
+    EXPECT_NE(after_crash.exit, 0);
 }
 
-TEST(Wirehost, MalformedInputIsNamedWithLineEventAndField) {
+TEST(WireHost, ErrorNamesLineEventAndFieldOfMalformedInput) {
     const std::array<std::pair<std::string, std::string>, 8> cases = {{
         {"not json\n", "not JSON"},
         {R"({"NONSENSE":{"who":3}})"
@@ -97,26 +97,27 @@
          "field octets"},
     }};
     for (const auto& [line, expected] : cases) {
-        const Ran ran = run(kRound + kBoot + line + kTurn);
-        EXPECT_NE(ran.exit, 0) << line;
-        EXPECT_NE(ran.err.find("line 3"), std::string::npos) << ran.err;
-        EXPECT_NE(ran.err.find(expected), std::string::npos) << ran.err;
+        const ProcessResult result = run(kRound + kBoot + line + kTurn);
+        EXPECT_NE(result.exit, 0) << line;
+        EXPECT_NE(result.err.find("line 3"), std::string::npos) << result.err;
+        EXPECT_NE(result.err.find(expected), std::string::npos) << result.err;
     }
 }
 
-TEST(Wirehost, NonsenseSettingsEndItPlainly) {
-    const Ran ran = run(kRound + R"({"BOOT":{"who":3,"initSeed":5,"setup":{"replicasOfMe":0,"classes":[]}}})"
-                                 "\n");
-    EXPECT_NE(ran.exit, 0);
-    EXPECT_NE(ran.err.find("settings"), std::string::npos);
+TEST(WireHost, InvalidSettingsEndTheHostWithAnError) {
+    const ProcessResult result =
+        run(kRound + R"({"BOOT":{"who":3,"initSeed":5,"setup":{"replicasOfMe":0,"classes":[]}}})"
+                     "\n");
+    EXPECT_NE(result.exit, 0);
+    EXPECT_NE(result.err.find("settings"), std::string::npos);
 }
 
-TEST(Wirehost, ExceptionOfTheModuleIsReportedOnTheWire) {
+TEST(WireHost, ExceptionOfTheModuleIsReported) {
     const std::string unknown_class =
         R"({"REQUEST":{"who":3,"msgId":11,"budget":500000,"profile":8,"member":"91f03b7c55d20a64"}})"
         "\n";
-    const Ran ran = run(kRound + kBoot + unknown_class + kTurn);
-    EXPECT_NE(ran.out.find("BAIL_OUT"), std::string::npos);
+    const ProcessResult result = run(kRound + kBoot + unknown_class + kTurn);
+    EXPECT_NE(result.out.find("BAIL_OUT"), std::string::npos);
 }
 
 TEST(Codec, Base64) {
