--- a/include/decision/control.h
+++ b/include/decision/control.h
@@ -60,7 +60,7 @@
     double ceiling_slack = 0.0;    // units by which a check of the ceiling may be exceeded
     double price = 1.0;            // relative value of a unit of its customers
     double over_worth = 0.0;       // value of a request beyond the quota
-    double over_cost = 0.0;    // its cost: it is admitted only if its value is larger and there is capacity
+    double over_cost = 0.0;        // its cost; it is admitted if its value is larger and there is capacity
 };
 
 // Limits that may change at runtime, beside the classes.
@@ -77,8 +77,8 @@
     double retry_burst = 20.0;          // most tokens kept
     double retry_start = 20.0;          // tokens at the start; adopt() adds none
     double retry_refill_per_s = 0.0;    // tokens added per second
-    // Only attempts that may have reached a server take a token: one that could not connect or was never sent
-    // leaves its token to the next attempt, or has none if it was the first.
+    // Only attempts that may have reached a server count: after one that could not connect or was never sent,
+    // the next attempt takes no further token.
     bool retry_refunds = false;
     // If responses take longer on average than this part of their target latency, the concurrency limit
     // shrinks, but not below `least_out` attempts per server, over all gateways.
