--- a/src/cluster/ownership/grant_rules.cpp
+++ b/src/cluster/ownership/grant_rules.cpp
@@ -5,7 +5,7 @@
 namespace shaletray::ownership {
 
 Duration choose_hold(Duration heartbeat_interval, Duration max_hold) {
-    return std::min(2 * heartbeat_interval + kAnswerTimeout, max_hold);
+    return std::min(2 * heartbeat_interval + kHeartbeatResponseTimeout, max_hold);
 }
 
 Duration settle_wait(Duration hold) {
--- a/src/cluster/ownership/grant_rules.h
+++ b/src/cluster/ownership/grant_rules.h
@@ -1,5 +1,6 @@
-// The times by which keys are granted and change hands, and what a heartbeat is answered with. See "The
-// rules, and why they are enough" in docs/design/key-ownership.md. Pure.
+// Rules for granting shard keys: for how long an owner may hold them, how long keys that change hands have to
+// wait, and which rows a server is granted. The safety argument is in "The rules, and why they are enough" of
+// docs/design/key-ownership.md. Pure functions.
 #pragma once
 
 #include <optional>
@@ -9,23 +10,24 @@
 
 namespace shaletray::ownership {
 
-// A quorum must have confirmed the table so shortly before it is granted from (L in the design).
+// Maximum age of a quorum's confirmation of the table while keys are granted from it (L in the design).
 constexpr Duration kMaxConfirmationAge = std::chrono::seconds(1);
-// A server's clock may be slow by a fiftieth, so that it holds its keys for longer by as much.
+// A server's clock may run slow by 1/50, so a server may hold its keys for longer by that fraction.
 constexpr int kClockLagDivisor = 50;
-// For differences of rate between the clocks of the controllers.
+// Allowance for rate differences between the clocks of the controllers.
 constexpr Duration kClockMargin = std::chrono::milliseconds(200);
-// The longest acceptable time to the answer of a heartbeat; then the server calls another controller.
-constexpr Duration kAnswerTimeout = std::chrono::seconds(1);
+// Maximum time until a heartbeat is answered; after that, the server calls another controller.
+constexpr Duration kHeartbeatResponseTimeout = std::chrono::seconds(1);
 
-// The hold that bridges one lost heartbeat; at most `max_hold`.
+// Returns the hold time that bridges one lost heartbeat, limited to `max_hold`.
 Duration choose_hold(Duration heartbeat_interval, Duration max_hold);
-// After this time on the clock of a controller that knows of a row, nobody holds its keys by an earlier row.
+// Returns how long a controller has to wait, on its own clock, after it has learned of a row: from then on no
+// server holds keys of that row by an earlier row.
 Duration settle_wait(Duration hold);
-// Whether a table may be granted from that a read which began at `confirmed_at` found to be the newest. `now`
-// is read after the heartbeat arrived.
+// Returns whether keys may be granted from a table. `confirmed_at` is the start of the read that found this
+// table to be the newest; `now` has to be read after the heartbeat arrived.
 bool may_grant(std::optional<TimePoint> confirmed_at, TimePoint now);
-// The rows of the service that the server may hold.
+// Returns the rows of the service that the server may hold: the settled ones that it owns.
 std::vector<const Assignment*> granted_rows(const Assignments& rows, const std::string& server_id);
 
 }    // namespace shaletray::ownership
--- a/src/cluster/ownership/key_load_table.cpp
+++ b/src/cluster/ownership/key_load_table.cpp
@@ -7,15 +7,15 @@
 
 using namespace std::chrono_literals;
 
-// Counts are lowered at such intervals.
+// Minimum interval between two decays of a service's counts.
 constexpr Duration kDecayInterval = 1s;
-// Gateways report twice a second where they have requests.
+// Gateways that have requests report twice a second.
 constexpr Duration kSampleValidity = 3s;
-// Smaller counts are forgotten, which bounds how many keys are kept.
-constexpr double kMinRequests = 0.005;
-// A gateway that reports more requests than this for one sampled key is not believed.
+// Keys with smaller counts are dropped, which bounds the number of keys kept.
+constexpr double kMinRequestCount = 0.005;
+// Reports with more requests per sampled key are rejected as implausible.
 constexpr std::uint32_t kMaxRequestsPerSample = 10000;
-// Fewer requests than this for each server say too little.
+// With fewer requests per server, the sample is too small for a profile.
 constexpr double kMinRequestsPerServer = 4.0;
 
 }    // namespace
@@ -31,7 +31,7 @@
     const double requests_per_sample =
         static_cast<double>(samples.arrivals) / static_cast<double>(samples.keys.size());
     if (requests_per_sample < 1 || requests_per_sample > kMaxRequestsPerSample) return;
-    found->second.heard_at = now;
+    found->second.last_sample_at = now;
     for (const Key key : samples.keys) found->second.requests[key] += requests_per_sample;
 }
 
@@ -46,7 +46,7 @@
 
 bool KeyLoadTable::is_current(const std::string& service, TimePoint now) const {
     const auto found = services_.find(service);
-    return found != services_.end() && now - found->second.heard_at < kSampleValidity;
+    return found != services_.end() && now - found->second.last_sample_at < kSampleValidity;
 }
 
 void KeyLoadTable::decay(ServiceLoad& load, double min_requests, TimePoint now) {
@@ -55,12 +55,12 @@
     if (elapsed < kDecayInterval) return;
     load.decayed_at = now;
     const double factor =
-        std::exp(-std::chrono::duration<double>(elapsed) / std::chrono::duration<double>(kLoadMemory));
-    double sum = 0;
-    for (const auto& [key, count] : load.requests) sum += count;
-    if (sum * factor < min_requests) return;
+        std::exp(-std::chrono::duration<double>(elapsed) / std::chrono::duration<double>(kDecayTimeConstant));
+    double total = 0;
+    for (const auto& [key, count] : load.requests) total += count;
+    if (total * factor < min_requests) return;
     for (auto& [key, count] : load.requests) count *= factor;
-    std::erase_if(load.requests, [](const auto& entry) { return entry.second < kMinRequests; });
+    std::erase_if(load.requests, [](const auto& entry) { return entry.second < kMinRequestCount; });
 }
 
 }    // namespace shaletray::ownership
--- a/src/cluster/ownership/key_sampler.cpp
+++ b/src/cluster/ownership/key_sampler.cpp
@@ -9,8 +9,8 @@
     samples.service = service;
     ++samples.arrivals;
     if (samples.keys.size() < max_samples_) return samples.keys.push_back(key);
-    const std::uint64_t place = random_() % samples.arrivals;
-    if (place < max_samples_) samples.keys[place] = key;
+    const std::uint64_t slot = random_() % samples.arrivals;
+    if (slot < max_samples_) samples.keys[slot] = key;
 }
 
 std::vector<KeySamples> KeySampler::take() {
--- a/src/cluster/ownership/key_sampler.h
+++ b/src/cluster/ownership/key_sampler.h
@@ -1,4 +1,4 @@
-// What gateways tell the controllers about the keys that their requests ask for: a bounded random sample.
+// A bounded random sample of the shard keys of requests, which gateways report to the controllers.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace shaletray::ownership {
 
-// Of one service, since the previous ones.
+// The samples of one service since the previous report.
 struct KeySamples {
     std::string service;
     std::vector<Key> keys;         // one for each sampled request
@@ -19,14 +19,15 @@
     bool operator==(const KeySamples&) const = default;
 };
 
-// Keeps an even sample of the requests of each service (Vitter's algorithm R). Not thread-safe.
+// Keeps a uniform sample of the requests of each service (reservoir sampling, Vitter's algorithm R). Not
+// thread-safe.
 class KeySampler {
 public:
-    // `max_samples`: keys kept of each service between two calls of take().
+    // `max_samples`: maximum number of keys kept per service between two calls of take().
     explicit KeySampler(std::uint64_t seed, std::size_t max_samples = 96)
         : random_(seed), max_samples_(max_samples) {}
     void record(const std::string& service, Key key);
-    // The samples since the last call; services without requests are left out.
+    // Returns and removes the samples since the last call. Omits services without requests.
     std::vector<KeySamples> take();
 
 private:
--- a/src/cluster/ownership/load_profile.cpp
+++ b/src/cluster/ownership/load_profile.cpp
@@ -6,12 +6,14 @@
 namespace shaletray::ownership {
 namespace {
 
-// The part of all weight that goes by the number of keys.
-constexpr double kKeyPart = 0.1;
-// Standard deviations of a sample's count that are put down to chance. (Those of decayed counts are smaller.)
-constexpr double kChanceDeviations = 1.0;
+// The fraction of the total weight that is distributed evenly over all keys.
+constexpr double kEvenFraction = 0.1;
+// Deviations of a count up to this many standard deviations are attributed to sampling. (Decayed counts have
+// smaller deviations.)
+constexpr double kToleratedDeviations = 1.0;
 
-// The largest count up to `limit` for which the condition holds; it holds for zero, and up to some count.
+// Returns the largest count up to `limit` for which the condition holds, by binary search. The condition has
+// to hold for zero and for all counts up to some maximum.
 template <class Holds>
 std::uint32_t largest_count(std::uint32_t limit, const Holds& holds) {
     std::uint32_t low = 0;
@@ -27,9 +29,9 @@
 }    // namespace
 
 LoadProfile::LoadProfile(const std::map<Key, double>& requests) {
-    double sum = 0;
+    double total_requests = 0;
     cumulative_.reserve(requests.size());
-    for (const auto& [key, count] : requests) cumulative_.push_back({key, sum += count});
+    for (const auto& [key, count] : requests) cumulative_.push_back({key, total_requests += count});
 }
 
 double LoadProfile::requests_below(std::uint32_t key) const {
@@ -43,7 +45,7 @@
     const double total = request_count();
     if (total <= 0) return keys.size();
     const double requests = requests_below(std::uint32_t{keys.last} + 1) - requests_below(keys.first);
-    return (1 - kKeyPart) * requests / total * kKeyCount + kKeyPart * keys.size();
+    return (1 - kEvenFraction) * requests / total * kKeyCount + kEvenFraction * keys.size();
 }
 
 std::uint32_t LoadProfile::longest_prefix(const KeyRange& keys, double max_weight) const {
@@ -61,8 +63,8 @@
 bool LoadProfile::exceeds(double weight, double limit) const {
     const double total = request_count();
     if (total <= 0) return false;
-    const double weight_of_one = kKeyCount / total;
-    return weight > limit + kChanceDeviations * std::sqrt(weight * weight_of_one);
+    const double weight_per_request = kKeyCount / total;
+    return weight > limit + kToleratedDeviations * std::sqrt(weight * weight_per_request);
 }
 
 }    // namespace shaletray::ownership
--- a/src/cluster/ownership/owner_map.cpp
+++ b/src/cluster/ownership/owner_map.cpp
@@ -13,26 +13,26 @@
     return true;
 }
 
-// Rows that the new one covers in part keep the rest.
+// Inserts a row. Older rows that it covers are removed; of those that it covers in part, the rest remains.
 void OwnerMap::overlay(Rows& rows, const Assignment& row) {
     auto next = rows.upper_bound(row.keys.first);
     if (next != rows.begin()) --next;
     while (next != rows.end() && next->second.keys.first <= row.keys.last) {
-        const Assignment former = next->second;
-        if (!former.keys.overlaps(row.keys)) {
+        const Assignment old_row = next->second;
+        if (!old_row.keys.overlaps(row.keys)) {
             ++next;
             continue;
         }
         next = rows.erase(next);
-        if (former.keys.first < row.keys.first) {
-            Assignment before = former;
-            before.keys.last = static_cast<Key>(row.keys.first - 1);
-            rows.emplace(before.keys.first, std::move(before));
+        if (old_row.keys.first < row.keys.first) {
+            Assignment head = old_row;
+            head.keys.last = static_cast<Key>(row.keys.first - 1);
+            rows.emplace(head.keys.first, std::move(head));
         }
-        if (former.keys.last > row.keys.last) {
-            Assignment after = former;
-            after.keys.first = static_cast<Key>(row.keys.last + 1);
-            rows.emplace(after.keys.first, std::move(after));
+        if (old_row.keys.last > row.keys.last) {
+            Assignment tail = old_row;
+            tail.keys.first = static_cast<Key>(row.keys.last + 1);
+            rows.emplace(tail.keys.first, std::move(tail));
             break;
         }
     }
--- a/src/cluster/ownership/owner_map.h
+++ b/src/cluster/ownership/owner_map.h
@@ -1,4 +1,4 @@
-// The owners of shard keys as a gateway knows them, kept up to date by the rows that changed. Pure.
+// A gateway's copy of the owners of shard keys, updated incrementally by the rows that changed. Pure.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -11,20 +11,20 @@
 
 namespace shaletray::ownership {
 
-// Never goes back to an earlier version. Not thread-safe.
+// Maps shard keys to their owners. Its version never decreases. Not thread-safe.
 class OwnerMap {
 public:
-    // Takes over what encode_changes wrote for a version that is not above this one's. True where the map has
-    // changed: the update was for a later version than this. Errors: runtime::MalformedMessage; then nothing
-    // changed.
+    // Applies the output of encode_changes() for a base version that is at most version(). Returns true where
+    // the update has a later version than the map, and false where it was ignored. Errors:
+    // runtime::MalformedMessage; the map is then unchanged.
     boost::leaf::result<bool> apply(std::string_view changes);
     std::uint64_t version() const { return version_; }
-    // The row of a key, or null. Valid until the next apply(). O(log n) in the rows.
+    // Returns the row of a key, or null. Valid until the next apply(). O(log n) in the number of rows.
     const Assignment* find(const std::string& service, Key key) const;
     std::size_t row_count() const;
 
 private:
-    using Rows = std::map<Key, Assignment>;    // by their first keys; none overlap
+    using Rows = std::map<Key, Assignment>;    // by their first key; no two overlap
     static void overlay(Rows& rows, const Assignment& row);
 
     std::uint64_t version_ = 0;
--- a/src/cluster/ownership/ownership_planner.cpp
+++ b/src/cluster/ownership/ownership_planner.cpp
@@ -8,15 +8,16 @@
 
 std::optional<OwnershipTable> OwnershipPlanner::plan(const std::map<std::string, Servers>& servers,
                                                      const Balance& balance) const {
-    const LoadProfile by_number_of_keys;
+    const LoadProfile uniform_load;
     OwnershipTable next = table_;
-    for (const auto& [service, its_servers] : servers) {
+    for (const auto& [service, service_servers] : servers) {
         const auto rows = table_.services.find(service);
         const auto known_load = balance.loads.find(service);
-        const LoadProfile& load = known_load == balance.loads.end() ? by_number_of_keys : known_load->second;
-        Assignments planned = rows == table_.services.end() ? first_assignment(its_servers)
-                                                            : plan_service(rows->second, its_servers, load,
-                                                                           balance.due.contains(service));
+        const LoadProfile& load = known_load == balance.loads.end() ? uniform_load : known_load->second;
+        Assignments planned =
+            rows == table_.services.end()
+                ? first_assignment(service_servers)
+                : plan_service(rows->second, service_servers, load, balance.due.contains(service));
         if (!planned.empty()) next.services[service] = std::move(planned);
     }
     if (next == table_) return std::nullopt;
@@ -24,7 +25,7 @@
     return next;
 }
 
-// Nobody ever held one of these keys, so the rows are settled at once.
+// No server has held any of these keys before, so the rows are settled at once.
 Assignments OwnershipPlanner::first_assignment(const Servers& servers) const {
     std::vector<std::string> owners;
     for (const auto& [id, server] : servers)
@@ -49,7 +50,7 @@
     service_plan.move_from_gone();
     service_plan.move_from_leaving();
     service_plan.fill_new_servers();
-    if (is_balance_due) service_plan.relieve_overloaded();
+    if (is_balance_due) service_plan.rebalance_overloaded();
     service_plan.merge_rows();
     return service_plan.take_rows();
 }
--- a/src/cluster/ownership/ownership_planner.h
+++ b/src/cluster/ownership/ownership_planner.h
@@ -1,5 +1,5 @@
-// Decides which server is to own which keys. A pure function of the table and the servers: the same input
-// gives the same plan at every controller.
+// Plans which server is to own which keys. A pure function of the table and the servers: the same input gives
+// the same plan on every controller.
 #pragma once
 
 #include <map>
@@ -13,48 +13,51 @@
 
 namespace shaletray::ownership {
 
-// A server of a service, as far as a plan needs it. One that is not listed is gone.
+// The planner's view of a server of a service. A server that is not listed counts as gone.
 struct ServerInfo {
     enum class State {
         InService,
-        Leaving,    // it serves on until its keys are with others
-        Unknown     // nobody has heard of it yet; not known to be gone
+        Leaving,    // keeps serving until its keys have moved to other servers
+        Unknown     // possibly running, though without a current registration; keeps its keys
     };
     State state = State::InService;
-    // Until its next heartbeat is expected, by which it learns of keys that it gets.
+    // Time until its next heartbeat, whose response tells it which keys it was assigned.
     Duration next_heartbeat_in{0};
 };
 using Servers = std::map<std::string, ServerInfo>;    // by id
 
-// The rows of an answer to a heartbeat have to stay within 4 KiB.
+// Maximum number of rows that are planned for a server: the response to a heartbeat has to stay within 4 KiB.
 constexpr std::size_t kMaxRowsPerServer = 48;
-// Beyond the planned number for the case that no server has room; what is above is granted to nobody.
+// Maximum number of rows in a heartbeat response. Above kMaxRowsPerServer, as plans exceed that where all
+// servers have reached it. Rows beyond this limit are granted to no server.
 constexpr std::size_t kMaxRowsPerAnswer = 64;
 
-// What is known of the requests for the keys.
+// The load by which keys are balanced.
 struct Balance {
-    LoadProfiles loads{};           // services without one go by the number of keys
-    std::set<std::string> due{};    // services whose servers may be relieved now
+    LoadProfiles loads{};           // services without a profile are weighed by the number of keys
+    std::set<std::string> due{};    // services whose overloaded servers may give keys away now
 };
 
-// A first assignment divides the keys evenly. After that:
-//  - keys of servers that are gone go to others whole, and have to wait (see SettlementTracker);
-//  - servers that leave keep one key of each row until the others are released, so that the release can be
-//  proven;
-//  - a few keys go to the owner of those beside them, and adjacent rows of one owner are merged where it has
-//  many;
-//  - servers that came get an even part, from those that have the most, unless moves are under way;
-//  - servers that get far more requests than the mean give keys away, where that is due. A key that weighs
-//  more than an even part by itself is left alone on its server.
-// Parts are measured by the requests for their keys as far as these are known.
+// The first assignment divides the keys evenly. After that:
+//  - Rows of servers that are gone are moved whole, and have to wait (see SettlementTracker).
+//  - A leaving server keeps one key of each row until the other keys are released, so that the release can be
+//    proven.
+//  - Rows of little weight go to the owner of an adjacent row, and adjacent rows of one owner are merged
+//    where the owner has many.
+//  - New servers get an even share, taken from the servers with the most weight, unless moves are in
+//    progress.
+//  - Servers with far more requests than the mean give keys away, where that is due. A key that alone weighs
+//    more than an even share stays on its server, without other keys.
+// Shares are measured by the requests for their keys, as far as these are known.
 class OwnershipPlanner {
 public:
-    // `next_version`: above every fence in the table; the version and the fences of what changes.
+    // `next_version`: the version of the planned table and the fence of its changed rows. Has to be above
+    // every fence in `table`.
     OwnershipPlanner(const OwnershipTable& table, std::uint64_t next_version)
         : table_(table), next_version_(next_version) {}
 
-    // The table with all that is to change now; none: nothing is. `servers` has the services whose keys are
-    // to be divided; their other services stay as they are.
+    // Returns the table with all changes that are due now, or none where nothing changes. `servers` holds the
+    // services whose keys are to be divided; the rows of other services stay unchanged.
     std::optional<OwnershipTable> plan(const std::map<std::string, Servers>& servers,
                                        const Balance& balance = {}) const;
 
--- a/src/cluster/ownership/ownership_table.cpp
+++ b/src/cluster/ownership/ownership_table.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-// Far above any real table; bounds what a message may allocate.
+// Far above any real table; bounds the memory that a message can make the reader allocate.
 constexpr std::uint32_t kMaxRows = kKeyCount;
 constexpr std::size_t kMaxNameLength = 512;
 
-// Numbers the names in the order of their first use.
+// Assigns indices to names in the order of their first use.
 class NameList {
 public:
     std::uint32_t index_of(const std::string& name) {
@@ -42,16 +42,16 @@
     if (!row.handover.empty()) builder.setHandover(runtime::text_reader_of(row.handover));
 }
 
-// Thrown past Cap'n Proto's own checks as its exception, so that all malformed bytes take one way.
+// Reports an invalid index as Cap'n Proto's own exception, so that all malformed input is handled alike.
 const std::string& name_at(const std::vector<std::string>& names, std::uint32_t index) {
-    KJ_REQUIRE(index < names.size(), "an unknown name");
+    KJ_REQUIRE(index < names.size(), "name index out of range");
     return names[index];
 }
 
 Assignment read_row(wire::Row::Reader reader, const std::vector<std::string>& names) {
     Assignment row;
     row.keys = {reader.getFirst(), reader.getLast()};
-    KJ_REQUIRE(row.keys.first <= row.keys.last, "an inverted range");
+    KJ_REQUIRE(row.keys.first <= row.keys.last, "first key of a row is above its last key");
     row.owner = name_at(names, reader.getOwner());
     row.fence = reader.getFence();
     row.changed = reader.getChanged();
@@ -68,16 +68,16 @@
     table.hold = std::chrono::milliseconds(reader.getHoldMs());
     std::vector<std::string> names;
     for (const auto name : reader.getNames()) {
-        KJ_REQUIRE(name.size() <= kMaxNameLength, "too long a name");
+        KJ_REQUIRE(name.size() <= kMaxNameLength, "name exceeds the maximum length");
         names.emplace_back(runtime::text_of(name));
     }
     for (const auto service : reader.getServices()) {
         Assignments& rows = table.services[name_at(names, service.getName())];
-        KJ_REQUIRE(service.getRows().size() <= kMaxRows, "too many rows");
+        KJ_REQUIRE(service.getRows().size() <= kMaxRows, "service exceeds the maximum number of rows");
         for (const auto row : service.getRows()) {
             rows.push_back(read_row(row, names));
             KJ_REQUIRE(rows.size() < 2 || rows[rows.size() - 2].keys.last < rows.back().keys.first,
-                       "rows out of order");
+                       "rows overlap or are not in ascending order");
         }
     }
     return table;
--- a/src/cluster/ownership/ownership_table.h
+++ b/src/cluster/ownership/ownership_table.h
@@ -1,5 +1,6 @@
-// Who owns which shard keys of the services whose keys are divided among their servers: the value that the
-// controllers agree on. The rules and the reasons stand in docs/design/key-ownership.md. Pure.
+// The table of the owners of shard keys, for services whose keys are divided among their servers. It is the
+// value on which the controllers reach consensus. The rules and their reasons are in
+// docs/design/key-ownership.md. Pure.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -16,7 +17,7 @@
 using Key = std::uint16_t;
 constexpr std::uint32_t kKeyCount = 65536;
 
-// The keys from `first` to `last`, both included.
+// The keys from `first` to `last`, both inclusive.
 struct KeyRange {
     Key first = 0, last = 0;
     std::uint32_t size() const { return std::uint32_t{last} - first + 1; }
@@ -26,50 +27,55 @@
     auto operator<=>(const KeyRange&) const = default;
 };
 
-// A range and its owner. Whenever the owner or the bounds change, the row gets a new fence.
+// A row of the table: a key range and its owner. Whenever its owner or bounds change, the row gets a new
+// fence.
 struct Assignment {
     KeyRange keys;
     std::string owner;            // a server's id
-    std::uint64_t fence = 0;      // above all fences that these keys had before
+    std::uint64_t fence = 0;      // above all earlier fences of these keys
     std::uint64_t changed = 0;    // the table's version when the row last changed
-    bool settled = false;         // no other server can hold any of these keys: the owner may be granted them
-    // Whose row with which fence the keys were cut from; empty: nobody's whose release could be proven.
+    bool settled = false;         // no other server can hold its keys: the owner may be granted them
+    // Owner and fence of the row from which the keys were cut. Empty: there is no previous owner that could
+    // prove the release.
     std::string previous_owner{};
     std::uint64_t previous_fence = 0;
-    std::string handover{};    // what the previous owner left for the next one; empty: nothing
+    std::string handover{};    // data from the previous owner for the new one; empty: none
     bool operator==(const Assignment&) const = default;
 };
 
-// Of one service: ascending, and covering all keys once each.
+// The rows of one service, ascending by key. They cover each key exactly once.
 using Assignments = std::vector<Assignment>;
 
-// A service that had rows once has rows for ever, so that one without rows was never granted to anybody.
+// The rows of a service are never removed, so the keys of a service without rows were never granted to a
+// server.
 struct OwnershipTable {
-    std::uint64_t version = 0;    // 0: there was none yet
-    Duration hold{0};             // what the owners are granted at a time
+    std::uint64_t version = 0;    // 0: no table was committed yet
+    Duration hold{0};             // hold time that each grant gives an owner
     std::map<std::string, Assignments> services;
     bool operator==(const OwnershipTable&) const = default;
 };
 
 std::string encode(const OwnershipTable& table);
-// Only the rows that changed after `version`, for OwnerMap::apply.
+// Encodes only the rows that changed after `version`, for OwnerMap::apply().
 std::string encode_changes(const OwnershipTable& table, std::uint64_t version);
-// Errors: runtime::MalformedMessage. No bytes are an empty table.
+// Errors: runtime::MalformedMessage. Empty input decodes to an empty table.
 boost::leaf::result<OwnershipTable> decode(std::string_view bytes);
 
-// What a server reports of itself in a heartbeat.
+// A key range that a server reports to hold, with the fence by which it holds it.
 struct HeldRange {
     KeyRange keys;
     std::uint64_t fence = 0;
     bool operator==(const HeldRange&) const = default;
 };
+// A key range that a server reports to have released, with data for the next owner.
 struct ReleasedRange {
     KeyRange keys;
     std::string handover;
     bool operator==(const ReleasedRange&) const = default;
 };
+// What a server reports in a heartbeat about the keys that it holds.
 struct HoldReport {
-    std::vector<HeldRange> held;    // held, or still worked on
+    std::vector<HeldRange> held;    // held, or still used by requests in progress
     std::vector<ReleasedRange> released;
     bool operator==(const HoldReport&) const = default;
 };
--- a/src/cluster/ownership/service_plan.cpp
+++ b/src/cluster/ownership/service_plan.cpp
@@ -7,22 +7,23 @@
 
 using namespace std::chrono_literals;
 
-// A range that is given away is cut into this many pieces at most.
+// Maximum number of pieces into which a moved range is cut.
 constexpr double kMaxPieces = 8;
-// Smaller parts of an even share are not worth a move.
+// Fractions of an even share below 1/16 are not moved.
 constexpr double kMinMoveDivisor = 16;
-// Rows of a server above which its adjacent ones are merged.
-constexpr std::size_t kMergeAbove = 12;
-// Mean number of a server's rows above which none are cut for the sake of balance.
+// Adjacent rows of a server are merged where it has more rows than this.
+constexpr std::size_t kMaxUnmergedRows = 12;
+// Rows are not cut for balancing while servers have more rows than this on average.
 constexpr std::size_t kMaxMeanRows = 8;
-// So many of the servers with the least weight are looked at for the one that learns of its keys first.
-constexpr std::size_t kReceiverChoices = 4;
-// A receiver whose heartbeat comes before the keys are released learns of them only by the one after.
+// Number of servers with the least weight among which the one with the next suitable heartbeat is chosen.
+constexpr std::size_t kReceiverCandidates = 4;
+// Estimated time until moved keys are released. A receiver whose heartbeat comes earlier is granted them only
+// with its following heartbeat.
 constexpr Duration kReleaseTime = 250ms;
-// Servers with more than so many even shares of the weight give keys away.
+// Servers whose weight exceeds an even share by more than this factor give keys away.
 constexpr double kOverloadRatio = 1.25;
-// Keys that one plan moves for the sake of balance: they are not served while they move.
-constexpr std::uint32_t kMaxRelievedKeys = kKeyCount / 8;
+// Maximum number of keys that one plan moves for balancing: keys are not served while they move.
+constexpr std::uint32_t kMaxRebalancedKeys = kKeyCount / 8;
 
 }    // namespace
 
@@ -55,12 +56,12 @@
     ++receiver->second.rows;
 }
 
-// Of a row that stays the owner's.
+// Deducts the weight of keys that move to others, out of a row whose rest stays with its owner.
 void ServicePlan::take_from_owner(const std::string& owner, const KeyRange& keys) {
     receivers_.at(owner).weight -= load_.weight(keys);
 }
 
-// ---- owners that are gone or leave ----
+// ---- owners that are gone or leaving ----
 
 void ServicePlan::move_from_gone() {
     move_rows([this](const Assignment& row) { return is_gone(row.owner) ? Move::Whole : Move::None; });
@@ -71,12 +72,12 @@
         if (!is_leaving(row.owner)) return Move::None;
         if (!row.settled) return Move::Whole;
         if (row.keys.size() > 1) return Move::AllButOne;
-        return is_proof_awaited(row) ? Move::None : Move::Whole;
+        return awaits_release_proof(row) ? Move::None : Move::Whole;
     });
 }
 
-// Whether other keys of the row that it was cut from are still to be proven released by its report.
-bool ServicePlan::is_proof_awaited(const Assignment& kept) const {
+// Whether the row `kept` is still needed to prove the release of other keys that were cut from the same row.
+bool ServicePlan::awaits_release_proof(const Assignment& kept) const {
     return std::any_of(rows_.begin(), rows_.end(), [&](const Assignment& row) {
         return !row.settled && row.previous_owner == kept.owner && row.fence == kept.fence;
     });
@@ -85,21 +86,21 @@
 void ServicePlan::move_rows(const std::function<Move(const Assignment&)>& decide) {
     std::vector<Move> moves;
     for (const Assignment& row : rows_) moves.push_back(decide(row));
-    Assignments former = std::exchange(rows_, {});
-    for (std::size_t i = 0; i < former.size(); ++i) {
-        if (moves[i] == Move::None) rows_.push_back(std::move(former[i]));
-        else if (moves[i] == Move::Whole) move_whole(former, i);
-        else keep_first_key(std::move(former[i]));
+    Assignments old_rows = std::exchange(rows_, {});
+    for (std::size_t i = 0; i < old_rows.size(); ++i) {
+        if (moves[i] == Move::None) rows_.push_back(std::move(old_rows[i]));
+        else if (moves[i] == Move::Whole) move_whole(old_rows, i);
+        else keep_first_key(std::move(old_rows[i]));
     }
 }
 
-// A few keys go to the owner of the keys beside them, so that rows can be merged later.
-void ServicePlan::move_whole(const Assignments& former, std::size_t index) {
-    const KeyRange& keys = former[index].keys;
+// A row of little weight goes to the owner of an adjacent row, so that the two can be merged later.
+void ServicePlan::move_whole(const Assignments& old_rows, std::size_t index) {
+    const KeyRange& keys = old_rows[index].keys;
     if (load_.weight(keys) < min_move_weight()) {
         for (const std::size_t neighbour : {index + 1, index - 1}) {
-            if (neighbour >= former.size() || !is_in_service(former[neighbour].owner)) continue;
-            return give(former[neighbour].owner, keys, {});
+            if (neighbour >= old_rows.size() || !is_in_service(old_rows[neighbour].owner)) continue;
+            return assign(old_rows[neighbour].owner, keys, {});
         }
     }
     distribute(keys, {});
@@ -112,9 +113,9 @@
     distribute(rest, origin);
 }
 
-// ---- parts of rows ----
+// ---- cutting rows ----
 
-// A row with other bounds has a new fence.
+// Changes the bounds of a row, which requires a new fence.
 void ServicePlan::change_bounds(Assignment& row, const KeyRange& keys) const {
     row.previous_fence = row.fence == next_version_ ? row.previous_fence : row.fence;
     row.keys = keys;
@@ -123,7 +124,7 @@
     row.handover.clear();
 }
 
-// Adds the part of a row that its owner keeps. Returns what the other parts come from.
+// Adds the part of a row that its owner keeps. Returns the origin of the other parts.
 ServicePlan::Origin ServicePlan::keep(Assignment row, const KeyRange& keys) {
     change_bounds(row, keys);
     const Origin origin{row.owner, row.previous_fence};
@@ -135,15 +136,16 @@
     const double min_piece = std::max(min_move_weight(), load_.weight(range) / kMaxPieces);
     while (true) {
         const std::string& id = choose_receiver();
-        const double missing = even_weight() - receivers_.at(id).weight;
-        const std::uint32_t size = std::max(1U, load_.longest_prefix(range, std::max(min_piece, missing)));
-        give(id, {range.first, static_cast<Key>(range.first + size - 1)}, origin);
+        const double missing_weight = even_weight() - receivers_.at(id).weight;
+        const std::uint32_t size =
+            std::max(1U, load_.longest_prefix(range, std::max(min_piece, missing_weight)));
+        assign(id, {range.first, static_cast<Key>(range.first + size - 1)}, origin);
         if (size == range.size()) return;
         range.first = static_cast<Key>(range.first + size);
     }
 }
 
-void ServicePlan::give(const std::string& id, const KeyRange& keys, const Origin& origin) {
+void ServicePlan::assign(const std::string& id, const KeyRange& keys, const Origin& origin) {
     Assignment row;
     row.keys = keys;
     row.owner = id;
@@ -154,28 +156,29 @@
     add_to_owner(id, keys);
 }
 
-// Of those with the least weight, the one that learns first of what it gets.
+// Of the servers with the least weight, chooses the one that is granted moved keys first.
 const std::string& ServicePlan::choose_receiver() const {
     using Entry = const std::pair<const std::string, Receiver>;
-    std::vector<Entry*> order;
+    std::vector<Entry*> candidates;
     for (Entry& entry : receivers_)
-        if (entry.second.rows < kMaxRowsPerServer) order.push_back(&entry);
-    if (order.empty())
-        for (Entry& entry : receivers_) order.push_back(&entry);
-    std::stable_sort(order.begin(), order.end(),
+        if (entry.second.rows < kMaxRowsPerServer) candidates.push_back(&entry);
+    if (candidates.empty())
+        for (Entry& entry : receivers_) candidates.push_back(&entry);
+    std::stable_sort(candidates.begin(), candidates.end(),
                      [](const Entry* a, const Entry* b) { return a->second.weight < b->second.weight; });
-    const auto learns_in = [](const Entry* entry) {
-        const Duration due = entry->second.next_heartbeat_in;
-        return due < kReleaseTime ? due + 1h : due;
+    const auto grant_expected_in = [](const Entry* entry) {
+        const Duration heartbeat_in = entry->second.next_heartbeat_in;
+        return heartbeat_in < kReleaseTime ? heartbeat_in + 1h : heartbeat_in;
     };
-    const std::size_t choices = std::min(order.size(), kReceiverChoices);
-    return (*std::min_element(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(choices),
-                              [&](const Entry* a, const Entry* b) { return learns_in(a) < learns_in(b); }))
+    const std::size_t candidate_count = std::min(candidates.size(), kReceiverCandidates);
+    return (*std::min_element(
+                candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(candidate_count),
+                [&](const Entry* a, const Entry* b) { return grant_expected_in(a) < grant_expected_in(b); }))
         ->first;
 }
 
-// Cuts pieces that weigh at most so much together off the end and the beginning of the range, of which at
-// least a key stays.
+// Cuts pieces off the end and the beginning of `keys` that together weigh at most `max_weight`. At least one
+// key of the range stays.
 std::vector<KeyRange> ServicePlan::cut_off(KeyRange& keys, double max_weight) const {
     std::vector<KeyRange> pieces;
     const std::uint32_t suffix = std::min(load_.longest_suffix(keys, max_weight), keys.size() - 1);
@@ -200,9 +203,9 @@
         if (receiver.rows == 0) fill(id, receiver);
 }
 
-// Takes keys from the servers that have the most weight.
+// Gives the server an even share, taken from the servers with the most weight.
 void ServicePlan::fill(const std::string& id, const Receiver& receiver) {
-    std::set<Key> tried;    // rows that had nothing to give, by their first key
+    std::set<Key> tried;    // first keys of the rows that were tried
     while (receiver.weight + min_move_weight() < even_weight() && receiver.rows < kMaxRowsPerServer) {
         const std::size_t index = find_donor_row(tried);
         if (index == rows_.size()) return;
@@ -217,12 +220,13 @@
         const Origin origin = keep(std::move(row), kept);
         for (const KeyRange& piece : pieces) {
             take_from_owner(origin.owner, piece);
-            give(id, piece, origin);
+            assign(id, piece, origin);
         }
     }
 }
 
-// The heaviest settled row of the server with the most weight, where that has enough above an even share.
+// Returns the index of the heaviest settled row of the server with the most weight, or rows_.size() where no
+// server has enough above an even share.
 std::size_t ServicePlan::find_donor_row(const std::set<Key>& tried) const {
     std::size_t best = rows_.size();
     const auto rank = [&](const Assignment& row) {
@@ -238,14 +242,14 @@
     return best;
 }
 
-// ---- balance ----
+// ---- balancing ----
 
-void ServicePlan::relieve_overloaded() {
+void ServicePlan::rebalance_overloaded() {
     if (is_moving() || receivers_.size() < 2 || rows_.size() > kMaxMeanRows * receivers_.size()) return;
-    for (const std::string& id : overloaded_servers()) relieve(id);
+    for (const std::string& id : overloaded_servers()) shed_load(id);
 }
 
-// The one with the most weight first.
+// Returns the overloaded servers, the one with the most weight first.
 std::vector<std::string> ServicePlan::overloaded_servers() const {
     std::vector<std::string> ids;
     for (const auto& [id, receiver] : receivers_)
@@ -256,12 +260,12 @@
     return ids;
 }
 
-// Gives what is above an even share to those with the least weight. A key that alone weighs more than a
-// share stays, and what lies beside it goes.
-void ServicePlan::relieve(const std::string& id) {
+// Moves the weight above an even share to the servers with the least weight. A key that alone weighs more
+// than an even share stays, and the keys beside it move.
+void ServicePlan::shed_load(const std::string& id) {
     for (const std::size_t index : rows_to_cut(id)) {
         const double surplus = receivers_.at(id).weight - even_weight();
-        if (surplus < min_move_weight() || relieved_keys_ >= kMaxRelievedKeys) return;
+        if (surplus < min_move_weight() || rebalanced_keys_ >= kMaxRebalancedKeys) return;
         KeyRange kept = rows_[index].keys;
         const std::vector<KeyRange> pieces = cut_off(kept, surplus);
         double weight = 0;
@@ -271,14 +275,14 @@
         const Origin origin{id, rows_[index].previous_fence};
         for (const KeyRange& piece : pieces) {
             take_from_owner(id, piece);
-            relieved_keys_ += piece.size();
+            rebalanced_keys_ += piece.size();
             distribute(piece, origin);
         }
     }
 }
 
-// Indexes of the server's rows of several keys, the heaviest first. Rows that are added meanwhile come
-// behind.
+// Returns the indexes of the server's settled rows with several keys, the heaviest first. Rows that are added
+// later are appended to rows_, so the indexes stay valid.
 std::vector<std::size_t> ServicePlan::rows_to_cut(const std::string& owner) const {
     std::vector<std::size_t> indexes;
     for (std::size_t i = 0; i < rows_.size(); ++i)
@@ -289,16 +293,17 @@
     return indexes;
 }
 
-// ---- the table's size ----
+// ---- limiting the table's size ----
 
 void ServicePlan::merge_rows() {
-    const bool is_fragmented = std::any_of(receivers_.begin(), receivers_.end(),
-                                           [](const auto& entry) { return entry.second.rows > kMergeAbove; });
+    const bool is_fragmented = std::any_of(receivers_.begin(), receivers_.end(), [](const auto& entry) {
+        return entry.second.rows > kMaxUnmergedRows;
+    });
     if (!is_fragmented || is_moving()) return;
     Assignments merged;
     for (Assignment& row : rows_) {
-        const bool joins = !merged.empty() && merged.back().owner == row.owner;
-        if (joins) change_bounds(merged.back(), {merged.back().keys.first, row.keys.last});
+        const bool is_mergeable = !merged.empty() && merged.back().owner == row.owner;
+        if (is_mergeable) change_bounds(merged.back(), {merged.back().keys.first, row.keys.last});
         else merged.push_back(std::move(row));
     }
     rows_ = std::move(merged);
--- a/src/cluster/ownership/settlement_tracker.cpp
+++ b/src/cluster/ownership/settlement_tracker.cpp
@@ -25,7 +25,8 @@
     return found == report.released.end() ? std::string() : found->handover;
 }
 
-// The part of the row that these keys were cut from, which its owner keeps; null: it keeps none.
+// Returns the part that the previous owner keeps of the row `origin`, from which `cut` was cut. Null: it
+// keeps no part.
 const Assignment* kept_part(const Assignments& rows, const Assignment& cut, const KeyRange& origin) {
     const auto found = std::find_if(rows.begin(), rows.end(), [&](const Assignment& row) {
         return row.settled && row.owner == cut.previous_owner && row.fence == cut.fence &&
@@ -34,7 +35,8 @@
     return found == rows.end() ? nullptr : &*found;
 }
 
-// The previous owner holds the part that it keeps, with the new fence, and nothing of the row.
+// Whether the report shows that the previous owner holds the part that it keeps, with the new fence, and none
+// of the keys of `row`.
 bool proves_release(const Assignments& rows, const Assignment& row, const KeyRange& origin,
                     const HoldReport& report) {
     const Assignment* const kept = kept_part(rows, row, origin);
@@ -52,8 +54,9 @@
             const RowId id{service, row.keys, row.fence};
             if (held_by_owner_.contains(id)) held.insert(id);
             if (row.settled) continue;
-            const auto known = unsettled_.find(id);
-            unsettled[id] = known == unsettled_.end() ? make_unsettled(service, row, now) : known->second;
+            const auto existing = unsettled_.find(id);
+            unsettled[id] =
+                existing == unsettled_.end() ? make_unsettled(service, row, now) : existing->second;
         }
     }
     unsettled_ = std::move(unsettled);
@@ -61,18 +64,18 @@
     table_ = table;
 }
 
-// `table_` is still the one before.
+// Called while `table_` is still the previous table.
 SettlementTracker::Unsettled SettlementTracker::make_unsettled(const std::string& service,
                                                                const Assignment& row, TimePoint now) const {
     Unsettled unsettled;
     unsettled.learned_at = now;
     const auto rows = table_.services.find(service);
     if (row.previous_owner.empty() || rows == table_.services.end()) return unsettled;
-    for (const Assignment& former : rows->second) {
-        const bool is_origin = former.fence == row.previous_fence && former.owner == row.previous_owner &&
-                               former.keys.contains(row.keys);
-        if (is_origin && held_by_owner_.contains({service, former.keys, former.fence}))
-            unsettled.origin = former.keys;
+    for (const Assignment& old_row : rows->second) {
+        const bool is_origin = old_row.fence == row.previous_fence && old_row.owner == row.previous_owner &&
+                               old_row.keys.contains(row.keys);
+        if (is_origin && held_by_owner_.contains({service, old_row.keys, old_row.fence}))
+            unsettled.origin = old_row.keys;
     }
     return unsettled;
 }
@@ -100,8 +103,8 @@
                                                         bool by_wait) const {
     std::optional<OwnershipTable> next;
     for (const auto& [id, unsettled] : unsettled_) {
-        const bool is_over = by_wait && now - unsettled.learned_at >= settle_wait(table_.hold);
-        if (!unsettled.is_released && !is_over) continue;
+        const bool has_waited = by_wait && now - unsettled.learned_at >= settle_wait(table_.hold);
+        if (!unsettled.is_released && !has_waited) continue;
         if (!next) next = table_;
         next->version = next_version;
         Assignments& rows = next->services.at(id.service);
--- a/src/cluster/ownership/settlement_tracker.h
+++ b/src/cluster/ownership/settlement_tracker.h
@@ -1,5 +1,5 @@
-// Finds out which unsettled rows may be settled: those whose wait is over, and those whose previous owner has
-// proven that it holds nothing of them any more. Pure.
+// Determines which unsettled rows may be settled: those whose wait has elapsed, and those whose previous
+// owner has proven that it no longer holds any of their keys. Pure.
 #pragma once
 
 #include <map>
@@ -11,22 +11,24 @@
 
 namespace shaletray::ownership {
 
-// One controller's view. Not thread-safe. Nothing of it is stored: a controller that starts anew waits anew.
+// The state of one controller. Not thread-safe. It is not persisted: a controller that restarts begins each
+// wait again.
 //
-// Invariant: a row counts as released by its previous owner P only if P once reported to hold all of the row
-// that it was cut from, with that row's fence, and later reported the part that it keeps with the new fence
-// and nothing of the released row. P then refuses every earlier row that overlaps it, since it has seen a
-// higher fence there.
+// Invariant: a row counts as released by its previous owner P only if P has reported to hold all of the row
+// from which it was cut, with that row's fence, and later has reported to hold the part that it keeps, with
+// the new fence, and none of the keys of the released row. From then on P rejects every earlier row that
+// overlaps the part that it keeps, such as the row from which both were cut, since it has seen a higher fence
+// for those keys.
 class SettlementTracker {
 public:
-    // The committed table is this one now.
+    // Sets the committed table.
     void on_table(const OwnershipTable& table, TimePoint now);
-    // A server of the service reported what it holds. True where a row was proven to be released by it.
+    // Processes the report of a server of the service. Returns true where it proves the release of a row.
     bool on_report(const std::string& service, const std::string& server_id, const HoldReport& report);
-    // The known table with all rows settled that may be by `now`, at the version `next_version`; none: there
-    // is no such row. `by_wait`: whether rows whose wait is over are among them.
+    // Returns the committed table, at version `next_version`, with all rows settled that may be settled at
+    // `now`; none where there is no such row. `by_wait`: whether to include rows whose wait has elapsed.
     std::optional<OwnershipTable> settle(std::uint64_t next_version, TimePoint now, bool by_wait) const;
-    // When the next wait is over; TimePoint::max(): there is none.
+    // When the next wait elapses, or TimePoint::max() where no row is waiting.
     TimePoint next_deadline() const;
 
 private:
@@ -38,8 +40,7 @@
     };
     struct Unsettled {
         TimePoint learned_at{};
-        std::optional<KeyRange>
-            origin;    // the row it was cut from, if its owner reported to hold all of that
+        std::optional<KeyRange> origin;    // row it was cut from, if its owner reported to hold all of it
         bool is_released = false;
         std::string handover{};
     };
@@ -47,7 +48,7 @@
 
     OwnershipTable table_;
     std::map<RowId, Unsettled> unsettled_;    // of table_
-    std::set<RowId> held_by_owner_;           // rows of table_ that their owners reported to hold whole
+    std::set<RowId> held_by_owner_;           // rows of table_ that their owners reported to hold completely
 };
 
 }    // namespace shaletray::ownership
--- a/tests/cluster/ownership/owner_map_test.cpp
+++ b/tests/cluster/ownership/owner_map_test.cpp
@@ -1,4 +1,4 @@
-// The owners as a gateway knows them: by deltas from any version it is the same as the whole table.
+// Tests of OwnerMap: applying deltas from any version gives the same owners as the whole table.
 #include "cluster/ownership/owner_map.h"
 
 #include <random>
@@ -11,7 +11,7 @@
 
 namespace {
 
-void check_equal(const OwnerMap& map, const OwnershipTable& table) {
+void check_matches(const OwnerMap& map, const OwnershipTable& table) {
     cr_assert(map.version() == table.version);
     for (const Assignment& row : table.services.at("saves")) {
         for (const Key key : {row.keys.first, row.keys.last}) {
@@ -24,7 +24,7 @@
 
 }    // namespace
 
-Test(owner_map, follows_a_table_by_deltas_of_any_length) {
+Test(owner_map, deltas_from_any_version_match_the_table) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         std::mt19937_64 random(seed);
         OwnershipTable table;
@@ -37,24 +37,24 @@
             table = random() % 2 == 0 ? settled(table, version) : planned(table, servers, version);
             if (table.services.empty()) continue;
             cr_assert(each_step.apply(encode_changes(table, each_step.version())));
-            check_equal(each_step, table);
+            check_matches(each_step, table);
             if (random() % 4 != 0) continue;
             cr_assert(some_steps.apply(encode_changes(table, some_steps.version())));
-            check_equal(some_steps, table);
+            check_matches(some_steps, table);
         }
-        const auto again = each_step.apply(encode(OwnershipTable{1, 4s, {}}));
-        cr_assert(again && !*again, "an older table changes nothing");
+        const auto stale = each_step.apply(encode(OwnershipTable{1, 4s, {}}));
+        cr_assert(stale && !*stale, "an older table is ignored");
     }
 }
 
-Test(owner_map, knows_nobody_of_other_services) {
+Test(owner_map, finds_no_owner_for_other_services) {
     OwnerMap map;
     cr_assert(map.find("saves", 0) == nullptr);
     cr_assert(map.apply(encode(planned({}, servers_in_service({"a"}), 1))));
     cr_assert(map.find("saves", 65535)->owner == "a" && map.find("other", 0) == nullptr);
 }
 
-Test(ownership_table, malformed_bytes_are_an_error_and_change_nothing) {
+Test(ownership_table, rejects_malformed_bytes_without_changes) {
     const OwnershipTable table = planned({}, servers_in_service({"a", "b", "c"}), 3);
     const std::string bytes = encode(table);
     const auto decoded = decode(bytes);
--- a/tests/cluster/ownership/ownership_helpers.h
+++ b/tests/cluster/ownership/ownership_helpers.h
@@ -1,4 +1,4 @@
-// Tables and servers for the tests of key ownership.
+// Builds tables and servers for the tests of key ownership, and checks steps between tables.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -19,7 +19,7 @@
     return servers;
 }
 
-// The table that a plan makes of this one; the same table where nothing is to change.
+// Returns the planned successor of a table, or the same table where nothing changes.
 inline OwnershipTable planned(const OwnershipTable& table, const Servers& servers, std::uint64_t version) {
     auto next = OwnershipPlanner(table, version).plan({{"saves", servers}});
     if (!next) return table;
@@ -34,7 +34,7 @@
     return keys;
 }
 
-// With all rows settled, as after all waits.
+// Returns the table with all rows settled, as after all waits have elapsed.
 inline OwnershipTable settled(OwnershipTable table, std::uint64_t version) {
     for (auto& [service, rows] : table.services) {
         for (Assignment& row : rows) {
@@ -46,8 +46,8 @@
     return table;
 }
 
-// Every key has one owner; fences stay or rise; a key that changed its owner is not settled; bounds never
-// change without a new fence.
+// Checks the invariants of a step between two tables: every key has one owner; fences never decrease; a key
+// whose owner changed is not settled; bounds change only with a new fence.
 inline void check_step(const OwnershipTable& before, const OwnershipTable& after) {
     const Assignments& rows = after.services.at("saves");
     std::uint32_t next_key = 0;
@@ -57,9 +57,9 @@
         cr_assert(row.fence <= after.version && row.changed <= after.version);
     }
     cr_assert(next_key == kKeyCount);
-    const auto former = before.services.find("saves");
-    if (former == before.services.end()) return;
-    for (const Assignment& old_row : former->second) {
+    const auto old_rows = before.services.find("saves");
+    if (old_rows == before.services.end()) return;
+    for (const Assignment& old_row : old_rows->second) {
         for (const Assignment& row : rows) {
             if (!row.keys.overlaps(old_row.keys)) continue;
             cr_assert(row.fence >= old_row.fence);
