--- a/src/cluster/quota/balancing_messages.cpp
+++ b/src/cluster/quota/balancing_messages.cpp
@@ -1,4 +1,4 @@
-// The part of QuotaBalancer::Impl that writes and reads the messages between neighbours.
+// Implements the part of QuotaBalancer::Impl that writes and reads the messages between neighbours.
 #include <algorithm>
 #include <cmath>
 
@@ -10,20 +10,21 @@
 
 using namespace std::chrono_literals;
 
-// Smaller changes, as a fraction of a full bucket, are not announced: it bounds the messages at rest.
+// Changes below this fraction of a full bucket are not announced, which limits the messages while idle.
 constexpr double kAnnounceThreshold = 0.4;
-// How often a gap of a single step is evened out after all. Without it units could stay where no request
-// comes; always, two neighbours would pass the same step back and forth.
+// Probability of evening out a difference of a single step. With 0, units could stay at gateways without
+// requests; with 1, two neighbours would pass the same step back and forth.
 constexpr double kSmallTransferProbability = 1.0 / 16.0;
-// Entries with a request come before all with a transfer, and those before all others.
+// Entries with a request have priority over those with a transfer, and those over all others.
 constexpr double kRequestPriority = 1e6;
 constexpr double kTransferPriority = 1e3;
-// A neighbour that asked in vain is announced this many units above a full bucket, so that the difference to
-// what we have is large enough to be corrected with the next message.
+// After a neighbour's request was not fulfilled, our units are recorded as announced to it at this many above
+// a full bucket, so that the difference to the actual units is large enough to be announced with the next
+// message.
 constexpr double kCorrectionUnits = 2.0;
-// Bounds the memory that senders of messages take. Far above the number of gateways of any cluster.
+// Bounds the memory used per sender of messages. Far above the number of gateways of any cluster.
 constexpr std::size_t kMaxPeers = 16'384;
-// Bounds the arithmetic on delays that a message claims.
+// Upper bound for the echo delay of a message, in microseconds, which prevents arithmetic overflow.
 constexpr std::uint64_t kMaxClaimedDelay = 1'000'000'000;
 
 double round_down_to_fraction(double units) {
@@ -32,11 +33,12 @@
 
 std::uint64_t to_microseconds(Duration duration) { return static_cast<std::uint64_t>(duration.count()); }
 
-// A message echoes our own timestamp, so that the age of its transfers is known by our clock.
+// The origin of a message's transfers. The message echoes our own timestamp, so that the age of the transfers
+// can be determined by our clock.
 struct TransferOrigin {
     TimePoint echoed_time;
     Duration echo_delay{0};
-    // The earliest moment at which the message's transfers can have been sent.
+    // Earliest time at which the message's transfers can have been sent.
     TimePoint sent_at() const { return echoed_time + echo_delay; }
 };
 
@@ -50,12 +52,12 @@
 
 // ---- writing ----
 
-// How much to move to the neighbour: the rounded-up half of the difference. A difference of a single step is
-// moved with a small probability.
+// Returns how many units to move to the neighbour: half of the difference, rounded up to a step. Half a step
+// is moved with a small probability where the difference is at most a single step.
 double QuotaBalancer::Impl::transfer_amount(const TenantBucket& bucket, const NeighbourState& state,
                                             TimePoint now) {
     if (!bucket.in_set || !state.received.known || state.max_transfer <= 0.0F) return 0.0;
-    if (!peers_[state.peer].is_recently_heard(now) || !refill_clocks_.is_running(now)) return 0.0;
+    if (!peers_[state.peer].has_recent_message(now) || !refill_clocks_.is_running(now)) return 0.0;
     const double available = std::min(bucket.level, bucket.available_units());
     if (available <= 0.0) return 0.0;
     const double gap =
@@ -72,8 +74,8 @@
     return std::max(0.0, round_down_to_fraction(permitted));
 }
 
-// False where the neighbour need not be told anything of this bucket. Outside of the set there is nothing to
-// tell but a request.
+// Drafts the entry of this bucket for the neighbour. Returns false where there is nothing to send. A gateway
+// outside of the set sends requests only.
 bool QuotaBalancer::Impl::draft_entry(const TenantBucket& bucket, const NeighbourState& state, TimePoint now,
                                       EntryDraft& draft) {
     const bool has_request = state.pending_request > 0.0F;
@@ -81,7 +83,7 @@
     const double available = bucket.available_units();
     const bool under_pressure = bucket.under_pressure(now);
     const double amount = transfer_amount(bucket, state, now);
-    // A full bucket that was never announced is what the neighbour assumes anyway.
+    // A neighbour assumes that a bucket which was never announced is full.
     const bool differs_from_assumption = state.announced.known || available < bucket.capacity_share;
     const double announced =
         differs_from_assumption ? estimate_units(bucket, state.announced, clock_of(bucket), now) : available;
@@ -100,7 +102,8 @@
     return true;
 }
 
-// Fills drafts_ with all that this peer has to be told; where that is too much, with the most important.
+// Fills drafts_ with the entries for this peer. Where these exceed one message, keeps those of highest
+// priority.
 void QuotaBalancer::Impl::draft_entries(PeerTable::Index peer, TimePoint now) {
     drafts_.clear();
     for (const BucketTable::Index index : pending_updates_) {
@@ -118,7 +121,8 @@
     drafts_.resize(kMaxEntries);
 }
 
-// Completes the draft and records what the peer will know by it. Transferred units leave the bucket here.
+// Completes the draft and records what it announces to the peer. Removes transferred units from the bucket,
+// before the message is sent.
 void QuotaBalancer::Impl::commit_entry(EntryDraft& draft, PeerTable::Index peer, TimePoint now) {
     TenantBucket& bucket = buckets_[draft.bucket_index];
     NeighbourState& state = *bucket.find_neighbour(peer);
@@ -136,7 +140,7 @@
     entry.available = static_cast<float>(bucket.available_units());
     if (state.pending_request > 0.0F) {
         entry.max_transfer = state.pending_request;
-        // It is expected to transfer all of it.
+        // The neighbour is expected to transfer the whole amount.
         const double remaining = estimate_units(bucket, state.received, clock, now) - state.pending_request;
         state.received.units = static_cast<float>(std::max(0.0, remaining));
         state.received.reported_at = now;
@@ -151,16 +155,16 @@
     state.announced = {true, entry.under_pressure, entry.available, now};
 }
 
-// A message without entries, with all that the receiver needs to reckon the age of transfers.
+// Returns a message without entries, with the fields by which the receiver determines the age of transfers.
 Message QuotaBalancer::Impl::make_message(const Peer& peer, TimePoint now) {
     Message message;
     message.incarnation = settings_.incarnation;
     message.sequence = ++last_sequence_;
     message.timestamp = to_microseconds(now.time_since_epoch());
-    if (peer.is_recently_heard(now)) {
+    if (peer.has_recent_message(now)) {
         message.echoed_incarnation = peer.incarnation;
         message.echoed_timestamp = peer.timestamp;
-        message.echo_delay = to_microseconds(now - peer.last_heard);
+        message.echo_delay = to_microseconds(now - peer.last_received);
     }
     return message;
 }
@@ -190,7 +194,7 @@
     urgent_peers_.push_back(peer);
 }
 
-// Messages for which a request waits, to those peers that may get one again.
+// Sends the messages that contain requests to those peers for which urgent_interval has elapsed.
 void QuotaBalancer::Impl::send_urgent(TimePoint now, Actions& actions) {
     std::erase_if(urgent_peers_, [&](PeerTable::Index peer) {
         if (now < peers_[peer].last_sent + settings_.urgent_interval) return false;
@@ -200,7 +204,7 @@
     });
 }
 
-// Whether no neighbour has to be told anything of this bucket.
+// Whether there is nothing to send to any neighbour about this bucket.
 bool QuotaBalancer::Impl::is_up_to_date(const TenantBucket& bucket, TimePoint now) {
     if (bucket.in_set && bucket.under_pressure(now)) return false;
     EntryDraft draft;
@@ -210,7 +214,7 @@
     return true;
 }
 
-// The neighbours of all buckets of which somebody may have to be told.
+// Returns the neighbours of all buckets with pending updates, without duplicates.
 std::vector<PeerTable::Index> QuotaBalancer::Impl::peers_with_updates() const {
     std::vector<PeerTable::Index> result;
     for (const BucketTable::Index bucket_index : pending_updates_) {
@@ -243,19 +247,20 @@
 
 // ---- reading ----
 
-// False for a message that is older than one received before.
+// Records the header of a message. Returns false for a message that is older than one received before.
 bool QuotaBalancer::Impl::accept_header(const Message& message, Peer& peer, TimePoint now) {
     if (message.incarnation == 0 || message.incarnation < peer.incarnation) return false;
     if (message.incarnation == peer.incarnation && message.sequence <= peer.sequence) return false;
     peer.incarnation = message.incarnation;
     peer.sequence = message.sequence;
     peer.timestamp = message.timestamp;
-    peer.last_heard = now;
+    peer.last_received = now;
     return true;
 }
 
-// The age of a transfer is at most the time since our echoed timestamp, less what the echo waited there.
-// `state` is null where the sender is no neighbour of the bucket.
+// Adds transferred units to the bucket where they are recent enough. The age of a transfer is at most the
+// time since our echoed timestamp, minus the time for which the sender held the echo. `state` is null where
+// the sender is not a neighbour of the bucket.
 void QuotaBalancer::Impl::receive_transfer(const Entry& entry, const Message& message, NeighbourState* state,
                                            TenantBucket& bucket, TimePoint now) {
     if (entry.transfer <= 0.0F) return;
@@ -269,7 +274,7 @@
     }
     bucket.transfer_in(entry.transfer, origin.sent_at() + kReservationTime);
     statistics_.units_received += entry.transfer;
-    if (state != nullptr) state->announced.units += entry.transfer;    // the sender counts it as ours
+    if (state != nullptr) state->announced.units += entry.transfer;    // the sender counts them as ours
 }
 
 void QuotaBalancer::Impl::apply_entry(const Entry& entry, NeighbourState& state, TenantBucket& bucket,
@@ -278,7 +283,7 @@
     state.max_transfer = entry.max_transfer;
     state.requested_at = TimePoint{};
     if (!bucket.in_set) {
-        // An answer. Where it brings too little, the next member is asked.
+        // This is the response of a member. Where it brings too few units, the next member is asked.
         bucket.next_plan = now;
         plan_immediately_ = plan_immediately_ || bucket.queued > 0;
         return;
@@ -288,7 +293,7 @@
         mark_urgent(state.peer);
         return;
     }
-    // It asked in vain, so it believes that we have more than we do.
+    // The neighbour requested units although none can be transferred, so it overestimates ours.
     state.announced.known = true;
     state.announced.units = static_cast<float>(bucket.capacity_share + kCorrectionUnits);
     state.announced.under_pressure = false;
@@ -309,7 +314,7 @@
     }
     ++statistics_.received;
     const Message& message = decoded.value();
-    std::vector<Entry> answers;
+    std::vector<Entry> responses;
     for (const Entry& entry : message.entries) {
         TenantBucket* const bucket = find_or_create_bucket(entry.tenant);
         if (bucket == nullptr) {
@@ -321,12 +326,12 @@
         if (state != nullptr) {
             apply_entry(entry, *state, *bucket, now);
         } else if (entry.urgent) {
-            answers.push_back(answer_request(entry, *bucket, peers_[peer], now));
+            responses.push_back(serve_request(entry, *bucket, peers_[peer], now));
         }
         queue_update(*bucket);
         wake_queued(*bucket, now, actions);
     }
-    send_answers(peer, std::move(answers), now, actions);
+    send_responses(peer, std::move(responses), now, actions);
     send_urgent(now, actions);
 }
 
--- a/src/cluster/quota/bucket_table.h
+++ b/src/cluster/quota/bucket_table.h
@@ -1,4 +1,4 @@
-// The buckets that exist, by tenant. Pure.
+// The table of existing buckets, by tenant. Pure.
 #pragma once
 
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -10,7 +10,8 @@
 
 namespace shaletray::quota {
 
-// A bucket's index stays the same until it is erased; references are valid until the next insert().
+// A bucket's index is stable until the bucket is erased; references are valid until the next insert(). Not
+// thread-safe.
 class BucketTable {
 public:
     using Index = std::uint32_t;
@@ -19,9 +20,9 @@
     const TenantBucket& operator[](Index index) const { return buckets_[index]; }
     std::optional<Index> index_of(std::uint64_t tenant) const;
     Index index_of(const TenantBucket& bucket) const { return static_cast<Index>(&bucket - buckets_.data()); }
-    // Null where the tenant has no bucket.
+    // Returns null where the tenant has no bucket.
     TenantBucket* find(std::uint64_t tenant);
-    // A new, empty bucket. The tenant must not have one.
+    // Inserts an empty bucket. The tenant must not have one.
     TenantBucket& insert(std::uint64_t tenant);
     void erase(Index index);
     std::size_t size() const { return index_by_tenant_.size(); }
--- a/src/cluster/quota/message.cpp
+++ b/src/cluster/quota/message.cpp
@@ -11,11 +11,11 @@
 namespace shaletray::quota {
 namespace {
 
-// Far above any quota; larger amounts are taken for damage.
+// Far above any quota; larger amounts are rejected as corrupt.
 constexpr float kMaxAmount = 1e9F;
-// A later version may send longer messages than this one does.
+// Above the size of messages that this version sends, as later versions may send longer ones.
 constexpr std::size_t kMaxMessageSize = 4096;
-// Words on the stack for a message that is written; larger ones are allocated.
+// Size of the stack buffer for encoding a message; larger messages allocate memory.
 constexpr std::size_t kScratchWords = 256;
 
 constexpr runtime::ReadLimits kReadLimits{.max_words = 4 * kMaxMessageSize, .max_depth = 8};
--- a/src/cluster/quota/peers.cpp
+++ b/src/cluster/quota/peers.cpp
@@ -5,8 +5,8 @@
 
 using namespace std::chrono_literals;
 
-// How long the last sequence number of an unused peer is kept. Far above the age up to which a transfer is
-// accepted.
+// How long an unused peer and its last sequence number are kept. Far above the maximum age of an accepted
+// transfer, so that a late duplicate of a message cannot be applied again.
 constexpr Duration kUnusedPeerRetention = 10s;
 
 }    // namespace
@@ -29,7 +29,7 @@
 void PeerTable::erase_unused(const std::function<bool(Index)>& is_used, TimePoint now) {
     for (auto it = index_by_address_.begin(); it != index_by_address_.end();) {
         const Index index = it->second;
-        const bool silent = now - peers_[index].last_heard > kUnusedPeerRetention;
+        const bool silent = now - peers_[index].last_received > kUnusedPeerRetention;
         if (!silent || peers_[index].urgent || is_used(index)) {
             ++it;
             continue;
--- a/src/cluster/quota/peers.h
+++ b/src/cluster/quota/peers.h
@@ -1,4 +1,4 @@
-// The other gateways with which this one exchanges messages on quotas. Pure.
+// The table of gateways with which this one exchanges balancing messages. Pure.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,27 @@
 
 namespace shaletray::quota {
 
-// The longest time from receiving a message to echoing it. Beyond it, an echo says too little about the age
-// of a transfer.
+// Maximum time from receiving a message to echoing its timestamp. After a longer time, the echo bounds the
+// age of a transfer too loosely.
 constexpr Duration kMaxEchoDelay = std::chrono::seconds(120);
 
-// Another gateway, with what is known of the messages to it and from it.
+// Another gateway, and the state of the messages exchanged with it.
 struct Peer {
-    std::string address;              // empty: the place in the table is free
+    std::string address;              // empty: the table slot is free
     std::uint64_t incarnation = 0;    // of its last message; 0: none was received
     std::uint64_t sequence = 0;       // of its last message
     std::uint64_t timestamp = 0;      // of its last message, by its clock
-    TimePoint last_heard{};
+    TimePoint last_received{};
     TimePoint last_sent{};
-    bool urgent = false;    // a request waits for the next message to it
+    bool urgent = false;    // the next message to it contains a request
 
-    // Whether its last message is recent enough to be echoed, and to transfer units to it.
-    bool is_recently_heard(TimePoint now) const {
-        return incarnation != 0 && now - last_heard <= kMaxEchoDelay;
+    // Whether its last message is recent enough to echo its timestamp, and to transfer units to it.
+    bool has_recent_message(TimePoint now) const {
+        return incarnation != 0 && now - last_received <= kMaxEchoDelay;
     }
 };
 
-// Peers by address. One is named by its index, which stays the same until it is erased.
+// Peers by address. The index of a peer is stable until the peer is erased. Not thread-safe.
 class PeerTable {
 public:
     using Index = std::uint32_t;
@@ -40,13 +40,13 @@
     Peer& operator[](Index index) { return peers_[index]; }
     const Peer& operator[](Index index) const { return peers_[index]; }
     bool contains(const std::string& address) const { return index_by_address_.contains(address); }
-    // A new peer where there is none of this address.
+    // Returns the peer of this address, which is created where there is none.
     Index find_or_create(const std::string& address);
-    // Erases those that were not heard for a while and of which `is_used` says no. A while, since a late
-    // message of one that is forgotten could be applied a second time.
+    // Erases peers that are not used according to `is_used` and have sent nothing for a while. Peers are kept
+    // that long as a late duplicate message of an erased peer could be applied a second time.
     void erase_unused(const std::function<bool(Index)>& is_used, TimePoint now);
     std::size_t size() const { return index_by_address_.size(); }
-    // One more than the largest index.
+    // Returns the largest index plus one.
     std::size_t capacity() const { return peers_.size(); }
 
 private:
--- a/src/cluster/quota/quota_balancer.cpp
+++ b/src/cluster/quota/quota_balancer.cpp
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kSweepInterval = 4s;        // between two searches for idle buckets
-constexpr Duration kBucketIdleTimeout = 5s;    // a full bucket without requests for so long is erased
-constexpr Duration kWakeInterval = 10ms;       // between two calls of a tenant's queued requests
-// Bounds the memory that buckets take, whatever tenants send.
+constexpr Duration kSweepInterval = 4s;        // between two sweeps for idle buckets
+constexpr Duration kBucketIdleTimeout = 5s;    // after which a full bucket without requests is erased
+constexpr Duration kWakeInterval = 10ms;       // between two wakeups of a tenant's queued requests
+// Bounds the memory used by buckets, whatever requests tenants send.
 constexpr std::size_t kMaxBuckets = 50'000;
-// Refills add up to a full bucket but for a rounding error.
+// A bucket counts as full from this fraction on, as refills accumulate rounding errors.
 constexpr double kFullFraction = 1.0 - 1e-6;
 
 }    // namespace
@@ -50,7 +50,7 @@
     });
 }
 
-// Null where the tenant is unknown or has no limit, or there are too many buckets.
+// Returns null where the tenant is unknown or has no limit, or the maximum number of buckets is reached.
 TenantBucket* QuotaBalancer::Impl::find_or_create_bucket(std::uint64_t id) {
     if (TenantBucket* bucket = buckets_.find(id)) {
         advance_bucket(*bucket);
@@ -71,7 +71,7 @@
     return &bucket;
 }
 
-// Notes that neighbours may have to be told of the bucket, with the next routine messages.
+// Schedules a check whether the bucket has to be announced to its neighbours with the next routine messages.
 void QuotaBalancer::Impl::queue_update(TenantBucket& bucket) {
     if (bucket.update_pending || bucket.neighbour_count == 0) return;
     bucket.update_pending = true;
@@ -123,7 +123,7 @@
         queue_update(bucket);
     });
     for (const BucketTable::Index index : removed_buckets) {
-        // Queued requests try again and find no limit. The lists hold indices, so they are cleaned first.
+        // Queued requests are retried and find no limit. The lists hold indices, so they are updated first.
         std::erase(pending_updates_, index);
         std::erase(queued_buckets_, index);
         buckets_.erase(index);
@@ -186,7 +186,7 @@
     actions.replenished_tenants.push_back(bucket.name);
 }
 
-// When the queued requests of a bucket are next looked at.
+// Returns when the queued requests of a bucket have to be processed next.
 TimePoint QuotaBalancer::Impl::queue_deadline(const TenantBucket& bucket) const {
     const TimePoint now = refill_clocks_.current_time();
     const double rate = refill_rate(bucket, clock_of(bucket));
@@ -209,7 +209,7 @@
 
 // ---- observation ----
 
-// Works on copies, since looking changes nothing.
+// Works on copies, as observation must not change the state.
 double QuotaBalancer::Impl::available_units(const std::string& tenant, TimePoint now) const {
     RefillClocks clocks = refill_clocks_;
     clocks.advance(now);
@@ -238,7 +238,7 @@
     return result;
 }
 
-// ---- the public class ----
+// ---- forwarding from the public class ----
 
 QuotaBalancer::QuotaBalancer(Settings settings, TimePoint now)
     : impl_(std::make_unique<Impl>(std::move(settings), now)) {}
--- a/src/cluster/quota/quota_balancer_impl.h
+++ b/src/cluster/quota/quota_balancer_impl.h
@@ -1,6 +1,7 @@
-// The state of a QuotaBalancer and its parts. Internal to this folder: quota_balancer.cpp has the
-// configuration and the timing, set_membership.cpp the gateway sets, request_admission.cpp the requests,
-// balancing_messages.cpp the messages between members, and unit_requests.cpp those to members from outside.
+// The state of a QuotaBalancer. Internal to this folder. The methods are implemented in several files:
+// quota_balancer.cpp has configuration and timing, set_membership.cpp gateway sets, request_admission.cpp
+// admission of requests, balancing_messages.cpp messages between members, and unit_requests.cpp requests for
+// units from gateways outside of a set.
 #pragma once
 
 #include <array>
@@ -39,18 +40,18 @@
     Statistics statistics() const;
 
 private:
-    // An entry of a message that is being written.
+    // An entry of a message that is being composed.
     struct EntryDraft {
         BucketTable::Index bucket_index = 0;
         Entry entry;
-        double priority = 0.0;    // the largest go first
+        double priority = 0.0;    // entries with the highest are sent first
     };
     // A neighbour that may be asked for units.
     struct RequestCandidate {
         double obtainable = 0.0;
         std::size_t neighbour_index = 0;
     };
-    // The candidates for requests, those with most units first.
+    // The candidates for requests, in descending order of obtainable units.
     struct RequestCandidates {
         std::array<RequestCandidate, kMaxNeighbours> items{};
         std::size_t count = 0;
@@ -61,8 +62,9 @@
     const RefillClock& clock_of(const TenantBucket& bucket) const {
         return refill_clocks_[bucket.set_size_class];
     }
-    // A member of a set grants only what it may refill. Others grant what members have moved to them, for
-    // which they need no lease of their own: members count it as theirs until it ends.
+    // A member of a set grants only while it may refill. A gateway outside of the set grants the units that
+    // members have transferred to it, for which it needs no lease of its own: members count these units as
+    // theirs until they expire.
     bool may_grant(const TenantBucket& bucket, TimePoint now) const {
         return !bucket.in_set || refill_clocks_.is_running(now);
     }
@@ -95,11 +97,11 @@
     double collect_candidates(const TenantBucket& bucket, TimePoint now, RequestCandidates& candidates) const;
     void plan_requests_to_neighbours(TenantBucket& bucket, TimePoint now);
 
-    // Requests of gateways outside of a set.
+    // Requests for units from gateways outside of a set.
     void plan_requests_to_members(TenantBucket& bucket, TimePoint now);
-    void give_up_unanswered(TenantBucket& bucket, TimePoint now);
-    Entry answer_request(const Entry& request, TenantBucket& bucket, const Peer& peer, TimePoint now);
-    void send_answers(PeerTable::Index peer, std::vector<Entry> answers, TimePoint now, Actions& actions);
+    void expire_unanswered_requests(TenantBucket& bucket, TimePoint now);
+    Entry serve_request(const Entry& request, TenantBucket& bucket, const Peer& peer, TimePoint now);
+    void send_responses(PeerTable::Index peer, std::vector<Entry> responses, TimePoint now, Actions& actions);
 
     // Messages.
     double transfer_amount(const TenantBucket& bucket, const NeighbourState& state, TimePoint now);
@@ -130,10 +132,10 @@
     PeerTable peers_;
     std::vector<PeerTable::Index> urgent_peers_;
     bool buckets_cleared_ = true;    // since refill last stopped
-    // Buckets of which neighbours may have to be told, and those for which requests are queued.
+    // Buckets that may have to be announced to neighbours, and buckets with queued requests.
     std::vector<BucketTable::Index> pending_updates_;
     std::vector<BucketTable::Index> queued_buckets_;
-    std::vector<EntryDraft> drafts_;    // kept between messages for its memory
+    std::vector<EntryDraft> drafts_;    // kept between messages to reuse its memory
     std::uint64_t last_sequence_ = 0;
     TimePoint next_routine_send_ = TimePoint::max(), last_routine_send_{};
     TimePoint last_sweep_{};
--- a/src/cluster/quota/refill_clock.h
+++ b/src/cluster/quota/refill_clock.h
@@ -1,4 +1,4 @@
-// The time during which this gateway may refill its buckets. Pure: the caller hands in the time.
+// Measures the time during which this gateway may refill its buckets. Pure: the caller passes the time.
 #pragma once
 
 #include "base/common/clock.h"
@@ -6,24 +6,26 @@
 namespace shaletray::quota {
 
 // The integral of this gateway's share over the time in which this incarnation may refill, in seconds. A
-// bucket's refill between two moments is its tenant's rate times the difference of the integral.
+// bucket's refill between two points in time is its tenant's rate times the difference of the integral. Not
+// thread-safe.
 class RefillClock {
 public:
     explicit RefillClock(TimePoint start) : current_time_(start) {}
 
-    // Moves on to `now`. An earlier time is ignored.
+    // Advances the clock to `now`. Ignores earlier times.
     void advance(TimePoint now);
-    // From `now` until `deadline`, refill runs at this part of the rate.
+    // Starts refill at this share of the rate, from `now` until `deadline`.
     void start(double share, TimePoint deadline, TimePoint now);
-    // No refill from `now` on. `share` is what a member would refill.
+    // Stops refill at `now`. `share` is the share that a member would refill.
     void stop(double share, TimePoint now);
 
     // Whether refill is allowed at `now`.
     bool is_running(TimePoint now) const { return running_ && now < refill_until_; }
     double integral() const { return integral_; }
-    // The integral at `time`, which lies between the last change of the share and the current time.
+    // Returns the integral at `time`, which has to be between the last change of the share and the current
+    // time.
     double integral_at(TimePoint time) const;
-    // The share as last known, also while refill is stopped; 0 at first.
+    // The last known share, also while refill is stopped; initially 0.
     double share() const { return share_; }
     TimePoint refill_until() const { return refill_until_; }
     TimePoint current_time() const { return current_time_; }
--- a/src/cluster/quota/refill_clocks.cpp
+++ b/src/cluster/quota/refill_clocks.cpp
@@ -19,18 +19,20 @@
     for (RefillClock& clock : clocks_) clock.advance(now);
 }
 
-double RefillClocks::member_share(std::uint32_t divisor, std::size_t known, SetSizeClass size_class) {
-    const auto known_gateways = std::clamp(static_cast<double>(known), 1.0, static_cast<double>(divisor));
+double RefillClocks::member_share(std::uint32_t divisor, std::size_t known_count, SetSizeClass size_class) {
+    const auto known_gateways =
+        std::clamp(static_cast<double>(known_count), 1.0, static_cast<double>(divisor));
     const double members = std::min(known_gateways, static_cast<double>(set_size(size_class)));
     return known_gateways / divisor / members;
 }
 
-void RefillClocks::set_divisor(std::uint32_t divisor, std::size_t known, TimePoint deadline, TimePoint now) {
-    const auto known_divisor = static_cast<std::uint32_t>(std::max<std::size_t>(1, known));
+void RefillClocks::set_divisor(std::uint32_t divisor, std::size_t known_count, TimePoint deadline,
+                               TimePoint now) {
+    const auto known_divisor = static_cast<std::uint32_t>(std::max<std::size_t>(1, known_count));
     for (std::size_t i = 0; i < clocks_.size(); ++i) {
         const auto size_class = static_cast<SetSizeClass>(i);
-        if (divisor > 0) clocks_[i].start(member_share(divisor, known, size_class), deadline, now);
-        else clocks_[i].stop(member_share(known_divisor, known, size_class), now);
+        if (divisor > 0) clocks_[i].start(member_share(divisor, known_count, size_class), deadline, now);
+        else clocks_[i].stop(member_share(known_divisor, known_count, size_class), now);
     }
 }
 
--- a/src/cluster/quota/refill_clocks.h
+++ b/src/cluster/quota/refill_clocks.h
@@ -1,9 +1,10 @@
-// The refill clocks of the sets of gateways, one for each size. Pure: the caller hands in the time.
+// The refill clocks of gateway sets, one per size class. Pure: the caller passes the time.
 //
-// A member of a set of n gateways refills 1/n of a tenant's rate. A gateway that knows a part of the gateways
-// only, by the divisor that others announce, may take itself for a member wrongly; so it refills that part of
-// 1/n. Where gateways that know the same others are apart, their parts sum up to one at most; where each
-// misses others at random, they do so on average.
+// A member of a set of n gateways refills 1/n of a tenant's rate. A gateway that knows only a fraction of the
+// gateways, compared to the divisor that others announce, may wrongly consider itself a member; so it refills
+// only that fraction of 1/n. Where the gateways are partitioned into groups whose members know the same
+// gateways, the shares sum up to at most one; where each gateway misses others at random, they do so on
+// average.
 #pragma once
 
 #include <array>
@@ -15,21 +16,24 @@
 
 namespace shaletray::quota {
 
+// Not thread-safe.
 class RefillClocks {
 public:
     explicit RefillClocks(TimePoint start);
 
     void advance(TimePoint now);
-    // From `now` until `deadline`, by a quota divisor of `divisor` gateways of which `known` are known, at
-    // most as many. A divisor of 0 stops the refill; what members hold is then estimated by `known`.
-    void set_divisor(std::uint32_t divisor, std::size_t known, TimePoint deadline, TimePoint now);
+    // Starts refill from `now` until `deadline`, by the quota divisor `divisor`, of which `known_count`
+    // gateways are known. Values of `known_count` above `divisor` count as `divisor`. A divisor of 0 stops
+    // the refill; the members' capacity is then estimated by `known_count`.
+    void set_divisor(std::uint32_t divisor, std::size_t known_count, TimePoint deadline, TimePoint now);
 
     const RefillClock& operator[](SetSizeClass size_class) const { return clocks_[size_class]; }
     bool is_running(TimePoint now) const { return clocks_.front().is_running(now); }
     TimePoint refill_until() const { return clocks_.front().refill_until(); }
     TimePoint current_time() const { return clocks_.front().current_time(); }
-    // The share of a set's member by these. `divisor`: at least 1.
-    static double member_share(std::uint32_t divisor, std::size_t known, SetSizeClass size_class);
+    // Returns the share of a set's member for this divisor and number of known gateways. `divisor`: at least
+    // 1.
+    static double member_share(std::uint32_t divisor, std::size_t known_count, SetSizeClass size_class);
 
 private:
     std::array<RefillClock, kMaxSetSizeClass + 1> clocks_;
--- a/src/cluster/quota/request_admission.cpp
+++ b/src/cluster/quota/request_admission.cpp
@@ -1,4 +1,5 @@
-// The part of QuotaBalancer::Impl that decides on requests and plans what neighbours are asked for.
+// Implements the part of QuotaBalancer::Impl that decides on requests and plans requests for units to
+// neighbours.
 #include <algorithm>
 
 #include "cluster/quota/quota_balancer_impl.h"
@@ -10,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-// The longest time that a rejected client is told to stay away: estimates of a longer one are too uncertain.
+// Maximum delay after which rejected clients are advised to retry: longer estimates are too uncertain.
 constexpr Duration kMaxRetryAfter = 1s;
-// The advice while this gateway has no lease or too many buckets: about as long as such a state lasts.
+// Retry delay while this gateway has no lease or too many buckets: about the duration of such a state.
 constexpr Duration kUnavailableRetryAfter = 500ms;
-// Requests go to two neighbours at least, so that one may fail.
+// Requests go to at least two neighbours, so that one of them may fail.
 constexpr std::size_t kMinAskedNeighbours = 2;
 
 }    // namespace
@@ -61,7 +62,8 @@
     return AdmissionDecision::Queued;
 }
 
-// Units that refill or may come from neighbours within `max_wait`. Stops counting at `needed_units`.
+// Returns the units that are refilled or may come from neighbours within `max_wait`. Stops counting at
+// `needed_units`.
 double QuotaBalancer::Impl::expected_units(const TenantBucket& bucket, double needed_units, Duration max_wait,
                                            TimePoint now) const {
     const RefillClock& clock = clock_of(bucket);
@@ -76,15 +78,16 @@
     return expected;
 }
 
-// The rate at which units for this gateway's requests may be expected: its own refill, or that of all members
-// whom it may ask.
+// Returns the rate at which units for this gateway's requests may be expected, in units per second: its own
+// refill, or outside of the set the refill of all members that it may ask.
 double QuotaBalancer::Impl::retry_rate(const TenantBucket& bucket) const {
     const double rate = refill_rate(bucket, clock_of(bucket));
     return bucket.in_set ? rate
                          : rate * static_cast<double>(std::max<std::size_t>(1, bucket.neighbour_count));
 }
 
-// Each rejected request is told a moment of its own to come back, as far as kMaxRetryAfter allows.
+// Returns the retry delay for a rejected request. Each request gets its own time slot, so that retries are
+// spread, as far as kMaxRetryAfter allows.
 Duration QuotaBalancer::Impl::reserve_retry_slot(TenantBucket& bucket, Duration until_refilled,
                                                  TimePoint now) {
     const Duration slot_length = to_duration(1.0 / retry_rate(bucket));
@@ -131,7 +134,7 @@
     }
 }
 
-// Adds the neighbours that may be asked. Returns the units for which others were asked and have not answered.
+// Adds the neighbours that may be asked. Returns the number of units in requests that are not answered yet.
 double QuotaBalancer::Impl::collect_candidates(const TenantBucket& bucket, TimePoint now,
                                                RequestCandidates& candidates) const {
     const RefillClock& clock = clock_of(bucket);
@@ -150,8 +153,8 @@
     return outstanding;
 }
 
-// While requests are queued, the neighbours with most units are asked: as few as cover the need if one of
-// them fails.
+// While requests are queued, asks the neighbours with the most units: as few as cover the needed units even
+// if one of them fails.
 void QuotaBalancer::Impl::plan_requests_to_neighbours(TenantBucket& bucket, TimePoint now) {
     double needed_units = bucket.queued - bucket.total_units();
     if (needed_units <= 0.0) return;
@@ -165,7 +168,7 @@
     while (asked < candidates.count && (asked < kMinAskedNeighbours || total - largest < needed_units))
         total += candidates.items[asked++].obtainable;
     const double total_without_largest = total - largest;
-    // Also for the requests that will arrive until the next routine message, at the present rate.
+    // Includes the requests that are expected until the next routine message, at the current rate.
     const double wanted_units = needed_units + bucket.demand * seconds(settings_.message_interval);
     const double fraction = total_without_largest > wanted_units ? wanted_units / total_without_largest : 1.0;
     for (std::size_t i = 0; i < asked; ++i) {
--- a/src/cluster/quota/set_membership.cpp
+++ b/src/cluster/quota/set_membership.cpp
@@ -1,5 +1,5 @@
-// The part of QuotaBalancer::Impl that applies the tenants' gateway sets to buckets, and chooses with which
-// gateways a bucket exchanges units.
+// Implements the part of QuotaBalancer::Impl that applies the tenants' gateway sets to buckets, and chooses
+// the gateways with which a bucket exchanges units.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -9,12 +9,12 @@
 namespace shaletray::quota {
 namespace {
 
-// In sets up to this size, the adjacent members are enough as neighbours.
+// In sets up to this size, adjacent members suffice as neighbours.
 constexpr std::size_t kMaxSmallSetSize = 16;
 
-// How far away in the ring of the set's members the neighbours are. In a large set requests come to few
-// members, far from most units. So there are further neighbours at growing distances, over which units travel
-// in a few steps.
+// Returns the distances of the neighbours in the ring of the set's members. In a large set, requests reach
+// only few members, distant from most units. So there are additional neighbours at increasing distances,
+// through which units reach any member in a few steps.
 std::vector<std::size_t> neighbour_distances(std::size_t ring_size) {
     std::vector<std::size_t> result;
     const auto add_distance = [&](std::size_t distance) {
@@ -33,8 +33,8 @@
     return result;
 }
 
-// On both sides of `self` in the ring of sorted addresses, the nearest first; none where it isn't in the
-// ring.
+// Returns the neighbours on both sides of `self` in the ring of sorted addresses, the nearest first; none
+// where `self` is not in the ring.
 std::vector<std::string> addresses_near(const std::vector<std::string>& ring, const std::string& self) {
     std::vector<std::string> addresses;
     const auto found = std::lower_bound(ring.begin(), ring.end(), self);
@@ -55,8 +55,9 @@
 
 }    // namespace
 
-// Members of the tenant's set that are not dead. Who is outside of the set asks some of them, in an order of
-// its own, so that all members are asked evenly.
+// Returns the members of the tenant's set with which this gateway exchanges units; all of them are not dead.
+// A gateway outside of the set asks some members, in an order that depends on its own address, so that
+// requests are spread evenly over the members.
 std::vector<std::string> QuotaBalancer::Impl::neighbour_addresses(const TenantBucket& bucket) const {
     std::vector<std::string> members = sets_.members(bucket.id, bucket.set_size_class);
     std::erase_if(members, [this](const std::string& address) {
@@ -72,7 +73,7 @@
     return members;
 }
 
-// What the bucket knows of a neighbour stays known where it remains one.
+// Selects the neighbours of a bucket. Keeps the state of those that were neighbours before.
 void QuotaBalancer::Impl::select_neighbours(TenantBucket& bucket) {
     const auto old_states = bucket.neighbours;
     const std::size_t old_count = bucket.neighbour_count;
@@ -91,7 +92,8 @@
     const bool joins = limit.in_set && !bucket.in_set, leaves = !limit.in_set && bucket.in_set;
     if (joins) bucket.join_set(std::max(clock_of(bucket).integral(), limit.base_integral));
     if (leaves) bucket.leave_set();
-    if (joins || leaves) bucket.neighbour_count = 0;    // other ones, for other messages
+    // Neighbours inside and outside of a set are used by different messages, so their state is discarded.
+    if (joins || leaves) bucket.neighbour_count = 0;
     select_neighbours(bucket);
 }
 
--- a/src/cluster/quota/tenant_bucket.cpp
+++ b/src/cluster/quota/tenant_bucket.cpp
@@ -7,14 +7,15 @@
 
 using namespace std::chrono_literals;
 
-// How long a tenant counts as short of units after the last request that found none: two message intervals.
+// How long a tenant counts as under pressure after the last request that found no unit: two message
+// intervals.
 constexpr Duration kPressureDuration = 500ms;
-// Sums of refills may fall short of a whole unit by a rounding error.
+// A unit counts as whole from this amount on, as refills accumulate rounding errors.
 constexpr double kOneUnit = 1.0 - 1e-9;
 
 std::int64_t step_of(TimePoint time) { return time.time_since_epoch() / kReservationStep; }
 
-// The place of a step in the ring of sums; steps may be negative.
+// The index of a step in the ring buffer `transferred`; steps may be negative.
 std::size_t step_index(std::int64_t step) {
     return static_cast<std::size_t>((step % kReservationSteps + kReservationSteps) % kReservationSteps);
 }
@@ -34,7 +35,8 @@
     refilled_until = integral;
 }
 
-// While capacity was reserved, the bucket could not refill into it: it is replayed step by step.
+// Ends the reservations that have expired. A bucket cannot refill into reserved capacity, so the refill is
+// replayed up to the end of each reservation.
 void TenantBucket::end_reservations(const RefillClock& clock) {
     const std::int64_t last_expired_step = step_of(clock.current_time() - kReservationTime) - 1;
     const std::int64_t last_step = std::min(last_expired_step, newest_step);
--- a/src/cluster/quota/tenant_bucket.h
+++ b/src/cluster/quota/tenant_bucket.h
@@ -1,17 +1,19 @@
 // The token bucket of one tenant at this gateway. Pure.
 //
-// Why the sum over all gateways holds. Let B = burst + half of the permitted overshoot. Only the members of
-// the tenant's gateway set refill, and their shares sum up to one at most (gateway_sets.h). Each bucket keeps
+// Why the sum over all gateways stays within the quota: let B = burst + half of the permitted overshoot. Only
+// the members of the tenant's gateway set refill, and their shares sum up to at most one (gateway_sets.h).
+// Each bucket maintains
 //     level + reserved <= B * share                                                                   (1)
-// where the share of all other gateways is 0. Who joins the set begins with nothing, and who leaves it drops
-// its units. where `reserved` is what it transferred to others within the last kReservationTime. A transfer
-// is accepted only while it is younger than kMaxTransferAge < kReservationTime. Of the units that arrive, the
-// part that fits under (1) joins the level; the rest is `expiring`, and ends when the sender's reservation
-// ends. So at any moment all units that can be granted anywhere without further refill are covered by (1) of
-// some bucket, and sum up to at most B, whether in flight or not. What is refilled in a time t sums up to at
-// most rate * t. So in any window all grants are at most B + rate * window. The configured bound lies above
-// that by the other half of the permitted overshoot, which is for requests that were sent before the window
-// in which they are granted, or wait in a frozen process.
+// where `reserved` is the amount that it transferred to others within the last kReservationTime, and the
+// share of gateways outside of the set is 0. A gateway that joins the set starts with no units, and one that
+// leaves it drops its units. A transfer is accepted only while its age is below kMaxTransferAge <
+// kReservationTime. Of the units that arrive, the part that fits under (1) is added to the level. The rest is
+// `expiring`: it expires when the sender's reservation ends. So at any time, all units that can be granted
+// anywhere without further refill are covered by (1) of some bucket and sum up to at most B, whether they are
+// in flight or not. The units refilled in a time t sum up to at most rate * t. So all grants in any window
+// sum up to at most B + rate * window. The configured bound is above that by the other half of the permitted
+// overshoot, which covers requests that were sent before the window in which they are granted, or that wait
+// in a frozen process.
 #pragma once
 
 #include <array>
@@ -25,71 +27,74 @@
 
 namespace shaletray::quota {
 
-// The age up to which a transfer is accepted; it has to be below kReservationTime.
+// Maximum age of a transfer that is accepted. Has to be below kReservationTime.
 constexpr Duration kMaxTransferAge = std::chrono::milliseconds(200);
-// For how long the sender keeps the capacity of transferred units free.
+// How long the sender keeps the capacity of transferred units free.
 constexpr Duration kReservationTime = std::chrono::milliseconds(300);
-// Reservations are added up in steps of this length, so that each bucket needs only a few numbers.
+// Reservations are summed up per step of this length, so that a bucket has to store only a few sums.
 constexpr Duration kReservationStep = std::chrono::milliseconds(75);
-// The steps in which kReservationTime may end, and the one that is running.
+// Number of steps that kReservationTime may touch, including the current one.
 constexpr int kReservationSteps = 5;
 
-// One tenant's token bucket and the requests that wait for it. Amounts are in units; a request takes one.
+// One tenant's token bucket and the requests queued for it. Amounts are in units; a request takes one.
 // Invariant after advance_to(): level + reserved_units() <= capacity_share.
 struct TenantBucket {
     std::uint64_t id = 0;          // tenant_id() of the name
-    std::string name;              // empty until a request of this tenant came to this gateway
-    double rate = 0.0;             // units per second of all gateways together
-    double full_capacity = 0.0;    // B above, of all gateways together
+    std::string name;              // empty until this gateway receives a request of this tenant
+    double rate = 0.0;             // units per second, for all gateways together
+    double full_capacity = 0.0;    // B above, for all gateways together
     SetSizeClass set_size_class = 0;
     bool in_set = false;             // this gateway is in the tenant's set
-    double member_capacity = 0.0;    // the part of it that each member of the set may hold
-    double capacity_share = 0.0;     // this gateway's part of it: that of a member, or nothing
-    double level = 0.0;              // units that stay until they are used
+    double member_capacity = 0.0;    // part of full_capacity that each member of the set may hold
+    double capacity_share = 0.0;     // this gateway's part: member_capacity in the set, else 0
+    double level = 0.0;              // units that do not expire
     double refilled_until = 0.0;     // the RefillClock's integral at the last refill
-    double expiring_units = 0.0;     // received units above the capacity; they end at expiring_until
+    double expiring_units = 0.0;     // received units above the capacity; expire at expiring_until
     TimePoint expiring_until{};
-    std::array<float, kReservationSteps> transferred{};    // units sent to others, by step of time
-    std::int64_t newest_step = 0;                          // the latest step that `transferred` has
+    std::array<float, kReservationSteps> transferred{};    // units sent to others, by time step
+    std::int64_t newest_step = 0;                          // latest time step in `transferred`
     int queued = 0;                                        // requests that wait for a unit
     double demand = 0.0;                                   // requests in the last second, estimated
-    bool update_pending = false;                           // neighbours may have to be told of a change
+    bool update_pending = false;                           // a change may have to be announced
     TimePoint last_used{};                                 // last request
     TimePoint last_shortage{};                             // last request that found no unit
-    TimePoint next_retry_slot{};                           // when the last rejected request was told to retry
-    TimePoint last_wakeup{};                               // queued requests were last told to try again
-    TimePoint next_plan{};                                 // requests to neighbours are next planned
-    // Other members of the set: for a member those near it, for others those that it may ask for units.
+    TimePoint next_retry_slot{};                           // retry time given to the last rejected request
+    TimePoint last_wakeup{};                               // last wakeup of queued requests
+    TimePoint next_plan{};                                 // next planning of requests for units
+    // Other members of the set. For a member: its neighbours. For a gateway outside of the set: the members
+    // that it may ask for units.
     std::array<NeighbourState, kMaxNeighbours> neighbours{};
     std::size_t neighbour_count = 0;
 
-    // Refills, and ends reservations and expiring units, up to the current time of the clock, which is that
-    // of the set's size.
+    // Refills the bucket and ends reservations and expiring units, up to the current time of the clock.
+    // `clock` has to be the clock of set_size_class.
     void advance_to(const RefillClock& clock);
-    // Capacity kept free for units that were transferred to others of late.
+    // Capacity that is kept free for units recently transferred to others.
     double reserved_units() const;
     double total_units() const { return level + expiring_units; }
-    // Units less the requests that wait for them; may be negative.
+    // Units minus the requests queued for them; may be negative.
     double available_units() const { return level + expiring_units - queued; }
-    // Whether at least one unit is here, up to rounding errors.
+    // Whether the bucket holds at least one unit, up to rounding errors.
     bool has_unit() const;
-    // Takes one unit, the expiring ones first. False where there is none.
+    // Takes one unit, expiring ones first. Returns false where there is none.
     bool consume_unit();
-    // Puts back a unit whose request never ran, as far as it fits.
+    // Puts back the unit of a request that was not executed, as far as it fits.
     void return_unit();
-    // Removes units that are being sent to a neighbour and reserves their capacity. Call advance_to() before.
+    // Removes units that are sent to a neighbour and reserves their capacity. advance_to() has to be called
+    // before.
     void transfer_out(double amount, TimePoint now);
-    // Adds units that a neighbour sent; what exceeds the capacity ends at `expires_at`.
+    // Adds units that a neighbour sent. Those that exceed the capacity expire at `expires_at`.
     void transfer_in(double amount, TimePoint expires_at);
-    // Drops all units; reservations stay.
+    // Drops all units, but keeps reservations.
     void clear();
-    // This gateway joins the tenant's set, and refills from where the clock's integral is `start`; or leaves
-    // it.
+    // Makes this gateway a member of the tenant's set, which refills from the time when the clock's integral
+    // is `start`.
     void join_set(double start);
+    // Ends the membership in the tenant's set, and drops all units.
     void leave_set();
-    // Null where the peer is no neighbour.
+    // Returns null where the peer is not a neighbour.
     NeighbourState* find_neighbour(PeerTable::Index peer);
-    // Whether requests wait, or found no unit of late.
+    // Whether requests are queued, or recently found no unit.
     bool under_pressure(TimePoint now) const;
 
 private:
--- a/src/cluster/quota/tenant_limits.cpp
+++ b/src/cluster/quota/tenant_limits.cpp
@@ -10,10 +10,11 @@
 
 using namespace std::chrono_literals;
 
-// Bounds the memory that removed tenants take: 8 bytes each.
+// Bounds the memory used for removed tenants, 8 bytes each.
 constexpr std::size_t kMaxRemovedTenants = 65'536;
-// New members of a set that has grown wait for so long: the others may go by the former configuration, by
-// which they hold larger parts, until their lease on the quotas ends at the latest.
+// How long new members of a set that has grown wait until they refill. The other members may still use the
+// previous configuration, by which they hold larger shares, at the latest until their lease on the quotas
+// expires.
 constexpr Duration kSetGrowthDelay = 10s;
 
 std::vector<TenantLimit> limits_by_id(const std::map<std::string, Quota>& quotas_by_tenant) {
@@ -44,7 +45,7 @@
     const double capacity = full_capacity(limit);
     double level = limit.rate * (clock.integral() - std::max(history.emptied_at, limit.base_integral));
     if (history.smallest_old_share > 0.0) {
-        const double refilled_since = limit.rate * (clock.integral() - history.share_grew_at);
+        const double refilled_since = limit.rate * (clock.integral() - history.share_increased_at);
         level = std::min(level, capacity * history.smallest_old_share + refilled_since);
     }
     return std::clamp(level, 0.0, capacity * clock.share());
@@ -63,7 +64,7 @@
         return;
     }
     for (std::size_t i = 0; i < histories_.size(); ++i)
-        histories_[i].forgot_removed_at = clocks[static_cast<SetSizeClass>(i)].integral();
+        histories_[i].removed_overflow_at = clocks[static_cast<SetSizeClass>(i)].integral();
 }
 
 double TenantLimits::base_integral_of(const TenantLimit& limit, const TenantLimit* previous,
@@ -71,11 +72,11 @@
     const RefillClock& clock = clocks[limit.set_size_class];
     if (previous == nullptr || !previous->is_limited()) {
         return removed_tenants_.contains(limit.id) ? clock.integral()
-                                                   : histories_[limit.set_size_class].forgot_removed_at;
+                                                   : histories_[limit.set_size_class].removed_overflow_at;
     }
     if (previous->rate == limit.rate && previous->burst == limit.burst) return previous->base_integral;
     if (limit.in_set && !previous->in_set) return clock.integral() + clock.share() * seconds(kSetGrowthDelay);
-    // It keeps what it had, as far as that is still allowed.
+    // The tenant keeps its implied level, as far as the new limit allows.
     const double level = std::min(implied_level(*previous, clocks), full_capacity(limit) * clock.share());
     return clock.integral() - level / limit.rate;
 }
@@ -120,7 +121,7 @@
     History& history = histories_[size_class];
     history.smallest_old_share =
         history.smallest_old_share > 0.0 ? std::min(history.smallest_old_share, old_share) : old_share;
-    history.share_grew_at = clocks[size_class].integral();
+    history.share_increased_at = clocks[size_class].integral();
 }
 
 }    // namespace shaletray::quota
--- a/src/cluster/quota/transfer_estimates.cpp
+++ b/src/cluster/quota/transfer_estimates.cpp
@@ -8,10 +8,10 @@
 namespace shaletray::quota {
 namespace {
 
-// Eight steps from empty to full: fine enough to balance, and few enough messages.
+// Number of transfer steps from an empty to a full bucket: fine enough to balance, with few enough messages.
 constexpr double kStepsPerBucket = 8.0;
 
-// A neighbour's weight among those that may transfer to us.
+// Returns a neighbour's weight among those that may transfer units to us.
 double transfer_weight(const TenantBucket& bucket, const NeighbourState& state, const RefillClock& clock,
                        TimePoint now) {
     const double advantage = estimate_units(bucket, state.received, clock, now) - bucket.available_units();
@@ -38,7 +38,8 @@
 
 double requestable_units(const TenantBucket& bucket, const NeighbourState& state, const RefillClock& clock,
                          TimePoint now) {
-    // Where the member was short of units, others take what it refills as well, and it may still have some.
+    // Other gateways may take what a member under pressure refills, but it may still have some units, so its
+    // refill is counted.
     AvailabilityReport report = state.received;
     report.under_pressure = false;
     return std::floor(std::max(0.0, estimate_units(bucket, report, clock, now)) + kRoundingError);
--- a/src/cluster/quota/unit_requests.cpp
+++ b/src/cluster/quota/unit_requests.cpp
@@ -1,9 +1,10 @@
-// The part of QuotaBalancer::Impl for gateways outside of a tenant's set: they ask its members for the units
-// that their requests need, and members answer at once.
+// Implements the part of QuotaBalancer::Impl for gateways outside of a tenant's set: they request units that
+// they need from members of the set, and members respond at once.
 //
-// An answer moves whole units, since a part of one serves no request; what is moved ends with its
-// reservation, like every transfer (tenant_bucket.h). A gateway asks as few members as cover its need by what
-// it knows of them, and the next ones when an answer brings too little or does not come.
+// A response transfers whole units, since a fraction of a unit serves no request. As with every transfer, the
+// units expire with the sender's reservation (tenant_bucket.h). A gateway asks as few members as cover its
+// need according to their last reports, and further members where a response brings too few units or does not
+// arrive in time.
 #include <algorithm>
 #include <cmath>
 
@@ -13,9 +14,9 @@
 
 namespace shaletray::quota {
 
-// A member that did not answer in time may be down: it counts as empty, and is asked again when it would have
-// refilled a unit.
-void QuotaBalancer::Impl::give_up_unanswered(TenantBucket& bucket, TimePoint now) {
+// A member that did not respond in time may be down: it counts as empty, and is asked again once it would
+// have refilled a unit.
+void QuotaBalancer::Impl::expire_unanswered_requests(TenantBucket& bucket, TimePoint now) {
     for (std::size_t index = 0; index < bucket.neighbour_count; ++index) {
         NeighbourState& state = bucket.neighbours[index];
         if (state.requested_at == TimePoint{} || state.awaits_reply(now)) continue;
@@ -25,7 +26,7 @@
 }
 
 void QuotaBalancer::Impl::plan_requests_to_members(TenantBucket& bucket, TimePoint now) {
-    give_up_unanswered(bucket, now);
+    expire_unanswered_requests(bucket, now);
     double needed_units = std::ceil(bucket.queued - bucket.total_units() - kRoundingError);
     RequestCandidates candidates;
     needed_units -= collect_candidates(bucket, now, candidates);
@@ -40,16 +41,16 @@
     queue_update(bucket);
 }
 
-// What a gateway outside of the set gets of this bucket. Nothing where this gateway is no member either: the
-// two know different gateways.
-Entry QuotaBalancer::Impl::answer_request(const Entry& request, TenantBucket& bucket, const Peer& peer,
-                                          TimePoint now) {
-    Entry answer{.tenant = request.tenant};
-    if (!bucket.in_set) return answer;
+// Returns the response to a request from a gateway outside of the set. It transfers nothing where this
+// gateway is not a member either, as happens where the two know different gateways.
+Entry QuotaBalancer::Impl::serve_request(const Entry& request, TenantBucket& bucket, const Peer& peer,
+                                         TimePoint now) {
+    Entry response{.tenant = request.tenant};
+    if (!bucket.in_set) return response;
     const double wanted = request.max_transfer;
     bucket.demand = bucket.demand * std::max(0.0, 1.0 - seconds(now - bucket.last_used)) + wanted;
     bucket.last_used = now;
-    const bool may_transfer = peer.is_recently_heard(now) && refill_clocks_.is_running(now);
+    const bool may_transfer = peer.has_recent_message(now) && refill_clocks_.is_running(now);
     const double available = std::min(bucket.level, bucket.available_units());
     const double amount =
         may_transfer ? std::floor(std::clamp(available + kRoundingError, 0.0, wanted)) : 0.0;
@@ -58,18 +59,18 @@
         statistics_.units_sent += amount;
     }
     if (amount < wanted) bucket.last_shortage = now;
-    answer.transfer = static_cast<float>(amount);
-    answer.available = static_cast<float>(bucket.available_units());
-    answer.under_pressure = bucket.under_pressure(now);
+    response.transfer = static_cast<float>(amount);
+    response.available = static_cast<float>(bucket.available_units());
+    response.under_pressure = bucket.under_pressure(now);
     queue_update(bucket);
-    return answer;
+    return response;
 }
 
-void QuotaBalancer::Impl::send_answers(PeerTable::Index peer, std::vector<Entry> answers, TimePoint now,
-                                       Actions& actions) {
-    if (answers.empty()) return;
+void QuotaBalancer::Impl::send_responses(PeerTable::Index peer, std::vector<Entry> responses, TimePoint now,
+                                         Actions& actions) {
+    if (responses.empty()) return;
     Message message = make_message(peers_[peer], now);
-    message.entries = std::move(answers);
+    message.entries = std::move(responses);
     send_message(peer, message, now, actions);
 }
 
--- a/tests/cluster/quota/balancer_world.h
+++ b/tests/cluster/quota/balancer_world.h
@@ -1,5 +1,5 @@
-// Gateways in virtual time: their balancers, the network between them, what the caller learns of the others
-// by heartbeats, and tenants whose requests arrive unevenly.
+// A simulation of gateways in virtual time: their balancers, the network between them, the heartbeats that
+// update the membership, and tenants whose requests are distributed unevenly over the gateways.
 #pragma once
 
 #include <algorithm>
@@ -24,12 +24,12 @@
 struct Tenant {
     std::string name;
     Quota quota;
-    std::vector<double> weight{};    // of each gateway
+    std::vector<double> weight{};    // relative request rate of each gateway
 };
 
 struct Network {
     Duration delay = 1ms, jitter = 1ms;
-    double loss = 0.0, duplication = 0.0, late_delivery = 0.0;    // late: by up to a second
+    double loss = 0.0, duplication = 0.0, late_delivery = 0.0;    // late: by up to one second
 };
 
 class World {
@@ -44,9 +44,9 @@
         bool up = false, frozen = false, partitioned = false;
         std::unique_ptr<MembershipModel> cluster;
         std::unique_ptr<QuotaBalancer> balancer;
-        std::map<std::string, Quota> quotas;                    // its configuration
-        std::map<std::string, std::deque<TimePoint>> queued;    // when their wait expires
-        std::deque<std::function<void()>> deferred;             // while frozen
+        std::map<std::string, Quota> quotas;                    // the gateway's configuration
+        std::map<std::string, std::deque<TimePoint>> queued;    // when the waits expire
+        std::deque<std::function<void()>> deferred;             // tasks to run after a freeze
         TimePoint next_tick = TimePoint::max();
     };
     struct Statistics {
@@ -64,13 +64,13 @@
         }
     }
 
-    Duration random_part_of(Duration whole) {
+    Duration random_fraction_of(Duration whole) {
         return Duration(static_cast<std::int64_t>(chance() * static_cast<double>(whole.count())));
     }
     double chance() { return std::uniform_real_distribution<>(0.0, 1.0)(random); }
     std::size_t random_index() { return random() % gateways.size(); }
     void schedule(TimePoint time, std::function<void()> task) {
-        events_.push({time, ++last_event_, std::move(task)});
+        events_.push({time, ++last_event_sequence_, std::move(task)});
     }
     void run(Duration duration) {
         const TimePoint end = now + duration;
@@ -84,24 +84,24 @@
     }
 
     void start(std::size_t index) {
-        Gateway& process = gateways[index];
-        if (process.up) return;
-        process.up = true;
-        process.frozen = false;
-        process.deferred.clear();
-        process.queued.clear();
-        process.incarnation = ++last_incarnation_;
-        process.cluster =
-            std::make_unique<MembershipModel>(process.address, process.incarnation, gateways.size());
+        Gateway& gateway = gateways[index];
+        if (gateway.up) return;
+        gateway.up = true;
+        gateway.frozen = false;
+        gateway.deferred.clear();
+        gateway.queued.clear();
+        gateway.incarnation = ++last_incarnation_;
+        gateway.cluster =
+            std::make_unique<MembershipModel>(gateway.address, gateway.incarnation, gateways.size());
         Settings settings;
-        settings.self = process.address;
-        settings.incarnation = process.incarnation;
+        settings.self = gateway.address;
+        settings.incarnation = gateway.incarnation;
         settings.seed = random();
-        process.balancer = std::make_unique<QuotaBalancer>(settings, now);
-        process.quotas = quotas;
-        process.balancer->set_quotas(quotas, now);
-        process.next_tick = TimePoint::max();
-        send_heartbeat(index, process.incarnation);
+        gateway.balancer = std::make_unique<QuotaBalancer>(settings, now);
+        gateway.quotas = quotas;
+        gateway.balancer->set_quotas(quotas, now);
+        gateway.next_tick = TimePoint::max();
+        send_heartbeat(index, gateway.incarnation);
     }
     void kill(std::size_t index) {
         gateways[index].up = false;
@@ -110,19 +110,19 @@
     }
     void freeze(std::size_t index) { gateways[index].frozen = gateways[index].up; }
     void unfreeze(std::size_t index) {
-        Gateway& process = gateways[index];
-        if (!process.up || !process.frozen) return;
-        process.frozen = false;
+        Gateway& gateway = gateways[index];
+        if (!gateway.up || !gateway.frozen) return;
+        gateway.frozen = false;
         std::deque<std::function<void()>> deferred;
-        deferred.swap(process.deferred);
+        deferred.swap(gateway.deferred);
         for (auto& task : deferred) task();
         schedule_tick(index);
     }
-    // A new configuration reaches each gateway after up to `spread`.
-    void configure(std::map<std::string, Quota> by_tenant, Duration spread) {
+    // Applies a new configuration, which reaches each gateway after a random delay of up to `max_delay`.
+    void configure(std::map<std::string, Quota> by_tenant, Duration max_delay) {
         quotas = by_tenant;
         for (std::size_t i = 0; i < gateways.size(); ++i)
-            schedule(now + random_part_of(spread), [=, this] {
+            schedule(now + random_fraction_of(max_delay), [=, this] {
                 deliver(i, [=, this] {
                     gateways[i].quotas = by_tenant;
                     gateways[i].balancer->set_quotas(by_tenant, now);
@@ -130,30 +130,30 @@
                 });
             });
     }
-    // From now on the tenant sends `rate` requests a second.
+    // Sets the tenant's load to `rate` requests per second.
     void set_load(const Tenant& tenant, double rate) {
-        schedule_request(tenant, rate, ++load_numbers_[tenant.name]);
+        schedule_request(tenant, rate, ++load_generations_[tenant.name]);
     }
 
-    // The largest number of the tenant's grants in any window, less `max_grants`.
+    // Returns the largest number of the tenant's grants in any window, minus `max_grants`.
     static double excess(const std::vector<Grant>& grants, const std::string& tenant, double max_grants,
                          Duration window) {
         std::deque<TimePoint> in_window;
-        double worst = -max_grants;
+        double max_excess = -max_grants;
         for (const Grant& grant : grants) {
             if (grant.tenant != tenant) continue;
             in_window.push_back(grant.time);
             while (in_window.front() + window < grant.time) in_window.pop_front();
-            worst = std::max(worst, static_cast<double>(in_window.size()) - max_grants);
+            max_excess = std::max(max_excess, static_cast<double>(in_window.size()) - max_grants);
         }
-        return worst;
+        return max_excess;
     }
 
     TimePoint now{1'000s};
     std::mt19937_64 random;
     Network network;
     Duration max_wait = 150ms;
-    double return_fraction = 0.0;    // of the granted requests that never run
+    double return_fraction = 0.0;    // fraction of granted requests that are not executed
     std::map<std::string, Quota> quotas;
     std::vector<Gateway> gateways;
     std::vector<Grant> grants;
@@ -170,12 +170,12 @@
     };
 
     void deliver(std::size_t index, std::function<void()> task) {
-        Gateway& process = gateways[index];
-        if (!process.up) return;
-        if (!process.frozen) {
+        Gateway& gateway = gateways[index];
+        if (!gateway.up) return;
+        if (!gateway.frozen) {
             task();
-        } else if (process.deferred.size() < 1000) {
-            process.deferred.push_back([=, this, incarnation = process.incarnation] {
+        } else if (gateway.deferred.size() < 1000) {
+            gateway.deferred.push_back([=, this, incarnation = gateway.incarnation] {
                 if (gateways[index].up && gateways[index].incarnation == incarnation) task();
             });
         }
@@ -186,7 +186,7 @@
             for (int copies = chance() < network.duplication ? 2 : 1; copies > 0; --copies) {
                 if (chance() < network.loss || gateways[from].partitioned != gateways[index].partitioned)
                     continue;
-                Duration delay = network.delay + random_part_of(network.jitter);
+                Duration delay = network.delay + random_fraction_of(network.jitter);
                 if (chance() < network.late_delivery)
                     delay += Duration(static_cast<std::int64_t>(chance() * 1e6));
                 schedule(now + delay, [=, this] {
@@ -197,47 +197,47 @@
         }
     }
     void send_heartbeat(std::size_t index, std::uint64_t incarnation) {
-        Gateway& process = gateways[index];
-        if (!process.up || process.incarnation != incarnation) return;
-        if (!process.frozen) {
+        Gateway& gateway = gateways[index];
+        if (!gateway.up || gateway.incarnation != incarnation) return;
+        if (!gateway.frozen) {
             for (const Gateway& receiver : gateways)
-                if (receiver.address != process.address)
+                if (receiver.address != gateway.address)
                     transmit(index, receiver.address,
-                             [this, heartbeat = process.cluster->make_heartbeat(receiver.address, now)](
+                             [this, heartbeat = gateway.cluster->make_heartbeat(receiver.address, now)](
                                  std::size_t to) {
                                  gateways[to].cluster->on_heartbeat(heartbeat, now);
                                  gateways[to].balancer->set_peers(gateways[to].cluster->peer_set(now), now);
                                  schedule_tick(to);
                              });
-            process.balancer->set_peers(process.cluster->peer_set(now), now);
+            gateway.balancer->set_peers(gateway.cluster->peer_set(now), now);
             schedule_tick(index);
         }
         schedule(now + kHeartbeatInterval, [=, this] { send_heartbeat(index, incarnation); });
     }
-    void schedule_request(const Tenant& tenant, double rate, std::uint64_t load_number) {
+    void schedule_request(const Tenant& tenant, double rate, std::uint64_t load_generation) {
         if (rate <= 0.0) return;
         const double gap = std::exponential_distribution<>(rate)(random);
         schedule(now + Duration(static_cast<std::int64_t>(gap * 1e6)), [=, this] {
-            if (load_number != load_numbers_[tenant.name]) return;
+            if (load_generation != load_generations_[tenant.name]) return;
             std::discrete_distribution<std::size_t> distribution(tenant.weight.begin(), tenant.weight.end());
             request(distribution(random), tenant.name);
-            schedule_request(tenant, rate, load_number);
+            schedule_request(tenant, rate, load_generation);
         });
     }
     void request(std::size_t index, const std::string& tenant) {
         ++statistics.requested;
         if (!gateways[index].up) return;
         deliver(index, [=, this] {
-            Gateway& process = gateways[index];
-            if (!process.quotas.contains(tenant)) return;    // its keys are not known there
+            Gateway& gateway = gateways[index];
+            if (!gateway.quotas.contains(tenant)) return;    // the tenant is not configured at this gateway
             Duration retry_after{};
-            switch (process.balancer->request_unit(tenant, max_wait, now, retry_after)) {
+            switch (gateway.balancer->request_unit(tenant, max_wait, now, retry_after)) {
                 case AdmissionDecision::Granted: record_grant(index, tenant); break;
                 case AdmissionDecision::Rejected: ++statistics.rejected; break;
                 case AdmissionDecision::Queued: {
                     ++statistics.queued;
-                    process.queued[tenant].push_back(now + max_wait);
-                    process.balancer->adjust_queued(tenant, 1);
+                    gateway.queued[tenant].push_back(now + max_wait);
+                    gateway.balancer->adjust_queued(tenant, 1);
                     schedule(now + max_wait,
                              [=, this] { deliver(index, [=, this] { expire(index, tenant); }); });
                 }
@@ -267,27 +267,27 @@
         ++statistics.granted;
         grants.push_back({now, tenant});
     }
-    // Sends the messages, lets queued requests try again, and schedules the next tick.
+    // Sends the messages, retries queued requests, and schedules the next tick.
     void apply_actions(std::size_t index, Actions& actions) {
-        Gateway& process = gateways[index];
+        Gateway& gateway = gateways[index];
         for (Actions::Send& send : actions.sends) {
             ++statistics.sent;
             statistics.bytes += send.bytes.size();
             transmit(index, send.to,
-                     [this, from = process.address, bytes = std::move(send.bytes)](std::size_t to) {
+                     [this, from = gateway.address, bytes = std::move(send.bytes)](std::size_t to) {
                          Actions reply;
                          gateways[to].balancer->on_message(from, bytes, now, reply);
                          apply_actions(to, reply);
                      });
         }
         for (const std::string& tenant : actions.replenished_tenants) {
-            auto& queued = process.queued[tenant];
+            auto& queued = gateway.queued[tenant];
             Duration retry_after{};
-            while (!queued.empty() && process.quotas.contains(tenant)) {
-                process.balancer->adjust_queued(tenant, -1);
-                if (process.balancer->request_unit(tenant, queued.front() - now, now, retry_after) !=
+            while (!queued.empty() && gateway.quotas.contains(tenant)) {
+                gateway.balancer->adjust_queued(tenant, -1);
+                if (gateway.balancer->request_unit(tenant, queued.front() - now, now, retry_after) !=
                     AdmissionDecision::Granted) {
-                    process.balancer->adjust_queued(tenant, 1);
+                    gateway.balancer->adjust_queued(tenant, 1);
                     break;
                 }
                 queued.pop_front();
@@ -297,11 +297,11 @@
         schedule_tick(index);
     }
     void schedule_tick(std::size_t index) {
-        Gateway& process = gateways[index];
-        const TimePoint due = process.balancer->next_deadline();
-        if (due >= process.next_tick) return;
-        process.next_tick = due;
-        schedule(std::max(now, due), [=, this, incarnation = process.incarnation] {
+        Gateway& gateway = gateways[index];
+        const TimePoint due = gateway.balancer->next_deadline();
+        if (due >= gateway.next_tick) return;
+        gateway.next_tick = due;
+        schedule(std::max(now, due), [=, this, incarnation = gateway.incarnation] {
             if (gateways[index].incarnation != incarnation || gateways[index].next_tick != due) return;
             gateways[index].next_tick = TimePoint::max();
             deliver(index, [=, this] {
@@ -313,8 +313,8 @@
     }
 
     std::priority_queue<Event> events_;
-    std::uint64_t last_event_ = 0, last_incarnation_ = 0;
-    std::map<std::string, std::uint64_t> load_numbers_;
+    std::uint64_t last_event_sequence_ = 0, last_incarnation_ = 0;
+    std::map<std::string, std::uint64_t> load_generations_;
 };
 
 }    // namespace shaletray::quota::world
--- a/tests/cluster/quota/large_ring_test.cpp
+++ b/tests/cluster/quota/large_ring_test.cpp
@@ -1,5 +1,5 @@
-// Many gateways, each with a small part of a quota, and tenants whose clients reach a few of them: the units
-// have to come together where the requests are.
+// Tests with many gateways, each with a small part of a quota, and tenants whose clients reach only a few of
+// them: the units have to move to the gateways that receive the requests.
 #include <criterion/criterion.h>
 
 #include <functional>
@@ -15,11 +15,11 @@
 using namespace shaletray::quota;
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::size_t kMostGateways = 30;    // everything takes far longer
+constexpr std::size_t kMaxGateways = 30;    // sanitizers slow the simulation down
 #else
-constexpr std::size_t kMostGateways = 300;
+constexpr std::size_t kMaxGateways = 300;
 #endif
-constexpr Duration kMessageDelay = 700us, kMaxWait = 250ms, kWarmUp = 3s, kMeasured = 10s;
+constexpr Duration kMessageDelay = 700us, kMaxWait = 250ms, kWarmUp = 3s, kMeasurementTime = 10s;
 
 // A fixed ring of gateways, in virtual time.
 class Ring {
@@ -51,10 +51,10 @@
         }
         now_ = end;
     }
-    // Requests at one gateway, at random moments.
+    // Sends requests to one gateway at random times, `rate` per second on average.
     void send_requests(std::size_t gateway, const std::string& tenant, double rate) {
-        const double pause = std::exponential_distribution<>(rate)(random_);
-        schedule(now_ + Duration(static_cast<std::int64_t>(pause * 1e6)), [=, this] {
+        const double interval = std::exponential_distribution<>(rate)(random_);
+        schedule(now_ + Duration(static_cast<std::int64_t>(interval * 1e6)), [=, this] {
             if (measuring) {
                 ++requested;
                 ++requested_by_tenant[tenant];
@@ -90,7 +90,7 @@
     };
     static std::string address_of(std::size_t index) { return "10.1." + std::to_string(1000 + index); }
     void schedule(TimePoint time, std::function<void()> task) {
-        events_.push({time, ++last_event_, std::move(task)});
+        events_.push({time, ++last_event_sequence_, std::move(task)});
     }
     void schedule_tick(std::size_t index) {
         const TimePoint due = balancers_[index].next_deadline();
@@ -99,28 +99,28 @@
             if (balancers_[index].next_deadline() > now_) return;
             Actions actions;
             balancers_[index].tick(now_, actions);
-            carry_out(index, actions);
+            apply_actions(index, actions);
         });
     }
-    void carry_out(std::size_t index, const Actions& actions) {
+    void apply_actions(std::size_t index, const Actions& actions) {
         for (const Actions::Send& send : actions.sends) {
             const std::size_t to = std::stoul(send.to.substr(5)) - 1000;
             schedule(now_ + kMessageDelay, [this, index, to, bytes = send.bytes] {
-                Actions answer;
-                balancers_[to].on_message(address_of(index), bytes, now_, answer);
-                carry_out(to, answer);
+                Actions response;
+                balancers_[to].on_message(address_of(index), bytes, now_, response);
+                apply_actions(to, response);
             });
         }
-        for (const std::string& tenant : actions.replenished_tenants) retry_waiting(index, tenant);
+        for (const std::string& tenant : actions.replenished_tenants) retry_queued(index, tenant);
         schedule_tick(index);
     }
-    void retry_waiting(std::size_t index, const std::string& tenant) {
-        std::deque<TimePoint> waiting;
-        waiting.swap(waiting_[{index, tenant}]);
-        for (const TimePoint deadline : waiting) try_request(index, tenant, deadline, true);
+    void retry_queued(std::size_t index, const std::string& tenant) {
+        std::deque<TimePoint> deadlines;
+        deadlines.swap(deadlines_by_queue_[{index, tenant}]);
+        for (const TimePoint deadline : deadlines) try_request(index, tenant, deadline, true);
     }
-    void try_request(std::size_t index, const std::string& tenant, TimePoint deadline, bool waited) {
-        if (waited) balancers_[index].adjust_queued(tenant, -1);
+    void try_request(std::size_t index, const std::string& tenant, TimePoint deadline, bool was_queued) {
+        if (was_queued) balancers_[index].adjust_queued(tenant, -1);
         Duration retry_after{};
         const AdmissionDecision decision =
             balancers_[index].request_unit(tenant, std::max(Duration(0), deadline - now_), now_, retry_after);
@@ -130,15 +130,15 @@
         }
         if (decision == AdmissionDecision::Queued && deadline > now_) {
             balancers_[index].adjust_queued(tenant, 1);
-            waiting_[{index, tenant}].push_back(deadline);
+            deadlines_by_queue_[{index, tenant}].push_back(deadline);
             schedule(deadline, [=, this] { expire(index, tenant); });
         }
         schedule_tick(index);
     }
     void expire(std::size_t index, const std::string& tenant) {
-        std::deque<TimePoint>& waiting = waiting_[{index, tenant}];
-        while (!waiting.empty() && waiting.front() <= now_) {
-            waiting.pop_front();
+        std::deque<TimePoint>& deadlines = deadlines_by_queue_[{index, tenant}];
+        while (!deadlines.empty() && deadlines.front() <= now_) {
+            deadlines.pop_front();
             balancers_[index].adjust_queued(tenant, -1);
         }
     }
@@ -146,21 +146,21 @@
     TimePoint now_{1000s};
     std::mt19937_64 random_{7};
     std::vector<QuotaBalancer> balancers_;
-    std::map<std::pair<std::size_t, std::string>, std::deque<TimePoint>> waiting_;
+    std::map<std::pair<std::size_t, std::string>, std::deque<TimePoint>> deadlines_by_queue_;
     std::priority_queue<Event> events_;
-    std::uint64_t last_event_ = 0;
+    std::uint64_t last_event_sequence_ = 0;
 };
 
 }    // namespace
 
-// Each tenant uses 0.6 of its quota from a dozen gateways. Divided among 300 gateways, a part would be a
-// tenth of a unit, and 0.42 would be granted.
-Test(quota_balancer, units_reach_the_few_gateways_that_need_them_in_a_large_ring) {
+// Each tenant uses 0.6 of its quota at a dozen gateways. If a quota were divided among all 300 gateways, each
+// would hold a tenth of a unit, and only 0.42 of the requests would be granted.
+Test(quota_balancer, units_reach_the_few_gateways_in_use_in_a_large_ring) {
     constexpr Quota kQuota{23, 23};
     constexpr double kLoad = 14.0;
     constexpr std::size_t kGatewaysInUse = 12;
     for (const std::size_t gateways : {std::size_t{30}, std::size_t{90}, std::size_t{300}}) {
-        if (gateways > kMostGateways) continue;
+        if (gateways > kMaxGateways) continue;
         std::map<std::string, Quota> quotas;
         for (std::size_t i = 0; i < gateways * 2 / 3; ++i) quotas["tenant" + std::to_string(i)] = kQuota;
         Ring ring(gateways, quotas);
@@ -170,33 +170,35 @@
                 ring.send_requests(random() % gateways, tenant, kLoad / kGatewaysInUse);
         ring.run(kWarmUp);
         ring.measuring = true;
-        ring.run(kMeasured);
+        ring.run(kMeasurementTime);
         const double granted = static_cast<double>(ring.granted) / static_cast<double>(ring.requested);
         cr_log_info("%zu gateways: %.3f granted, %.1f messages/s and %.0f bytes/s each", gateways, granted,
-                    ring.messages_per_s_and_gateway(kWarmUp + kMeasured),
-                    ring.bytes_per_s_and_gateway(kWarmUp + kMeasured));
+                    ring.messages_per_s_and_gateway(kWarmUp + kMeasurementTime),
+                    ring.bytes_per_s_and_gateway(kWarmUp + kMeasurementTime));
         cr_expect(granted >= 0.9, "%zu gateways: %.3f of the requests granted", gateways, granted);
     }
 }
 
-// The incident tenants-never-served. Seen: on 300 gateways some tenants were never served, without any fault,
-// while all gateways held the quota lease and no transfer of units was lost. How: a tenant's units were
-// spread over all gateways, so that a gateway and all whom it may ask held less than the one unit that a
-// request takes; the smaller the tenant, the less of it was served. Proof: as processes, tenants with 170
-// units a second were served whole and those with 4 to 7 at 0.00 to 0.5, and here it is the same without any
-// process.
+// Guards against the incident tenants-never-served: on 300 gateways, tenants with small quotas were never
+// served, although all gateways held the quota lease and no transfer was lost. A tenant's units were divided
+// among all gateways, so that a gateway and all those that it may ask held less than the one unit that a
+// request takes. With gateways as processes, tenants with 170 units per second were served completely, and of
+// the requests of those with 4 to 7 units per second only 0.00 to 0.5 were granted. This simulation without
+// processes reproduces it.
 Test(quota_balancer, no_tenant_is_starved_in_a_large_ring) {
     struct Case {
         std::size_t gateways;
         double slack;
     };
-    // A tenant that sends a few requests close together may find its few units all moved to others within the
-    // last 0.3 s, for which they stay reserved; its share says less, and has to be half at least.
-    constexpr double kLoadOfQuota = 0.6, kMinShare = 0.8, kMinShareOfFew = 0.5, kSmallestRate = 2.0;
+    // All units of a tenant with few requests may have been transferred within the last 0.3 s, for which
+    // their capacity stays reserved. The granted share of few requests varies more, so it has to be only one
+    // half.
+    constexpr double kLoadOfQuota = 0.6, kMinGrantedShare = 0.8, kMinGrantedShareOfFew = 0.5,
+                     kSmallestRate = 2.0;
     constexpr std::uint64_t kFewRequests = 20;
     constexpr std::size_t kTenants = 40, kGatewaysInUse = 4;
     for (const Case& test_case : {Case{30, 0.0}, Case{300, 20.0}}) {
-        if (test_case.gateways > kMostGateways) continue;
+        if (test_case.gateways > kMaxGateways) continue;
         std::map<std::string, Quota> quotas;
         for (std::size_t i = 0; i < kTenants; ++i) {
             const double rate = kSmallestRate + static_cast<double>(i * i) / 10.0;
@@ -210,13 +212,15 @@
                                    quota.rate * kLoadOfQuota / kGatewaysInUse);
         ring.run(kWarmUp);
         ring.measuring = true;
-        ring.run(kMeasured);
+        ring.run(kMeasurementTime);
         for (const auto& [tenant, requested] : ring.requested_by_tenant) {
-            const double share =
+            const double granted_share =
                 static_cast<double>(ring.granted_by_tenant[tenant]) / static_cast<double>(requested);
-            const double min_share = requested < kFewRequests ? kMinShareOfFew : kMinShare;
-            cr_expect(share >= min_share, "%zu gateways: %s, of %.1f units/s: %.2f of %lu requests granted",
-                      test_case.gateways, tenant.c_str(), quotas[tenant].rate, share, requested);
+            const double min_granted_share =
+                requested < kFewRequests ? kMinGrantedShareOfFew : kMinGrantedShare;
+            cr_expect(granted_share >= min_granted_share,
+                      "%zu gateways: %s, of %.1f units/s: %.2f of %lu requests granted", test_case.gateways,
+                      tenant.c_str(), quotas[tenant].rate, granted_share, requested);
         }
     }
 }
--- a/tests/cluster/quota/membership_model.h
+++ b/tests/cluster/quota/membership_model.h
@@ -1,4 +1,4 @@
-// A model of what a balancer's caller knows of the other gateways, in virtual time.
+// A model of the membership that a balancer's caller maintains, in virtual time.
 #pragma once
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 
 using namespace std::chrono_literals;
 
-// After the last heartbeat: when a gateway is no longer counted, and until when one may refill.
+// Times since the last heartbeat: after which a gateway is no longer counted, and for which it may refill.
 constexpr Duration kMemberTimeout = 20s;
 constexpr Duration kRefillTime = 10s;
 
-// What the caller of set_peers() has to guarantee: a model of the membership and the quota lease, strict
-// where the bound depends on it.
+// Models the membership and the quota lease, which the caller of set_peers() has to provide. Strict where the
+// bound on grants depends on it.
 class MembershipModel {
 public:
     struct Heartbeat {
@@ -27,7 +27,8 @@
         std::uint32_t quota_divisor = 0;
         TimePoint timestamp{}, echoed_timestamp{};
         std::uint64_t echoed_incarnation = 0;
-        std::map<std::string, TimePoint> last_heard;    // when any gateway last heard it
+        std::map<std::string, TimePoint>
+            last_received;    // last heartbeat that any gateway received, by name
     };
     MembershipModel(std::string self, std::uint64_t incarnation, std::size_t gateway_count)
         : self_(self), incarnation_(incarnation), gateway_count_(gateway_count) {}
@@ -38,7 +39,7 @@
             heartbeat.echoed_timestamp = it->second.timestamp;
             heartbeat.echoed_incarnation = it->second.incarnation;
         }
-        for (const auto& [name, member] : members_) heartbeat.last_heard[name] = member.last_heard;
+        for (const auto& [name, member] : members_) heartbeat.last_received[name] = member.last_received;
         return heartbeat;
     }
     void on_heartbeat(const Heartbeat& heartbeat, TimePoint now) {
@@ -49,17 +50,18 @@
         if (heartbeat.incarnation > member.incarnation) member.last_echoed = {};
         member.incarnation = heartbeat.incarnation;
         member.timestamp = heartbeat.timestamp;
-        member.last_heard = now;
+        member.last_received = now;
         member.quota_divisor = heartbeat.quota_divisor;
         if (heartbeat.echoed_incarnation == incarnation_)
             member.last_echoed = std::max(member.last_echoed, heartbeat.echoed_timestamp);
-        for (const auto& [name, last_heard] : heartbeat.last_heard)
-            if (name != self_) members_[name].last_heard = std::max(members_[name].last_heard, last_heard);
+        for (const auto& [name, last_received] : heartbeat.last_received)
+            if (name != self_)
+                members_[name].last_received = std::max(members_[name].last_received, last_received);
     }
     std::vector<std::string> member_names(TimePoint now) const {
         std::vector<std::string> names{self_};
         for (const auto& [name, member] : members_)
-            if (now < member.last_heard + kMemberTimeout) names.push_back(name);
+            if (now < member.last_received + kMemberTimeout) names.push_back(name);
         std::sort(names.begin(), names.end());
         return names;
     }
@@ -67,16 +69,16 @@
         PeerSet result{member_names(now), 0, {}};
         const auto size = static_cast<std::uint32_t>(result.ring.size());
         std::uint32_t divisor = size;
-        std::vector<TimePoint> echoed{now};    // when they heard this incarnation, as they say
+        std::vector<TimePoint> echoed{now};    // times of our heartbeats that the others have echoed
         bool all_counted = true;
         for (const auto& [name, member] : members_) {
-            if (now >= member.last_heard + kMemberTimeout) continue;
+            if (now >= member.last_received + kMemberTimeout) continue;
             divisor = std::max(divisor, member.quota_divisor);
             if (member.last_echoed != TimePoint{}) echoed.push_back(member.last_echoed);
-            // It counts this incarnation, or refills no more.
+            // The other gateway counts this incarnation, or no longer refills.
             const bool is_counted = member.last_echoed != TimePoint{} &&
                                     now < member.last_echoed + kRefillTime && member.quota_divisor >= size;
-            all_counted = all_counted && (is_counted || now >= member.last_heard + kRefillTime + 1s);
+            all_counted = all_counted && (is_counted || now >= member.last_received + kRefillTime + 1s);
         }
         const std::size_t majority = gateway_count_ / 2 + 1;
         if (echoed.size() >= majority) {
@@ -95,7 +97,7 @@
     struct Member {
         std::uint64_t incarnation = 0;
         std::uint32_t quota_divisor = 0;
-        TimePoint timestamp{}, last_heard{}, last_echoed{};
+        TimePoint timestamp{}, last_received{}, last_echoed{};
     };
     std::string self_;
     std::uint64_t incarnation_;
--- a/tests/cluster/quota/message_test.cpp
+++ b/tests/cluster/quota/message_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the encoding of balancing messages, its compatibility between versions, and malformed input.
 #include "cluster/quota/message.h"
 
 #include <capnp/message.h>
@@ -31,7 +32,7 @@
 
 }    // namespace
 
-Test(message, comes_back_as_it_was_and_fits_a_datagram) {
+Test(message, round_trips_and_fits_into_a_datagram) {
     for (const std::size_t entry_count : {std::size_t{0}, std::size_t{1}, kMaxEntries}) {
         const std::string bytes = encode(make_message(entry_count));
         cr_assert_leq(bytes.size(), 1200u);
@@ -39,7 +40,7 @@
     }
 }
 
-Test(message, earlier_and_later_versions_read_each_other) {
+Test(message, is_compatible_with_earlier_and_later_versions) {
     const Message current = make_message(2);
     {
         const std::string bytes = encode(current);
@@ -68,7 +69,7 @@
     {
         capnp::MallocMessageBuilder builder;
         fill(builder.initRoot<versions::Earlier>());
-        Message expected = current;    // it permits no transfer and has no flags
+        Message expected = current;    // the earlier version permits no transfer and has no flags
         for (Entry& entry : expected.entries)
             entry = {entry.tenant, entry.available, entry.transfer, 0.0F, false, false};
         cr_assert(decode(packed(builder)).value() == expected);
@@ -89,26 +90,26 @@
     }
 }
 
-Test(message, any_bytes_are_safe) {
+Test(message, decodes_arbitrary_bytes_safely) {
     std::mt19937_64 random(2);
-    const std::string good = encode(make_message(kMaxEntries));
-    int read = 0;
+    const std::string valid = encode(make_message(kMaxEntries));
+    int decoded_count = 0;
     for (int i = 0; i < 20'000; ++i) {
-        std::string bytes = good.substr(0, random() % 2 == 0 ? good.size() : random() % good.size());
-        for (int flips = static_cast<int>(random() % 8); flips > 0 && !bytes.empty(); --flips)
+        std::string bytes = valid.substr(0, random() % 2 == 0 ? valid.size() : random() % valid.size());
+        for (int changes = static_cast<int>(random() % 8); changes > 0 && !bytes.empty(); --changes)
             bytes[random() % bytes.size()] = static_cast<char>(random());
         if (const auto message = decode(bytes)) {
-            ++read;
+            ++decoded_count;
             for (const Entry& entry : message->entries)
                 cr_assert(entry.transfer >= 0.0F && entry.max_transfer >= 0.0F &&
                           entry.available == entry.available);
         }
     }
-    cr_assert_gt(read, 0);
+    cr_assert_gt(decoded_count, 0);
     cr_assert(!decode(std::string(5000, '\0')));
-    Message absurd = make_message(1);
+    Message invalid = make_message(1);
     for (const float transfer : {-1.0F, std::numeric_limits<float>::quiet_NaN(), 1e30F}) {
-        absurd.entries[0].transfer = transfer;
-        cr_assert(!decode(encode(absurd)));
+        invalid.entries[0].transfer = transfer;
+        cr_assert(!decode(encode(invalid)));
     }
 }
--- a/tests/cluster/quota/quota_balancer_test.cpp
+++ b/tests/cluster/quota/quota_balancer_test.cpp
@@ -1,4 +1,4 @@
-// What tenants get of their quotas, and what a balancer does on its own.
+// Tests of the fraction of quotas that tenants can use, and of a single balancer.
 #include <criterion/criterion.h>
 
 #include "cluster/quota/balancer_world.h"
@@ -10,14 +10,16 @@
 
 namespace {
 
-// Eight tenants for half a minute; the tenant of index `hot` sends 7.5 times its rate, the others 0.6 times.
-// A tenant's clients reach some gateways up to five times as often as others, or only four gateways.
-World run_day(std::size_t gateways, std::uint64_t seed, int hot, bool few, std::vector<Tenant>& tenants) {
+// Simulates eight tenants for 30 s. The tenant of index `hot` sends 7.5 times its rate, the others 0.6 times.
+// A tenant's clients reach some gateways up to five times as often as others, or, with `few_gateways`, only
+// four gateways.
+World run_load(std::size_t gateways, std::uint64_t seed, int hot, bool few_gateways,
+               std::vector<Tenant>& tenants) {
     World world(gateways, seed);
     world.network.loss = 0.01;
     for (const double rate : {5, 8, 10, 15, 25, 50, 100, 200}) {
         Tenant tenant = make_tenant(world, "tenant" + std::to_string(tenants.size()), {rate, rate});
-        if (few) {
+        if (few_gateways) {
             tenant.weight.assign(gateways, 0.0);
             for (int i = 0; i < 4; ++i) tenant.weight[world.random_index()] += 1.0;
         }
@@ -34,14 +36,14 @@
 
 }    // namespace
 
-Test(quota_balancer, requests_within_the_quota_are_hardly_rejected) {
+Test(quota_balancer, rejects_few_requests_within_the_quota) {
     for (const std::size_t gateways : {std::size_t{11}, std::size_t{13}})
-        for (const bool few : {false, true}) {
+        for (const bool few_gateways : {false, true}) {
             std::vector<Tenant> tenants;
-            const World world = run_day(gateways, gateways, -1, few, tenants);
+            const World world = run_load(gateways, gateways, -1, few_gateways, tenants);
             cr_log_info(
                 "%zu gateways%s: %llu requested, %.3f%% rejected, %.1f%% queued, %.1f messages/s each",
-                gateways, few ? ", few used" : "",
+                gateways, few_gateways ? ", few used" : "",
                 static_cast<unsigned long long>(world.statistics.requested),
                 100.0 * world.statistics.rejected_fraction(),
                 100.0 * static_cast<double>(world.statistics.queued) /
@@ -51,18 +53,19 @@
         }
 }
 
-Test(quota_balancer, a_hot_tenant_gets_its_quota_and_costs_the_others_nothing) {
+Test(quota_balancer, hot_tenant_gets_its_quota_without_affecting_others) {
     for (const int hot : {0, 2, 7}) {
         std::vector<Tenant> tenants;
-        const World world = run_day(13, 5, hot, false, tenants);
+        const World world = run_load(13, 5, hot, false, tenants);
         const Tenant& tenant = tenants[static_cast<std::size_t>(hot)];
-        std::uint64_t its = 0;
-        for (const World::Grant& grant : world.grants) its += grant.tenant == tenant.name ? 1 : 0;
-        const double part = static_cast<double>(its) / 30.0 / tenant.quota.rate;
-        cr_log_info("hot at %.0f/s: granted %.3f of its rate", tenant.quota.rate, part);
-        cr_assert_gt(part, 0.97);
-        cr_assert_leq(World::excess(world.grants, tenant.name, half_bound(tenant.quota), 5s), 0.0);
-        const double others = static_cast<double>(world.statistics.granted - its);
+        std::uint64_t hot_grants = 0;
+        for (const World::Grant& grant : world.grants) hot_grants += grant.tenant == tenant.name ? 1 : 0;
+        const double granted_fraction = static_cast<double>(hot_grants) / 30.0 / tenant.quota.rate;
+        cr_log_info("hot at %.0f/s: granted %.3f of its rate", tenant.quota.rate, granted_fraction);
+        cr_assert_gt(granted_fraction, 0.97);
+        cr_assert_leq(World::excess(world.grants, tenant.name, bound_with_half_overshoot(tenant.quota), 5s),
+                      0.0);
+        const double others = static_cast<double>(world.statistics.granted - hot_grants);
         cr_assert_gt(others, 0.997 * static_cast<double>(world.statistics.requested) -
                                  30.0 * 7.5 * tenant.quota.rate * 1.05);
     }
@@ -83,7 +86,7 @@
 
 }    // namespace
 
-Test(quota_balancer, tenants_cost_nothing_until_they_send_requests) {
+Test(quota_balancer, idle_tenants_need_no_buckets_or_ticks) {
     TimePoint now{1'000s};
     std::map<std::string, Quota> quotas;
     for (int i = 0; i < 420'000; ++i) quotas["tenant" + std::to_string(i)] = {10, 10};
@@ -93,7 +96,7 @@
     cr_assert_eq(balancer.statistics().buckets, 0u);
     cr_assert(balancer.next_deadline() == TimePoint::max());
     const double full = balancer.available_units("tenant7", now);
-    cr_assert_eq(full, 10.0 + 0.5 * (0.1 * 60.0 + 20.0));    // as if its bucket had always existed
+    cr_assert_eq(full, 10.0 + 0.5 * (0.1 * 60.0 + 20.0));    // as if the bucket had always existed
     Duration retry_after{};
     cr_assert(balancer.request_unit("tenant7", 0ms, now, retry_after) == AdmissionDecision::Granted);
     cr_assert_eq(balancer.statistics().buckets, 1u);
@@ -105,43 +108,46 @@
     cr_assert(actions.sends.empty());
 }
 
-Test(quota_balancer, changed_limits_take_effect) {
+Test(quota_balancer, changed_limits_and_divisors_take_effect) {
     TimePoint now{1'000s};
     const Quota small{10, 0}, large{20, 30};
-    const double few = half_bound(small) - 50.0, many = half_bound(large) - 100.0;
+    const double small_level = bound_with_half_overshoot(small) - 50.0,
+                 large_level = bound_with_half_overshoot(large) - 100.0;
     QuotaBalancer balancer = single_balancer({{"met", large}, {"unmet", large}, {"free", {}}}, now);
     Duration retry_after{};
     cr_assert(balancer.request_unit("free", 0ms, now, retry_after) ==
               AdmissionDecision::Granted);    // no limit
     cr_assert(balancer.request_unit("unheard", 0ms, now, retry_after) ==
-              AdmissionDecision::Granted);    // the caller rejects unknown tenants
+              AdmissionDecision::Granted);    // callers reject unknown tenants before
     cr_assert(balancer.request_unit("met", 0ms, now, retry_after) == AdmissionDecision::Granted);
-    balancer.set_quotas({{"met", small}, {"unmet", small}, {"free", small}}, now);    // lower: at once
-    cr_assert_eq(balancer.available_units("met", now), few);
-    cr_assert_float_eq(balancer.available_units("unmet", now), few, 1e-6);
-    cr_assert_eq(balancer.available_units("free", now), 0.0);    // it may have been granted any number
+    // Lower limits apply at once.
+    balancer.set_quotas({{"met", small}, {"unmet", small}, {"free", small}}, now);
+    cr_assert_eq(balancer.available_units("met", now), small_level);
+    cr_assert_float_eq(balancer.available_units("unmet", now), small_level, 1e-6);
+    // Without a limit, any number of units may have been granted.
+    cr_assert_eq(balancer.available_units("free", now), 0.0);
     balancer.set_quotas({{"met", large}, {"unmet", large}, {"free", small}, {"new", large}},
-                        now);    // higher: by refill
+                        now);    // higher limits apply by refill
     now += 500ms;
     for (const char* name : {"met", "unmet"})
-        cr_assert_float_eq(balancer.available_units(name, now), few + 10.0, 1e-6);
-    cr_assert_eq(balancer.available_units("new", now), many);    // nobody here was granted any of it
+        cr_assert_float_eq(balancer.available_units(name, now), small_level + 10.0, 1e-6);
+    cr_assert_eq(balancer.available_units("new", now), large_level);    // no units of it were granted here
     balancer.set_quotas({{"met", large}}, now);
     balancer.set_quotas({{"met", large}, {"new", large}}, now);
-    cr_assert_eq(balancer.available_units("new", now), 0.0);    // it was removed and came back
-    balancer.set_peers({{"a", "b"}, 2, now + 1s}, now);         // more gateways: the bucket is cut
-    cr_assert_leq(balancer.available_units("met", now), many / 2);
-    balancer.set_peers({{"a"}, 1, now + 1s}, now);    // fewer: by refill
-    cr_assert_leq(balancer.available_units("met", now), many / 2);
+    cr_assert_eq(balancer.available_units("new", now), 0.0);    // it was removed and added again
+    balancer.set_peers({{"a", "b"}, 2, now + 1s}, now);         // with more gateways, the bucket is cut
+    cr_assert_leq(balancer.available_units("met", now), large_level / 2);
+    balancer.set_peers({{"a"}, 1, now + 1s}, now);    // with fewer gateways, it refills to more
+    cr_assert_leq(balancer.available_units("met", now), large_level / 2);
     now += 1s;
-    cr_assert_eq(balancer.available_units("met", now), 0.0);    // the lease has ended
+    cr_assert_eq(balancer.available_units("met", now), 0.0);    // the lease has expired
     cr_assert(balancer.request_unit("met", 0ms, now, retry_after) == AdmissionDecision::Rejected);
     balancer.set_peers({{"a"}, 1, now + 10s}, now);
     now += 250ms;
     cr_assert_float_eq(balancer.available_units("met", now), 5.0, 1e-6);
 }
 
-Test(quota_balancer, queued_requests_are_woken_and_others_told_when_to_retry) {
+Test(quota_balancer, wakes_queued_requests_and_sets_retry_time_of_rejected_ones) {
     TimePoint now{1'000s};
     QuotaBalancer balancer = single_balancer({{"t", {10, 0}}}, now);
     Duration retry_after{};
@@ -158,6 +164,6 @@
     cr_assert_leq((now - TimePoint(1'060s)).count(), 101'000);
     balancer.adjust_queued("t", -1);
     cr_assert(balancer.request_unit("t", 50ms, now, retry_after) == AdmissionDecision::Granted);
-    balancer.return_unit("t", now);    // it never ran
+    balancer.return_unit("t", now);    // the request was not executed
     cr_assert(balancer.request_unit("t", 50ms, now, retry_after) == AdmissionDecision::Granted);
 }
--- a/tests/cluster/quota/quota_bound.h
+++ b/tests/cluster/quota/quota_bound.h
@@ -1,4 +1,4 @@
-// What the tests of the balancer have in common.
+// Helpers shared by the tests of the balancer.
 #pragma once
 
 #include <string>
@@ -7,13 +7,14 @@
 
 namespace shaletray::quota::world {
 
-// The bound that tenant_bucket.h argues for: the quota and half of the permitted overshoot.
-inline double half_bound(const Quota& tenant_quota) {
+// Returns the bound on grants in a window that tenant_bucket.h derives: the quota and half of the permitted
+// overshoot.
+inline double bound_with_half_overshoot(const Quota& tenant_quota) {
     const double quota = tenant_quota.rate * 5.0 + tenant_quota.burst;
     return quota + 0.5 * (quota * 0.1 + 20.0);
 }
 
-// A tenant whose clients reach some gateways up to five times as often as others.
+// Returns a tenant whose clients reach some gateways up to five times as often as others.
 inline Tenant make_tenant(World& world, const std::string& name, Quota quota) {
     Tenant result{name, quota, {}};
     for (std::size_t index = 0; index < world.gateways.size(); ++index)
--- a/tests/cluster/quota/quota_bound_test.cpp
+++ b/tests/cluster/quota/quota_bound_test.cpp
@@ -1,4 +1,4 @@
-// The bound on the grants of all gateways together, through faults and all orders of events.
+// Tests of the bound on the grants of all gateways together, under faults and for all orders of a few events.
 #include "cluster/quota/quota_bound.h"
 
 #include <criterion/criterion.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A fault of some gateways that is over by `end`.
+// Injects a fault of some gateways, the network or the configuration that ends at `end`.
 void inject_fault(World& world, const std::vector<Tenant>& tenants, TimePoint end) {
     const std::size_t target = world.random_index();
     switch (world.random() % 6) {
@@ -26,7 +26,7 @@
             for (std::size_t index = 0; index < world.gateways.size(); ++index)
                 world.gateways[index].partitioned = index == target || world.chance() < 0.3;
             world.schedule(end, [&world] {
-                for (auto& process : world.gateways) process.partitioned = false;
+                for (auto& gateway : world.gateways) gateway.partitioned = false;
             });
             break;
         case 2:
@@ -37,7 +37,7 @@
             world.network = {Duration(world.random() % 150'000), 5ms, 0.2, 0.3, 0.2};
             world.schedule(end, [&world] { world.network = {}; });
             break;
-        case 4: {    // a tenant's limit falls, or the tenant is removed; later all is as before
+        case 4: {    // reduces a tenant's limit or removes the tenant, and restores it later
             auto reduced = world.quotas;
             const Tenant& tenant = tenants[world.random() % tenants.size()];
             reduced.erase(tenant.name);
@@ -54,9 +54,9 @@
 
 }    // namespace
 
-// Whatever happens to the gateways and between them, all grants of a tenant in any window stay in the bound.
-// The worst moment for it is when buckets are full and many requests come just as a fault ends.
-Test(quota_bound, no_fault_adds_to_a_quota) {
+// All grants of a tenant in any window stay within the bound under any faults of gateways and network. The
+// worst case is that buckets are full and many requests arrive just when a fault ends.
+Test(quota_bound, grants_stay_within_the_bound_under_faults) {
     for (std::uint64_t seed = 1; seed <= 16; ++seed) {
         World world(3 + seed % 9, seed);
         const std::vector<Tenant> tenants{make_tenant(world, "small", {5, 5}),
@@ -66,9 +66,9 @@
         for (std::size_t i = 0; i < world.gateways.size(); ++i)
             if (world.chance() < 0.7) world.start(i);
         for (int episode = 0; episode < 16; ++episode) {
-            // Short, or long enough for the others to count on the shares of those that failed.
-            const double longest = world.chance() < 0.5 ? 4.0 : 35.0;
-            const Duration length(static_cast<std::int64_t>((0.2 + longest * world.chance()) * 1e6));
+            // Short, or long enough for the other gateways to take over the shares of those that failed.
+            const double max_length = world.chance() < 0.5 ? 4.0 : 35.0;
+            const Duration length(static_cast<std::int64_t>((0.2 + max_length * world.chance()) * 1e6));
             const TimePoint end = world.now + 4s + length;
             for (const Tenant& tenant : tenants)
                 world.set_load(tenant, world.chance() < 0.5 ? 0.3 * tenant.quota.rate : 0.0);
@@ -81,16 +81,18 @@
             world.run(length + 4s);
         }
         for (const Tenant& tenant : tenants) {
-            const double worst = World::excess(world.grants, tenant.name, half_bound(tenant.quota), 5s);
-            cr_assert_leq(worst, 0.0, "seed %d tenant %s: %f over", static_cast<int>(seed),
-                          tenant.name.c_str(), worst);
+            const double max_excess =
+                World::excess(world.grants, tenant.name, bound_with_half_overshoot(tenant.quota), 5s);
+            cr_assert_leq(max_excess, 0.0, "seed %d tenant %s: %f over", static_cast<int>(seed),
+                          tenant.name.c_str(), max_excess);
         }
     }
 }
 
-// Three gateways and one tenant, and all orders of a few events: the units of all together, with every
-// transfer in flight that would still be accepted, never exceed what the tenant's buckets may hold.
-namespace tiny {
+// Explores all orders of a few events with three gateways and one tenant: the units of all gateways,
+// including every transfer in flight that would still be accepted, never exceed what the tenant's buckets may
+// hold.
+namespace exhaustive {
 
 struct Envelope {
     std::size_t from = 0, to = 0;
@@ -101,7 +103,7 @@
     TimePoint now{1'000s};
     std::vector<QuotaBalancer> balancers;
     std::vector<std::uint32_t> divisor{3, 3, 3};
-    std::vector<bool> contacted{true, true, true};    // by the others, until now
+    std::vector<bool> contacted{true, true, true};    // whether the gateway has contact to the others
     std::vector<Envelope> in_flight;
     std::uint64_t last_incarnation = 0;
 };
@@ -157,30 +159,30 @@
         case 1: consume(state, 1, 2); break;
         case 2: advance_time(state, 100ms); break;
         case 3: advance_time(state, 260ms); break;
-        case 4: deliver(state, 0); break;    // and again later, perhaps
+        case 4: deliver(state, 0); break;    // it stays in flight, so it may be delivered again
         case 5: deliver(state, state.in_flight.size() - 1); break;
         case 6:
             if (!state.in_flight.empty()) state.in_flight.erase(state.in_flight.begin());
             break;
-        case 7:    // a new incarnation, which the others count already
+        case 7:    // restarts the second, which the others already count
             state.balancers[1] = make_balancer(state, 1);
             state.balancers[1].set_peers({kNames, state.divisor[1], state.now + 10s}, state.now);
             break;
-        case 8:    // the third is partitioned, and after twenty seconds the others divide by two
+        case 8:    // partitions the third; after 20 s the others divide by two
             state.contacted[2] = false;
             advance_time(state, 9s);
             advance_time(state, 12s);
             state.divisor[0] = state.divisor[1] = 2;
             advance_time(state, 0s);
             break;
-        case 9:    // it is back: counted first, then confirmed
+        case 9:    // ends the partition: the third is counted first, then confirmed
             state.divisor = {3, 3, 3};
             for (std::size_t index = 0; index < 2; ++index)
                 state.balancers[index].set_peers({kNames, 3, state.now + 10s}, state.now);
             state.contacted[2] = true;
             advance_time(state, 10ms);
             break;
-        case 10: {    // a request is queued at the first, which requests units
+        case 10: {    // queues a request at the first, which requests units
             Duration retry_after{};
             if (state.balancers[0].request_unit("t", 150ms, state.now, retry_after) !=
                 AdmissionDecision::Queued)
@@ -193,7 +195,7 @@
     }
 }
 
-void check_bound(State state, const std::vector<int>& path) {
+void check_bound(State state, const std::vector<int>& actions_taken) {
     for (std::size_t receiver = state.in_flight.size(), i = 0; i < receiver; ++i) {
         const Envelope envelope = state.in_flight[i];
         Actions actions;
@@ -202,30 +204,32 @@
     double sum = 0.0;
     for (const QuotaBalancer& balancer : state.balancers) sum += balancer.available_units("t", state.now);
     std::string history;
-    for (const int action : path) history += " " + std::to_string(action);
-    cr_assert_leq(sum, half_bound(kQuota) - 5.0 * kQuota.rate + 1e-6, "after%s: %f", history.c_str(), sum);
+    for (const int action : actions_taken) history += " " + std::to_string(action);
+    cr_assert_leq(sum, bound_with_half_overshoot(kQuota) - 5.0 * kQuota.rate + 1e-6, "after%s: %f",
+                  history.c_str(), sum);
 }
 
-void explore(const State& state, std::vector<int>& path, int depth) {
+void explore(const State& state, std::vector<int>& actions_taken, int depth) {
     for (int action = 0; action < kActions; ++action) {
         State next_state = state;
         apply_action(next_state, action);
-        path.push_back(action);
-        check_bound(next_state, path);
-        if (depth > 1) explore(next_state, path, depth - 1);
-        path.pop_back();
+        actions_taken.push_back(action);
+        check_bound(next_state, actions_taken);
+        if (depth > 1) explore(next_state, actions_taken, depth - 1);
+        actions_taken.pop_back();
     }
 }
 
-}    // namespace tiny
+}    // namespace exhaustive
 
 Test(quota_bound, no_order_of_events_creates_units) {
-    tiny::State state;
-    for (std::size_t i = 0; i < 3; ++i) state.balancers.push_back(tiny::make_balancer(state, i));
-    tiny::advance_time(state, 1s);
-    std::vector<int> path;
-    for (int i = 0; i < 12; ++i) tiny::advance_time(state, 1s);
-    tiny::explore(state, path, 5);
-    for (const int action : {0, 3, 4, 4, 3}) tiny::apply_action(state, action);    // transfers are in flight
-    tiny::explore(state, path, 5);
+    exhaustive::State state;
+    for (std::size_t i = 0; i < 3; ++i) state.balancers.push_back(exhaustive::make_balancer(state, i));
+    exhaustive::advance_time(state, 1s);
+    std::vector<int> actions_taken;
+    for (int i = 0; i < 12; ++i) exhaustive::advance_time(state, 1s);
+    exhaustive::explore(state, actions_taken, 5);
+    for (const int action : {0, 3, 4, 4, 3})
+        exhaustive::apply_action(state, action);    // leaves transfers in flight
+    exhaustive::explore(state, actions_taken, 5);
 }
--- a/tests/cluster/quota/versions.capnp
+++ b/tests/cluster/quota/versions.capnp
@@ -1,4 +1,5 @@
-# The messages as an earlier and a later version may have them, to be read and written against today's.
+# Balancing messages as an earlier and a later version may define them, for tests of compatibility with the
+# current version.
 @0xb7c5e1f09a3d2264;
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::quota::versions");
