--- a/src/data_plane/engine/engine.cpp
+++ b/src/data_plane/engine/engine.cpp
@@ -106,7 +106,7 @@
     if (requests_.size() >= max_open_requests_ || state_exported_) {
         ++counters_.requests_rejected;
         count_result(incoming.class_index, RequestResult::Rejected);
-        // The longest retry time, since nothing tells when there is room again.
+        // The maximum, since it is unknown when requests will be accepted again.
         downstream.on_rejected(max_retry_after_, RejectionReason::Capacity);
         return RequestId{};
     }
@@ -130,7 +130,8 @@
     arrival_event.width = incoming.gateway_set_size;
     arrival_event.only_host = incoming.only_host;
     request.incoming = std::move(incoming);
-    // Sent before each request, so that it does not matter what the module evicted or what expired meanwhile.
+    // The allowance is passed before each request, since the module may have evicted it and it may have
+    // expired.
     request.plan_decision = {arrival_event.customer, arrival_event.plan_index, 0, 0};
     if (plan_service_ != nullptr) {
         std::vector<decision::Allowance> allowances;
@@ -163,7 +164,7 @@
     if (request == nullptr || request->downstream == nullptr) return nullptr;
     DownstreamConnection* const downstream = detach_downstream(*request);
     process_event(decision::RequestAborted{id});
-    // Attempts still in flight are of no use any more.
+    // Cancels the attempts that are still in flight, whose responses are not needed.
     for (std::size_t index = 0; (request = find_request(id)) != nullptr && index < request->attempts.size();
          ++index) {
         if (!request->attempts[index].is_active) continue;
@@ -176,8 +177,8 @@
     return downstream;
 }
 
-// Only streaming responses are reported to the module, as in the simulator: the attempt's time-out and the
-// client's deadline end there. All other responses are forwarded once complete.
+// Reports only streaming responses to the module, as the simulator does: the attempt's timeout and the
+// client's deadline no longer apply to them. All other responses are forwarded once complete.
 void Engine::on_response_started(AttemptId id) {
     Attempt* attempt = find_active_attempt(id);
     if (attempt == nullptr || attempt->has_started) return;
@@ -195,28 +196,30 @@
         process_event(decision::AttemptStarted{id.request, id.attempt_number, attempt->host});
 }
 
-// The time that a client took to upload a request says nothing about the server, so timing begins here.
+// The client's upload time is not part of the server's latency, so the attempt is timed from here on.
 void Engine::on_request_written(AttemptId id) {
     Attempt* attempt = find_active_attempt(id);
     if (attempt != nullptr && find_request(id.request)->incoming.payload.upload)
         attempt->sent_at = clock_.now();
 }
 
-void Engine::on_attempt_ended(AttemptId id, Outcome outcome, LoadReport&& report, Payload&& answer,
+void Engine::on_attempt_ended(AttemptId id, Outcome outcome, LoadReport&& report, Payload&& server_response,
                               double settled_units) {
     Attempt* attempt = find_active_attempt(id);
     if (attempt == nullptr) return;
     Request& request = *find_request(id.request);
     const double charged_units = outcome == Outcome::Ok ? settle_units(request, settled_units) : 0.0;
-    attempt->is_streaming = answer.body_stream != nullptr && attempt->response_started_at != TimePoint{};
-    if (response_policy_.forwards_failure_answers && outcome == Outcome::Error && is_failure_answer(answer))
-        request.last_failure_answer = std::make_unique<Payload>(std::move(answer));
+    attempt->is_streaming =
+        server_response.body_stream != nullptr && attempt->response_started_at != TimePoint{};
+    if (response_policy_.forwards_error_responses && outcome == Outcome::Error &&
+        is_error_response(server_response))
+        request.last_error_response = std::make_unique<Payload>(std::move(server_response));
     // A successful response finishes the request, and so does a broken stream.
     if (outcome == Outcome::Ok) {
         if (DownstreamConnection* const downstream = detach_downstream(request)) {
             count_result(request.incoming.class_index, RequestResult::Served);
             // NOLINTNEXTLINE(bugprone-use-after-move): moved from above only where the outcome is an error
-            downstream->on_answer(std::move(answer));
+            downstream->on_answer(std::move(server_response));
         }
     } else if (attempt->has_started) {
         UnservedResponse failure_response =
@@ -287,7 +290,7 @@
         try {
             decide_actions(current);
         } catch (const std::exception& error) {
-            // Its request is answered by the overdue timer; all others continue.
+            // The overdue timer ends the request concerned; all others continue.
             static LogRateLimiter log_limiter;
             if (log_limiter.try_acquire())
                 log(LogLevel::Error, Event::EngineFailed, {log_field("why", error.what())});
@@ -366,7 +369,7 @@
     erase_if_finished(action.request);
 }
 
-// The module has one timer, which it only moves to an earlier time.
+// The module has one timer, which it only reschedules to an earlier time.
 void Engine::execute(const decision::SetTimer& action) {
     timers_.cancel(module_timer_);
     module_timer_ = timers_.schedule_at(
@@ -386,7 +389,7 @@
 
 // ---- requests ----
 
-// The request is about to be sent for the first time: it is billed from here on, whatever its result.
+// Bills a request that is about to be sent for the first time, whatever its result will be.
 void Engine::record_admission(const Request& request, TimePoint now, bool is_sent) {
     const IncomingRequest& incoming = request.incoming;
     if (plan_service_ != nullptr) {
@@ -397,7 +400,7 @@
     } else if (quota_state_table_ != nullptr) {
         quota_state_table_->record_admission(incoming.customer, incoming.units, now);
     }
-    if (usage_recorder_ == nullptr || !is_sent) return;    // what reaches no server is not billed
+    if (usage_recorder_ == nullptr || !is_sent) return;    // a request that reaches no server is not billed
     const plans::PlanService::PlanDecision& plan_decision = request.plan_decision;
     usage_recorder_->record_admission({incoming.customer, incoming.class_index, plan_decision.plan_index,
                                        incoming.units, plan_decision.plan_version,
@@ -418,8 +421,8 @@
         response.result = may_have_executed(id, request, attempts_dropped) ? RequestResult::Failed
                                                                            : RequestResult::Rejected;
     if (clock_.now() >= request_deadline(request)) response.reason = FailureReason::DeadlineExceeded;
-    if (request.last_failure_answer)
-        response.answer = std::move(*std::exchange(request.last_failure_answer, nullptr));
+    if (request.last_error_response)
+        response.server_response = std::move(*std::exchange(request.last_error_response, nullptr));
     return response;
 }
 
@@ -428,7 +431,7 @@
     count_result(class_index, response.result);
     if (response.result == RequestResult::Rejected)
         downstream.on_rejected(response.retry_after, RejectionReason::Capacity);
-    else downstream.on_failed(response.reason, std::move(response.answer));
+    else downstream.on_failed(response.reason, std::move(response.server_response));
 }
 
 bool Engine::may_have_executed(RequestId id, const Request& request, bool attempts_dropped) const {
@@ -456,7 +459,7 @@
                                            : class_counters.failed);
 }
 
-// The only place where an attempt ends, which reports it to the module exactly once.
+// The only place where an attempt ends: reports it to the module, exactly once.
 void Engine::finish_attempt(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report,
                             bool is_final, double settled_units) {
     timers_.cancel(attempt.timeout_timer);
@@ -465,14 +468,14 @@
                                 outcome == Outcome::Error || outcome == Outcome::Reset;
     --find_request(id.request)->active_attempts;
     ++counters_.outcomes[static_cast<std::size_t>(outcome)];
-    // The transfer time of a streamed response says nothing about the server's latency.
+    // The transfer time of a streamed response is not part of the server's latency.
     const TimePoint started_at = attempt.is_streaming ? attempt.response_started_at : clock_.now();
     process_event(decision::AttemptFinished{id.request, id.attempt_number, attempt.host, outcome,
                                             started_at - attempt.sent_at, settled_units, is_final,
                                             std::move(report)});
 }
 
-// A request's time budget begins with its last received byte (PROTOCOL, Figures).
+// A request's time budget begins when its last byte is received.
 TimePoint Engine::request_deadline(const Request& request) {
     const RequestUpload* const upload = request.incoming.payload.upload.get();
     if (upload == nullptr) return request.deadline;
@@ -486,8 +489,8 @@
                                              : std::min(deadline_limit, attempt.sent_at + attempt.time_limit);
 }
 
-// When to check a deadline again: the end of an upload may bring it forward, but no closer than one time
-// budget from now.
+// When to check a deadline again: the end of an upload may move it to an earlier time, but to no less than
+// one time budget from now.
 TimePoint Engine::next_check_time(const Request& request, TimePoint deadline) const {
     return std::min(deadline, clock_.now() + request.incoming.time_budget);
 }
@@ -532,7 +535,7 @@
 }
 
 bool Engine::import_state(std::string_view text) {
-    process_event(decision::TimerFired{});    // the module's first event starts it
+    process_event(decision::TimerFired{});    // starts the module, which needs an event for that
     try {
         decision_module_.take_over(text, clock_.now());
         return true;
--- a/src/data_plane/engine/engine.h
+++ b/src/data_plane/engine/engine.h
@@ -1,6 +1,6 @@
-// The engine owns requests, attempts and their timers, feeds the decision module with events and carries out
-// its actions. It is independent of HTTP, sockets and a platform's formats: these are behind the interfaces
-// DownstreamConnection, AttemptSender, PeerMessenger and HostListSource.
+// The engine owns requests, attempts and their timers, passes events to the decision module and executes the
+// actions it returns. It is independent of HTTP, sockets and a platform's formats: these are behind the
+// interfaces DownstreamConnection, AttemptSender, PeerMessenger and HostListSource.
 //
 // Threading: everything runs on one thread, usually the reactor's, and callbacks may come before a call
 // returns. Invariants: each accepted request gets exactly one response unless it is cancelled, and each
@@ -52,12 +52,12 @@
 };
 
 // A request body that is still being received. The buffered first part can be sent by several attempts; the
-// rest can be streamed by one attempt only, which rules out retries from then on.
+// rest can be streamed by one attempt only, so that no retry is possible from then on.
 class RequestUpload : public BodyStream {
 public:
-    virtual std::string_view initial_body() const = 0;    // the first part; empty once streaming began
-    virtual bool is_streaming() const = 0;                // the rest was begun: no other attempt may follow
-    virtual bool is_complete() const = 0;                 // received completely from the client
+    virtual std::string_view initial_body() const = 0;    // empty once streaming has begun
+    virtual bool is_streaming() const = 0;                // no other attempt can send the body
+    virtual bool is_complete() const = 0;                 // received completely
     virtual TimePoint last_received_at() const = 0;       // when bytes last arrived
 };
 
@@ -76,18 +76,18 @@
 struct IncomingRequest {
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
-    double units = 1.0;         // cost that its quota is charged
+    double units = 1.0;         // charged to its quota
     Duration time_budget{0};    // until its deadline
-    // The customer's gateway set, over which its quota is divided: first index, and how many follow on.
+    // The gateways over which the customer's quota is divided: index of the first one, and their number.
     int first_gateway_index = 0, gateway_set_size = 1;
-    HostId only_host{};            // the server that may run it; HostId{}: any of the service
-    bool is_streaming = false;     // the response begins long before it ends
+    HostId only_host{};            // the only server that may run it; HostId{}: any server of the service
+    bool is_streaming = false;     // the response takes long to complete after it has begun
     std::string reservation_id;    // the reservation to charge, if a plan service is set; empty: none
     std::shared_ptr<const void> context = {};    // the mapping's own data, kept as long as the request
     Payload payload;
 };
 
-// An admitted request as it is billed.
+// What is billed for an admitted request.
 struct AdmittedRequest {
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
@@ -95,15 +95,15 @@
     std::uint64_t plan_version = 0, reservation_version = 0;
     decision::TimePoint admitted_at{};
 };
-// Keeps a usage record: called once for each request, before its first attempt is sent.
+// Writes usage records. Called once for each request, before its first attempt is sent.
 class UsageRecorder {
 public:
     virtual ~UsageRecorder() = default;
     virtual void record_admission(const AdmittedRequest& admission) = 0;
 };
 
-// Units that a successful response reports, if units are settled afterwards: a number above 0, or one of
-// these.
+// Values of the units reported by a successful response, besides numbers above 0; used if units are settled
+// afterwards.
 constexpr double kUnitsUnreported = 0.0, kUnitsMalformed = -1.0;
 
 // One send of a request; attempts of a request are numbered from 0.
@@ -120,20 +120,20 @@
 class DownstreamConnection {
 public:
     virtual ~DownstreamConnection() = default;
-    virtual void on_answer(Payload&& answer) = 0;
+    virtual void on_answer(Payload&& server_response) = 0;
     virtual void on_rejected(Duration retry_after, RejectionReason reason) = 0;
-    // `answer` is the last complete error response of a server if ResponsePolicy::forwards_failure_answers is
-    // set and there was one (is_failure_answer tells), else empty.
-    virtual void on_failed(FailureReason reason, Payload&& answer) = 0;
+    // `server_response` is the last complete error response of a server if
+    // ResponsePolicy::forwards_error_responses is set and there was one (see is_error_response), else empty.
+    virtual void on_failed(FailureReason reason, Payload&& server_response) = 0;
 };
 // Whether a payload passed to on_failed is a server's error response.
-inline bool is_failure_answer(const Payload& answer) { return answer.status_code >= 400; }
+inline bool is_error_response(const Payload& server_response) { return server_response.status_code >= 400; }
 
 // Accepts requests from client connections.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
-    // Returns a ticket for cancel(). May respond before it returns; the ticket is meaningless then.
+    // Returns a ticket for cancel(). May respond before it returns; the ticket must not be used then.
     virtual std::uint64_t submit(DownstreamConnection& downstream, IncomingRequest&& incoming) = 0;
     // Drops a request without a response. Never called for a request that has its response.
     virtual void cancel(std::uint64_t request_ticket) = 0;
@@ -159,15 +159,16 @@
     virtual void send_to_peer(PeerId peer, const std::vector<std::uint8_t>& bytes) = 0;
 };
 
-// Source of server lists, which arrive through Engine::on_host_list.
+// Source of server lists, which it passes to Engine::on_host_list.
 class HostListSource {
 public:
     virtual ~HostListSource() = default;
-    // Called if the decision module asks for a list.
+    // Called when the decision module requests a list.
     virtual void subscribe() = 0;
 };
 
-// Requests of one service, from submission to response. `clock`, `timers` and `counters` outlive it.
+// Processes the requests of one service, from submission to response. `clock`, `timers` and `counters` must
+// outlive it.
 class Engine {
 public:
     Engine(const decision::Settings& settings, std::uint64_t seed, const Clock& clock, Timers& timers,
@@ -177,25 +178,26 @@
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    // Sets the interfaces that actions go to; before any other call. They outlive the engine's use.
+    // Sets the interfaces that execute actions; must precede any other call. They must stay valid while the
+    // engine is used.
     void connect(AttemptSender& attempt_sender, PeerMessenger& peer_messenger, HostListSource& host_lists);
-    // Quota shares come from this table instead of the module's own peer messages. It outlives the engine's
-    // use.
+    // Takes quota shares from this table instead of the decision module's own peer messages. It must stay
+    // valid while the engine is used.
     void set_quota_state_table(limits::QuotaStateTable& table) { quota_state_table_ = &table; }
-    // Plans may change at runtime: this service decides each request's plan and updates the quota table.
+    // For plans that change at runtime: the service decides each request's plan and updates the quota table.
     void set_plan_service(plans::PlanService& service) { plan_service_ = &service; }
     void set_usage_recorder(UsageRecorder& recorder) { usage_recorder_ = &recorder; }
-    // Platform choices about responses to requests without a successful one.
+    // How the platform wants requests without a successful response to be answered.
     struct ResponsePolicy {
         // A server's last complete error response is forwarded to the client.
-        bool forwards_failure_answers = false;
-        // A request is reported as rejected only if nothing of it can have run, and as failed if it may have,
-        // whatever the decision module says.
+        bool forwards_error_responses = false;
+        // A request is reported as rejected if no part of it can have run, and as failed if it may have run,
+        // whatever the decision module decides.
         bool rejects_only_unexecuted = false;
     };
     void set_response_policy(const ResponsePolicy& policy) { response_policy_ = policy; }
-    bool forwards_failure_answers() const { return response_policy_.forwards_failure_answers; }
-    // Passes allowances that expired or changed by now to the decision module.
+    bool forwards_error_responses() const { return response_policy_.forwards_error_responses; }
+    // Passes allowances that have expired or changed to the decision module.
     void refresh_allowances();
 
     // Applies classes and limits at runtime. Returns the index of each class of `new_settings.classes` for
@@ -203,23 +205,23 @@
     // decision::BadSettings, and changes nothing, if they are invalid.
     std::vector<int> apply_settings(const decision::Settings& new_settings);
 
-    // Accepts a request and decides on it. May respond before it returns; the id is 0 if it rejected the
-    // request for want of room.
+    // Accepts a request and decides on it. May respond before it returns. The id is 0 if the request was
+    // rejected because too many requests are open or export_state() was called.
     RequestId submit(DownstreamConnection& downstream, IncomingRequest&& incoming);
     // The client disconnected: drops the request without a response.
     void cancel(RequestId request);
 
     // The first part of the response has arrived.
     void on_response_started(AttemptId attempt);
-    // The request is forwarded while it is still being received: it cannot be retried from here on.
+    // The request is forwarded while it is still being received: it cannot be retried from now on.
     void on_upload_started(AttemptId attempt);
     // The request was written completely to its server.
     void on_request_written(AttemptId attempt);
-    // `settled_units` counts only for a successful response, and only if the settings settle units
-    // afterwards: the quota, here and in the quota table, is charged these instead of the estimate. If the
-    // response reports none that can be used, the estimate stands, which is counted and logged.
-    void on_attempt_ended(AttemptId attempt, Outcome outcome, LoadReport&& report = {}, Payload&& answer = {},
-                          double settled_units = kUnitsUnreported);
+    // `settled_units` is used only for a successful response, and only if the settings settle units
+    // afterwards: the quota, here and in the quota table, is charged with them instead of the estimate. If
+    // the response reports no usable units, the estimate remains, which is counted and logged.
+    void on_attempt_ended(AttemptId attempt, Outcome outcome, LoadReport&& report = {},
+                          Payload&& server_response = {}, double settled_units = kUnitsUnreported);
     void on_health_check_ended(HostId host, Outcome outcome, Duration duration, LoadReport&& report = {});
     void on_host_list(decision::HostList&& list);
     void on_peer_message(PeerId peer, std::vector<std::uint8_t>&& bytes);
@@ -232,7 +234,7 @@
     // logged, the engine starts afresh and the result is false.
     bool import_state(std::string_view text);
     std::size_t open_requests() const { return requests_.size(); }
-    // Requests without a response yet; others may remain open until their attempts end.
+    // Open requests without a response; requests with one remain open until their attempts end.
     std::size_t unanswered_requests() const { return unanswered_requests_; }
     // Healthy servers that are ejected by the decision module.
     std::size_t avoided_hosts() const { return decision_module_.avoided(); }
@@ -256,7 +258,7 @@
         std::vector<Attempt> attempts;
         int active_attempts = 0;
         bool units_settled = false;                      // settled, or the response had no usable units
-        std::unique_ptr<Payload> last_failure_answer;    // see ResponsePolicy
+        std::unique_ptr<Payload> last_error_response;    // see ResponsePolicy
     };
 
     Request* find_request(RequestId id);
@@ -279,7 +281,7 @@
         RequestResult result = RequestResult::Failed;
         Duration retry_after{0};
         FailureReason reason = FailureReason::UpstreamFailed;
-        Payload answer;
+        Payload server_response;
     };
     // `attempts_dropped`: attempts in flight are cancelled next.
     UnservedResponse make_unserved_response(RequestId id, Request& request, RequestResult result,
@@ -293,7 +295,7 @@
     DownstreamConnection* drop_request(RequestId id);
     void finish_attempt(AttemptId id, Attempt& attempt, Outcome outcome, LoadReport&& report, bool is_final,
                         double settled_units = 0.0);
-    // The settled units of a successful request, or 0 if the estimate stands.
+    // Returns the settled units of a successful request, or 0 if the estimate remains.
     double settle_units(Request& request, double reported_units);
     void on_attempt_timeout(AttemptId id);
     void on_request_overdue(RequestId id);
@@ -314,7 +316,7 @@
     std::size_t max_attempts_ = 0;
     Duration max_retry_after_{0};
     bool settles_units_;
-    double max_request_units_;    // the most that one request may cost
+    double max_request_units_;    // maximum cost of one request
     const Clock& clock_;
     Timers& timers_;
     Counters& counters_;
@@ -331,7 +333,7 @@
     std::uint32_t last_request_id_ = 0;
     std::size_t unanswered_requests_ = 0;
     bool state_exported_ = false;
-    std::vector<RequestClassCounters*> counters_by_class_;    // point into counters_
+    std::vector<RequestClassCounters*> counters_by_class_;    // by class index; points into counters_
     // Events caused by an action wait until all earlier actions are done. Members only to reuse their memory.
     std::vector<decision::Event> queued_events_;
     std::vector<decision::Action> pending_actions_;
--- a/src/data_plane/proxy/client_connection.cpp
+++ b/src/data_plane/proxy/client_connection.cpp
@@ -7,25 +7,27 @@
 
 using namespace std::chrono_literals;
 
-// Bytes per second: the slowest rate at which a body may arrive, beside the time allowed for the head.
+// Bytes per second: the slowest rate at which a body may arrive, in addition to the time allowed for the
+// head.
 constexpr double kMinTransferRate = 48.0 * 1024.0;
-constexpr std::size_t kCrowdedSocketDivisor =
-    16;    // transient connections beyond this part of the descriptors are crowded
-constexpr Duration kAnswerStallTimeout = 15s;    // for a client that does not read its response
-constexpr Duration kLingerTimeout = 1s;          // for a client to read the last response before the close
-constexpr std::size_t kMaxPipelinedBytes = 96 * 1024;    // that a client may send ahead of its response
+// Transient connections close after their response once there are more than max_sockets / 16 of them.
+constexpr std::size_t kTransientSocketDivisor = 16;
+constexpr Duration kResponseStallTimeout = 15s;    // for a client that does not read its response
+constexpr Duration kLingerTimeout = 1s;            // for a client to read the last response before the close
+constexpr std::size_t kMaxPipelinedBytes = 96 * 1024;    // that a client may send before its response
 // Bytes read and discarded after the last response. After a response in the middle of a body, the rest of the
 // body is discarded at the same minimum rate, since many clients read a response only after sending their
 // body.
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
-// Fractions of the memory for long bodies that are buffered until complete, and then as long as an attempt
-// may need them. At times two more copies exist: the client's input buffer, and a server's unsent bytes.
+// Fractions of the memory that may hold long bodies, which are buffered until they are complete and then as
+// long as an attempt may need them. Up to two more copies exist: the client's input buffer, and a server's
+// unsent bytes.
 constexpr double kAllBodiesMemoryFraction = 1.0 / 4, kSingleBodyMemoryFraction = 1.0 / 8;
-constexpr std::size_t kBufferReserveSize =
-    8 * 1024;    // beyond a body's length, so that the buffer grows only once
+// Reserved beyond a body's length, so that the buffer grows only once.
+constexpr std::size_t kBufferReserveSize = 8 * 1024;
 constexpr int kReadyStatus = 200, kNotReadyStatus = 503;
 
-GatewayAnswer rejection_answer(const ImmediateRejection& rejection) {
+GatewayAnswer rejection_response(const ImmediateRejection& rejection) {
     return {rejection.status_code, "Content-Type: text/plain\r\n", std::string(rejection.reason) + "\n"};
 }
 
@@ -36,38 +38,41 @@
 public:
     StreamedUpload(ClientConnection& connection, std::string_view initial_body,
                    std::optional<std::uint64_t> content_length, TimePoint now)
-        : client_(&connection), first_(initial_body), length_(content_length), moved_(now) {}
+        : client_(&connection),
+          initial_body_(initial_body),
+          content_length_(content_length),
+          last_received_at_(now) {}
 
-    std::string_view initial_body() const override { return first_; }
+    std::string_view initial_body() const override { return initial_body_; }
     bool is_streaming() const override { return sink_ != nullptr; }
-    bool is_complete() const override { return whole_; }
-    TimePoint last_received_at() const override { return moved_; }
-    std::optional<std::uint64_t> total_length() const override { return length_; }
+    bool is_complete() const override { return complete_; }
+    TimePoint last_received_at() const override { return last_received_at_; }
+    std::optional<std::uint64_t> total_length() const override { return content_length_; }
     void start(BodySink& sink) override {
-        std::string().swap(first_);
+        std::string().swap(initial_body_);
         sink_ = &sink;
         set_reading(true);
     }
     void set_reading(bool enabled) override {
-        wanted_ = enabled;
+        reading_enabled_ = enabled;
         if (enabled && client_ != nullptr) client_->forward_upload();
     }
 
-    bool wanted() const { return wanted_; }
+    bool is_reading_enabled() const { return reading_enabled_; }
     BodySink* sink() const { return sink_; }
     void on_received(TimePoint received_at, bool complete) {
-        moved_ = received_at;
-        whole_ = complete;
+        last_received_at_ = received_at;
+        complete_ = complete;
     }
     void detach() { client_ = nullptr; }
 
 private:
     ClientConnection* client_;
-    std::string first_;
-    std::optional<std::uint64_t> length_;
+    std::string initial_body_;
+    std::optional<std::uint64_t> content_length_;
     BodySink* sink_ = nullptr;
-    bool wanted_ = false, whole_ = false;
-    TimePoint moved_;
+    bool reading_enabled_ = false, complete_ = false;
+    TimePoint last_received_at_;
 };
 
 ClientConnection::ClientConnection(ClientContext& context, const Poco::Net::StreamSocket& socket)
@@ -83,7 +88,7 @@
 
 ClientConnection::~ClientConnection() {
     enter_state(State::Closed);    // removes it from the shared context
-    finish_streamed_answer();
+    finish_streamed_response();
     finish_upload();
     release_body_memory();
     for (const auto& pending_request : pending_requests_) release_request(*pending_request);
@@ -113,16 +118,16 @@
         context_.evictable_connections.insert({eviction_position_.first, eviction_position_.second, this});
 }
 
-// Clients that send one request, or only readiness checks, and do not return use up connections that others
-// wait for. While there are many of them, the response closes the connection, which unlike a later close
-// cannot cross a request.
-bool ClientConnection::is_crowded() const {
+// Clients that send one request, or only readiness checks, and then stay silent occupy connections that other
+// clients wait for. While there are many such connections, the response closes the connection: unlike a later
+// close, this cannot coincide with the arrival of a request.
+bool ClientConnection::should_close_transient() const {
     return request_count_ <= 1 &&
-           context_.transient_connections * kCrowdedSocketDivisor > context_.capacity.max_sockets;
+           context_.transient_connections * kTransientSocketDivisor > context_.capacity.max_sockets;
 }
 
 EvictionClass ClientConnection::eviction_class() const {
-    if (state_ == State::Lingering) return EvictionClass::AfterAnswer;
+    if (state_ == State::Lingering) return EvictionClass::AfterLastResponse;
     if (state_ != State::Reading) return EvictionClass::NotEvictable;
     return request_count_ == 0   ? EvictionClass::NoRequestYet
            : request_count_ == 1 ? EvictionClass::AfterOneRequest
@@ -141,12 +146,12 @@
     if (state_ == State::Lingering) {
         discarded_bytes_ += stream_.input_buffer().size();
         stream_.input_buffer().consume(stream_.input_buffer().size());
-        if (discarded_bytes_ > (answered_early_ ? parser_.limits().max_body_size : kMaxDiscardedBytes))
+        if (discarded_bytes_ > (responded_early_ ? parser_.limits().max_body_size : kMaxDiscardedBytes))
             stream_.set_reading(false);
         return;
     }
-    // The timeout runs from a request's first byte, so that one that trickles in does not renew it with every
-    // byte. For the first request it runs from the connection's start.
+    // The timeout runs from a request's first byte, so that a request that arrives slowly does not renew it
+    // with every byte. For the first request it runs from the connection's start.
     if (state_ == State::Reading && !std::exchange(request_started_, true) && request_count_ > 0)
         enter_state(State::Reading);
     if (active_upload_) forward_upload();
@@ -155,25 +160,25 @@
         stream_.set_reading(false);
 }
 
-// Whether the client's next request may be parsed. While others are open, only if all of them allow
-// pipelining; and never after a request whose response closes the connection.
+// Whether the client's next request may be parsed: while others are open, only if all of them allow
+// pipelining, and never after a request whose response closes the connection.
 bool ClientConnection::can_read() const {
     if (state_ == State::Reading) return true;
     if ((state_ != State::Waiting && state_ != State::Writing) ||
         pending_requests_.size() >= kMaxPendingRequests)
         return false;
     return pending_requests_.back()->allows_pipelining && pending_requests_.back()->keep_alive &&
-           !parked_request_ && !context_.is_closing_down();
+           !deferred_request_ && !context_.is_closing_down();
 }
 
-// A response may be written while its request is being submitted: the outer loop continues, without
-// recursion.
+// A response may be written while its request is being submitted. The nested call then returns at once and
+// the outer loop continues.
 void ClientConnection::process_input() {
     if (is_processing_) return;
     is_processing_ = true;
     while (can_read()) {
-        if (parked_request_) {
-            start_parked_request();
+        if (deferred_request_) {
+            start_deferred_request();
             continue;
         }
         const http::ParseStatus status = parser_.parse(stream_.input_buffer());
@@ -184,7 +189,7 @@
         } else {
             if (parser_.head_complete() && head_completed_at_ == TimePoint{})
                 head_completed_at_ = context_.reactor.clock().now();
-            // After pending requests, the client would read it as a response to one of them.
+            // While requests are pending, the client would read it as a response to one of them.
             if (parser_.expects_continue() && pending_requests_.empty() &&
                 !std::exchange(continue_sent_, true) && !stream_.write_bytes(std::string(kContinueResponse)))
                 close_connection();
@@ -205,35 +210,35 @@
     if (complete && context_.request_mapping.is_readiness_check(parser_, input)) {
         prepare_next_message();
         const bool is_ready = context_.is_ready() && !context_.is_closing_down();
-        GatewayAnswer readiness_answer{is_ready ? kReadyStatus : kNotReadyStatus, "",
-                                       is_ready ? "ready\n" : "not ready\n"};
-        return set_answer(add_pending_request(keep_alive, http10), std::move(readiness_answer));
+        GatewayAnswer readiness_response{is_ready ? kReadyStatus : kNotReadyStatus, "",
+                                         is_ready ? "ready\n" : "not ready\n"};
+        return set_response(add_pending_request(keep_alive, http10), std::move(readiness_response));
     }
-    ++request_count_;    // readiness checks do not count: they do not make a regular client
+    ++request_count_;    // not for readiness checks: their clients may never send a request
     auto request = context_.request_mapping.map_request(parser_, input, context_.reactor.clock().now());
     if (const auto* rejection = std::get_if<ImmediateRejection>(&request)) return reject_request(*rejection);
     MappedRequest& mapped_request = std::get<MappedRequest>(request);
     mapped_request.allows_pipelining = mapped_request.allows_pipelining && complete && !http10;
     if (pending_requests_.empty() || mapped_request.allows_pipelining)
         return start_request(std::move(mapped_request), keep_alive, http10, complete);
-    parked_request_ = std::make_unique<ParkedRequest>(
-        ParkedRequest{std::move(mapped_request), keep_alive, http10, context_.reactor.clock().now()});
+    deferred_request_ = std::make_unique<DeferredRequest>(
+        DeferredRequest{std::move(mapped_request), keep_alive, http10, context_.reactor.clock().now()});
     prepare_next_message();
 }
 
-// Its time budget includes the time that it was parked.
-void ClientConnection::start_parked_request() {
-    const std::unique_ptr<ParkedRequest> parked = std::move(parked_request_);
-    IncomingRequest& incoming = parked->request.incoming;
-    const Duration parked_time = context_.reactor.clock().now() - parked->parked_at;
-    incoming.time_budget = std::max(Duration(0), incoming.time_budget - parked_time);
-    start_request(std::move(parked->request), parked->keep_alive, parked->is_http10, true);
+// Its time budget includes the time that it was deferred.
+void ClientConnection::start_deferred_request() {
+    const std::unique_ptr<DeferredRequest> deferred = std::move(deferred_request_);
+    IncomingRequest& incoming = deferred->request.incoming;
+    const Duration deferral_time = context_.reactor.clock().now() - deferred->deferred_at;
+    incoming.time_budget = std::max(Duration(0), incoming.time_budget - deferral_time);
+    start_request(std::move(deferred->request), deferred->keep_alive, deferred->is_http10, true);
 }
 
 // `complete`: the message was received completely; otherwise its body is still being received.
 void ClientConnection::start_request(MappedRequest&& request, bool keep_alive, bool http10, bool complete) {
     if (!request.request_id.empty() && !context_.open_request_ids.insert(request.request_id).second)
-        return reject_request({409, "this id is that of an open request"});
+        return reject_request({409, "a request with this id is still open"});
     IncomingRequest& incoming = request.incoming;
     if (!complete) {
         http::Buffer& input = stream_.input_buffer();
@@ -254,13 +259,13 @@
     pending_request->allows_pipelining = request.allows_pipelining;
     pending_request->body_incomplete = !complete;
     pending_request->is_submitting = true;
-    forwarding_upload_ = true;    // holds the rest back until the request's ticket is known
+    forwarding_upload_ = true;    // delays the rest until the request's ticket is known
     const std::uint64_t request_ticket =
         context_.request_handler.submit(*pending_request, std::move(incoming));
     forwarding_upload_ = false;
-    // No request is added meanwhile: if it is not the last one, it has its response already.
+    // submit() adds no other request: if this one is not the last, it already has its response.
     if (pending_requests_.empty() || pending_requests_.back().get() != pending_request ||
-        pending_request->has_answer)
+        pending_request->has_response)
         return;
     pending_request->is_submitting = false;
     pending_request->request_ticket = request_ticket;
@@ -278,7 +283,7 @@
     return pending_request;
 }
 
-// The message has been consumed; another one follows.
+// Consumes the message that was parsed and prepares for the next one.
 void ClientConnection::prepare_next_message() {
     stream_.input_buffer().consume(parser_.message_size());
     parser_.reset();
@@ -326,7 +331,8 @@
         if (parser_.is_complete() ? !active_upload_->is_complete()
                                   : parser_.body(input).size() > buffered_before)
             active_upload_->on_received(now, parser_.is_complete());
-        if (const std::string_view bytes = parser_.body(input); active_upload_->wanted() && !bytes.empty()) {
+        if (const std::string_view bytes = parser_.body(input);
+            active_upload_->is_reading_enabled() && !bytes.empty()) {
             const std::size_t count = bytes.size();
             active_upload_->sink()->on_body_chunk(bytes);
             if (active_upload_) {
@@ -344,8 +350,8 @@
         stream_.set_reading(true);
         return upload->sink()->on_body_end(true);
     }
-    // Time in which backpressure stopped the client does not count against it.
-    const bool was_paused = !active_upload_->wanted() && input.size() > kMaxPipelinedBytes;
+    // The time during which backpressure pauses the client does not count towards its timeout.
+    const bool was_paused = !active_upload_->is_reading_enabled() && input.size() > kMaxPipelinedBytes;
     if (was_paused && reading_paused_at_ == TimePoint{}) reading_paused_at_ = now;
     else if (!was_paused && reading_paused_at_ != TimePoint{})
         state_since_ += now - std::exchange(reading_paused_at_, TimePoint{});
@@ -364,138 +370,138 @@
     PendingRequest& pending_request = *pending_requests_.front();
     context_.request_handler.cancel(pending_request.request_ticket);
     pending_request.keep_alive = false;
-    set_answer(pending_request, rejection_answer(rejection));
+    set_response(pending_request, rejection_response(rejection));
 }
 
 // Rejects the message that was just parsed, completely or in part.
 void ClientConnection::reject_request(const ImmediateRejection& rejection) {
-    GatewayAnswer gateway_answer = rejection_answer(rejection);
+    GatewayAnswer local_response = rejection_response(rejection);
     const bool keeps_connection = rejection.keep_alive && parser_.is_complete();
     const bool keep_alive = keeps_connection && parser_.keep_alive(), http10 = parser_.is_http10();
     if (keeps_connection) prepare_next_message();
     PendingRequest& pending_request = add_pending_request(keep_alive, http10);
     pending_request.allows_pipelining = keeps_connection && !http10;
     pending_request.body_incomplete = !keeps_connection;
-    set_answer(pending_request, std::move(gateway_answer));
+    set_response(pending_request, std::move(local_response));
 }
 
 // ---- responses ----
 
-void ClientConnection::PendingRequest::on_answer(Payload&& payload) {
-    client_connection.set_answer(*this, std::move(payload));
+void ClientConnection::PendingRequest::on_answer(Payload&& response) {
+    client_connection.set_response(*this, std::move(response));
 }
 
 void ClientConnection::PendingRequest::on_rejected(Duration retry_after, RejectionReason reason) {
-    client_connection.set_answer(
+    client_connection.set_response(
         *this, client_connection.context_.request_mapping.rejection_answer(reason, retry_after));
 }
 
-void ClientConnection::PendingRequest::on_failed(FailureReason reason, Payload&& payload) {
-    if (is_failure_answer(payload)) client_connection.set_answer(*this, std::move(payload));
+void ClientConnection::PendingRequest::on_failed(FailureReason reason, Payload&& response) {
+    if (is_error_response(response)) client_connection.set_response(*this, std::move(response));
     else
-        client_connection.set_answer(*this,
-                                     client_connection.context_.request_mapping.failure_answer(reason));
+        client_connection.set_response(*this,
+                                       client_connection.context_.request_mapping.failure_answer(reason));
 }
 
-void ClientConnection::set_answer(PendingRequest& request, GatewayAnswer&& gateway_answer) {
-    Payload payload;
-    payload.status_code = gateway_answer.status_code;
-    payload.head = std::move(gateway_answer.headers);
-    payload.body = std::move(gateway_answer.body);
-    set_answer(request, std::move(payload));
+void ClientConnection::set_response(PendingRequest& request, GatewayAnswer&& local_response) {
+    Payload response;
+    response.status_code = local_response.status_code;
+    response.head = std::move(local_response.headers);
+    response.body = std::move(local_response.body);
+    set_response(request, std::move(response));
 }
 
 // `request` may be destroyed when this returns.
-void ClientConnection::set_answer(PendingRequest& request, Payload&& payload) {
-    request.has_answer = true;
+void ClientConnection::set_response(PendingRequest& request, Payload&& response) {
+    request.has_response = true;
     if (state_ == State::Closed) return;
-    request.answer = std::move(payload);
+    request.queued_response = std::move(response);
     if (request.body_incomplete) finish_upload();
     release_request(request);
-    write_ready_answers();
+    write_ready_responses();
 }
 
 // Writes all responses that are ready, in request order. A nested call leaves the work to the outer loop.
-void ClientConnection::write_ready_answers() {
+void ClientConnection::write_ready_responses() {
     if (is_writing_) return;
     is_writing_ = true;
-    while (state_ == State::Waiting && pending_requests_.front()->has_answer)
-        write_answer(*pending_requests_.front());
+    while (state_ == State::Waiting && pending_requests_.front()->has_response)
+        write_response(*pending_requests_.front());
     is_writing_ = false;
 }
 
-// A connection that is to close does so after the last pending response, so that none is lost.
-void ClientConnection::write_answer(PendingRequest& request) {
-    Payload payload = std::move(request.answer);
-    ++context_.counters.answers_by_status[payload.status_code];
-    answered_early_ = request.body_incomplete && parser_.head_complete() && !parser_.is_complete();
+// A connection that must close does so after its last pending response, so that no response is lost.
+void ClientConnection::write_response(PendingRequest& request) {
+    Payload response = std::move(request.queued_response);
+    ++context_.counters.answers_by_status[response.status_code];
+    responded_early_ = request.body_incomplete && parser_.head_complete() && !parser_.is_complete();
     const bool ends_connection =
-        pending_requests_.size() == 1 && (context_.is_closing_down() || is_crowded());
-    keep_alive_ = request.keep_alive && !answered_early_ && !ends_connection;
+        pending_requests_.size() == 1 && (context_.is_closing_down() || should_close_transient());
+    keep_alive_ = request.keep_alive && !responded_early_ && !ends_connection;
     enter_state(State::Writing);
-    if (payload.body_stream) return stream_answer(std::move(payload), request.is_http10);
-    if (keep_alive_) payload.head += context_.request_mapping.keep_alive_headers();
+    if (response.body_stream) return stream_response(std::move(response), request.is_http10);
+    if (keep_alive_) response.head += context_.request_mapping.keep_alive_headers();
     if (!stream_.write_bytes(
-            shaletray::write_answer(payload.status_code, payload.head, payload.body, keep_alive_)))
+            shaletray::write_answer(response.status_code, response.head, response.body, keep_alive_)))
         return close_connection();
-    if (stream_.all_sent()) on_answer_written();
+    if (stream_.all_sent()) on_response_written();
 }
 
 // ---- streamed responses ----
 
-void ClientConnection::stream_answer(Payload&& payload, bool http10) {
-    const std::optional<std::uint64_t> length = payload.body_stream->total_length();
-    answer_framing_ = length   ? BodyFraming::ContentLength
-                      : http10 ? BodyFraming::UntilClose
-                               : BodyFraming::Chunked;
-    if (answer_framing_ == BodyFraming::UntilClose) keep_alive_ = false;
-    answer_stream_ = std::move(payload.body_stream);
+void ClientConnection::stream_response(Payload&& response, bool http10) {
+    const std::optional<std::uint64_t> length = response.body_stream->total_length();
+    response_framing_ = length   ? BodyFraming::ContentLength
+                        : http10 ? BodyFraming::UntilClose
+                                 : BodyFraming::Chunked;
+    if (response_framing_ == BodyFraming::UntilClose) keep_alive_ = false;
+    response_stream_ = std::move(response.body_stream);
     ++context_.counters.open_streamed_answers;
-    if (keep_alive_) payload.head += context_.request_mapping.keep_alive_headers();
-    if (!stream_.write_bytes(write_answer_head(payload.status_code, payload.head, answer_framing_,
+    if (keep_alive_) response.head += context_.request_mapping.keep_alive_headers();
+    if (!stream_.write_bytes(write_answer_head(response.status_code, response.head, response_framing_,
                                                length.value_or(0), keep_alive_)))
         return close_connection();
-    const std::shared_ptr<BodyStream> answer_stream =
-        answer_stream_;    // kept alive, since the first chunk may end it
-    answer_stream->start(*this);
+    const std::shared_ptr<BodyStream> response_stream =
+        response_stream_;    // kept alive, since the first chunk may end it
+    response_stream->start(*this);
 }
 
 void ClientConnection::on_body_chunk(std::string_view bytes) {
     if (state_ != State::Writing) return;
-    state_since_ = context_.reactor.clock().now();    // progress renews the stall timeout
-    if (!stream_.write_bytes(answer_framing_ == BodyFraming::Chunked ? write_chunk(bytes)
-                                                                     : std::string(bytes)))
+    state_since_ = context_.reactor.clock().now();    // restarts the stall timeout
+    if (!stream_.write_bytes(response_framing_ == BodyFraming::Chunked ? write_chunk(bytes)
+                                                                       : std::string(bytes)))
         return close_connection();
-    if (!stream_.all_sent() && answer_stream_) answer_stream_->set_reading(false);
+    if (!stream_.all_sent() && response_stream_) response_stream_->set_reading(false);
 }
 
 // A truncated response must not look complete: the connection is closed in the middle of it.
 void ClientConnection::on_body_end(bool complete) {
     if (state_ != State::Writing) return;
     if (!complete) return close_connection();
-    finish_streamed_answer();
-    if (answer_framing_ == BodyFraming::Chunked && !stream_.write_bytes(write_chunk("")))
+    finish_streamed_response();
+    if (response_framing_ == BodyFraming::Chunked && !stream_.write_bytes(write_chunk("")))
         return close_connection();
-    if (stream_.all_sent()) on_answer_written();
+    if (stream_.all_sent()) on_response_written();
 }
 
-void ClientConnection::finish_streamed_answer() {
-    if (!answer_stream_) return;
-    answer_stream_.reset();
+void ClientConnection::finish_streamed_response() {
+    if (!response_stream_) return;
+    response_stream_.reset();
     --context_.counters.open_streamed_answers;
 }
 
 void ClientConnection::on_all_sent() {
     if (state_ != State::Writing) return;
     state_since_ = context_.reactor.clock().now();
-    if (answer_stream_) answer_stream_->set_reading(true);
-    else on_answer_written();
+    if (response_stream_) response_stream_->set_reading(true);
+    else on_response_written();
 }
 
-void ClientConnection::on_answer_written() {
+void ClientConnection::on_response_written() {
     pending_requests_.erase(pending_requests_.begin());
     if (!keep_alive_) {
-        parked_request_.reset();
+        deferred_request_.reset();
         // Closing a socket with unread input resets the connection, and the client may lose the response.
         enter_state(State::Lingering);
         stream_.shutdown_sending();
@@ -506,7 +512,7 @@
     enter_state(pending_requests_.empty() ? State::Reading : State::Waiting);
     request_started_ = !stream_.input_buffer().empty();
     stream_.set_reading(true);
-    write_ready_answers();
+    write_ready_responses();
     process_input();
 }
 
@@ -524,11 +530,11 @@
     return true;
 }
 
-// How long the connection may stay in its state. Silent clients and those with half a request must not hold a
-// descriptor for long, since there are many at times.
+// How long the connection may stay in its state. Clients that send nothing or only part of a request must not
+// occupy a descriptor for long, since there may be many of them.
 Duration ClientConnection::state_timeout() const {
-    if (state_ == State::Lingering && !answered_early_) return kLingerTimeout;
-    if (state_ == State::Writing) return kAnswerStallTimeout;
+    if (state_ == State::Lingering && !responded_early_) return kLingerTimeout;
+    if (state_ == State::Writing) return kResponseStallTimeout;
     const Duration head_timeout = context_.request_mapping.header_timeout();
     const auto body_timeout = [head_timeout](std::size_t bytes) {
         return head_timeout + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
@@ -548,7 +554,7 @@
         active_upload_ && !active_upload_->is_complete() && reading_paused_at_ == TimePoint{};
     if ((state_ == State::Waiting && !is_sending) || now - state_since_ <= state_timeout()) return;
     if (is_idle()) return close_if_idle();
-    const ImmediateRejection timeout_rejection{408, "the request did not come whole in time"};
+    const ImmediateRejection timeout_rejection{408, "the request was not received completely in time"};
     if (is_sending) return reject_upload(timeout_rejection);
     if (state_ == State::Reading) return reject_request(timeout_rejection);
     close_connection();
@@ -557,14 +563,14 @@
 void ClientConnection::close_connection() {
     if (state_ == State::Closed) return;
     enter_state(State::Closed);
-    finish_streamed_answer();
+    finish_streamed_response();
     finish_upload();
     release_body_memory();
     stream_.close();
     for (const auto& pending_request : pending_requests_) {
         release_request(*pending_request);
-        pending_request->answer.body_stream.reset();    // of a response that waited for earlier ones
-        if (!pending_request->has_answer && !pending_request->is_submitting)
+        pending_request->queued_response.body_stream.reset();    // of a response that waited for earlier ones
+        if (!pending_request->has_response && !pending_request->is_submitting)
             context_.request_handler.cancel(pending_request->request_ticket);
     }
     context_.on_connection_closed(*this);
--- a/src/data_plane/proxy/client_connection.h
+++ b/src/data_plane/proxy/client_connection.h
@@ -22,8 +22,8 @@
 
 class ClientConnection;
 
-// How readily an idle connection is closed to make room for a new client, the first class first.
-enum class EvictionClass { AfterAnswer, NoRequestYet, AfterOneRequest, KeptAlive, NotEvictable };
+// The order in which idle connections are closed to make room for new clients: the first class first.
+enum class EvictionClass { AfterLastResponse, NoRequestYet, AfterOneRequest, KeptAlive, NotEvictable };
 
 // Resources for all clients together.
 struct ClientCapacity {
@@ -62,7 +62,8 @@
     bool is_idle() const { return state_ == State::Reading && stream_.input_buffer().empty(); }
     // Closes an idle connection, unless a request has arrived that was not read yet.
     void close_if_idle();
-    // Closes it to make room for a new client. False if it turns out to carry a request, and stays.
+    // Closes the connection to make room for a new client. Returns false, and keeps it open, if a request has
+    // arrived on it.
     bool evict();
     // Closes a connection that has been in its state for longer than allowed.
     void close_if_stalled(TimePoint now);
@@ -76,9 +77,9 @@
     // A request, rejected ones included, until its response is written.
     struct PendingRequest : DownstreamConnection {
         explicit PendingRequest(ClientConnection& connection) : client_connection(connection) {}
-        void on_answer(Payload&& answer) override;
+        void on_answer(Payload&& response) override;
         void on_rejected(Duration retry_after, RejectionReason reason) override;
-        void on_failed(FailureReason reason, Payload&& answer) override;
+        void on_failed(FailureReason reason, Payload&& response) override;
 
         ClientConnection& client_connection;
         std::uint64_t request_ticket = 0;
@@ -87,14 +88,14 @@
         bool keep_alive = true, is_http10 = false, allows_pipelining = false;
         bool body_incomplete = false;    // its body was still being received when it was started
         bool is_submitting = false;      // its ticket is not known yet
-        bool has_answer = false;         // `answer` is set and waits for the earlier responses
-        Payload answer;
+        bool has_response = false;    // `queued_response` is set and is written after the earlier responses
+        Payload queued_response;
     };
-    // Parsed, but not to be processed concurrently with the requests before it.
-    struct ParkedRequest {
+    // A parsed request that must not be processed concurrently with the requests before it.
+    struct DeferredRequest {
         MappedRequest request;
         bool keep_alive, is_http10;
-        TimePoint parked_at;
+        TimePoint deferred_at;
     };
 
     void on_input() override;
@@ -110,37 +111,37 @@
     void reject_upload(const ImmediateRejection& rejection);
     bool can_read() const;
     void accept_request();
-    void start_parked_request();
+    void start_deferred_request();
     void start_request(MappedRequest&& request, bool keep_alive, bool http10, bool complete);
     PendingRequest& add_pending_request(bool keep_alive, bool http10);
     void prepare_next_message();
     void reject_request(const ImmediateRejection& rejection);
-    void set_answer(PendingRequest& pending_request, Payload&& answer);
-    void set_answer(PendingRequest& pending_request, GatewayAnswer&& gateway_answer);
+    void set_response(PendingRequest& pending_request, Payload&& response);
+    void set_response(PendingRequest& pending_request, GatewayAnswer&& local_response);
     void release_request(PendingRequest& pending_request);
-    void write_ready_answers();
-    void write_answer(PendingRequest& pending_request);
-    void stream_answer(Payload&& answer, bool http10);
-    void finish_streamed_answer();
-    void on_answer_written();
+    void write_ready_responses();
+    void write_response(PendingRequest& pending_request);
+    void stream_response(Payload&& response, bool http10);
+    void finish_streamed_response();
+    void on_response_written();
     void close_connection();
     void enter_state(State state);
     bool reserve_body_memory(std::size_t buffered_bytes);
     void release_body_memory();
     EvictionClass eviction_class() const;
-    bool is_crowded() const;
+    bool should_close_transient() const;
     void update_eviction_position();
     Duration state_timeout() const;
 
     ClientContext& context_;
     Stream stream_;
-    // A request whose body is too long to be buffered is started once so many bytes are here; the rest is
-    // streamed.
+    // A request whose body is too long to be buffered is started once this many bytes of it have arrived; the
+    // rest is streamed.
     static constexpr std::size_t kUploadStreamingThreshold = 64 * 1024;
     http::Parser parser_;
     State state_ = State::Reading;
     std::vector<std::unique_ptr<PendingRequest>> pending_requests_;    // in request order
-    std::unique_ptr<ParkedRequest> parked_request_;
+    std::unique_ptr<DeferredRequest> deferred_request_;
     std::uint64_t request_count_ = 0;    // complete requests
     std::size_t discarded_bytes_ = 0;    // input after the last response
     std::pair<EvictionClass, TimePoint> eviction_position_{EvictionClass::NotEvictable, {}};
@@ -148,14 +149,14 @@
         0;    // part of context_.buffered_body_bytes, for the message being read
     std::shared_ptr<StreamedUpload> active_upload_;    // of the request that is being streamed
     std::size_t uploaded_bytes_ = 0;                   // bytes of it passed to the sink
-    TimePoint reading_paused_at_{};                    // since when backpressure stops its client
+    TimePoint reading_paused_at_{};                    // since when backpressure has paused its client
     bool forwarding_upload_ = false;
-    std::shared_ptr<BodyStream> answer_stream_;    // of the response that is being streamed
-    BodyFraming answer_framing_ = BodyFraming::ContentLength;
+    std::shared_ptr<BodyStream> response_stream_;    // of the response that is being streamed
+    BodyFraming response_framing_ = BodyFraming::ContentLength;
     bool keep_alive_ = true;    // after the response that is being written
     bool continue_sent_ = false, is_processing_ = false, is_writing_ = false;
-    bool answered_early_ = false;      // responded before the end of the body
-    bool request_started_ = false;     // the first bytes of a request are here
+    bool responded_early_ = false;     // responded before the end of the body
+    bool request_started_ = false;     // the first bytes of a request have arrived
     TimePoint head_completed_at_{};    // when the head of the request being read was complete
     TimePoint state_since_;            // when the state last changed, or the request began
 };
--- a/src/data_plane/proxy/client_listener.cpp
+++ b/src/data_plane/proxy/client_listener.cpp
@@ -11,11 +11,11 @@
 
 constexpr int kBacklog = 512;
 constexpr Duration kSweepInterval = 250ms;
-constexpr Duration kAcceptPause = 20ms;    // before accepting again when descriptors have run out
-constexpr int kMaxAcceptsPerEvent = 16;    // so that a flood of new connections does not delay others
-// Younger idle connections are not closed to make room: the client may not have read the response yet, a
-// request may be on its way, and keep-alive is promised for two seconds.
-constexpr Duration kMinAgeAfterAnswer = 100ms, kMinAgeNoRequest = 20ms, kMinAgeKeptAlive = 2s;
+constexpr Duration kAcceptPause = 20ms;    // before accepting again after descriptors ran out
+constexpr int kMaxAcceptsPerEvent = 16;    // so that many new connections do not delay other events
+// Idle connections younger than this are not closed to make room: the client may not have read the response
+// yet, a request may be in transit, and clients are told that connections are kept alive for two seconds.
+constexpr Duration kMinAgeAfterLastResponse = 100ms, kMinAgeNoRequest = 20ms, kMinAgeKeptAlive = 2s;
 
 }    // namespace
 
@@ -92,8 +92,10 @@
         clients_.emplace(key, std::move(client));
         return true;
     } catch (const Poco::Exception& error) {
-        if (error.code() == POCO_EWOULDBLOCK) return false;    // none is waiting, or it was closed before
-        // Mostly for want of descriptors: the listener stays readable, and retrying at once would spin.
+        if (error.code() == POCO_EWOULDBLOCK)
+            return false;    // the backlog is empty, or the client has disconnected
+        // Usually no descriptor is left: the listener stays readable, and retrying at once would be a busy
+        // loop.
         if (log_limiter_.try_acquire())
             log(LogLevel::Warning, Event::AcceptFailed, {log_field("why", error.displayText())});
         evict_client();
@@ -111,17 +113,17 @@
     });
 }
 
-// Closes an idle connection, in the order of EvictionClass. One that is too young stays.
+// Closes the first idle connection that is old enough, in the order of EvictionClass.
 bool ClientListener::evict_client() {
     const TimePoint now = context_.reactor.clock().now();
     const std::pair<EvictionClass, Duration> eviction_order[] = {
-        {EvictionClass::AfterAnswer, kMinAgeAfterAnswer},
+        {EvictionClass::AfterLastResponse, kMinAgeAfterLastResponse},
         {EvictionClass::NoRequestYet, kMinAgeNoRequest},
         {EvictionClass::AfterOneRequest, kMinAgeKeptAlive},
         {EvictionClass::KeptAlive, kMinAgeKeptAlive},
         {EvictionClass::AfterOneRequest, Duration(0)}};
     for (const auto& [eviction_class, min_age] : eviction_order) {
-        // A connection that turns out to carry a request leaves the set, so the loop ends.
+        // A connection on which a request has arrived is removed from the set, so the loop ends.
         while (true) {
             const auto it =
                 context_.evictable_connections.lower_bound({eviction_class, TimePoint::min(), nullptr});
@@ -172,7 +174,8 @@
 
 void ClientListener::stop_accepting() {
     if (!is_open_) return;
-    // The kernel has accepted the connections in the backlog: closing the socket would lose their requests.
+    // The kernel has established the connections in the backlog: closing the socket would lose their
+    // requests.
     while (accept_one()) {
     }
     set_accepting(false);
--- a/src/data_plane/proxy/client_listener.h
+++ b/src/data_plane/proxy/client_listener.h
@@ -1,5 +1,5 @@
-// Accepts clients and owns their connections, enforces their number and their timeouts, and closes idle ones
-// to make room for new clients. Only for the reactor's thread.
+// Accepts clients and owns their connections, limits their number, enforces their timeouts and closes idle
+// ones to make room for new clients. Only for the reactor's thread.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -14,7 +14,7 @@
 
 namespace shaletray {
 
-// `request_handler`, `request_mapping`, `counters` and `reactor` outlive it.
+// `request_handler`, `request_mapping`, `counters` and `reactor` must outlive it.
 class ClientListener {
 public:
     // Throws Poco::Exception if the address cannot be bound. Several processes of one gateway may listen on
--- a/src/data_plane/proxy/idle_age_limits.cpp
+++ b/src/data_plane/proxy/idle_age_limits.cpp
@@ -7,17 +7,17 @@
 
 using namespace std::chrono_literals;
 
-// Of the age at which a connection was reset: others may be forgotten somewhat sooner.
-constexpr double kSafeFraction = 0.7;
-// A host that answers so long after a reset proves nothing about it: it may have been restarted.
+// Fraction of the idle age at which a connection was reset; others may be discarded somewhat sooner.
+constexpr double kSafeIdleAgeFraction = 0.7;
+// A response of the host later than this after a reset confirms nothing: the host may have been restarted.
 constexpr Duration kConfirmationTime = 3s;
 constexpr std::size_t kMaxUnconfirmed = 256;
 
 }    // namespace
 
-void IdleAgeLimits::forget_old(TimePoint now) {
-    if (now - recent_since_ < kMemory) return;
-    earlier_ = now - recent_since_ < 2 * kMemory ? recent_ : Evidence{};
+void IdleAgeLimits::expire_evidence(TimePoint now) {
+    if (now - recent_since_ < kEvidenceLifetime) return;
+    earlier_ = now - recent_since_ < 2 * kEvidenceLifetime ? recent_ : Evidence{};
     recent_ = Evidence{};
     recent_since_ = now;
     std::erase_if(unconfirmed_,
@@ -25,22 +25,22 @@
 }
 
 void IdleAgeLimits::record_reuse(Duration idle_age, TimePoint now) {
-    forget_old(now);
+    expire_evidence(now);
     recent_.longest_reuse = std::max(recent_.longest_reuse.value_or(Duration(0)), idle_age);
 }
 
 void IdleAgeLimits::record_reset(decision::HostId host, Duration idle_age, TimePoint now) {
-    forget_old(now);
-    const auto known = unconfirmed_.find(host);
-    if (known != unconfirmed_.end()) {
-        known->second = {std::min(known->second.idle_age, idle_age), now};
+    expire_evidence(now);
+    const auto existing_reset = unconfirmed_.find(host);
+    if (existing_reset != unconfirmed_.end()) {
+        existing_reset->second = {std::min(existing_reset->second.idle_age, idle_age), now};
     } else if (unconfirmed_.size() < kMaxUnconfirmed) {
         unconfirmed_.emplace(host, UnconfirmedReset{idle_age, now});
     }
 }
 
 void IdleAgeLimits::record_new_connection(decision::HostId host, TimePoint now) {
-    forget_old(now);
+    expire_evidence(now);
     const auto reset = unconfirmed_.find(host);
     if (reset == unconfirmed_.end()) return;
     if (now - reset->second.seen_at <= kConfirmationTime)
@@ -61,9 +61,9 @@
 
 bool IdleAgeLimits::may_carry(Duration idle_age, Repetition repetition, bool idle_timeout_stated,
                               TimePoint now) {
-    forget_old(now);
+    expire_evidence(now);
     if (const std::optional<Duration> reset = shortest_reset()) {
-        const auto limit = std::chrono::duration_cast<Duration>(*reset * kSafeFraction);
+        const auto limit = std::chrono::duration_cast<Duration>(*reset * kSafeIdleAgeFraction);
         if (idle_age > limit) return false;
     }
     return repetition == Repetition::Allowed || idle_timeout_stated || idle_age <= longest_reuse();
--- a/src/data_plane/proxy/idle_age_limits.h
+++ b/src/data_plane/proxy/idle_age_limits.h
@@ -1,7 +1,7 @@
-// How long a connection to a service's servers may have been idle and still carry a request, as learned from
-// what happened to connections that were used again. Servers state an idle timeout, but some forget idle
-// connections sooner and without a sign: the next request is then answered by a reset, and one that must not
-// repeat has failed. Pure.
+// Learns for how long a connection to a service's servers may be idle and still be reused, from the results
+// of earlier reuse. Some servers discard idle connections before the timeout that they state, without closing
+// them: the next request is then answered by a reset, and fails if it must not be repeated. Does no input or
+// output.
 #pragma once
 
 #include <optional>
@@ -11,23 +11,23 @@
 
 namespace shaletray {
 
-// What is known of one service. Evidence counts for kMemory to twice that. Not thread-safe.
+// The evidence of one service. It counts for one to two times kEvidenceLifetime. Not thread-safe.
 class IdleAgeLimits {
 public:
-    static constexpr Duration kMemory = std::chrono::seconds(10);
-    // Whether requests may be sent again, as the protocol knows it.
+    static constexpr Duration kEvidenceLifetime = std::chrono::seconds(10);
+    // Whether a request may be sent again.
     enum class Repetition { Allowed, Forbidden };
 
-    // A request was answered on a connection that had been idle for so long.
+    // A request got its response on a connection that had been idle for `idle_age`.
     void record_reuse(Duration idle_age, TimePoint now);
-    // A connection to the host that had been idle for so long was reset when it was used. This says something
-    // about idle connections only if the host still runs: it counts once record_new_connection() tells so.
+    // A connection to the host that had been idle for `idle_age` was reset when it was reused. The host may
+    // have crashed instead, so this counts only once record_new_connection() confirms that it still runs.
     void record_reset(decision::HostId host, Duration idle_age, TimePoint now);
-    // A request was answered on a connection that had never been idle.
+    // A request got its response on a connection that had never been idle.
     void record_new_connection(decision::HostId host, TimePoint now);
-    // Whether such a connection may carry a request. `idle_timeout_stated`: the server has stated a timeout
-    // above this age. Without one, a request that must not repeat asks for an age at which another connection
-    // was answered.
+    // Whether a connection that has been idle for `idle_age` may carry a request. `idle_timeout_stated`: the
+    // server has stated a timeout above this age. Without one, a request that must not be repeated needs an
+    // idle age at which another connection was reused successfully.
     bool may_carry(Duration idle_age, Repetition repetition, bool idle_timeout_stated, TimePoint now);
 
 private:
@@ -38,7 +38,7 @@
         Duration idle_age{};
         TimePoint seen_at{};
     };
-    void forget_old(TimePoint now);
+    void expire_evidence(TimePoint now);
     std::optional<Duration> shortest_reset() const;
     Duration longest_reuse() const;
 
--- a/src/data_plane/proxy/request_mapping.h
+++ b/src/data_plane/proxy/request_mapping.h
@@ -47,7 +47,7 @@
     virtual Duration header_timeout() const = 0;
     // How long a connection may wait for its next request after `request_count` requests, at least one.
     virtual Duration idle_timeout(std::uint64_t request_count) const = 0;
-    // For a request of which nothing has run or will run. `retry_after`: when to retry; 0: not stated.
+    // For a request no part of which has run or will run. `retry_after`: when to retry; 0: not stated.
     virtual GatewayAnswer rejection_answer(RejectionReason reason, Duration retry_after) const = 0;
     // For a request that failed without a server's response to forward.
     virtual GatewayAnswer failure_answer(FailureReason reason) const = 0;
--- a/src/data_plane/proxy/server_connection.cpp
+++ b/src/data_plane/proxy/server_connection.cpp
@@ -7,7 +7,7 @@
 namespace shaletray {
 namespace {
 
-constexpr int kMaxSkippedAnswers = 32;
+constexpr int kMaxSkippedResponses = 32;    // per exchange
 
 }    // namespace
 
@@ -17,17 +17,17 @@
     pending_upload_ = std::move(upload);
     exchange_.is_health_check = is_health_check;
     exchange_.request_id = std::move(request_id);
-    answer_started_ = is_answered_ = head_examined_ = false;
-    skipped_answers_ = 0;
+    response_head_reported_ = response_complete_ = head_examined_ = false;
+    skipped_responses_ = 0;
     if (state_ == State::Idle) return write_message();
-    state_ = State::Dialling;
+    state_ = State::Connecting;
     if (!stream_.connect(address_)) finish_exchange(Outcome::ConnectFailed, false);
 }
 
 void ServerConnection::on_connected() {
-    if (state_ != State::Dialling) return;
+    if (state_ != State::Connecting) return;
     // The server may have been removed from the list while the connection was being established.
-    if (!owner_.may_begin(*this)) return finish_exchange(Outcome::ConnectFailed, false);
+    if (!owner_.may_write_request(*this)) return finish_exchange(Outcome::ConnectFailed, false);
     write_message();
 }
 
@@ -42,7 +42,7 @@
     if (state_ == State::Writing) on_message_written();
 }
 
-// The system has accepted all bytes so far.
+// The kernel has accepted all bytes that were written so far.
 void ServerConnection::on_message_written() {
     const std::shared_ptr<RequestUpload> upload =
         pending_upload_;    // kept alive, since the next chunk may end it
@@ -86,14 +86,14 @@
     }
     if (state_ == State::Streaming) return read_streamed_body();
     if (state_ != State::Reading && state_ != State::Writing) return;
-    const http::ParseStatus status = read_answer();
-    if (head_examined_ && is_forwardable_ && !std::exchange(answer_started_, true))
-        owner_.on_answer_started(*this);
+    const http::ParseStatus status = read_response();
+    if (head_examined_ && is_forwardable_ && !std::exchange(response_head_reported_, true))
+        owner_.on_response_head(*this);
     if (status == http::ParseStatus::Malformed) return finish_malformed();
     http::Buffer& input = stream_.input_buffer();
     if (status == http::ParseStatus::Incomplete) {
         // A long response is streamed so that its client gets the beginning at once. Without a stated length,
-        // what has arrived so far decides.
+        // the number of bytes received so far decides.
         const bool is_streamed =
             state_ == State::Reading && head_examined_ && is_forwardable_ &&
             parser_.content_length().value_or(parser_.body(input).size()) >= kStreamingThreshold;
@@ -106,38 +106,38 @@
         state_ = State::Streaming;
         streaming_enabled_ = false;
         stream_.set_reading(false);
-        return owner_.on_streamed_answer(*this);
+        return owner_.on_streamed_response(*this);
     }
     // A server responds once it has the complete request: a success before that belongs to another request.
     if (is_forwardable_ && state_ == State::Writing) return finish_malformed();
     const bool complete = state_ == State::Reading && input.size() == parser_.message_size();
-    is_answered_ = true;
+    response_complete_ = true;
     protocol_.on_response(exchange_, parser_, input);
     finish_exchange(protocol_.outcome_of(exchange_, parser_, input), complete && parser_.keep_alive());
 }
 
-// Skips interim and earlier responses and returns the progress of the one that counts. The number of skipped
-// ones is bounded, and a protocol switch is malformed.
-http::ParseStatus ServerConnection::read_answer() {
+// Skips interim responses and those to earlier requests, and returns the parse status of the expected one.
+// The number of skipped responses is bounded, and a protocol switch is malformed.
+http::ParseStatus ServerConnection::read_response() {
     http::Buffer& input = stream_.input_buffer();
     while (true) {
         const http::ParseStatus status = parser_.parse(input);
         if (!parser_.head_complete()) return status;
         const bool interim = parser_.status_code() < 200;
         if (!interim && !std::exchange(head_examined_, true)) {
-            answer_match_ = protocol_.match_answer(exchange_, parser_, input);
+            response_match_ = protocol_.match_answer(exchange_, parser_, input);
             is_forwardable_ =
-                answer_match_ == AnswerMatch::Match && protocol_.is_forwardable(exchange_, parser_, input);
+                response_match_ == AnswerMatch::Match && protocol_.is_forwardable(exchange_, parser_, input);
         }
         if (status == http::ParseStatus::Malformed ||
-            (head_examined_ && answer_match_ == AnswerMatch::Mismatch))
+            (head_examined_ && response_match_ == AnswerMatch::Mismatch))
             return http::ParseStatus::Malformed;
-        if (head_examined_ && answer_match_ == AnswerMatch::Match) return status;
+        if (head_examined_ && response_match_ == AnswerMatch::Match) return status;
         if (status == http::ParseStatus::Incomplete) {
             parser_.consume_body(input, parser_.body(input).size());
             return status;
         }
-        if (++skipped_answers_ > kMaxSkippedAnswers || parser_.status_code() == 101)
+        if (++skipped_responses_ > kMaxSkippedResponses || parser_.status_code() == 101)
             return http::ParseStatus::Malformed;
         input.consume(parser_.message_size());
         parser_.reset();
@@ -147,13 +147,14 @@
 
 void ServerConnection::on_disconnected() {
     switch (state_) {
-        case State::Dialling:
+        case State::Connecting:
         case State::Writing: return finish_exchange(Outcome::ConnectFailed, false);
         case State::Reading:
-            is_answered_ = stream_.is_ended() && head_examined_ && answer_match_ == AnswerMatch::Match &&
-                           parser_.finish() == http::ParseStatus::Complete;
-            if (is_answered_) protocol_.on_response(exchange_, parser_, stream_.input_buffer());
-            return finish_exchange(is_answered_
+            response_complete_ = stream_.is_ended() && head_examined_ &&
+                                 response_match_ == AnswerMatch::Match &&
+                                 parser_.finish() == http::ParseStatus::Complete;
+            if (response_complete_) protocol_.on_response(exchange_, parser_, stream_.input_buffer());
+            return finish_exchange(response_complete_
                                        ? protocol_.outcome_of(exchange_, parser_, stream_.input_buffer())
                                        : Outcome::Reset,
                                    false);
@@ -172,14 +173,14 @@
     if (enabled && !reading_stream_) read_streamed_body();
 }
 
-// The receiver may pause or release the stream while it is given a chunk.
+// The receiver may pause or release the stream while it handles a chunk.
 void ServerConnection::read_streamed_body() {
     reading_stream_ = true;
     http::Buffer& input = stream_.input_buffer();
     const http::ParseStatus status = parser_.parse(input);
     if (const std::string_view bytes = parser_.body(input); !bytes.empty()) {
         const std::size_t count = bytes.size();
-        owner_.on_answer_body(*this, bytes);
+        owner_.on_response_body(*this, bytes);
         if (state_ == State::Streaming) parser_.consume_body(input, count);
     }
     reading_stream_ = false;
@@ -192,7 +193,7 @@
                           stream_.input_buffer().size() == parser_.message_size() && parser_.keep_alive();
     stream_.set_reading(true);
     state_ = reusable ? State::Idle : State::Closed;
-    owner_.on_answer_body_end(*this, complete, reusable);
+    owner_.on_response_body_end(*this, complete, reusable);
 }
 
 void ServerConnection::finish_exchange(Outcome outcome, bool reusable) {
--- a/src/data_plane/proxy/server_connection.h
+++ b/src/data_plane/proxy/server_connection.h
@@ -15,24 +15,25 @@
 class ServerConnectionOwner {
 public:
     virtual ~ServerConnectionOwner() = default;
-    // The connection was established and would write its first byte: false if it must not any more.
-    virtual bool may_begin(ServerConnection& connection) = 0;
+    // Called when the connection is established, before its first byte is written: false if the request must
+    // not be sent any more.
+    virtual bool may_write_request(ServerConnection& connection) = 0;
     // The request was written completely.
     virtual void on_request_written(ServerConnection& connection) = 0;
     // The first part of a streamed upload was written.
     virtual void on_upload_started(ServerConnection& connection) = 0;
     // The head of a response that can be forwarded has arrived.
-    virtual void on_answer_started(ServerConnection& connection) = 0;
+    virtual void on_response_head(ServerConnection& connection) = 0;
     // The exchange has ended. A complete response is still in the connection's buffer.
     virtual void on_exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) = 0;
     // An idle connection was closed by the server, or received unexpected bytes.
     virtual void on_idle_connection_lost(ServerConnection& connection) = 0;
     // A successful response is too long to be buffered: its head and the beginning of its body are in the
-    // buffer. Chunks follow while streaming is enabled, then on_answer_body_end; on_exchange_ended does not
+    // buffer. Chunks follow while streaming is enabled, then on_response_body_end; on_exchange_ended does not
     // come.
-    virtual void on_streamed_answer(ServerConnection& connection) = 0;
-    virtual void on_answer_body(ServerConnection& connection, std::string_view bytes) = 0;
-    virtual void on_answer_body_end(ServerConnection& connection, bool complete, bool reusable) = 0;
+    virtual void on_streamed_response(ServerConnection& connection) = 0;
+    virtual void on_response_body(ServerConnection& connection, std::string_view bytes) = 0;
+    virtual void on_response_body_end(ServerConnection& connection, bool complete, bool reusable) = 0;
 };
 
 // Connects on first use; address and host never change.
@@ -50,13 +51,14 @@
     const std::string& address() const { return address_; }
     const http::Parser& parser() const { return parser_; }
     const http::Buffer& input() const { return stream_.input_buffer(); }
-    bool is_dialling() const { return state_ == State::Dialling; }
-    // What arrived is not a valid response: nothing in it counts.
+    bool is_connecting() const { return state_ == State::Connecting; }
+    // The received bytes are not a valid response, and no part of them may be used.
     bool is_malformed() const { return is_malformed_; }
     // A complete response has arrived.
-    bool is_answered() const { return is_answered_; }
+    bool has_complete_response() const { return response_complete_; }
     const ExchangeContext& exchange() const { return exchange_; }
-    // Fit for another exchange: there is no unexpected input, and the server has not closed it.
+    // Whether it can carry another exchange: no unexpected input has arrived, and the server has not closed
+    // it.
     bool is_reusable() { return state_ == State::Idle && stream_.is_quiet(); }
 
     // Connects first if it is new. May end the exchange before it returns. An `upload` is streamed after the
@@ -70,7 +72,7 @@
     void close();
 
 private:
-    enum class State { New, Dialling, Writing, Reading, Streaming, Idle, Closed };
+    enum class State { New, Connecting, Writing, Reading, Streaming, Idle, Closed };
 
     void on_connected() override;
     void on_input() override;
@@ -78,7 +80,7 @@
     void on_disconnected() override;
     void on_body_chunk(std::string_view bytes) override;
     void on_body_end(bool complete) override;
-    http::ParseStatus read_answer();
+    http::ParseStatus read_response();
     void write_message();
     void on_message_written();
     void release_upload();
@@ -93,19 +95,19 @@
     ExchangeContext exchange_;
     Stream stream_;
     std::string message_;
-    std::shared_ptr<RequestUpload> pending_upload_;    // not entirely written yet
+    std::shared_ptr<RequestUpload> pending_upload_;    // not written completely yet
     // A body of kStreamingThreshold bytes or more is streamed; one that states more than kMaxBodySize is
     // malformed.
     static constexpr std::size_t kStreamingThreshold = 64 * 1024, kMaxHeadSize = 16 * 1024, kMaxHeaders = 100,
                                  kMaxBodySize = std::size_t{1} << 30;
     http::Parser parser_{http::Parser::Kind::Response, {kMaxHeadSize, kMaxBodySize, kMaxHeaders}};
     State state_ = State::New;
-    bool answer_started_ = false, is_answered_ = false, is_malformed_ = false, streaming_enabled_ = false,
-         reading_stream_ = false;
+    bool response_head_reported_ = false, response_complete_ = false, is_malformed_ = false,
+         streaming_enabled_ = false, reading_stream_ = false;
     bool head_examined_ = false;    // a final response's head was parsed, and the next two are set
-    AnswerMatch answer_match_ = AnswerMatch::Match;
+    AnswerMatch response_match_ = AnswerMatch::Match;
     bool is_forwardable_ = false;
-    int skipped_answers_ = 0;    // responses before the one that counts
+    int skipped_responses_ = 0;    // interim and earlier responses before the expected one
 };
 
 }    // namespace shaletray
--- a/src/data_plane/proxy/server_pool.cpp
+++ b/src/data_plane/proxy/server_pool.cpp
@@ -8,26 +8,26 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kSweepInterval = 1s;
-// Excess bytes of a server arrive right after its response. On a connection reused sooner than this, they
-// would be read as the response to the next request.
+// A server's excess bytes arrive right after its response. On a connection that is reused sooner than this,
+// they would be read as the response to the next request.
 constexpr Duration kIdleInputCheckDelay = 200us;
 constexpr double kServerIdleTimeoutFraction = 0.6;    // of the idle timeout that the server states
 
 }    // namespace
 
-// A response being streamed. Owned by its receiver; connection and stream clear each other's pointer when one
-// of them ends first.
-class ServerPool::AnswerStream : public BodyStream {
+// A response being streamed. Owned by its receiver; connection and stream clear each other's pointer when
+// either of them ends.
+class ServerPool::ResponseStream : public BodyStream {
 public:
-    AnswerStream(ServerPool& pool, ServerConnection& connection)
+    ResponseStream(ServerPool& pool, ServerConnection& connection)
         : pool_(pool), connection_(&connection), length_(connection.parser().content_length()) {}
-    ~AnswerStream() override {
+    ~ResponseStream() override {
         if (connection_ == nullptr) return;
-        pool_.connections_.at(connection_).answer_stream = nullptr;
+        pool_.connections_.at(connection_).response_stream = nullptr;
         pool_.drop_connection(*connection_);    // so that its server stops sending
     }
-    AnswerStream(const AnswerStream&) = delete;
-    AnswerStream& operator=(const AnswerStream&) = delete;
+    ResponseStream(const ResponseStream&) = delete;
+    ResponseStream& operator=(const ResponseStream&) = delete;
 
     void start(BodySink& sink) override {
         sink_ = &sink;
@@ -60,8 +60,8 @@
 ServerPool::~ServerPool() {
     reactor_.cancel_timer(sweep_timer_);
     for (auto& [connection, entry] : connections_) {
-        reactor_.cancel_timer(entry.dial_timer);
-        if (entry.answer_stream != nullptr) entry.answer_stream->detach();
+        reactor_.cancel_timer(entry.timeout_timer);
+        if (entry.response_stream != nullptr) entry.response_stream->detach();
     }
     for (auto& [host, host_connections] : hosts_connections_) {
         for (ServerConnection* const idle : host_connections.idle_connections)
@@ -97,7 +97,7 @@
     const auto host_connections = hosts_connections_.find(host);
     if (host_connections == hosts_connections_.end()) return nullptr;
     const TimePoint now = reactor_.clock().now();
-    // Invalid once the last one is dropped.
+    // Dangles once the host's last connection is dropped.
     std::vector<ServerConnection*>& idle = host_connections->second.idle_connections;
     for (std::size_t index = idle.size(); index-- > 0;) {
         ServerConnection* const connection = idle[index];
@@ -108,15 +108,16 @@
         // kept exactly.
         const Duration max_idle_age = entry.idle_timeout.duration;
         const bool is_stale = max_idle_age < limits_.idle_timeout && idle_age > max_idle_age;
-        const auto may_carry = [&](IdleAgeLimits::Repetition of_request) {
-            return idle_age_limits_.may_carry(idle_age, of_request, entry.idle_timeout.stated_by_server, now);
+        const auto may_carry = [&](IdleAgeLimits::Repetition request_repetition) {
+            return idle_age_limits_.may_carry(idle_age, request_repetition,
+                                              entry.idle_timeout.stated_by_server, now);
         };
         if (is_stale || !connection->is_reusable() || !is_current(*connection, entry) ||
             !may_carry(IdleAgeLimits::Repetition::Allowed)) {
             drop_connection(*connection);
             continue;
         }
-        if (!may_carry(repetition)) continue;    // good enough for another request
+        if (!may_carry(repetition)) continue;    // a repeatable request may still use it
         idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(index));
         budget_.idle_connections_.erase(entry.idle_position);
         entry.reused_after = idle_age;
@@ -133,11 +134,11 @@
         pool->drop_connection(*longest_idle);
     }
     const auto host_connections = hosts_connections_.find(host);
-    const std::size_t connections_there =
+    const std::size_t host_open_connections =
         host_connections == hosts_connections_.end() ? 0 : host_connections->second.open_connections;
-    // A limit of this gateway, which says nothing about the server.
+    // This limit is the gateway's own and says nothing about the server.
     if (budget_.open_connections_ >= budget_.max_connections_ ||
-        (limits_.max_per_host > 0 && connections_there >= limits_.max_per_host)) {
+        (limits_.max_per_host > 0 && host_open_connections >= limits_.max_per_host)) {
         failure = Outcome::NotSent;
         return nullptr;
     }
@@ -148,8 +149,8 @@
     ServerConnectionOwner& owner = *this;
     auto connection =
         std::make_unique<ServerConnection>(reactor_, owner, protocol_, host, known_host.address);
-    ServerConnection* const index = connection.get();
-    PooledConnection& entry = connections_[index];
+    ServerConnection* const key = connection.get();
+    PooledConnection& entry = connections_[key];
     entry.connection = std::move(connection);
     entry.process_started_at = known_host.process_started_at;
     return &entry;
@@ -168,9 +169,9 @@
     connection->start_exchange(protocol_.write_request(request, host, time_left), false, request.request_id,
                                request.upload);
     if (const auto found = connections_.find(connection);
-        found != connections_.end() && connection->is_dialling()) {
-        found->second.dial_timer = reactor_.schedule_after(limits_.dial_timeout, [this, connection] {
-            if (connection->is_dialling()) on_exchange_ended(*connection, Outcome::ConnectFailed, false);
+        found != connections_.end() && connection->is_connecting()) {
+        found->second.timeout_timer = reactor_.schedule_after(limits_.dial_timeout, [this, connection] {
+            if (connection->is_connecting()) on_exchange_ended(*connection, Outcome::ConnectFailed, false);
         });
     }
 }
@@ -184,7 +185,7 @@
 
 bool ServerPool::has_started(AttemptId attempt) const {
     const auto found = connections_by_attempt_.find(attempt_key(attempt));
-    return found == connections_by_attempt_.end() || !found->second->is_dialling();
+    return found == connections_by_attempt_.end() || !found->second->is_connecting();
 }
 
 void ServerPool::check_health(HostId host) {
@@ -193,16 +194,16 @@
     if (entry == nullptr) return report_outcome(std::nullopt, host, failure, {}, {}, {});
     ServerConnection* const connection = entry->connection.get();
     entry->state_since = reactor_.clock().now();
-    entry->dial_timer = reactor_.schedule_after(limits_.dial_timeout, [this, connection] {
-        const Outcome outcome = connection->is_dialling() ? Outcome::ConnectFailed : Outcome::Timeout;
+    entry->timeout_timer = reactor_.schedule_after(limits_.dial_timeout, [this, connection] {
+        const Outcome outcome = connection->is_connecting() ? Outcome::ConnectFailed : Outcome::Timeout;
         on_exchange_ended(*connection, outcome, false);
     });
     connection->start_exchange(protocol_.write_health_check(host, connection->address()), true);
 }
 
-// Not if the connect timeout has passed either, which a suspended process notices late: its knowledge of the
-// server is as old then.
-bool ServerPool::may_begin(ServerConnection& connection) {
+// False also once the connect timeout has passed: in a process that was suspended, the timer runs late and
+// the host table is as old as the connection attempt.
+bool ServerPool::may_write_request(ServerConnection& connection) {
     const TimePoint now = reactor_.clock().now();
     const auto it = connections_.find(&connection);
     return it != connections_.end() && now - it->second.state_since <= limits_.dial_timeout &&
@@ -221,31 +222,31 @@
     if (it != connections_.end() && it->second.attempt) engine_.on_upload_started(*it->second.attempt);
 }
 
-void ServerPool::on_answer_started(ServerConnection& connection) {
+void ServerPool::on_response_head(ServerConnection& connection) {
     const auto it = connections_.find(&connection);
     if (it != connections_.end() && it->second.attempt) engine_.on_response_started(*it->second.attempt);
 }
 
-// The only place where an exchange ends by itself; the other way is cancel_attempt.
+// The only place where an exchange ends, unless it is cancelled by cancel_attempt.
 void ServerPool::on_exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) {
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
     PooledConnection& entry = found->second;
-    learn_from(connection, entry, outcome);
+    record_idle_age_evidence(connection, entry, outcome);
     const bool is_malformed = connection.is_malformed();
     LoadReport load;
-    Payload answer;
+    Payload response;
     double units = kUnitsUnreported;
     if (is_malformed) {
         ++counters_.malformed_answers;
         if (log_limiter_.try_acquire())
             log(LogLevel::Warning, Event::ServerMalformedAnswer, {log_field("server", connection.address())});
-    } else if (connection.is_answered()) {
+    } else if (connection.has_complete_response()) {
         load = protocol_.load_report_of(connection.parser(), connection.input());
-        const bool wants_body =
-            outcome == Outcome::Ok || (outcome == Outcome::Error && engine_.forwards_failure_answers());
-        if (wants_body && entry.attempt)
-            answer = protocol_.answer_of(connection.parser(), connection.input(), true);
+        const bool needs_body =
+            outcome == Outcome::Ok || (outcome == Outcome::Error && engine_.forwards_error_responses());
+        if (needs_body && entry.attempt)
+            response = protocol_.answer_of(connection.parser(), connection.input(), true);
         if (outcome == Outcome::Ok && entry.attempt)
             units = protocol_.settled_units_of(connection.parser(), connection.input());
     } else if (outcome == Outcome::ConnectFailed) {
@@ -258,13 +259,13 @@
     const std::optional<IdleTimeout> idle_timeout = reusable ? idle_timeout_of(connection) : std::nullopt;
     if (idle_timeout && is_current(connection, entry)) keep_idle(connection, entry, *idle_timeout);
     else drop_connection(connection);
-    report_outcome(attempt, host, outcome, duration, std::move(load), std::move(answer), units);
+    report_outcome(attempt, host, outcome, duration, std::move(load), std::move(response), units);
 }
 
-void ServerPool::learn_from(const ServerConnection& connection, const PooledConnection& entry,
-                            Outcome outcome) {
+void ServerPool::record_idle_age_evidence(const ServerConnection& connection, const PooledConnection& entry,
+                                          Outcome outcome) {
     const TimePoint now = reactor_.clock().now();
-    if (connection.is_answered()) {
+    if (connection.has_complete_response()) {
         if (entry.reused_after) idle_age_limits_.record_reuse(*entry.reused_after, now);
         else if (!entry.was_idle) idle_age_limits_.record_new_connection(connection.host(), now);
         return;
@@ -274,18 +275,18 @@
         idle_age_limits_.record_reset(connection.host(), *entry.reused_after, now);
 }
 
-// The attempt has ended, or nothing remains to be decided on it.
-void ServerPool::forget_attempt(PooledConnection& entry) {
+// Called when the attempt has ended, or when its response starts to be streamed.
+void ServerPool::detach_attempt(PooledConnection& entry) {
     if (entry.attempt) connections_by_attempt_.erase(attempt_key(*entry.attempt));
     entry.attempt.reset();
-    reactor_.cancel_timer(entry.dial_timer);
+    reactor_.cancel_timer(entry.timeout_timer);
 }
 
 // Keeps the connection for the next exchange.
 void ServerPool::keep_idle(ServerConnection& connection, PooledConnection& entry,
                            const IdleTimeout& idle_timeout) {
     connection.mark_idle();
-    forget_attempt(entry);
+    detach_attempt(entry);
     entry.state_since = reactor_.clock().now();
     entry.idle_timeout = idle_timeout;
     entry.was_idle = true;
@@ -297,7 +298,7 @@
         sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_expired_connections(); });
 }
 
-// To be called while the response is still in the buffer.
+// Must be called while the response is still in the buffer.
 std::optional<ServerPool::IdleTimeout> ServerPool::idle_timeout_of(const ServerConnection& connection) const {
     const auto server_timeout = protocol_.server_idle_timeout(connection.parser(), connection.input());
     if (!server_timeout) return IdleTimeout{limits_.idle_timeout, false};
@@ -307,8 +308,9 @@
     return IdleTimeout{std::min(limits_.idle_timeout, own_timeout), true};
 }
 
-// To the engine the attempt has succeeded: no retry is possible once a part of the response was forwarded.
-void ServerPool::on_streamed_answer(ServerConnection& connection) {
+// Reports the attempt to the engine as successful, since no retry is possible once a part of the response was
+// forwarded.
+void ServerPool::on_streamed_response(ServerConnection& connection) {
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
     PooledConnection& entry = found->second;
@@ -316,40 +318,40 @@
         return drop_connection(connection);    // a health check's response must not be that long
     const AttemptId attempt = *entry.attempt;
     const Duration duration = reactor_.clock().now() - entry.state_since;
-    auto answer_stream = std::make_shared<AnswerStream>(*this, connection);
-    entry.answer_stream = answer_stream.get();
-    forget_attempt(entry);
+    auto response_stream = std::make_shared<ResponseStream>(*this, connection);
+    entry.response_stream = response_stream.get();
+    detach_attempt(entry);
     ++counters_.streamed_answers;
-    Payload answer = protocol_.answer_of(connection.parser(), connection.input(), false);
-    answer.body_stream = std::move(answer_stream);
+    Payload response = protocol_.answer_of(connection.parser(), connection.input(), false);
+    response.body_stream = std::move(response_stream);
     report_outcome(attempt, connection.host(), Outcome::Ok, duration,
-                   protocol_.load_report_of(connection.parser(), connection.input()), std::move(answer),
+                   protocol_.load_report_of(connection.parser(), connection.input()), std::move(response),
                    protocol_.settled_units_of(connection.parser(), connection.input()));
 }
 
-void ServerPool::on_answer_body(ServerConnection& connection, std::string_view bytes) {
+void ServerPool::on_response_body(ServerConnection& connection, std::string_view bytes) {
     const auto it = connections_.find(&connection);
-    if (it != connections_.end() && it->second.answer_stream != nullptr)
-        it->second.answer_stream->sink()->on_body_chunk(bytes);
+    if (it != connections_.end() && it->second.response_stream != nullptr)
+        it->second.response_stream->sink()->on_body_chunk(bytes);
 }
 
-void ServerPool::on_answer_body_end(ServerConnection& connection, bool complete, bool reusable) {
+void ServerPool::on_response_body_end(ServerConnection& connection, bool complete, bool reusable) {
     const auto it = connections_.find(&connection);
     if (it == connections_.end()) return;
     PooledConnection& entry = it->second;
-    AnswerStream* const answer_stream = std::exchange(entry.answer_stream, nullptr);
+    ResponseStream* const response_stream = std::exchange(entry.response_stream, nullptr);
     const std::optional<IdleTimeout> idle_timeout = reusable ? idle_timeout_of(connection) : std::nullopt;
     if (idle_timeout && is_current(connection, entry)) keep_idle(connection, entry, *idle_timeout);
     else drop_connection(connection);
     if (!complete) ++counters_.broken_streamed_answers;
-    if (answer_stream == nullptr) return;
-    answer_stream->detach();
-    answer_stream->sink()->on_body_end(complete);
+    if (response_stream == nullptr) return;
+    response_stream->detach();
+    response_stream->sink()->on_body_end(complete);
 }
 
 void ServerPool::report_outcome(const std::optional<AttemptId>& attempt, HostId host, Outcome outcome,
-                                Duration duration, LoadReport&& load, Payload&& answer, double units) {
-    if (attempt) engine_.on_attempt_ended(*attempt, outcome, std::move(load), std::move(answer), units);
+                                Duration duration, LoadReport&& load, Payload&& response, double units) {
+    if (attempt) engine_.on_attempt_ended(*attempt, outcome, std::move(load), std::move(response), units);
     else engine_.on_health_check_ended(host, outcome, duration, std::move(load));
 }
 
@@ -360,13 +362,13 @@
     const auto found = connections_.find(&connection);
     if (found == connections_.end()) return;
     PooledConnection& entry = found->second;
-    forget_attempt(entry);
+    detach_attempt(entry);
     HostConnections& host_connections = hosts_connections_.at(connection.host());
     --host_connections.open_connections;
     --budget_.open_connections_;
     if (std::erase(host_connections.idle_connections, &connection) > 0)
         budget_.idle_connections_.erase(entry.idle_position);
-    // Servers change all the time: no entry may remain for those that were removed.
+    // Keeps no entry for hosts without connections, since entries of removed servers would accumulate.
     if (host_connections.open_connections == 0) hosts_connections_.erase(connection.host());
     connection.close();
     --counters_.open_server_connections;
--- a/src/data_plane/proxy/server_pool.h
+++ b/src/data_plane/proxy/server_pool.h
@@ -18,7 +18,7 @@
 
 class ServerPool;
 
-// Bounds the connections of all pools that share it. It outlives them.
+// Limits the number of connections of all pools that share it. It must outlive them.
 class ConnectionBudget {
 public:
     explicit ConnectionBudget(std::size_t max_connections) : max_connections_(max_connections) {}
@@ -33,14 +33,14 @@
     std::list<std::pair<ServerPool*, ServerConnection*>> idle_connections_;    // longest idle first
 };
 
-// The connections of one engine, whose attempt ids are unique only within it. All references outlive it.
+// The connections of one engine, whose attempt ids are unique only within it. All references must outlive it.
 class ServerPool : public AttemptSender, private ServerConnectionOwner {
 public:
-    // Timeouts and the bound per server.
+    // Timeouts, and the limit of connections per server.
     struct Limits {
         Duration dial_timeout{0};    // to establish a connection
         Duration idle_timeout{0};    // an idle connection is closed after this
-        // Most connections to one server; 0: no limit. Attempts beyond it end with Outcome::NotSent, like
+        // Maximum connections to one server; 0: no limit. Attempts beyond it end with Outcome::NotSent, as do
         // those beyond the budget.
         std::size_t max_per_host = 0;
     };
@@ -60,7 +60,7 @@
     void on_host_list_changed();
 
 private:
-    class AnswerStream;
+    class ResponseStream;
     // How long a connection may be idle.
     struct IdleTimeout {
         Duration duration{0};
@@ -68,15 +68,15 @@
     };
     struct PooledConnection {
         std::unique_ptr<ServerConnection> connection;
-        std::optional<AttemptId> attempt;    // none: a health check, or idle
-        TimePoint state_since{};             // since when it is busy or idle
-        TimePoint process_started_at{};      // the server process's start when it was connected
-        Timers::Id dial_timer = 0;
-        AnswerStream* answer_stream = nullptr;    // of a streamed response; owned by its receiver
-        IdleTimeout idle_timeout;                 // while idle
-        std::optional<Duration> reused_after;     // how long it was idle before this exchange
-        bool was_idle = false;                    // before any exchange
-        // In the budget's list, while idle.
+        std::optional<AttemptId> attempt;             // none: a health check, or idle
+        TimePoint state_since{};                      // since when it has been busy or idle
+        TimePoint process_started_at{};               // the server process's start when it was connected
+        Timers::Id timeout_timer = 0;                 // of connecting, or of a whole health check
+        ResponseStream* response_stream = nullptr;    // of a streamed response; owned by its receiver
+        IdleTimeout idle_timeout;                     // while idle
+        std::optional<Duration> reused_after;         // how long it was idle before this exchange
+        bool was_idle = false;                        // before any exchange
+        // Position in the budget's list, while idle.
         std::list<std::pair<ServerPool*, ServerConnection*>>::iterator idle_position;
     };
     struct HostConnections {
@@ -88,31 +88,32 @@
                static_cast<std::uint32_t>(attempt.attempt_number);
     }
 
-    bool may_begin(ServerConnection& connection) override;
+    bool may_write_request(ServerConnection& connection) override;
     void on_request_written(ServerConnection& connection) override;
     void on_upload_started(ServerConnection& connection) override;
-    void on_answer_started(ServerConnection& connection) override;
+    void on_response_head(ServerConnection& connection) override;
     void on_exchange_ended(ServerConnection& connection, Outcome outcome, bool reusable) override;
     void on_idle_connection_lost(ServerConnection& connection) override;
-    void on_streamed_answer(ServerConnection& connection) override;
-    void on_answer_body(ServerConnection& connection, std::string_view bytes) override;
-    void on_answer_body_end(ServerConnection& connection, bool complete, bool reusable) override;
+    void on_streamed_response(ServerConnection& connection) override;
+    void on_response_body(ServerConnection& connection, std::string_view bytes) override;
+    void on_response_body_end(ServerConnection& connection, bool complete, bool reusable) override;
     void keep_idle(ServerConnection& connection, PooledConnection& entry, const IdleTimeout& idle_timeout);
-    // None: it must not be reused.
+    // None if the connection must not be reused.
     std::optional<IdleTimeout> idle_timeout_of(const ServerConnection& connection) const;
-    void forget_attempt(PooledConnection& entry);
+    void detach_attempt(PooledConnection& entry);
 
-    // Whether it leads to the process that the host table now has for this server.
+    // Whether the connection leads to the server process that the host table lists now.
     bool is_current(const ServerConnection& connection, const PooledConnection& entry) const;
-    // An idle or new connection to the host; null, with the reason in `failure`, if there can be none.
+    // Returns an idle or new connection to the host, or null with the reason in `failure`.
     PooledConnection* acquire_connection(HostId host, IdleAgeLimits::Repetition repetition, Outcome& failure);
-    // The most recently used one that may carry the request; those that can carry none are dropped.
+    // Returns the most recently used one that may carry the request; drops those that can carry no request.
     PooledConnection* take_idle_connection(HostId host, IdleAgeLimits::Repetition repetition);
     PooledConnection* open_connection(HostId host, const HostTable::Host& known_host, Outcome& failure);
-    // What the end of an exchange says about idle connections.
-    void learn_from(const ServerConnection& connection, const PooledConnection& entry, Outcome outcome);
+    // Updates idle_age_limits_ with the result of an exchange.
+    void record_idle_age_evidence(const ServerConnection& connection, const PooledConnection& entry,
+                                  Outcome outcome);
     void report_outcome(const std::optional<AttemptId>& attempt, HostId host, Outcome outcome,
-                        Duration duration, LoadReport&& load, Payload&& answer,
+                        Duration duration, LoadReport&& load, Payload&& response,
                         double units = kUnitsUnreported);
     void drop_connection(ServerConnection& connection);
     void close_expired_connections();
--- a/src/data_plane/proxy/upstream_protocol.h
+++ b/src/data_plane/proxy/upstream_protocol.h
@@ -21,11 +21,11 @@
 // Whether a response belongs to the request of the exchange.
 enum class AnswerMatch {
     Match,
-    EarlierRequest,    // belongs to an earlier request: it is skipped, and the next one is read
+    EarlierRequest,    // belongs to an earlier request: skipped, and the next response is read
     Mismatch,          // belongs to no known request: malformed, and the connection is closed
 };
 
-// Implemented by each platform; without state of an exchange.
+// Implemented by each platform. Holds no state of an exchange.
 class UpstreamProtocol {
 public:
     virtual ~UpstreamProtocol() = default;
@@ -47,9 +47,9 @@
                                 const http::Buffer& buffer) const {
         return outcome_of(exchange, parser, buffer) == Outcome::Ok;
     }
-    // Told once of each complete response, before its outcome is reported.
+    // Called once for each complete response, before its outcome is reported.
     virtual void on_response(const ExchangeContext&, const http::Parser&, const http::Buffer&) const {}
-    // Load figures that the response reports.
+    // The server's load as the response reports it.
     virtual LoadReport load_report_of(const http::Parser&, const http::Buffer&) const { return {}; }
     // Status and headers for the client, with the body if `with_body`.
     virtual Payload answer_of(const http::Parser& parser, const http::Buffer& buffer,
@@ -58,8 +58,8 @@
     virtual double settled_units_of(const http::Parser&, const http::Buffer&) const {
         return kUnitsUnreported;
     }
-    // The server's own idle timeout, if the response states it. Idle connections are closed after 0.6 of it,
-    // so that the server's close cannot cross a request.
+    // The server's idle timeout, if the response states it. Idle connections are closed after 0.6 of it, so
+    // that the server does not close a connection while a request is being sent on it.
     virtual std::optional<Duration> server_idle_timeout(const http::Parser&, const http::Buffer&) const {
         return std::nullopt;
     }
--- a/tests/data_plane/engine/engine_test.cpp
+++ b/tests/data_plane/engine/engine_test.cpp
@@ -31,7 +31,7 @@
     void on_failed(FailureReason why, Payload&& answer) override {
         ++failed_count;
         late = why == FailureReason::DeadlineExceeded;
-        says = is_failure_answer(answer) ? answer.body : "";
+        says = is_error_response(answer) ? answer.body : "";
     }
     int answers() const { return served_count + refused_count + failed_count; }
 };
--- a/tests/data_plane/proxy/server_pool_test.cpp
+++ b/tests/data_plane/proxy/server_pool_test.cpp
@@ -65,7 +65,7 @@
     void on_rejected(Duration, RejectionReason) override { received = "refused"; }
     void on_failed(FailureReason reason, Payload&& answer) override {
         received = reason == FailureReason::DeadlineExceeded ? "late" : "broken";
-        if (is_failure_answer(answer)) received += fmt::format(" {} {}", answer.status_code, answer.body);
+        if (is_error_response(answer)) received += fmt::format(" {} {}", answer.status_code, answer.body);
     }
 };
 
