--- a/tests/data_plane/proxy/client_connection_test.cpp
+++ b/tests/data_plane/proxy/client_connection_test.cpp
@@ -1,5 +1,5 @@
-// Clients' connections between a scripted intake and a real socket: what is begun when, and in which order it
-// is answered.
+// Client connections between a scripted request handler and a real socket: when requests are submitted, and
+// in which order they get their responses.
 #include <criterion/criterion.h>
 #include <fmt/format.h>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-// "/7": a request of that id. What is read may be overlapped; what is posted may not.
+// Maps "/7" to a request of id 7. GET requests allow pipelining, POST requests do not.
 struct TestRequestMapping : RequestMapping {
     std::variant<MappedRequest, ImmediateRejection> map_request(const http::Parser& parser,
                                                                 const http::Buffer& buffer,
@@ -37,7 +37,7 @@
     std::string_view keep_alive_headers() const override { return "Keep-Alive: timeout=9\r\n"; }
 };
 
-// An answer that its server breaks off when told.
+// A streamed response whose end the test controls.
 struct TestBodyStream : BodyStream {
     BodySink* sink = nullptr;
     bool* released;
@@ -71,13 +71,13 @@
         return static_cast<std::size_t>(std::count_if(
             requests.begin(), requests.end(), [](const Request& request) { return request.is_open; }));
     }
-    bool answer_request(std::size_t index, std::shared_ptr<BodyStream> body_stream = {}) {
+    bool respond(std::size_t index, std::shared_ptr<BodyStream> body_stream = {}) {
         if (!std::exchange(requests.at(index).is_open, false)) return false;
-        Payload answer;
-        answer.status_code = 201;
-        answer.body = "for " + requests.at(index).incoming.payload.head + ";";
-        answer.body_stream = std::move(body_stream);
-        requests.at(index).downstream->on_answer(std::move(answer));
+        Payload response;
+        response.status_code = 201;
+        response.body = "for " + requests.at(index).incoming.payload.head + ";";
+        response.body_stream = std::move(body_stream);
+        requests.at(index).downstream->on_answer(std::move(response));
         return true;
     }
 
@@ -114,10 +114,10 @@
             read_available();
             return condition();
         });
-        cr_assert(condition_met, "taken %zu, withdrawn %zu, got %s", requests.size(), cancelled_count,
-                  received.c_str());
+        cr_assert(condition_met, "%zu submitted, %zu cancelled, received %s", requests.size(),
+                  cancelled_count, received.c_str());
     }
-    std::size_t answer_count() const {
+    std::size_t response_count() const {
         std::size_t count = 0;
         for (std::size_t position = 0; (position = received.find("HTTP/1.1 ", position)) != std::string::npos;
              ++position)
@@ -133,8 +133,9 @@
 
 }    // namespace
 
-// Cut anywhere, served in any order: each answer is in its place, and no more are open at once than may be.
-Test(clients, overlapping_requests_are_answered_in_their_order) {
+// Input is split at arbitrary bytes and requests are completed in any order: responses still come in request
+// order, and the limit of open requests is kept.
+Test(client_connections, pipelined_requests_get_responses_in_request_order) {
     for (const unsigned seed : {1U, 2U, 3U}) {
         TestEnvironment environment;
         std::mt19937 random(seed);
@@ -155,16 +156,15 @@
             environment.send_text(input.substr(0, chunk_size));
             input.erase(0, chunk_size);
             if (random() % 2 == 0) environment.loop.until([&] { return true; });
-            if (!environment.requests.empty())
-                environment.answer_request(random() % environment.requests.size());
+            if (!environment.requests.empty()) environment.respond(random() % environment.requests.size());
         }
         environment.run_until([&] {
             const std::size_t first =
                 environment.requests.empty() ? 0 : random() % environment.requests.size();
             for (std::size_t i = 0; i < environment.requests.size(); ++i) {
-                if (environment.answer_request((first + i) % environment.requests.size())) break;
+                if (environment.respond((first + i) % environment.requests.size())) break;
             }
-            return environment.answer_count() == static_cast<std::size_t>(request_count);
+            return environment.response_count() == static_cast<std::size_t>(request_count);
         });
         std::string bodies;
         for (std::size_t position = 0;
@@ -181,47 +181,48 @@
     }
 }
 
-// It could be sent once more by its client, were the connection to end before its answer.
-Test(clients, what_must_not_run_twice_is_begun_alone) {
+// If the connection closed before the response, the client could send the request a second time.
+Test(client_connections, non_idempotent_requests_are_processed_alone) {
     TestEnvironment environment;
     environment.send_text(get_request(1) + get_request(2) + post_request(3) + get_request(4));
     environment.run_until([&] { return environment.requests.size() == 2; });
-    environment.answer_request(1);
+    environment.respond(1);
     environment.loop.clock.ahead += 300ms;
     environment.run_until([&] { return true; });
     cr_assert(environment.requests.size() == 2 && environment.received.empty());
-    environment.answer_request(0);
+    environment.respond(0);
     environment.run_until([&] { return environment.requests.size() == 3; });
     cr_assert(environment.requests[2].incoming.payload.head == "3");
-    cr_assert(environment.requests[2].incoming.time_budget <= 700ms);    // its time ran
-    environment.answer_request(2);
+    cr_assert(environment.requests[2].incoming.time_budget <= 700ms);    // less the time that it was deferred
+    environment.respond(2);
     environment.run_until([&] { return environment.requests.size() == 4; });
 }
 
-// What was begun is answered, the last with the word that the connection ends, and no more is begun.
-Test(clients, a_stop_ends_the_connection_behind_what_was_begun) {
+// Open requests get their responses, the last one with "Connection: close", and no further request is
+// submitted.
+Test(client_connections, shutdown_closes_the_connection_after_its_open_requests) {
     TestEnvironment environment;
     environment.send_text(get_request(1) + get_request(2));
     environment.run_until([&] { return environment.requests.size() == 2; });
     environment.listener->start_shutdown();
     environment.send_text(get_request(3));
-    environment.answer_request(1);
+    environment.respond(1);
     environment.run_until([&] { return true; });
-    environment.answer_request(0);
+    environment.respond(0);
     environment.run_until([&] { return environment.connection_ended; });
-    cr_assert(environment.requests.size() == 2 && environment.answer_count() == 2);
+    cr_assert(environment.requests.size() == 2 && environment.response_count() == 2);
     cr_assert(environment.received.find("Connection: close") > environment.received.find("for 1;"));
     cr_assert(environment.received.ends_with("for 2;"));
     environment.client.close();
     environment.run_until([&] { return environment.listener->client_count() == 0; });
 }
 
-Test(clients, what_nobody_waits_for_is_withdrawn) {
+Test(client_connections, client_disconnect_cancels_its_requests) {
     TestEnvironment environment;
     environment.send_text(get_request(1) + get_request(2) + get_request(3));
     environment.run_until([&] { return environment.requests.size() == 3; });
     bool released = false;
-    environment.answer_request(1, std::make_shared<TestBodyStream>(released));
+    environment.respond(1, std::make_shared<TestBodyStream>(released));
     cr_assert(!released);
     environment.client.close();
     environment.connection_ended = true;
@@ -229,15 +230,16 @@
     cr_assert(environment.cancelled_count == 2 && released);
 }
 
-// The connection ends while the intake takes a request: neither is that one forgotten, nor asked about twice.
-Test(clients, an_answer_broken_off_ends_the_connection_and_what_waits_behind_it) {
+// The connection may also close while the handler is submitting a request, which must then be cancelled
+// exactly once.
+Test(client_connections, truncated_response_closes_the_connection_and_cancels_later_requests) {
     for (const bool during_submit : {false, true}) {
         TestEnvironment environment;
         bool released = false;
         const auto body_stream = std::make_shared<TestBodyStream>(released);
         environment.send_text(get_request(1) + get_request(2));
         environment.run_until([&] { return environment.requests.size() == 2; });
-        environment.answer_request(0, body_stream);
+        environment.respond(0, body_stream);
         environment.run_until([&] { return environment.received.ends_with("4\r\nsome\r\n"); });
         const auto break_stream = [&] { body_stream->sink->on_body_end(false); };
         if (during_submit) environment.on_submit = break_stream;
