--- a/src/cluster/configuration/api_key_list.h
+++ b/src/cluster/configuration/api_key_list.h
@@ -9,8 +9,9 @@
 
 namespace shaletray::configuration {
 
-// A sequence of keys in one block of memory, since there are hundreds of thousands of tenants. Iterators give
-// string_views, valid until the list changes. A key is not empty and holds no line feed.
+// A sequence of keys in one block of memory, as a configuration may have hundreds of thousands of tenants.
+// Iterators yield string_views that are valid until the list changes. A key is not empty and contains no line
+// feed.
 class ApiKeyList {
 public:
     class iterator {
@@ -32,7 +33,7 @@
             ++*this;
             return previous;
         }
-        // Of two iterators over the same list: as many keys remain.
+        // Compares iterators over the same list by the number of bytes that remain.
         bool operator==(const iterator& other) const { return remaining_.size() == other.remaining_.size(); }
 
     private:
@@ -49,7 +50,7 @@
     iterator begin() const { return iterator(text_); }
     iterator end() const { return iterator(); }
     bool empty() const { return text_.empty(); }
-    // Takes time proportional to the length of the keys.
+    // Takes time proportional to the total length of the keys.
     std::size_t size() const { return static_cast<std::size_t>(std::distance(begin(), end())); }
     bool operator==(const ApiKeyList&) const = default;
 
--- a/src/cluster/configuration/configuration.capnp
+++ b/src/cluster/configuration/configuration.capnp
@@ -1,20 +1,20 @@
 @0xb4c7c0a1d35e9f62;
 
-# How a configuration travels between the system's processes. Fields are only ever added, at the end of their
-# struct, and a process ignores the fields that it does not know. `baseDigest` and `digest` cover only the
-# fields of this first version: if later fields entered them, older processes would reject every update.
+# Configuration updates between processes. Fields may only be added, at the end of their struct, and a process
+# ignores fields that it does not know. `baseDigest` and `digest` cover only the fields of this first version:
+# if later fields entered them, older processes would reject every update.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::configuration::wire");
 
 struct Update {
-  isDelta @0 :Bool;                 # otherwise the update holds a complete configuration
-  baseDigest @1 :UInt64;            # of the configuration that a delta applies to
-  digest @2 :UInt64;                # of the configuration that results
+  isDelta @0 :Bool;                 # otherwise the update is a complete configuration
+  baseDigest @1 :UInt64;            # digest of the configuration that a delta applies to
+  digest @2 :UInt64;                # digest of the resulting configuration
   version @3 :UInt64;
   limits @4 :Limits;
   hasTenants @5 :Bool;              # the configuration has a tenant list, though it may be empty
-  # New and changed entries, and the names of removed ones. In a delta each list ascends by name.
+  # Added and modified entries, and the names of removed ones. In a delta each list is sorted by name.
   routes @6 :List(Route);
   services @7 :List(Service);
   tenants @8 :List(Tenant);
@@ -23,7 +23,7 @@
   removedTenants @11 :List(Text);
 }
 
-# Times are microseconds.
+# Times are in microseconds.
 struct Route {
   name @0 :Text;
   hostname @1 :Text;
--- a/src/cluster/configuration/configuration_digest.cpp
+++ b/src/cluster/configuration/configuration_digest.cpp
@@ -1,5 +1,6 @@
-// The digest adds up the hashes of entries, so that their order does not matter. Processes of all versions
-// compare it: the fields that enter it, and their encoding, never change (see configuration.capnp).
+// The digest sums the hashes of entries, so that their order does not matter. Processes of different versions
+// compare digests: the fields that enter them, and their encoding, must never change (see
+// configuration.capnp).
 #include "cluster/configuration/configuration_digest.h"
 
 #include <xxhash.h>
@@ -9,10 +10,10 @@
 namespace shaletray::configuration {
 namespace {
 
-// Hash seeds, so that different kinds of entries with equal fields have different hashes.
+// Hash seeds, so that entries of different types with equal fields have different hashes.
 enum class HashSeed : std::uint64_t { Configuration = 0, Route = 1, Service = 2, Tenant = 3 };
 
-// Encodes fields one after another and hashes the encoding.
+// Appends the encoding of fields to a buffer and hashes the buffer.
 class FieldHasher {
 public:
     void add_text(std::string_view text) {
@@ -29,7 +30,7 @@
     }
     void add_int64(std::int64_t number) { add_uint64(static_cast<std::uint64_t>(number)); }
     void add_double(double number) { add_uint64(std::bit_cast<std::uint64_t>(number)); }
-    // The hash of the fields that were added; starts anew.
+    // Returns the hash of the added fields and clears the buffer.
     std::uint64_t finish(HashSeed seed) {
         const std::uint64_t hash =
             XXH3_64bits_withSeed(bytes_.data(), bytes_.size(), static_cast<std::uint64_t>(seed));
@@ -72,7 +73,7 @@
 
 template <class Entry>
 std::uint64_t compute_hash(const Entry& entry, HashSeed seed) {
-    // Shared by all entries, so that its memory is allocated once.
+    // Reused for all entries, so that its buffer is allocated once.
     thread_local FieldHasher hasher;
     add_fields(hasher, entry);
     return hasher.finish(seed);
--- a/src/cluster/configuration/configuration_error.h
+++ b/src/cluster/configuration/configuration_error.h
@@ -1,14 +1,14 @@
-// The error of a configuration, or of an update to one, that is rejected.
+// The error of a rejected configuration or configuration update.
 #pragma once
 
 #include <string>
 
 namespace shaletray::configuration {
 
-// Why a configuration is rejected. The operator is given both texts as they stand.
+// Why a configuration is rejected. Both texts are shown to the operator unchanged.
 struct ConfigurationError {
-    std::string field;     // path of the member at fault, as "routes[3].timeout"
-    std::string reason;    // end of a sentence about it, as "is missing"
+    std::string field;     // path of the invalid member, such as "routes[3].timeout"
+    std::string reason;    // predicate of a sentence about the field, such as "is missing"
 };
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/configuration_index.cpp
+++ b/src/cluster/configuration/configuration_index.cpp
@@ -8,12 +8,12 @@
 
 namespace shaletray::configuration {
 
-// What is computed once for a configuration; shared by copies of its ConfigurationIndex.
+// Computed once per configuration and shared by copies of its ConfigurationIndex.
 struct ConfigurationIndex::Indexes {
     EntryIndex<Route> routes;
     EntryIndex<Tenant> tenants_by_key;
     std::size_t max_prefix_length = 0;
-    bool has_prefix_without_slash = false;    // some prefix does not end with a slash
+    bool has_prefix_without_slash = false;    // at least one prefix has no trailing slash
 
     explicit Indexes(const Configuration& config)
         : routes(config.routes), tenants_by_key(tenants_or_empty(config)) {
@@ -52,7 +52,7 @@
         });
         if (found != nullptr) best = found;
     };
-    // A prefix that matches ends with a slash, before one, or where the path ends.
+    // A matching prefix ends with a slash, before a slash, or at the end of the path.
     for (std::size_t position = 0; position <= std::min(path.size(), indexes_->max_prefix_length);
          ++position) {
         const bool at_end = position == path.size();
@@ -82,7 +82,7 @@
         if (remaining < target.weight) return target.service;
         remaining -= target.weight;
     }
-    return route.targets.back().service;    // not reached: `remaining` began below the sum of the weights
+    return route.targets.back().service;    // unreachable: `remaining` starts below the sum of the weights
 }
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/configuration_parser.cpp
+++ b/src/cluster/configuration/configuration_parser.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kMaxTextBytes = 64 * 1024 * 1024;
 
-// One pass over the text; false where the report holds an error.
+// Makes one pass over the text. Returns false where the report holds an error.
 bool parse_text(Parser& parser, std::string_view text, ParseReport& report) {
     json::error_code error;
     const std::size_t consumed = parser.write_some(false, text.data(), text.size(), error);
@@ -26,10 +26,10 @@
     if (!error) return true;
     if (report.has_error()) return false;
     return report.fail("", "body",
-                       "cannot be read: " + error.message() + " at byte " + std::to_string(consumed));
+                       "is not valid JSON: " + error.message() + " at byte " + std::to_string(consumed));
 }
 
-// All passes over the text that are needed.
+// Makes one or two passes over the text, as the order of its members requires.
 bool read_text(ConfigurationReader& reader, std::string_view text, ParseReport& report) {
     Parser parser({}, reader, report);
     if (!parse_text(parser, text, report) || !reader.check_complete()) return false;
@@ -42,7 +42,8 @@
 }    // namespace
 
 leaf::result<Configuration> parse_configuration(std::string_view text) {
-    if (text.size() > kMaxTextBytes) return leaf::new_error(ConfigurationError{"body", "is over 64 MiB"});
+    if (text.size() > kMaxTextBytes)
+        return leaf::new_error(ConfigurationError{"body", "is larger than 64 MiB"});
     ParseReport report;
     ConfigurationReader reader(report);
     if (!read_text(reader, text, report) || !reader.finish()) return leaf::new_error(report.error());
--- a/src/cluster/configuration/configuration_parser.h
+++ b/src/cluster/configuration/configuration_parser.h
@@ -1,4 +1,4 @@
-// Parsing and validation of the operator's configuration text.
+// Parses and validates the JSON text of a configuration.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -9,8 +9,8 @@
 
 namespace shaletray::configuration {
 
-// Reads a configuration from JSON of at most 64 MiB. Routes, services and tenants of the result ascend by
-// name, each name once. Errors: ConfigurationError.
+// Parses a configuration from JSON of at most 64 MiB. Routes, services and tenants of the result are sorted
+// by name, and names are unique. Errors: ConfigurationError.
 boost::leaf::result<Configuration> parse_configuration(std::string_view text);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/configuration_reader.h
+++ b/src/cluster/configuration/configuration_reader.h
@@ -1,4 +1,4 @@
-// Builds a configuration from the values of the operator's text.
+// Builds a configuration from the JSON values of the configuration text.
 #pragma once
 
 #include <boost/json/value.hpp>
@@ -12,8 +12,8 @@
 
 namespace shaletray::configuration {
 
-// Takes the values that the document consists of, one at a time, so that only one row of a large text is in
-// memory as JSON. Functions return false once they have reported an error; nothing is called after that.
+// Reads the values of the document one at a time, so that only one row of a large text is in memory as JSON.
+// Functions return false after they have reported an error; the reader must not be used after that.
 class ConfigurationReader {
 public:
     explicit ConfigurationReader(ParseReport& report)
@@ -23,11 +23,11 @@
     bool read_limits(const boost::json::value& value);
     TableReader& table(Section section);
 
-    // After the text was read once: all members that it needs are there.
+    // Checks after the first pass over the text that all required members are present.
     bool check_complete();
-    // After all rows were read: validates what concerns several of them, and builds the configuration.
+    // Validates constraints across rows and builds the configuration. Called after all rows were read.
     bool finish();
-    // What finish() built.
+    // The configuration that finish() built.
     Configuration& config() { return config_; }
 
 private:
--- a/src/cluster/configuration/configuration_update.cpp
+++ b/src/cluster/configuration/configuration_update.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-// Of a message once unpacked: 128 MiB. A configuration of 64 MiB of text stays well below it.
+// Limit of an unpacked message: 128 MiB. The largest allowed text (64 MiB) encodes to well below that.
 constexpr std::uint64_t kMaxMessageWords = 16 * 1024 * 1024;
-// The default of Cap'n Proto; an update's structs and lists are five deep.
+// Cap'n Proto's default; the structs and lists of an update nest five levels deep.
 constexpr int kMaxMessageDepth = 64;
 
 Configuration sorted_by_name(Configuration config) {
@@ -59,7 +59,7 @@
 leaf::result<EntryList<Entry>> merge_entries(const EntryList<Entry>& current, WireEntries changed,
                                              capnp::List<capnp::Text>::Reader removed,
                                              std::size_t max_entries) {
-    // Lists of empty elements take up no bytes, so that a short message may claim any length.
+    // Lists of empty elements occupy no bytes, so that a short message could claim any list length.
     if (changed.size() > max_entries || removed.size() > max_entries)
         return leaf::new_error(ConfigurationError{"update", "claims more entries than its bytes can hold"});
     return EntryListMerger<Entry, WireEntries>(changed, removed).merge(current);
@@ -69,7 +69,7 @@
                                           std::size_t max_entries) {
     const bool is_delta = update.getIsDelta();
     if (is_delta && update.getBaseDigest() != digest_of(current))
-        return leaf::new_error(ConfigurationError{"base", "is another configuration than the current one"});
+        return leaf::new_error(ConfigurationError{"base", "does not match the current configuration"});
     const Configuration base = is_delta ? sorted_by_name(current) : Configuration{};
     Configuration config;
     config.version = update.getVersion();
@@ -83,15 +83,15 @@
                                                         update.getRemovedTenants(), max_entries));
     }
     if (update.getDigest() != digest_of(config))
-        return leaf::new_error(ConfigurationError{"digest", "is not that of the resulting configuration"});
+        return leaf::new_error(ConfigurationError{"digest", "does not match the resulting configuration"});
     return config;
 }
 
 leaf::result<Configuration> decode_update(const Configuration& current, std::string_view bytes) {
     BOOST_LEAF_AUTO(word_count, runtime::unpacked_word_count(bytes));
     if (word_count > kMaxMessageWords)
-        return leaf::new_error(ConfigurationError{"update", "is larger than any configuration"});
-    // Each word is read once; twice as many allow for the way in which Cap'n Proto counts them.
+        return leaf::new_error(ConfigurationError{"update", "exceeds the maximum message size"});
+    // Each word is read once; the factor of two allows for the way Cap'n Proto counts reads.
     const runtime::ReadLimits limits{.max_words = 2 * word_count, .max_depth = kMaxMessageDepth};
     return runtime::unpack<wire::Update>(bytes, limits, [&](wire::Update::Reader update) {
         return apply_message(current, update, bytes.size());
@@ -121,8 +121,7 @@
     update.setDigest(digest_of(to));
     update.setVersion(to.version);
     encode(to.limits, update.initLimits());
-    // The changes point into these copies, which share their entries with the originals where those are
-    // sorted.
+    // The changes point into these copies, which share the chunks of the originals where those are sorted.
     const Configuration before = sorted_by_name(from), after = sorted_by_name(to);
     const auto routes = find_changes(before.routes, after.routes);
     encode_entries(routes.changed, update.initRoutes(list_size(routes.changed)));
@@ -143,7 +142,7 @@
     return leaf::try_handle_some(
         [&] { return decode_update(current, bytes); },
         [](const runtime::MalformedMessage& malformed) -> leaf::result<Configuration> {
-            return leaf::new_error(ConfigurationError{"update", "is damaged: " + malformed.reason});
+            return leaf::new_error(ConfigurationError{"update", "is malformed: " + malformed.reason});
         });
 }
 
--- a/src/cluster/configuration/configuration_update.h
+++ b/src/cluster/configuration/configuration_update.h
@@ -1,4 +1,4 @@
-// Updates by which configurations travel between processes: complete ones, and deltas from one to another.
+// Encoded configuration updates between processes: complete configurations, and deltas between two of them.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -10,14 +10,14 @@
 
 namespace shaletray::configuration {
 
-// Encodes a complete configuration; its entries keep their order.
+// Encodes a complete configuration; the order of its entries is kept.
 std::string write_full(const Configuration& config);
-// Encodes the changes from one configuration to another. Entries are identified by their names.
+// Encodes the changes from one configuration to another. Entries are identified by name.
 std::string write_delta(const Configuration& from, const Configuration& to);
-// Decodes either kind of update; a complete one ignores `current`. A delta's result has its entries in the
-// order of their names, shares the unchanged ones with `current`, and takes time in proportion to the
-// changes. Errors: ConfigurationError, where the update is malformed or a delta from another configuration
-// than `current`; the sender is then to be asked for a complete one.
+// Decodes either kind of update. A complete update ignores `current`. The result of a delta is sorted by
+// name, shares unchanged chunks with `current`, and takes time proportional to the changes. Errors:
+// ConfigurationError, where the update is malformed or is a delta from another configuration than `current`;
+// the caller should then request a complete update.
 boost::leaf::result<Configuration> apply_update(const Configuration& current, std::string_view bytes);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/entry_codec.h
+++ b/src/cluster/configuration/entry_codec.h
@@ -1,4 +1,4 @@
-// Encoding and decoding of single entries and of limits.
+// Cap'n Proto encoding and decoding of single entries and of limits.
 #pragma once
 
 #include "cluster/configuration/configuration.capnp.h"
@@ -11,7 +11,7 @@
 void encode(const Tenant& tenant, wire::Tenant::Builder builder);
 void encode(const Limits& limits, wire::Limits::Builder builder);
 
-// These throw kj::Exception where the message is malformed.
+// The decoders throw kj::Exception where the message is malformed.
 Route decode(wire::Route::Reader reader);
 Service decode(wire::Service::Reader reader);
 Tenant decode(wire::Tenant::Reader reader);
--- a/src/cluster/configuration/entry_index.h
+++ b/src/cluster/configuration/entry_index.h
@@ -1,4 +1,4 @@
-// An index of an entry list by hashes of keys.
+// An index of an entry list by the hashes of its lookup keys.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace shaletray::configuration {
 
-// Calls `visit` with the hash of each key by which the entry is found.
+// Calls `visit` with the hash of each lookup key of the entry.
 template <class Visitor>
 void for_each_hash(const Route& route, Visitor visit) {
     visit(route_hash(host_without_port(route.hostname), route.path_prefix));
@@ -21,22 +21,22 @@
     for (const std::string_view key : tenant.api_keys) visit(api_key_hash(key));
 }
 
-// Finds the entries of a list by the hashes of their keys. It refers to the list's chunks, which have to
-// outlive it. An entry's number in the hash index is made of its chunk's slot here and its index within the
-// chunk, so that the chunks that two lists share keep their numbers, and a copy of one index becomes the
-// index of the other list by changes in proportion to the chunks that differ.
+// Finds the entries of a list by the hashes of their keys. It points to the list's chunks, which must outlive
+// it. An entry's number in the hash index combines the slot of its chunk with its index within the chunk.
+// Chunks that two lists share keep their slots, so that the index of one list can be derived from that of the
+// other at a cost proportional to the chunks that differ.
 template <class Entry>
 class EntryIndex {
 public:
     explicit EntryIndex(const EntryList<Entry>& entries) { build(entries); }
-    // Starts from the index of another list.
+    // Derives the index from that of a previous list.
     EntryIndex(const EntryList<Entry>& entries, const EntryIndex& previous,
                const EntryList<Entry>& previous_entries)
         : EntryIndex(previous) {
         if (!update_chunks(previous_entries.chunks(), entries.chunks())) build(entries);
     }
 
-    // The entry with that hash for which `matches` is true, since hashes may collide; or nullptr.
+    // Returns the entry with that hash for which `matches` is true (hashes may collide), or nullptr.
     template <class Predicate>
     const Entry* find(std::uint64_t hash, Predicate matches) const {
         const std::uint32_t found = hash_index_.find(
@@ -45,7 +45,7 @@
     }
 
 private:
-    // Entry numbers that a chunk takes up, a power of two so that they are split by shifts.
+    // Entry numbers reserved per chunk; a power of two, so that the divisions below compile to shifts.
     static constexpr std::uint32_t kChunkCapacity = 128;
     static_assert(kChunkCapacity >= EntryList<Entry>::kMaxChunkSize);
     using Chunk = typename EntryList<Entry>::Chunk;
@@ -65,7 +65,7 @@
         for (const auto& chunk : entries.chunks()) chunk_slots_.push_back(add_chunk(*chunk));
     }
 
-    // Replaces the chunks that are indexed by others. False where the index has to be built from nothing.
+    // Replaces the indexed chunks by the new ones. Returns false where the index must be rebuilt instead.
     bool update_chunks(const Chunks& old_chunks, const Chunks& new_chunks) {
         if (!is_ascending(old_chunks) || !is_ascending(new_chunks)) return false;
         std::vector<std::uint32_t> chunk_slots = remove_missing_chunks(old_chunks, new_chunks);
@@ -79,13 +79,13 @@
         return true;
     }
 
-    // Removes the old chunks that are not among the new ones. The slots of the new chunks, in their order;
-    // kNone for those that have none yet.
+    // Removes the old chunks that are not among the new ones. Returns the slot of each new chunk, or kNone
+    // where it has none yet.
     std::vector<std::uint32_t> remove_missing_chunks(const Chunks& old_chunks, const Chunks& new_chunks) {
         std::vector<std::uint32_t> chunk_slots(new_chunks.size(), HashIndex::kNone);
         std::size_t new_index = 0;
         for (std::size_t old_index = 0; old_index < old_chunks.size(); ++old_index) {
-            // Both ascend by first names, so that a chunk they share comes in the same order in either.
+            // Both lists are sorted by first name, so that shared chunks have the same order in both.
             while (new_index < new_chunks.size() &&
                    first_name(*new_chunks[new_index]) < first_name(*old_chunks[old_index]))
                 ++new_index;
@@ -104,7 +104,7 @@
         return true;
     }
 
-    // Indexes a chunk's entries; the slot that it was given.
+    // Indexes the entries of a chunk and returns its slot.
     std::uint32_t add_chunk(const Chunk& chunk) {
         const std::uint32_t slot = allocate_slot(&chunk);
         for_each_entry_hash(chunk, slot, [&](std::uint64_t hash, std::uint32_t entry_number) {
@@ -147,7 +147,7 @@
     HashIndex hash_index_{0};
     std::vector<const Chunk*> chunks_by_slot_;
     std::vector<std::uint32_t> free_slots_;
-    std::vector<std::uint32_t> chunk_slots_;    // of the list's chunks, in their order
+    std::vector<std::uint32_t> chunk_slots_;    // slot of each chunk of the list, in order
 };
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/entry_list.h
+++ b/src/cluster/configuration/entry_list.h
@@ -1,4 +1,4 @@
-// A list of entries that is cheap to copy and to change in a few places.
+// A copy-on-write list of configuration entries.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,20 @@
 
 namespace shaletray::configuration {
 
-// A sequence of entries in chunks that copies of the list share (copy on write). One configuration leads to
-// the next by few changes: only the chunks of changed entries are made anew, and what was computed of the
-// others (hash sums, order) stays valid. Lists that share chunks may be read from several threads, but
-// changed only while no other thread copies or changes one of them.
+// A sequence of entries in chunks that copies of the list share (copy on write). Consecutive configurations
+// differ in few entries: only the chunks of changed entries are copied, and the cached properties of the
+// others (hash sums, sortedness) stay valid. Lists that share chunks may be read from several threads, but
+// may be modified only while no other thread copies or modifies one of them.
 template <class Entry>
 class EntryList {
 public:
-    static constexpr std::size_t kTypicalChunkSize = 64, kMaxChunkSize = 96;    // entries of a chunk
+    static constexpr std::size_t kTypicalChunkSize = 64, kMaxChunkSize = 96;    // entries per chunk
     struct Chunk {
         std::vector<Entry> entries;
-        // Set by whoever builds the chunk, and reset once an entry may have changed:
+        // Set by the builder of the chunk, and reset when an entry may be modified:
         bool has_hash_sum = false;
         bool is_sorted = false;        // the entries ascend by name
-        std::uint64_t hash_sum = 0;    // of the entries' hashes
+        std::uint64_t hash_sum = 0;    // sum of the hashes of the entries
     };
     using Chunks = std::vector<std::shared_ptr<Chunk>>;
 
@@ -74,8 +74,9 @@
     bool empty() const { return size_ == 0; }
     const Entry& front() const { return chunks_.front()->entries.front(); }
     const Entry& back() const { return chunks_.back()->entries.back(); }
-    // These search for the entry's chunk: to visit many entries, iterate. The non-const form assumes that the
-    // entry is changed.
+    // Both overloads search linearly for the entry's chunk: to visit many entries, iterate. The non-const
+    // overload assumes that the caller modifies the entry: it copies a shared chunk and resets its cached
+    // properties.
     const Entry& operator[](std::size_t index) const {
         const std::size_t chunk_index = locate_chunk(index);
         return chunks_[chunk_index]->entries[index];
@@ -98,23 +99,24 @@
         return true;
     }
 
-    // None of them is empty or larger than kMaxChunkSize.
+    // No chunk is empty or larger than kMaxChunkSize.
     const Chunks& chunks() const { return chunks_; }
-    // Appends a chunk, shared with its other owners.
+    // Appends a chunk without copying it; it stays shared with other lists.
     void push_back(std::shared_ptr<Chunk> chunk) {
         size_ += chunk->entries.size();
         chunks_.push_back(std::move(chunk));
     }
 
 private:
-    // The chunk of the entry at `index`, which becomes the entry's index within that chunk.
+    // Returns the number of the chunk that holds the entry at `index`, and sets `index` to the entry's index
+    // within that chunk.
     std::size_t locate_chunk(std::size_t& index) const {
         std::size_t chunk_index = 0;
         for (; index >= chunks_[chunk_index]->entries.size(); ++chunk_index)
             index -= chunks_[chunk_index]->entries.size();
         return chunk_index;
     }
-    // The chunk as this list's own: a copy where it is shared.
+    // Returns the chunk for modification, after copying it where it is shared.
     Chunk& writable_chunk(std::size_t chunk_index) {
         std::shared_ptr<Chunk>& chunk = chunks_[chunk_index];
         if (chunk.use_count() > 1) chunk = std::make_shared<Chunk>(*chunk);
--- a/src/cluster/configuration/entry_list_builder.h
+++ b/src/cluster/configuration/entry_list_builder.h
@@ -1,4 +1,4 @@
-// Building and sorting of entry lists.
+// Builds and sorts entry lists.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 namespace shaletray::configuration {
 
-// Whether the names of the entries ascend, each name once.
+// Whether the entries are sorted by name without duplicates.
 template <class Entry>
 bool is_strictly_ascending(const std::vector<Entry>& entries) {
     for (std::size_t i = 1; i < entries.size(); ++i)
@@ -20,8 +20,8 @@
     return true;
 }
 
-// Makes an entry list of single entries and of chunks of other lists, in the order in which they are added,
-// and computes what chunks record of their entries.
+// Builds an entry list from single entries and from chunks of other lists, in the order in which they are
+// added, and computes the cached properties of new chunks.
 template <class Entry>
 class EntryListBuilder {
 public:
@@ -31,22 +31,22 @@
         pending_.push_back(std::move(entry));
         if (pending_.size() == kMaxPending) flush_pending(kMaxPending / 2);
     }
-    // Adds a chunk unchanged, shared with the list that it comes from.
+    // Adds a chunk of another list, which stays shared with that list.
     void add(const std::shared_ptr<Chunk>& chunk) {
         flush_pending(0);
         entries_.push_back(chunk);
     }
-    // The list of all that was added. The builder is not used after that.
+    // Returns the list of everything that was added. The builder must not be used after that.
     EntryList<Entry> build() {
         flush_pending(0);
         return std::move(entries_);
     }
 
 private:
-    // Enough to split the last entries into chunks of at most kMaxChunkSize that are about equally large.
+    // Enough entries to split the last ones into chunks of similar size, at most kMaxChunkSize each.
     static constexpr std::size_t kMaxPending = 2 * EntryList<Entry>::kTypicalChunkSize;
 
-    // Makes chunks of the pending entries, except the last `keep_count`.
+    // Moves the pending entries into chunks, except the last `keep_count` ones.
     void flush_pending(std::size_t keep_count) {
         std::size_t remaining = pending_.size() - keep_count;
         auto first = pending_.begin();
@@ -61,7 +61,7 @@
         pending_.erase(pending_.begin(), first);
     }
 
-    // A chunk of the entries from `first` to `last`, which are moved from.
+    // Creates a chunk by moving the entries in [first, last).
     template <class Iterator>
     static std::shared_ptr<Chunk> make_chunk(Iterator first, Iterator last) {
         const auto chunk = std::make_shared<Chunk>();
@@ -77,7 +77,7 @@
     std::vector<Entry> pending_;
 };
 
-// Whether the names of all entries ascend, each name once.
+// Whether the list is sorted by name without duplicates.
 template <class Entry>
 bool is_sorted_by_name(const EntryList<Entry>& entries) {
     const std::string* last_name = nullptr;
@@ -89,8 +89,7 @@
     return true;
 }
 
-// The same entries in ascending order of their names. A list in that order is returned as it is, with its
-// chunks shared.
+// Returns the entries sorted by name. A list that is already sorted is returned with its chunks shared.
 template <class Entry>
 EntryList<Entry> sorted_by_name(const EntryList<Entry>& entries) {
     if (is_sorted_by_name(entries)) return entries;
--- a/src/cluster/configuration/entry_list_changes.h
+++ b/src/cluster/configuration/entry_list_changes.h
@@ -1,4 +1,4 @@
-// Changes from one entry list to another: finding and applying them. Both lists ascend by name.
+// Finds the changes between two entry lists that are sorted by name, and applies such changes to a list.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -15,11 +15,11 @@
 
 namespace shaletray::configuration {
 
-// What leads from one list to another. Points into both lists.
+// The difference between two lists. Points into both lists, which must outlive it.
 template <class Entry>
 struct EntryListChanges {
-    std::vector<const Entry*> changed;    // entries of the new list that are new or other than before
-    std::vector<const Entry*> removed;    // entries of the old list that are not in the new one
+    std::vector<const Entry*> changed;    // added or modified entries, in the new list
+    std::vector<const Entry*> removed;    // entries of the old list that the new one lacks
 };
 
 template <class Entry>
@@ -30,7 +30,7 @@
         for (; previous != from.end() && previous->name < entry.name; ++previous)
             changes.removed.push_back(&*previous);
         const bool existed = previous != from.end() && previous->name == entry.name;
-        // An entry that both lists share needs no comparison.
+        // Entries at the same address are in a shared chunk and need no comparison.
         if (!existed || (&*previous != &entry && *previous != entry)) changes.changed.push_back(&entry);
         if (existed) ++previous;
     }
@@ -38,7 +38,8 @@
     return changes;
 }
 
-// Applies the changes of an update to a list. `WireEntries` is the message's list of new and changed entries.
+// Applies the changes of an update to a list. `WireEntries` is the message's list of added and modified
+// entries.
 template <class Entry, class WireEntries>
 class EntryListMerger {
 public:
@@ -46,8 +47,8 @@
 
     EntryListMerger(WireEntries changed, WireNames removed) : changed_(changed), removed_(removed) {}
 
-    // The list that results; chunks without changes are shared. Called once. Errors: ConfigurationError.
-    // Throws kj::Exception where the message is malformed.
+    // Returns the updated list, which shares unchanged chunks with `current`. To be called once. Errors:
+    // ConfigurationError. Throws kj::Exception where the message is malformed.
     boost::leaf::result<EntryList<Entry>> merge(const EntryList<Entry>& current) {
         read_next_changed();
         const auto& chunks = current.chunks();
@@ -59,14 +60,15 @@
         }
         add_changed_before(nullptr);
         if (removed_count_ != removed_.size())
-            return boost::leaf::new_error(ConfigurationError{"update", "removes an entry that is not there"});
+            return boost::leaf::new_error(ConfigurationError{"update", "removes an unknown entry"});
         return builder_.build();
     }
 
 private:
     using Chunk = typename EntryList<Entry>::Chunk;
 
-    // Whether a name comes before that of the next chunk's first entry; always where there is no next chunk.
+    // Whether `name` sorts before the first entry of the next chunk, which is `next_name`. Always true where
+    // there is no next chunk.
     static bool is_before(std::string_view name, const std::string* next_name) {
         return next_name == nullptr || name < *next_name;
     }
@@ -103,7 +105,7 @@
 
     WireEntries changed_;
     WireNames removed_;
-    unsigned changed_count_ = 0, removed_count_ = 0;    // read of either list
+    unsigned changed_count_ = 0, removed_count_ = 0;    // elements read of each list
     std::optional<Entry> next_changed_;
     EntryListBuilder<Entry> builder_;
 };
--- a/src/cluster/configuration/hash_index.h
+++ b/src/cluster/configuration/hash_index.h
@@ -1,4 +1,4 @@
-// A hash table of entry numbers.
+// A hash table from key hashes to entry numbers.
 #pragma once
 
 #include <cstddef>
@@ -7,16 +7,16 @@
 
 namespace shaletray::configuration {
 
-// Finds the numbers of entries by 64-bit hashes of their keys. The entries themselves are kept by the caller.
-// Open addressing with linear probing in one block of memory, eight bytes a slot. It never grows: the caller
-// asks `fits` before it adds more entries than the table was made for.
+// Maps 64-bit key hashes to entry numbers; the caller stores the entries themselves. Open addressing with
+// linear probing in one block of memory, eight bytes per slot. The table never grows: the caller must check
+// fits() before it adds more entries than the table was created for.
 class HashIndex {
 public:
-    static constexpr std::uint32_t kNone = 0xffffffff;    // the number of no entry
+    static constexpr std::uint32_t kNone = 0xffffffff;    // no entry
 
     explicit HashIndex(std::size_t capacity) : slots_(capacity + capacity / 2 + 1) {}
 
-    // The number of the entry with that hash for which `matches` is true, since hashes may collide; or kNone.
+    // Returns the entry with that hash for which `matches` is true (hashes may collide), or kNone.
     template <class Predicate>
     std::uint32_t find(std::uint64_t hash, Predicate matches) const {
         for (std::size_t slot = home_slot(fingerprint_of(hash)); slots_[slot].entry != kNone;
@@ -25,19 +25,19 @@
                 return slots_[slot].entry;
         return kNone;
     }
-    // Adds an entry; there has to be a free slot besides.
+    // Adds an entry. At least one slot must remain free afterwards.
     void add(std::uint64_t hash, std::uint32_t entry) {
         std::size_t slot = home_slot(fingerprint_of(hash));
         while (slots_[slot].entry != kNone) slot = next_slot(slot);
         slots_[slot] = {fingerprint_of(hash), entry};
         ++count_;
     }
-    // Removes an entry that was added with that hash.
+    // Removes an entry, which must have been added with that hash.
     void remove(std::uint64_t hash, std::uint32_t entry) {
         std::size_t gap = home_slot(fingerprint_of(hash));
         while (slots_[gap].entry != entry || slots_[gap].fingerprint != fingerprint_of(hash))
             gap = next_slot(gap);
-        // Entries behind the gap move into it unless that would put them before their home slot.
+        // Later entries of the probe sequence move into the gap unless it precedes their home slot.
         for (std::size_t slot = next_slot(gap); slots_[slot].entry != kNone; slot = next_slot(slot))
             if (probe_distance(home_slot(slots_[slot].fingerprint), slot) >= probe_distance(gap, slot)) {
                 slots_[gap] = slots_[slot];
@@ -47,14 +47,16 @@
         --count_;
     }
     std::size_t count() const { return count_; }
-    // Whether the table suits so many entries: at most three quarters full, and not far too large.
+    // Whether the table size suits `entry_count` entries: at most three quarters full, at least one quarter
+    // unless the table is small.
     bool fits(std::size_t entry_count) const {
         return entry_count <= slots_.size() / 4 * 3 &&
                (entry_count >= slots_.size() / 4 || slots_.size() < 64);
     }
 
 private:
-    // A fingerprint is the lower half of a hash: it decides the home slot and spares most calls of `matches`.
+    // A fingerprint is the lower half of a hash. It determines the home slot and avoids most calls of
+    // `matches`.
     struct Slot {
         std::uint32_t fingerprint = 0, entry = kNone;
     };
@@ -67,7 +69,7 @@
         return to >= from ? to - from : to + slots_.size() - from;
     }
 
-    std::vector<Slot> slots_;    // at least one is free, so that a search ends
+    std::vector<Slot> slots_;    // at least one is free, so that every search terminates
     std::size_t count_ = 0;
 };
 
--- a/src/cluster/configuration/json_handler.cpp
+++ b/src/cluster/configuration/json_handler.cpp
@@ -40,7 +40,7 @@
 }
 
 bool JsonHandler::on_string_part(StringView text, std::size_t, ErrorCode& error) {
-    // The first part of a string decides whether it is gathered.
+    // The first part of a string determines whether the string is collected.
     if (mode_ == Mode::Traverse && !in_string_ && !begin_value(Shape::Scalar)) return abort_parse(error);
     in_string_ = true;
     if (mode_ == Mode::Keep) values_.push_chars(text);
@@ -73,7 +73,7 @@
 }
 
 bool JsonHandler::abort_parse(ErrorCode& error) {
-    // Any code stops the parser. The report says what is wrong.
+    // Any error code stops the parser; the report holds the actual error.
     error = json::make_error_code(json::error::exception);
     return false;
 }
@@ -122,7 +122,7 @@
 }
 
 bool JsonHandler::begin_section(Shape shape) {
-    if (shape == Shape::Null) return skip_value();    // as if it was not there
+    if (shape == Shape::Null) return skip_value();    // treated as absent
     if (shape != Shape::Object) return fail_shape(section_name(section_), "", ValueError::NotObject);
     return second_pass_ || reader_.table(section_).begin();
 }
@@ -150,7 +150,7 @@
     return succeeded || abort_parse(error);
 }
 
-// The value is destroyed at the end, before its memory is released.
+// Destroys the value before finish_value() releases its memory.
 bool JsonHandler::pass_to_reader() {
     const json::value value = values_.release();
     if (level_ == Level::Rows) return reader_.table(section_).read_row(value);
--- a/src/cluster/configuration/json_handler.h
+++ b/src/cluster/configuration/json_handler.h
@@ -1,4 +1,4 @@
-// Boost.JSON's parser events of the operator's text.
+// Handles Boost.JSON's parser events for the configuration text.
 #pragma once
 
 #include <array>
@@ -15,13 +15,13 @@
 
 namespace shaletray::configuration {
 
-// The handler of a boost::json::basic_parser: follows the outer structure of the document, gathers the values
-// within it (the revision, the limits, column names, each row), and passes each to the reader once it is
-// complete. Rows that come before the names of their columns are skipped, and read in a second pass over the
-// same text. Callbacks return false where the parser has to stop; the report then holds the error.
+// The handler of a boost::json::basic_parser. It tracks the outer structure of the document, collects the
+// values within it (the revision, the limits, column names, each row), and passes each to the reader once it
+// is complete. Rows that precede the names of their columns are skipped, and read in a second pass over the
+// same text. Callbacks return false to stop the parser; the report then holds the error.
 class JsonHandler {
 public:
-    // Limits that basic_parser asks for: none beside that of the whole text.
+    // Limits that basic_parser requires. Only the size of the whole text is limited, by the caller.
     static constexpr std::size_t max_object_size = ~std::size_t{0}, max_array_size = ~std::size_t{0};
     static constexpr std::size_t max_key_size = ~std::size_t{0}, max_string_size = ~std::size_t{0};
     using ErrorCode = boost::json::error_code;
@@ -30,7 +30,7 @@
     JsonHandler(ConfigurationReader& reader, ParseReport& report)
         : reader_(reader), report_(report), memory_(buffer_, sizeof buffer_) {}
 
-    // After the first pass: some rows were skipped.
+    // Whether the first pass skipped rows.
     bool needs_second_pass() const;
     void begin_second_pass() { second_pass_ = true; }
 
@@ -54,8 +54,8 @@
     bool on_double(double number, StringView, ErrorCode& error) {
         return handle_scalar(Shape::Scalar, error, [&] { values_.push_double(number); });
     }
-    bool on_bool(bool truth, ErrorCode& error) {
-        return handle_scalar(Shape::Scalar, error, [&] { values_.push_bool(truth); });
+    bool on_bool(bool value, ErrorCode& error) {
+        return handle_scalar(Shape::Scalar, error, [&] { values_.push_bool(value); });
     }
     bool on_null(ErrorCode& error) {
         return handle_scalar(Shape::Null, error, [&] { values_.push_null(); });
@@ -64,12 +64,12 @@
     bool on_comment(StringView, ErrorCode&) { return true; }
 
 private:
-    // The innermost container of the outer structure that is open.
+    // The innermost open container of the outer structure.
     enum class Level : std::uint8_t { Outside, Root, Section, Rows };
-    // Whether the parser is in the outer structure, or within a value that is gathered or skipped.
+    // Whether the parser is in the outer structure, or within a value that is collected or skipped.
     enum class Mode : std::uint8_t { Traverse, Keep, Skip };
     enum class Shape : std::uint8_t { Null, Scalar, Array, Object };
-    // The member of the outer structure whose value comes next.
+    // The member of the outer structure whose value follows.
     enum class Member : std::uint8_t { Other, Revision, Limits, Section, Columns, Rows };
 
     static Level inner_level(Level level);
@@ -82,13 +82,14 @@
 
     void select_root_member();
     void select_section_member();
-    // A value in the outer structure begins: it is entered, gathered or skipped. False where it has the wrong
-    // shape.
+    // Called at the start of a value in the outer structure: enters, collects or skips it. Returns false
+    // where the value has the wrong shape.
     bool begin_value(Shape shape);
     bool begin_section(Shape shape);
     bool begin_rows(Shape shape);
     bool begin_container(Shape shape, ErrorCode& error);
-    // A value that was gathered or skipped may be complete: then it is passed on.
+    // Called after each part of a collected or skipped value. Once the value is complete, passes a collected
+    // one to the reader.
     bool finish_value(ErrorCode& error);
     bool pass_to_reader();
 
@@ -112,18 +113,18 @@
 
     ConfigurationReader& reader_;
     ParseReport& report_;
-    unsigned char buffer_[4096];    // enough for the values of most rows
+    unsigned char buffer_[4096];    // bytes; enough for the values of most rows
     boost::json::monotonic_resource memory_;
-    boost::json::value_stack values_;    // of the value that is gathered
+    boost::json::value_stack values_;    // of the value being collected
     Level level_ = Level::Outside;
     Mode mode_ = Mode::Traverse;
     Member member_ = Member::Other;
-    Section section_ = Section::Routes;    // the one that is open, or was last
-    int open_containers_ = 0;              // within the value that is gathered or skipped
-    bool in_string_ = false;               // a part of a string has come, and more follows
+    Section section_ = Section::Routes;    // the open one, or the last one
+    int open_containers_ = 0;              // within the value being collected or skipped
+    bool in_string_ = false;               // part of a string was received, and more follows
     bool second_pass_ = false;
-    std::array<bool, std::size(kSections)> skipped_rows_{};    // in the first pass, by section
-    std::string key_;                                          // the parts of a key that have come
+    std::array<bool, std::size(kSections)> skipped_rows_{};    // by the first pass, per section
+    std::string key_;                                          // the parts of a key received so far
 };
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/json_values.cpp
+++ b/src/cluster/configuration/json_values.cpp
@@ -11,36 +11,39 @@
 
 namespace {
 
-constexpr double kMaxMicroseconds = 1e15;    // thirty years; sums of a few times do not overflow
-constexpr double kMaxByteCount = 1e15;       // larger counts are limited to it, so that they fit a size_t
+constexpr double kMaxMicroseconds = 1e15;    // about 30 years; sums of a few durations do not overflow
+constexpr double kMaxByteCount = 1e15;       // larger counts are clamped to it, so that they fit a size_t
 
 class ValueErrorCategory : public boost::system::error_category {
 public:
     const char* name() const noexcept override { return "configuration"; }
     std::string message(int error) const override {
         switch (ValueError{error}) {
-            case ValueError::NotText: return "is not a text";
-            case ValueError::InvalidCharacter: return "has a character that no header can carry";
-            case ValueError::NotDuration: return "is not a time as \"1500ms\" or \"2.5s\"";
+            case ValueError::NotText: return "is not a string";
+            case ValueError::InvalidCharacter: return "has a character that is not allowed in a header";
+            case ValueError::NotDuration: return "is not a duration such as \"1500ms\" or \"2.5s\"";
             case ValueError::NotNumber: return "is not a number";
-            case ValueError::NotInteger: return "is not a whole number";
+            case ValueError::NotInteger: return "is not an integer";
             case ValueError::Negative: return "is below 0";
             case ValueError::NotBoolean: return "is neither true nor false";
             case ValueError::InvalidRouteKind: return "is neither idempotent nor non_idempotent";
-            case ValueError::InvalidRevision: return "is not \"r\" and a number above 0";
-            case ValueError::NotArray: return "is not a list";
+            case ValueError::InvalidRevision: return "is not \"r\" followed by a number above 0";
+            case ValueError::NotArray: return "is not an array";
             case ValueError::NotObject: return "is not an object";
         }
-        return "is wrong";
+        return "is invalid";
     }
 };
 
-// Whichever way the parser represents the number.
+// Converts a number without a fraction, whether the parser represents it as an integer or as a double.
 json::result<double> integral_number(const json::value& value) {
     double number = 0.0;
-    if (const std::int64_t* const i = value.if_int64()) number = static_cast<double>(*i);
-    else if (const std::uint64_t* const u = value.if_uint64()) number = static_cast<double>(*u);
-    else if (const double* const d = value.if_double(); d != nullptr && std::trunc(*d) == *d) number = *d;
+    if (const std::int64_t* const signed_value = value.if_int64())
+        number = static_cast<double>(*signed_value);
+    else if (const std::uint64_t* const unsigned_value = value.if_uint64())
+        number = static_cast<double>(*unsigned_value);
+    else if (const double* const real = value.if_double(); real != nullptr && std::trunc(*real) == *real)
+        number = *real;
     else return to_error_code(ValueError::NotInteger);
     return number;
 }
@@ -78,10 +81,10 @@
     const std::string_view unit(parsed_end, static_cast<std::size_t>(end - parsed_end));
     if (error != std::errc{} || (unit != "ms" && unit != "s")) return to_error_code(ValueError::NotDuration);
     const double microseconds = number * (unit == "s" ? 1e6 : 1e3);
-    // Negated so that it holds for NaN too.
+    // The negated comparison rejects NaN too.
     if (!(std::abs(microseconds) <= kMaxMicroseconds)) return to_error_code(ValueError::NotDuration);
     long long rounded = std::llround(microseconds);
-    // A time above 0 is not rounded to 0, which has a meaning of its own.
+    // A duration above 0 is not rounded to 0, which has a special meaning in some fields.
     if (microseconds > 0.0) rounded = std::max(1LL, rounded);
     return DurationValue{Duration(rounded)};
 }
--- a/src/cluster/configuration/json_values.h
+++ b/src/cluster/configuration/json_values.h
@@ -1,5 +1,5 @@
-// Types of values in the operator's configuration text, converted by Boost.JSON's try_value_to. An error code
-// of a conversion reads as the end of a sentence about the value, as "is not a number".
+// Types of values in the configuration text, converted by Boost.JSON's try_value_to. The message of a
+// conversion's error code is the predicate of a sentence about the value, such as "is not a number".
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -12,6 +12,7 @@
 
 namespace shaletray::configuration {
 
+// Why a value is rejected.
 enum class ValueError {
     NotText = 1,
     InvalidCharacter,
@@ -28,19 +29,19 @@
 boost::system::error_code to_error_code(ValueError error);
 std::string message_of(ValueError error);
 
-// A time as "1500ms" or "2.5s", which may be negative.
+// A duration such as "1500ms" or "2.5s", which may be negative.
 struct DurationValue {
     Duration value{0};
 };
-// A revision as "r7", above 0.
+// A revision such as "r7", above 0.
 struct RevisionValue {
     std::uint64_t value = 0;
 };
-// An integer, limited to the range of int.
+// An integer, clamped to the range of int.
 struct IntegerValue {
     int value = 0;
 };
-// An integer of at least 0, limited to the range of int.
+// An integer of at least 0, clamped to the range of int.
 struct NonNegativeInteger {
     int value = 0;
 };
@@ -52,11 +53,11 @@
 struct NonNegativeNumber {
     double value = 0.0;
 };
-// A string, which refers to the JSON value.
+// A string. Refers to the JSON value, which must outlive it.
 struct TextValue {
     std::string_view value;
 };
-// A string without control characters, which a header or a request line can carry.
+// A string without control characters, valid in a header or a request line.
 struct HeaderText {
     std::string_view value;
 };
@@ -76,7 +77,7 @@
                                                   const boost::json::value& value);
 boost::json::result<RouteKind> tag_invoke(ConversionTag<RouteKind>, const boost::json::value& value);
 
-// The member of that name; nullptr where there is none or it is null.
+// Returns the member of that name; nullptr where it is absent or null.
 const boost::json::value* find_member(const boost::json::object& fields, std::string_view name);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/lookup_keys.h
+++ b/src/cluster/configuration/lookup_keys.h
@@ -1,5 +1,5 @@
-// The keys by which routes and tenants are looked up, and their hashes. Validation of a new configuration and
-// its index use the same ones.
+// Lookup keys of routes and tenants, and their hashes. Shared by the validation of a new configuration and by
+// its index, so that both agree on which keys are equal.
 #pragma once
 
 #include <cstddef>
@@ -8,8 +8,8 @@
 
 namespace shaletray::configuration {
 
-// A hash whose value can be read after every character, for the prefixes of a path: FNV-1a, and a final mix
-// of its bits, since an index uses only the lower half.
+// An incremental hash whose value can be read after every character, for the prefixes of a path. FNV-1a with
+// a final mixing step, since the hash index uses only the lower half of the bits.
 class RunningHash {
 public:
     void append(char c) { state_ = (state_ ^ static_cast<unsigned char>(c)) * kFnvPrime; }
@@ -29,18 +29,18 @@
     std::uint64_t state_ = kFnvOffsetBasis;
 };
 
-// A host, as in a Host header, without its port.
+// Returns the host of a Host header without its port.
 inline std::string_view host_without_port(std::string_view host) {
     const std::size_t colon = host.rfind(':');
-    // Colons inside the brackets of an IPv6 address start no port.
+    // A colon inside the brackets of an IPv6 address does not start a port.
     if (colon == std::string_view::npos || host.find(']', colon) != std::string_view::npos) return host;
     return host.substr(0, colon);
 }
 
-// ASCII only.
+// Converts ASCII letters only.
 inline char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-// Whether two hosts are the same without regard to case.
+// Compares two hosts without regard to case.
 inline bool hosts_equal(std::string_view a, std::string_view b) {
     if (a.size() != b.size()) return false;
     for (std::size_t i = 0; i < a.size(); ++i)
@@ -48,7 +48,7 @@
     return true;
 }
 
-// The state of a route's hash after its host (without port); the path's characters are appended to it.
+// Returns the state of a route's hash after its host (without port), to which the path is appended.
 inline RunningHash begin_route_hash(std::string_view host) {
     RunningHash hash;
     for (const char c : host) hash.append(to_lower(c));
@@ -56,14 +56,14 @@
     return hash;
 }
 
-// The hash of a route's key: host (without port) and path prefix.
+// Returns the hash of a route's key: host (without port) and path prefix.
 inline std::uint64_t route_hash(std::string_view host, std::string_view prefix) {
     RunningHash hash = begin_route_hash(host);
     for (const char c : prefix) hash.append(c);
     return hash.value();
 }
 
-// The hash of an API key.
+// Returns the hash of an API key.
 std::uint64_t api_key_hash(std::string_view key);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/parse_report.h
+++ b/src/cluster/configuration/parse_report.h
@@ -1,4 +1,4 @@
-// Errors that are found while the operator's text is parsed, and the places that they name.
+// Reports the first error in the configuration text, with the path of the invalid member.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace shaletray::configuration {
 
-// Members of the document that hold a table.
+// Members of the document that contain a table.
 enum class Section : std::uint8_t { Routes, Services, Tenants };
 inline constexpr Section kSections[] = {Section::Routes, Section::Services, Section::Tenants};
 
@@ -21,18 +21,19 @@
     return kNames[static_cast<std::size_t>(section)];
 }
 
-// A row of a table as errors name it: "routes[3]".
+// Returns the path of a row for error messages, such as "routes[3]".
 inline std::string row_path(Section section, std::size_t row) {
     return std::string(section_name(section)) + "[" + std::to_string(row) + "]";
 }
 
-// Holds the error at which parsing stopped. Functions that parse return false once they have reported one, as
-// the callbacks of Boost.JSON's parser do.
+// Holds the error that stopped parsing. Parsing functions return false after they have reported one, like the
+// callbacks of Boost.JSON's parser.
 class ParseReport {
 public:
     bool has_error() const { return error_.has_value(); }
     const ConfigurationError& error() const { return *error_; }
-    // Returns false. An empty `field` means that the value at `location` itself is at fault.
+    // Records an error and returns false. An empty `field` means that the value at `location` itself is
+    // invalid.
     bool fail(std::string_view location, std::string_view field, std::string reason) {
         std::string path(location);
         if (!location.empty() && !field.empty()) path += '.';
--- a/src/cluster/configuration/route_reader.cpp
+++ b/src/cluster/configuration/route_reader.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Duration kMaxTimeout = 10min;
-constexpr double kMaxTotalWeight = 1u << 31;    // of one route, so that rounded weights add up below 2^32
+constexpr double kMaxTotalWeight = 1u << 31;    // per route; the rounded weights add up to less than 2^32
 
 }    // namespace
 
@@ -48,7 +48,7 @@
 bool RouteReader::read_path_prefix(const json::value& value, std::string_view field) {
     std::string& prefix = current_entry().path_prefix;
     if (!convert_cell_as<TextValue>(value, field, prefix)) return false;
-    return prefix.starts_with('/') || fail_cell(field, "does not begin with a slash");
+    return prefix.starts_with('/') || fail_cell(field, "does not start with a slash");
 }
 
 bool RouteReader::read_route_type(const json::value& value, std::string_view field) {
@@ -59,7 +59,7 @@
     DurationValue duration;
     if (!convert_cell(value, field, duration)) return false;
     if (duration.value <= Duration(0)) return fail_cell(field, "must be above 0");
-    if (duration.value > kMaxTimeout) return fail_cell(field, "is over ten minutes");
+    if (duration.value > kMaxTimeout) return fail_cell(field, "is longer than ten minutes");
     current_entry().timeout = duration.value;
     return true;
 }
@@ -92,22 +92,22 @@
 }
 
 bool RouteReader::read_traffic_split(const json::value& value, std::string_view field) {
-    const json::array* const shares = value.if_array();
-    if (shares == nullptr) return fail_cell(field, ValueError::NotArray);
-    has_split_ = !shares->empty();
+    const json::array* const split = value.if_array();
+    if (split == nullptr) return fail_cell(field, ValueError::NotArray);
+    has_split_ = !split->empty();
     has_split_list_ = true;
     if (!has_split_) return true;
     std::vector<double> weights;
-    for (const json::value& share : *shares) {
-        const std::optional<double> weight = read_share(share, field, weights.size());
+    for (const json::value& split_member : *split) {
+        const std::optional<double> weight = read_split_member(split_member, field, weights.size());
         if (!weight) return false;
         weights.push_back(*weight);
     }
     return assign_weights(weights, field);
 }
 
-std::optional<double> RouteReader::read_share(const json::value& value, std::string_view field,
-                                              std::size_t index) {
+std::optional<double> RouteReader::read_split_member(const json::value& value, std::string_view field,
+                                                     std::size_t index) {
     const auto fail = [&](const std::string& member, std::string reason) {
         fail_cell(std::string(field) + "[" + std::to_string(index) + "]" + member, std::move(reason));
         return std::nullopt;
@@ -128,11 +128,11 @@
 
 bool RouteReader::assign_weights(const std::vector<double>& weights, std::string_view field) {
     const double total = std::accumulate(weights.begin(), weights.end(), 0.0);
-    if (!(total > 0.0)) return fail_cell(field, "has weights that add up to 0");
-    if (!std::isfinite(total)) return fail_cell(field, "has weights beyond all measure");
+    if (!(total > 0.0)) return fail_cell(field, "has weights whose sum is 0");
+    if (!std::isfinite(total)) return fail_cell(field, "has weights whose sum is too large");
     const bool all_integers = std::all_of(weights.begin(), weights.end(),
                                           [](double weight) { return std::trunc(weight) == weight; });
-    // Integers are kept as they are. Others are scaled to the full range, and none of them becomes 0.
+    // Integers are kept. Other weights are scaled to the full range, and none of them becomes 0.
     const double scale = all_integers && total <= kMaxTotalWeight ? 1.0 : kMaxTotalWeight / total;
     std::vector<WeightedService>& targets = current_entry().targets;
     for (std::size_t i = 0; i < weights.size(); ++i) {
@@ -157,7 +157,7 @@
     if (route.path_prefix.empty()) return fail_cell("path_prefix", "is missing");
     if (service_name_.empty() && !has_split_)
         return has_split_list_ ? fail_cell("traffic_split", "is empty")
-                               : fail_cell("service", "is missing, and traffic_split too");
+                               : fail_cell("service", "is missing, and so is traffic_split");
     route_has_split_.push_back(has_split_);
     if (!has_split_) route.targets.push_back({service_name_, 1});
     else if (!service_name_.empty()) services_beside_split_.emplace_back(current_row(), service_name_);
@@ -198,7 +198,7 @@
         });
         if (other != HashIndex::kNone)
             return fail_row(row, "path_prefix",
-                            "is that of " + row_path(section(), other) + " on the same hostname");
+                            "is already used by " + row_path(section(), other) + " on the same hostname");
         known_routes.add(hash, row);
     }
     return true;
--- a/src/cluster/configuration/route_reader.h
+++ b/src/cluster/configuration/route_reader.h
@@ -1,4 +1,4 @@
-// Reading of the table of routes.
+// Reads the table of routes.
 #pragma once
 
 #include <cstddef>
@@ -15,14 +15,14 @@
 
 namespace shaletray::configuration {
 
-// A route names a single service, or services with weights (its traffic split); where it names both, the
-// split decides.
+// A route names a single service, or services with weights (its traffic split). The split takes precedence
+// where a route has both.
 class RouteReader : public EntryTableReader<RouteReader, Route> {
 public:
     explicit RouteReader(ParseReport& report) : EntryTableReader(Section::Routes, report) {}
 
-    // After all rows were read: routes name services that exist, and no two have the same host and prefix.
-    // Removes targets of weight 0.
+    // Checks that routes name existing services and that no two share a host and path prefix, and removes
+    // targets of weight 0. Called after all rows were read.
     bool validate(const ServiceReader& services);
 
 private:
@@ -43,24 +43,24 @@
 
     void begin_entry() override;
     bool finish_entry() override;
-    // Reads a member of a traffic split and adds it to the current route's targets, without a weight yet. The
-    // weight as the operator states it; nothing where an error was reported.
-    std::optional<double> read_share(const boost::json::value& value, std::string_view field,
-                                     std::size_t index);
-    // Turns the weights that the operator stated into those of the current route's targets.
+    // Reads a member of a traffic split and adds it to the current route's targets with weight 0. Returns the
+    // configured weight, or nothing where an error was reported.
+    std::optional<double> read_split_member(const boost::json::value& value, std::string_view field,
+                                            std::size_t index);
+    // Converts the configured weights to the integer weights of the current route's targets.
     bool assign_weights(const std::vector<double>& weights, std::string_view field);
 
     bool fail_unknown_service(std::uint32_t row, std::string_view field, const std::string& name);
     bool validate_targets(std::uint32_t row, const ServiceReader& services);
 
-    // Of the current route:
+    // State of the current route:
     bool has_host_ = false;
-    bool has_split_list_ = false, has_split_ = false;    // a traffic_split at all, and one with members
+    bool has_split_list_ = false, has_split_ = false;    // a traffic_split, and one with members
     std::string service_name_;
 
-    // Of all routes:
+    // State of all routes:
     std::vector<bool> route_has_split_;    // by row
-    // Rows that name a service besides their traffic split, and that service, which has to exist too.
+    // Rows that name a service besides their traffic split, and that service, which must exist too.
     std::vector<std::pair<std::uint32_t, std::string>> services_beside_split_;
 };
 
--- a/src/cluster/configuration/service_reader.h
+++ b/src/cluster/configuration/service_reader.h
@@ -1,4 +1,4 @@
-// Reading of the table of services.
+// Reads the table of services.
 #pragma once
 
 #include <span>
--- a/src/cluster/configuration/sharded_services.h
+++ b/src/cluster/configuration/sharded_services.h
@@ -1,4 +1,4 @@
-// Which services divide their keys among their servers.
+// The services whose requests carry shard keys.
 #pragma once
 
 #include <functional>
@@ -11,6 +11,7 @@
 
 using ServiceNames = std::set<std::string, std::less<>>;
 
+// Returns the names of all services with is_sharded set.
 ServiceNames sharded_services(const Configuration& configuration);
 
 }    // namespace shaletray::configuration
--- a/src/cluster/configuration/table_reader.cpp
+++ b/src/cluster/configuration/table_reader.cpp
@@ -5,7 +5,7 @@
 namespace json = boost::json;
 
 bool TableReader::begin() {
-    if (is_present_) return fail_section("", "is there twice");
+    if (is_present_) return fail_section("", "appears more than once");
     is_present_ = true;
     return true;
 }
@@ -13,21 +13,21 @@
 bool TableReader::read_columns(const json::value& value) {
     const json::array* const names = value.if_array();
     if (names == nullptr) return fail_section("columns", message_of(ValueError::NotArray));
-    if (has_columns_) return fail_section("columns", "is there twice");
+    if (has_columns_) return fail_section("columns", "appears more than once");
     has_columns_ = true;
     for (const json::value& cell : *names) {
         const json::string* const name = cell.if_string();
-        if (name == nullptr) return fail_section("columns", "holds what is not a text");
+        if (name == nullptr) return fail_section("columns", "contains a value that is not a string");
         const std::optional<std::size_t> column = find_column({name->data(), name->size()});
         if (column && std::find(columns_.begin(), columns_.end(), column) != columns_.end())
-            return fail_section("columns", std::string(column_name(*column)) + " is there twice");
+            return fail_section("columns", std::string(column_name(*column)) + " appears more than once");
         columns_.push_back(column);
     }
     return true;
 }
 
 bool TableReader::begin_rows() {
-    if (has_rows_) return fail_section("rows", "is there twice");
+    if (has_rows_) return fail_section("rows", "appears more than once");
     has_rows_ = true;
     return true;
 }
--- a/src/cluster/configuration/table_reader.h
+++ b/src/cluster/configuration/table_reader.h
@@ -1,4 +1,4 @@
-// Reading of one table of the operator's text: a list of column names, and rows of values in that order.
+// Reads one table of the configuration text: a list of column names, and rows of values in that order.
 #pragma once
 
 #include <algorithm>
@@ -20,8 +20,8 @@
 
 namespace shaletray::configuration {
 
-// What tables of all sections have in common: the order of calls, columns and rows. Functions return false
-// once they have reported an error.
+// Base of the table readers of all sections: checks the structure of the table and maps columns to fields.
+// Functions return false after they have reported an error.
 class TableReader {
 public:
     TableReader(Section section, ParseReport& report) : section_(section), report_(report) {}
@@ -29,23 +29,23 @@
     TableReader(const TableReader&) = delete;
     TableReader& operator=(const TableReader&) = delete;
 
-    // The section is there; its members follow in any order.
+    // Called when the section is found; its members follow in any order.
     bool begin();
     bool read_columns(const boost::json::value& value);
     bool begin_rows();
-    // Only once the columns are known.
+    // To be called only after read_columns().
     bool read_row(const boost::json::value& value);
-    // After the whole text was read: the section has all members that it needs.
+    // Checks after the whole text was read that the section has all required members.
     bool check_complete(bool required);
 
     bool is_present() const { return is_present_; }
     bool has_columns() const { return has_columns_; }
 
 protected:
-    // The number of a known column.
+    // Returns the index of a known column, or nothing.
     virtual std::optional<std::size_t> find_column(std::string_view name) const = 0;
     virtual std::string_view column_name(std::size_t column) const = 0;
-    // A row is an entry: it begins, gets a value for each known column that is not null, and ends.
+    // Called per row: begin_entry(), read_cell() for each non-null value in a known column, finish_entry().
     virtual void begin_entry() = 0;
     virtual bool read_cell(std::size_t column, const boost::json::value& value) = 0;
     virtual bool finish_entry() = 0;
@@ -63,7 +63,7 @@
     }
     bool fail_cell(std::string_view field, ValueError error) { return fail_cell(field, message_of(error)); }
 
-    // Converts a value of the current row by T's tag_invoke.
+    // Converts a value of the current row with T's tag_invoke.
     template <class T>
     bool convert_cell(const boost::json::value& value, std::string_view field, T& target) {
         boost::json::result<T> parsed = boost::json::try_value_to<T>(value);
@@ -71,7 +71,7 @@
         target = std::move(*parsed);
         return true;
     }
-    // The same by a type that wraps the target's.
+    // The same with a wrapper type T, whose `value` is assigned to the target.
     template <class T, class Target>
     bool convert_cell_as(const boost::json::value& value, std::string_view field, Target& target) {
         T parsed;
@@ -84,18 +84,18 @@
     Section section_;
     ParseReport& report_;
     bool is_present_ = false, has_columns_ = false, has_rows_ = false;
-    std::vector<std::optional<std::size_t>> columns_;    // nothing for unknown ones, whose values are ignored
+    std::vector<std::optional<std::size_t>> columns_;    // empty for unknown columns, which are ignored
     std::uint32_t row_count_ = 0;
 };
 
-// A table whose rows are entries of one type. `Reader` is the derived class: it has the static function
-// columns(), and a member function for each column.
+// A table whose rows are entries of one type. `Reader` is the derived class (CRTP): it provides the static
+// function columns(), and a member function for each column.
 template <class Reader, class Entry>
 class EntryTableReader : public TableReader {
 public:
     using TableReader::TableReader;
 
-    // Puts the entries in the order of their names, after all rows were read; false where a name comes twice.
+    // Sorts the entries by name, after all rows were read. Reports an error where a name is not unique.
     bool sort_by_name() {
         order_.resize(entries_.size());
         std::iota(order_.begin(), order_.end(), 0u);
@@ -107,11 +107,12 @@
             std::sort(order_.begin(), order_.end(), precedes);
         for (std::size_t i = 1; i < order_.size(); ++i)
             if (entries_[order_[i]].name == entries_[order_[i - 1]].name)
-                return fail_row(order_[i], "name", "is that of " + row_path(section(), order_[i - 1]));
+                return fail_row(order_[i], "name",
+                                "is already used by " + row_path(section(), order_[i - 1]));
         return true;
     }
 
-    // Whether there is an entry of that name; after sort_by_name.
+    // Whether there is an entry of that name. To be called after sort_by_name().
     bool contains(std::string_view name) const {
         const auto found = std::lower_bound(
             order_.begin(), order_.end(), name,
@@ -119,7 +120,7 @@
         return found != order_.end() && entries_[*found].name == name;
     }
 
-    // The entries in the order of their names; after sort_by_name, and once.
+    // Returns the entries sorted by name. To be called once, after sort_by_name().
     EntryList<Entry> build_entries() {
         EntryListBuilder<Entry> builder;
         for (const std::uint32_t row : order_) builder.add(std::move(entries_[row]));
@@ -137,7 +138,7 @@
     std::uint32_t entry_count() const { return static_cast<std::uint32_t>(entries_.size()); }
     Entry& entry(std::uint32_t row) { return entries_[row]; }
 
-    // Reads the entry's name, by a type that wraps text.
+    // Reads the entry's name with a wrapper type T of strings.
     template <class T>
     bool read_name_as(const boost::json::value& value, std::string_view field) {
         has_name_ = true;
@@ -162,8 +163,8 @@
         return (static_cast<Reader*>(this)->*known.read)(value, known.name);
     }
 
-    std::deque<Entry> entries_;           // in the operator's order; a deque does not move them as it grows
-    std::vector<std::uint32_t> order_;    // rows in the order of their names
+    std::deque<Entry> entries_;           // by row; a deque does not move its elements as it grows
+    std::vector<std::uint32_t> order_;    // row numbers, sorted by name
     bool has_name_ = false;               // of the current entry
 };
 
--- a/src/cluster/configuration/tenant_reader.cpp
+++ b/src/cluster/configuration/tenant_reader.cpp
@@ -59,7 +59,7 @@
                 const ApiKeyList& keys = entry(candidate).api_keys;
                 return std::find(keys.begin(), keys.end(), key) != keys.end();
             });
-            // The key itself is a secret and not named, since errors are logged.
+            // The key is a secret and is left out of the message, since errors are logged.
             if (other != HashIndex::kNone && other != row)
                 return fail_row(row, "api_keys", "has a key of " + row_path(section(), other) + " too");
             if (other == HashIndex::kNone) known_keys.add(hash, row);
--- a/src/cluster/configuration/tenant_reader.h
+++ b/src/cluster/configuration/tenant_reader.h
@@ -1,4 +1,4 @@
-// Reading of the table of tenants.
+// Reads the table of tenants.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 public:
     explicit TenantReader(ParseReport& report) : EntryTableReader(Section::Tenants, report) {}
 
-    // After all rows were read: no two tenants have a key in common.
+    // Checks that no two tenants share an API key. Called after all rows were read.
     bool validate_api_keys();
 
 private:
--- a/tests/cluster/configuration/configuration_digest_test.cpp
+++ b/tests/cluster/configuration/configuration_digest_test.cpp
@@ -1,3 +1,4 @@
+// Tests that the digest depends on every field that it covers.
 #include "cluster/configuration/configuration_digest.h"
 
 #include <criterion/criterion.h>
--- a/tests/cluster/configuration/configuration_index_test.cpp
+++ b/tests/cluster/configuration/configuration_index_test.cpp
@@ -1,3 +1,4 @@
+// Tests of route and tenant lookups, and of picking services by weight.
 #include "cluster/configuration/configuration_index.h"
 
 #include <criterion/criterion.h>
@@ -44,8 +45,8 @@
     cr_assert_eq(route_name("", "/"), "none");
 }
 
-// Compares with a linear search by the rule, over few different segments so that prefixes nest and collide.
-Test(configuration_index, agrees_with_a_search_of_all_routes) {
+// Uses few different path segments, so that prefixes nest and collide.
+Test(configuration_index, agrees_with_a_linear_search) {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         RandomSource random(seed);
         const char* const hosts[] = {"a.example", "b.example", "ab.example"};
@@ -99,9 +100,9 @@
         cr_assert(index.find_tenant(key) == nullptr, "%s", key);
 }
 
-// One change after another, so that chunks of entries come and go: an index that was made from the previous
-// one finds the same entries as one that was built from nothing, and no removed ones.
-Test(configuration_index, follows_changes_like_a_rebuilt_one) {
+// Applies a sequence of changes that add and remove chunks of entries. An index that is derived from the
+// previous one must find the same entries as a rebuilt index, and no removed ones.
+Test(configuration_index, derived_index_matches_a_rebuilt_one) {
     for (std::uint64_t seed = 1; seed <= 15; ++seed) {
         RandomSource random(seed);
         const int max_entries = 20 + random.up_to(2000);
@@ -139,8 +140,8 @@
     Route route;
     route.targets = {{"one", 1}, {"most", 4'000'000'000}, {"some", 250'000'000}};
     const std::uint64_t total_weight = 4'250'000'001;
-    // The random values at which one service ends and the next begins, as exactly as 64 bits allow.
-    const auto first_beyond = [&](std::uint64_t weight) {
+    // Finds the boundary between two services by bisection, as a weight. Exact to 64 bits.
+    const auto boundary_after = [&](std::uint64_t weight) {
         std::uint64_t low = 0, high = ~std::uint64_t{0};
         while (low < high) {
             const std::uint64_t middle = low + (high - low) / 2;
@@ -152,8 +153,8 @@
         return static_cast<long double>(low) / 18446744073709551616.0L *
                static_cast<long double>(total_weight);
     };
-    cr_assert_float_eq(static_cast<double>(first_beyond(1)), 1.0, 1e-6);
-    cr_assert_float_eq(static_cast<double>(first_beyond(4'000'000'001)), 4'000'000'001.0, 1e-3);
+    cr_assert_float_eq(static_cast<double>(boundary_after(1)), 1.0, 1e-6);
+    cr_assert_float_eq(static_cast<double>(boundary_after(4'000'000'001)), 4'000'000'001.0, 1e-3);
     cr_assert_eq(ConfigurationIndex::pick_service(route, 0), "one");
     cr_assert_eq(ConfigurationIndex::pick_service(route, ~std::uint64_t{0}), "some");
 }
--- a/tests/cluster/configuration/configuration_parser_test.cpp
+++ b/tests/cluster/configuration/configuration_parser_test.cpp
@@ -1,3 +1,4 @@
+// Tests of parsing and validating configuration text, and of the fields named by errors.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -26,9 +27,9 @@
 std::string json_table(const std::string& columns, const std::string& rows) {
     return "{\"columns\":" + columns + ",\"rows\":[" + rows + "]}";
 }
-std::string full_text(const std::string& routes, const std::string& services = kServices,
-                      const std::string& tenants = kTenants, const std::string& revision = "\"r7\"",
-                      const std::string& limits = kLimits) {
+std::string configuration_text(const std::string& routes, const std::string& services = kServices,
+                               const std::string& tenants = kTenants, const std::string& revision = "\"r7\"",
+                               const std::string& limits = kLimits) {
     return "{\"revision\":" + revision + ",\"routes\":" + routes + ",\"services\":" + services +
            ",\"limits\":" + limits + ",\"tenants\":" + tenants + "}";
 }
@@ -37,10 +38,10 @@
     cr_assert(position != std::string::npos, "%s", pattern.c_str());
     return text.replace(position, pattern.size(), replacement);
 }
-const std::string kGood = full_text(json_table(kRouteColumns, kRouteB + "," + kRouteA));
+const std::string kValidText = configuration_text(json_table(kRouteColumns, kRouteB + "," + kRouteA));
 
 Test(configuration_parser, reads_the_documented_example) {
-    const Configuration config = parse_configuration(kGood).value();
+    const Configuration config = parse_configuration(kValidText).value();
     Route route_a;
     route_a.name = "r-a";
     route_a.hostname = "hulo84.example";
@@ -69,11 +70,11 @@
     cr_assert(config == expected);
 }
 
-// To reject a valid configuration is costly: whatever the documentation leaves open is accepted.
+// Rejecting a valid configuration is costly, so the parser accepts whatever the documentation leaves open.
 Test(configuration_parser, accepts_unusual_but_valid_text) {
     const std::string routes = json_table(kRouteColumns, kRouteA + "," + kRouteB);
-    const Configuration usual = parse_configuration(kGood).value();
-    cr_assert(parse_configuration(full_text(routes)).value() == usual, "another order of rows");
+    const Configuration reference = parse_configuration(kValidText).value();
+    cr_assert(parse_configuration(configuration_text(routes)).value() == reference, "another order of rows");
     // Members in another order: rows before columns, and the revision last.
     const auto rows_before_columns = [](const std::string& columns, const std::string& rows) {
         return "{\"more\":[{\"rows\":1}],\"rows\":[" + rows + "],\"columns\":" + columns + "}";
@@ -83,14 +84,14 @@
         ",\"services\":" + kServices +
         ",\"routes\":" + rows_before_columns(kRouteColumns, kRouteA + "," + kRouteB) +
         ",\"rev\\u0069sion\":\"r\\u0037\"} \n";
-    cr_assert(parse_configuration(reordered_members).value() == usual, "another order of members");
+    cr_assert(parse_configuration(reordered_members).value() == reference, "another order of members");
 
     const auto routes_with = [&](const std::string& from, const std::string& to) {
-        return parse_configuration(replaced(kGood, from, to)).value().routes;
+        return parse_configuration(replaced(kValidText, from, to)).value().routes;
     };
     cr_assert(routes_with("\"weight\":10", "\"weight\":0")[0].targets ==
               (std::vector<WeightedService>{{"huvo11a", 90}}));
-    cr_assert(routes_with("\"weight\":10", "\"weight\":10.0")[0].targets == usual.routes[0].targets);
+    cr_assert(routes_with("\"weight\":10", "\"weight\":10.0")[0].targets == reference.routes[0].targets);
     const auto targets = routes_with("\"weight\":90", "\"weight\":0.1")[0].targets;
     cr_assert(targets[1].weight / targets[0].weight == 100 && targets[0].weight > 1000);
     cr_assert_eq(routes_with("\"500ms\"", "\"600s\"")[0].timeout, 10min);
@@ -99,26 +100,28 @@
     cr_assert_eq(routes_with("\"/leny950/\"", "\"/leny950\"")[0].path_prefix, "/leny950");
     cr_assert_eq(routes_with("hulo84.example\",\"/leny950/", "jepu9.example\",\"/puka1111/").size(), 2);
     cr_assert_eq(routes_with("2,false,null]", "2,false,\"wuno96b\"]")[0].targets.size(), 2,
-                 "a split overrides a service");
+                 "a traffic split takes precedence over a service");
     cr_assert_eq(routes_with("1,null,2,true", "1,[],2,true")[1].targets.size(), 1,
-                 "an empty split beside a service");
+                 "an empty traffic split is ignored where there is a service");
 
-    Configuration without_tenants = usual;
+    Configuration without_tenants = reference;
     without_tenants.tenants.reset();
-    cr_assert(parse_configuration(full_text(routes, kServices, "null")).value() == without_tenants);
-    const std::string unlimited = replaced(kGood, "1,150,150.5", "null,0,0");
+    cr_assert(parse_configuration(configuration_text(routes, kServices, "null")).value() == without_tenants);
+    const std::string unlimited = replaced(kValidText, "1,150,150.5", "null,0,0");
     cr_assert_eq(parse_configuration(unlimited).value().tenants->back().rate_per_s, 0.0);
-    cr_assert(parse_configuration(full_text(routes, kServices, kTenants, "\"r7\"", "{}")).value().limits ==
-              Limits{});
-    cr_assert_eq(parse_configuration(full_text(routes, kServices, kTenants, "\"r18446744073709551615\""))
-                     .value()
-                     .version,
-                 ~std::uint64_t{0});
-    cr_assert_eq(parse_configuration(full_text(json_table("[]", ""))).value().routes.size(), 0);
+    cr_assert(
+        parse_configuration(configuration_text(routes, kServices, kTenants, "\"r7\"", "{}")).value().limits ==
+        Limits{});
+    cr_assert_eq(
+        parse_configuration(configuration_text(routes, kServices, kTenants, "\"r18446744073709551615\""))
+            .value()
+            .version,
+        ~std::uint64_t{0});
+    cr_assert_eq(parse_configuration(configuration_text(json_table("[]", ""))).value().routes.size(), 0);
 }
 
 Test(configuration_parser, names_the_invalid_field) {
-    // Route B is routes[0] here, and route A routes[1]: errors name rows in the operator's order.
+    // Errors number rows in the order of the text: route B is routes[0] here, and route A is routes[1].
     const struct {
         const char *from, *to, *field;
     } cases[] = {
@@ -187,14 +190,14 @@
         {"\"r7\"", "\"r7\",", "body"},
     };
     for (const auto& invalid : cases) {
-        const std::string field = rejected_text_field(replaced(kGood, invalid.from, invalid.to));
+        const std::string field = rejected_text_field(replaced(kValidText, invalid.from, invalid.to));
         cr_expect(field == invalid.field, "%s -> %s: rejected \"%s\"", invalid.from, invalid.to,
                   field.c_str());
     }
-    for (std::size_t length = 0; length < kGood.size(); ++length)
-        cr_assert_eq(rejected_text_field(kGood.substr(0, length)), "body", "cut at %zu", length);
-    cr_assert_eq(rejected_text_field(kGood + "}"), "body");
-    cr_assert_eq(rejected_text_field(kGood + std::string(64 * 1024 * 1024, ' ')), "body");
+    for (std::size_t length = 0; length < kValidText.size(); ++length)
+        cr_assert_eq(rejected_text_field(kValidText.substr(0, length)), "body", "truncated at %zu", length);
+    cr_assert_eq(rejected_text_field(kValidText + "}"), "body");
+    cr_assert_eq(rejected_text_field(kValidText + std::string(64 * 1024 * 1024, ' ')), "body");
 }
 
 }    // namespace
--- a/tests/cluster/configuration/configuration_update_test.cpp
+++ b/tests/cluster/configuration/configuration_update_test.cpp
@@ -1,3 +1,4 @@
+// Tests of complete updates and deltas: round trips, malformed input and compatibility of versions.
 #include <capnp/message.h>
 #include <capnp/serialize-packed.h>
 #include <criterion/criterion.h>
@@ -13,7 +14,7 @@
 namespace shaletray::configuration {
 namespace {
 
-Test(configuration_update, leads_from_any_configuration_to_any_other) {
+Test(configuration_update, converts_any_configuration_into_any_other) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         RandomSource random(seed);
         const Configuration from = random.one_in(10) ? Configuration{} : random_configuration(random, 20);
@@ -25,7 +26,7 @@
         cr_assert(apply_update(from, write_delta(from, from)).value() == from, "seed %lu", seed);
         if (digest_of(from) != digest_of(to))
             cr_assert_eq(rejected_update_field(to, delta), "base", "seed %lu", seed);
-        // The order of entries matters neither to the digest nor to a delta.
+        // The order of entries affects neither the digest nor a delta.
         Configuration reordered = from;
         reordered.routes = reversed(reordered.routes);
         if (reordered.tenants) reordered.tenants = reversed(*reordered.tenants);
@@ -35,28 +36,27 @@
     }
 }
 
-// Truncated anywhere, or with bits flipped, an update is rejected, or leads to the same configuration (where
-// the damaged bytes carry no information). Under the sanitizers this also shows that nothing is read out of
-// bounds.
-Test(configuration_update, damaged_updates_are_rejected) {
+// A truncated update is rejected. One with flipped bits is rejected, or results in the same configuration
+// where the corrupted bytes carry no information. With sanitizers this also detects reads out of bounds.
+Test(configuration_update, rejects_corrupted_updates) {
     RandomSource random(11);
     const Configuration from = random_configuration(random, 12), to = random_change(random, from, 12);
-    for (const std::string& good : {write_full(to), write_delta(from, to)}) {
-        for (std::size_t length = 0; length < good.size(); ++length)
-            cr_assert_neq(rejected_update_field(from, std::string(good, 0, length)), "", "cut at %zu",
-                          length);
+    for (const std::string& valid_update : {write_full(to), write_delta(from, to)}) {
+        for (std::size_t length = 0; length < valid_update.size(); ++length)
+            cr_assert_neq(rejected_update_field(from, std::string(valid_update, 0, length)), "",
+                          "truncated at %zu", length);
         for (int i = 0; i < 20000; ++i) {
-            std::string damaged = good;
+            std::string corrupted = valid_update;
             for (int flips = 1 + random.up_to(3); flips > 0; --flips) {
                 const int flipped = 1 << random.up_to(7);
-                char& byte = damaged[random.random_bits() % damaged.size()];
+                char& byte = corrupted[random.random_bits() % corrupted.size()];
                 byte = static_cast<char>(byte ^ flipped);
             }
             if (random.one_in(10))
-                damaged.insert(random.random_bits() % damaged.size(),
-                               std::string(1 + random.random_bits() % 20, '\0'));
-            if (rejected_update_field(from, damaged).empty())
-                cr_assert(apply_update(from, damaged).value() == to, "damage %d was accepted", i);
+                corrupted.insert(random.random_bits() % corrupted.size(),
+                                 std::string(1 + random.random_bits() % 20, '\0'));
+            if (rejected_update_field(from, corrupted).empty())
+                cr_assert(apply_update(from, corrupted).value() == to, "corruption %d was accepted", i);
         }
     }
     for (int i = 0; i < 5000; ++i) {
@@ -66,15 +66,15 @@
     }
 }
 
-// The next version reads an update of this one, fills its new fields and encodes it again: this version reads
-// the result, and ignores what it does not know.
-Test(configuration_update, versions_read_each_other) {
+// The next version reads an update of this one, sets its new fields and encodes it again. This version reads
+// the result and ignores the unknown fields.
+Test(configuration_update, is_compatible_with_the_next_version) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         RandomSource random(seed);
         const Configuration from = random_configuration(random, 8), to = random_change(random, from, 8);
-        for (const std::string& ours : {write_full(to), write_delta(from, to)}) {
+        for (const std::string& encoded : {write_full(to), write_delta(from, to)}) {
             kj::ArrayInputStream stream(
-                kj::arrayPtr(reinterpret_cast<const unsigned char*>(ours.data()), ours.size()));
+                kj::arrayPtr(reinterpret_cast<const unsigned char*>(encoded.data()), encoded.size()));
             ::capnp::PackedMessageReader received(stream);
             const auto update = received.getRoot<next::Update>();
             cr_assert_eq(update.getVersion(), to.version);
@@ -87,7 +87,7 @@
             next_update.setSender("edge-b-2");
             next_update.setDigestOfAll(random.random_bits());
             next_update.getLimits().setHeaders(50);
-            // Lists of the older structs are copied into lists of the newer ones to have room for more.
+            // Lists of the older structs are copied into lists of the newer ones, which have more fields.
             const auto routes = update.getRoutes();
             auto next_routes = next_update.initRoutes(routes.size());
             for (unsigned i = 0; i < routes.size(); ++i) {
--- a/tests/cluster/configuration/next_configuration.capnp
+++ b/tests/cluster/configuration/next_configuration.capnp
@@ -1,6 +1,6 @@
 @0xd10f4b6a7c2e8a35;
 
-# The configuration's schema as a later version may have it: fields were added to each struct.
+# The schema of configuration.capnp as a later version may define it, with fields added to each struct.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("shaletray::configuration::next");
--- a/tests/cluster/configuration/random_configurations.h
+++ b/tests/cluster/configuration/random_configurations.h
@@ -1,4 +1,4 @@
-// Random configurations from a seed, and helpers that examine results.
+// Generators of random configurations, and helpers that return the field of a rejected configuration.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace shaletray::configuration {
 
-// The field that was rejected; empty where the attempt succeeded.
+// Returns the field of the ConfigurationError; empty where the attempt succeeded.
 template <class Attempt>
 std::string rejected_field(Attempt attempt) {
     return boost::leaf::try_handle_all(
@@ -33,6 +33,7 @@
     return rejected_field([&] { return apply_update(current, bytes); });
 }
 
+// Deterministic for a seed.
 class RandomSource {
 public:
     explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
@@ -70,14 +71,14 @@
     tenant.burst = random.up_to(3);
     return tenant;
 }
-// The same entries in reverse order.
+// Returns the entries in reverse order.
 template <class Entry>
 EntryList<Entry> reversed(const EntryList<Entry>& entries) {
     std::vector<Entry> result(entries.begin(), entries.end());
     std::reverse(result.begin(), result.end());
     return result;
 }
-// A configuration whose entries ascend by name.
+// Returns a configuration whose entries are sorted by name.
 inline Configuration random_configuration(RandomSource& random, int max_entries) {
     Configuration config;
     config.version = 1 + static_cast<unsigned>(random.up_to(1000));
@@ -98,7 +99,7 @@
     return config;
 }
 
-// A configuration in which some entries of each list are changed, removed or added.
+// Returns a copy of a configuration with some entries of each list modified, removed or added.
 inline Configuration random_change(RandomSource& random, const Configuration& from, int max_entries) {
     const Configuration other = random_configuration(random, max_entries);
     Configuration target = other;
