--- a/src/cluster/registry/endpoint_records.h
+++ b/src/cluster/registry/endpoint_records.h
@@ -1,4 +1,4 @@
-// Bookkeeping of an EndpointView for each server and each owner.
+// Records that an EndpointView keeps for each server and each owner.
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
@@ -18,31 +18,32 @@
 
 using Servers = std::map<std::string, Server>;
 
-// Whose entry of a server it is: the owner, as an index into the view's owners, and its incarnation.
+// Identifies the owner of a server's entry: an index into the view's owners, and the owner's incarnation.
 struct Ownership {
     std::uint32_t owner = 0;
     std::uint64_t incarnation = 0;
     bool operator==(const Ownership&) const = default;
 };
 
-// A server and its bookkeeping.
+// A server and the state of its entry.
 struct Record {
     Servers::iterator server;
-    std::uint64_t sequence = 0;                 // of its latest change
-    std::uint64_t announced_call_count = 0;     // at that change
-    Ownership ownership;                        // of the process that had its latest call
-    TimePoint first_called_at{};                // when an owner had the first call of it
-    TimePoint checked_at{};                     // by tick
-    TimePoint ended_at{};                       // when it became Departed or Expired here
-    State reported_state = State::InService;    // by its owner, if owner_unreachable or displaced
-    bool deregistered = false;                  // by itself
-    bool owner_unreachable = false;             // Expired only since nobody hears of its owner
-    bool displaced = false;                     // Departed only since another server has its address
-    bool was_owned = false;    // this process owned it once: readers of its entries need the later ones
+    std::uint64_t sequence = 0;                 // sequence number of the latest change
+    std::uint64_t announced_call_count = 0;     // Server::call_count at that change
+    Ownership ownership;                        // the process that received the latest heartbeat
+    TimePoint first_heartbeat_at{};             // when an owner received the first heartbeat
+    TimePoint checked_at{};                     // when tick() last checked the server
+    TimePoint ended_at{};                       // when this process set Departed or Expired
+    State reported_state = State::InService;    // by its owner; set if owner_unreachable or displaced
+    bool deregistered = false;                  // by the server itself; final
+    bool owner_unreachable = false;             // Expired only because its owner is unreachable
+    bool displaced = false;                     // Departed only because another server uses its address
+    // This process owned it before: its later entries still go to readers that only receive owned ones.
+    bool was_owned = false;
 
     std::string_view id() const { return server->first; }
     std::string_view address() const { return server->second.address; }
-    // The state that others are told, which leaves out what was merely concluded here.
+    // The state in updates for other processes, which excludes conclusions of this process.
     State advertised_state() const {
         return owner_unreachable || displaced ? reported_state : server->second.state;
     }
@@ -51,7 +52,7 @@
 struct ById;
 struct BySequence;
 struct ByAddress;
-struct ByCheckTime;    // the one checked longest ago first
+struct ByCheckTime;    // least recently checked first
 using Records = boost::multi_index_container<
     Record, boost::multi_index::indexed_by<
                 boost::multi_index::hashed_unique<
@@ -71,10 +72,10 @@
 // A process that owns servers.
 struct Owner {
     std::string address;
-    std::uint64_t incarnation = 0;       // 0: never heard of
-    std::uint64_t known_sequence = 0;    // its changes up to this one are known
-    TimePoint last_heard{};
-    // Every running server has called a controller since this incarnation began.
+    std::uint64_t incarnation = 0;       // 0: unknown
+    std::uint64_t known_sequence = 0;    // its changes up to this sequence number are known
+    TimePoint last_contact_at{};
+    // Every running server has sent a heartbeat to some controller since this incarnation started.
     bool registrations_complete = false;
 };
 
@@ -83,7 +84,7 @@
 
 inline bool is_running(State state) { return state == State::InService || state == State::Draining; }
 
-// Orders the states that a server can go through without a call in between.
+// Orders the states that a server can pass through between two heartbeats.
 inline int state_rank(State state) {
     switch (state) {
         case State::InService: return 0;
--- a/src/cluster/registry/endpoint_view.cpp
+++ b/src/cluster/registry/endpoint_view.cpp
@@ -7,7 +7,7 @@
 namespace shaletray::registry {
 namespace {
 
-// A difference of the remaining slow start up to it is no change: calls take different times.
+// A smaller difference in the remaining slow start is not a change: the latency of heartbeats varies.
 constexpr Duration kSlowStartTolerance = std::chrono::seconds(1);
 
 }    // namespace
@@ -24,22 +24,22 @@
     owners_[kSelfOwner].incarnation = new_incarnation;
 }
 
-bool EndpointView::Impl::record_call(const Server& server, TimePoint now) {
+bool EndpointView::Impl::record_heartbeat(const Server& server, TimePoint now) {
     record_activity(now);
     const auto it = records_.find(std::string_view(server.id));
-    const auto as_called_now = [&] {
+    const auto received_server = [&] {
         Server updated = server;
         updated.last_called_at = now;
         return updated;
     };
     if (it == records_.end()) {
-        displace_older(add_record(as_called_now(), own(), now, false, now), now);
+        displace_older(add_record(received_server(), self_ownership(), now, false, now), now);
         return true;
     }
     Server& known = it->server->second;
     if (it->deregistered || server.call_count <= known.call_count) return false;
     if (is_change(it, server, now)) {
-        replace_server(it, as_called_now(), own(), now, now);
+        replace_server(it, received_server(), self_ownership(), now, now);
         return true;
     }
     known.call_count = server.call_count;
@@ -55,11 +55,12 @@
         std::max(Duration(0), known.slow_start_left - (now - known.last_called_at));
     return known.state != server.state || !is_owned(*it) || it->owner_unreachable ||
            known.address != server.address || known.service != server.service || known.zone != server.zone ||
-           known.revision != server.revision || known.capacity != server.capacity || is_contested(it) ||
+           known.revision != server.revision || known.capacity != server.capacity ||
+           has_address_conflict(it) ||
            std::chrono::abs(known_slow_start - server.slow_start_left) > kSlowStartTolerance;
 }
 
-bool EndpointView::Impl::is_contested(RecordIterator it) const {
+bool EndpointView::Impl::has_address_conflict(RecordIterator it) const {
     const auto [begin, end] = records_.get<ByAddress>().equal_range(it->address());
     return std::any_of(begin, end, [&](const Record& other) {
         return other.id() != it->id() && is_running(other.server->second.state);
@@ -69,16 +70,16 @@
 bool EndpointView::Impl::deregister(std::string_view id, TimePoint now) {
     record_activity(now);
     const auto it = records_.find(id);
-    if (it == records_.end()) {    // kept, so that a late call of it is rejected
+    if (it == records_.end()) {    // recorded, so that a late heartbeat of the server is rejected
         Server server;
         server.id = std::string(id);
         server.state = State::Departed;
         server.last_called_at = now;
-        add_record(std::move(server), own(), now, true, now);
+        add_record(std::move(server), self_ownership(), now, true, now);
         return true;
     }
     if (it->deregistered) return false;
-    mark_deregistered(it, own(), now);
+    mark_deregistered(it, self_ownership(), now);
     return true;
 }
 
@@ -127,7 +128,7 @@
 
 void EndpointView::Impl::record_activity(TimePoint now) {
     if (started_at_ == TimePoint{}) started_at_ = now;
-    owners_[kSelfOwner].last_heard = now;
+    owners_[kSelfOwner].last_contact_at = now;
     owners_[kSelfOwner].registrations_complete = now - started_at_ >= owner_timeout();
 }
 
@@ -142,15 +143,15 @@
 
 bool EndpointView::Impl::is_owner_lost(const Record& record, TimePoint now) const {
     const Owner& owner = owners_[record.ownership.owner];
-    return now - owner.last_heard >= owner_timeout() ||
+    return now - owner.last_contact_at >= owner_timeout() ||
            (owner.incarnation > record.ownership.incarnation && owner.registrations_complete);
 }
 
 EndpointView::EndpointView(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
 EndpointView::~EndpointView() = default;
 void EndpointView::set_incarnation(std::uint64_t new_incarnation) { impl_->set_incarnation(new_incarnation); }
-bool EndpointView::record_call(const Server& server, TimePoint now) {
-    return impl_->record_call(server, now);
+bool EndpointView::record_heartbeat(const Server& server, TimePoint now) {
+    return impl_->record_heartbeat(server, now);
 }
 bool EndpointView::deregister(std::string_view id, TimePoint now) { return impl_->deregister(id, now); }
 boost::leaf::result<std::vector<std::string>> EndpointView::apply_changes(const std::string& from,
--- a/src/cluster/registry/endpoint_view.h
+++ b/src/cluster/registry/endpoint_view.h
@@ -1,5 +1,5 @@
-// The servers as a controller or a gateway knows them: entries of several controllers, merged to the same
-// result in whatever order they arrive.
+// A view of all servers, kept by controllers and gateways. Entries of several controllers are merged to the
+// same result regardless of the order in which they arrive.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -14,42 +14,45 @@
 
 namespace shaletray::registry {
 
-// Merges what servers say to controllers. An entry is what a server said to its owner, the controller that
-// had its latest call; the call counts order the entries of a server. A server's own deregistration is final.
-// Two more things are concluded, and refuted by a later call: that a server is Expired, since its owner had
-// no call of it for too long, and that it has Departed, since another server called from its address for the
-// first time after its last call.
+// Merges the entries of servers that controllers announce. An entry is the state that a server reported to
+// its owner, the controller that received its latest heartbeat; call counts order the entries of a server. A
+// server's own deregistration is final. Two states are concluded, and reverted by a later heartbeat: a server
+// is Expired when its owner has received no heartbeat for `heartbeat_timeout`, and Departed when the first
+// heartbeat of another server at its address came after its own last heartbeat.
 //
-// An owner may be silent because it is partitioned: its servers are Expired for that only when nobody has
-// heard of it for twice that time, and are restored as soon as somebody hears of it again.
+// An owner may be unreachable because of a network partition. Its servers become Expired only when no process
+// has had contact with it for twice the heartbeat timeout, and are restored on the next contact.
 //
-// Does no input or output and reads no clock. Not thread-safe.
+// Does no I/O and reads no clock. Not thread-safe.
 class EndpointView {
 public:
     struct Settings {
-        std::string self_address;    // empty: a gateway, which owns no servers
+        std::string self_address;    // empty for a gateway, which owns no servers
         std::uint64_t incarnation = 0;
-        Duration heartbeat_timeout = std::chrono::seconds(6);    // without calls until a server is Expired
+        Duration heartbeat_timeout = std::chrono::seconds(6);    // a server without heartbeats then expires
         Duration ended_retention = std::chrono::seconds(60);     // of Departed and Expired servers
-        Duration orphan_retention =
-            std::chrono::minutes(10);    // of those that Expired for their owner's silence
+        // Retention of servers that are Expired because their owner is unreachable.
+        Duration orphan_retention = std::chrono::minutes(10);
     };
     explicit EndpointView(Settings settings);
     ~EndpointView();
-    // This process has taken a higher incarnation, which owns what the previous one did.
+    // Sets a higher incarnation of this process, which keeps the servers that the previous one owned.
     void set_incarnation(std::uint64_t new_incarnation);
 
-    // A server called this process. False: the call is not later than the known one, nothing changed.
-    bool record_call(const Server& server, TimePoint now);
-    // A server deregistered with this process. False: it had done so before.
+    // Records a heartbeat that this process received. Returns false, without changes, where it is not later
+    // than the known one or the server has deregistered.
+    bool record_heartbeat(const Server& server, TimePoint now);
+    // Records a deregistration that this process received. Returns false where the server was already
+    // deregistered.
     bool deregister(std::string_view id, TimePoint now);
-    // Merges an update and returns the ids of the servers that changed. `from`: the address of the sender;
-    // empty if it is not known. Error: runtime::MalformedMessage; then nothing changed.
+    // Merges an update and returns the ids of the servers that changed. `from` is the address of the sender,
+    // or empty where it is unknown. Error: runtime::MalformedMessage, without changes.
     boost::leaf::result<std::vector<std::string>> apply_changes(const std::string& from,
                                                                 std::string_view bytes, TimePoint now);
-    // Expires and erases servers whose time is over; returns the ids of those.
+    // Expires servers whose heartbeats stopped, and erases ended ones after their retention. Returns the ids
+    // of both.
     std::vector<std::string> tick(TimePoint now);
-    // The entries changed after `since`, see ServiceRegistry::encode_changes().
+    // Encodes the entries that changed after `since`; see ServiceRegistry::encode_changes().
     std::string encode_changes(std::uint64_t since, bool own_only, TimePoint now) const;
 
     std::uint64_t sequence() const;
--- a/src/cluster/registry/heartbeat.cpp
+++ b/src/cluster/registry/heartbeat.cpp
@@ -1,4 +1,4 @@
-// Parser of the JSON body of a heartbeat. Its error codes name the field that is malformed.
+// Parses the JSON body of a heartbeat. Error codes name the malformed field.
 #include <boost/json/monotonic_resource.hpp>
 #include <boost/json/parse.hpp>
 #include <boost/json/value_to.hpp>
@@ -17,10 +17,10 @@
 
 namespace {
 
-// Of ids, names and addresses.
+// Limit for ids, names and addresses, in bytes.
 constexpr std::size_t kMaxNameLength = 256;
 constexpr int kMaxCapacity = 1'000'000;
-// Holds the parsed form of a usual heartbeat without an allocation.
+// Holds the parsed form of a typical heartbeat without an allocation.
 constexpr std::size_t kParseBufferBytes = 4096;
 
 enum class HeartbeatError {
@@ -41,17 +41,17 @@
     std::string message(int code) const override {
         switch (HeartbeatError{code}) {
             case HeartbeatError::Body: return "body: not an object";
-            case HeartbeatError::Address: return "address: not a text of an address";
+            case HeartbeatError::Address: return "address: not a string of the form host:port";
             case HeartbeatError::Service: return "system_info.service: not a name";
-            case HeartbeatError::Revision: return "system_info.revision: not a text";
-            case HeartbeatError::Zone: return "system_info.zone: not a text";
-            case HeartbeatError::Capacity:
-                return "system_info.capacity: not a whole number from 1 to 1000000";
+            case HeartbeatError::Revision: return "system_info.revision: not a string";
+            case HeartbeatError::Zone: return "system_info.zone: not a string";
+            case HeartbeatError::Capacity: return "system_info.capacity: not an integer from 1 to 1000000";
             case HeartbeatError::State: return "status.state: neither in_service nor draining";
-            case HeartbeatError::CallCount: return "status.call_count: not a whole number from 0 on";
-            case HeartbeatError::SlowStart: return "status.ramp_left: not a time as \"1500ms\" or \"2.5s\"";
+            case HeartbeatError::CallCount: return "status.call_count: not an integer of at least 0";
+            case HeartbeatError::SlowStart:
+                return "status.ramp_left: not a duration such as \"1500ms\" or \"2.5s\"";
         }
-        return "body: wrong";
+        return "body: invalid";
     }
 };
 boost::system::error_code field_error(HeartbeatError error) {
@@ -59,7 +59,7 @@
     return {static_cast<int>(error), kCategory};
 }
 
-// The field under the first of the names that is present; null counts as absent.
+// Returns the field under the first of the names that is present; null counts as absent.
 const json::value* find_field(const json::object& object, std::string_view name,
                               std::string_view alternative_name = {}) {
     const json::value* value = object.if_contains(name);
@@ -76,7 +76,7 @@
     return true;
 }
 
-// The parts of a heartbeat, each with the tag_invoke by which Boost.JSON converts it.
+// The parts of a heartbeat, each with a tag_invoke for conversion by Boost.JSON.
 struct SystemInfo {
     std::string service;
     std::string revision;
@@ -157,7 +157,7 @@
 
 namespace {
 
-// A server cannot hold more ranges than its heartbeats' size permits.
+// Maximum number of rows per list of key ranges; the size limit of a heartbeat permits no more.
 constexpr std::size_t kMaxHoldRows = 1024;
 constexpr std::size_t kHoldRowSize = 3;
 
@@ -191,7 +191,7 @@
     return ownership::ReleasedRange{*keys, std::move(handover)};
 }
 
-// Reads the rows that can be read; returns how many cannot.
+// Reads the valid rows and returns the number of malformed ones.
 template <class Range, class ReadRow>
 std::size_t read_rows(const json::value* value, std::vector<Range>& ranges, const ReadRow& read_row) {
     if (value == nullptr) return 0;
@@ -211,7 +211,7 @@
 
 leaf::result<Heartbeat> parse_heartbeat(std::string_view id, std::string_view text) {
     if (id.empty() || id.size() > kMaxNameLength)
-        return leaf::new_error(std::string("id: none, or too long"));
+        return leaf::new_error(std::string("id: empty or too long"));
     unsigned char buffer[kParseBufferBytes];
     json::monotonic_resource memory(buffer, sizeof buffer);
     boost::system::error_code error;
--- a/src/cluster/registry/record_changes.cpp
+++ b/src/cluster/registry/record_changes.cpp
@@ -1,4 +1,4 @@
-// Changes of an EndpointView's records.
+// Modifications of an EndpointView's records.
 #include <algorithm>
 
 #include "cluster/registry/endpoint_view_impl.h"
@@ -6,9 +6,9 @@
 namespace shaletray::registry {
 namespace {
 
-// Times of calls are known to about this precision: a server at the same address is only held for ended if
-// its last call was longer before the other's first one.
-constexpr Duration kMinCallGap = std::chrono::seconds(1);
+// The approximate precision of heartbeat times. A server is displaced by another one at its address only if
+// its last heartbeat precedes the first one of the other by more than this.
+constexpr Duration kMinHeartbeatGap = std::chrono::seconds(1);
 
 }    // namespace
 
@@ -25,14 +25,15 @@
     by_check_time.relocate(by_check_time.end(), records_.project<ByCheckTime>(it));
 }
 
-RecordIterator EndpointView::Impl::add_record(Server server, Ownership ownership, TimePoint first_called_at,
-                                              bool deregistered, TimePoint now) {
+RecordIterator EndpointView::Impl::add_record(Server server, Ownership ownership,
+                                              TimePoint first_heartbeat_at, bool deregistered,
+                                              TimePoint now) {
     Record record;
     record.server = servers_.emplace(server.id, std::move(server)).first;
     record.sequence = ++sequence_;
     record.announced_call_count = record.server->second.call_count;
     record.ownership = ownership;
-    record.first_called_at = first_called_at;
+    record.first_heartbeat_at = first_heartbeat_at;
     record.checked_at = now;
     record.ended_at = now;
     record.deregistered = deregistered;
@@ -40,11 +41,11 @@
 }
 
 void EndpointView::Impl::replace_server(RecordIterator it, Server server, Ownership ownership,
-                                        TimePoint first_called_at, TimePoint now) {
+                                        TimePoint first_heartbeat_at, TimePoint now) {
     records_.modify(it, [&](Record& record) {
         record.was_owned = record.was_owned || is_owned(record);
         record.ownership = ownership;
-        record.first_called_at = std::min(record.first_called_at, first_called_at);
+        record.first_heartbeat_at = std::min(record.first_heartbeat_at, first_heartbeat_at);
         record.owner_unreachable = false;
         record.displaced = false;
         if (!is_running(server.state)) record.ended_at = now;
@@ -80,7 +81,7 @@
 }
 
 void EndpointView::Impl::erase_record(RecordIterator it) {
-    // Its owner may come back: then all of its entries are needed again.
+    // If the owner becomes reachable again, all of its entries are needed again.
     if (it->owner_unreachable) owners_[it->ownership.owner].known_sequence = 0;
     const Servers::iterator server = it->server;
     records_.erase(it);
@@ -95,9 +96,9 @@
     for (auto other = begin; other != end; ++other) {
         const Server& other_server = other->server->second;
         if (other->id() == it->id() || other_server.state == State::Departed) continue;
-        if (other_server.last_called_at + kMinCallGap < it->first_called_at) {
+        if (other_server.last_called_at + kMinHeartbeatGap < it->first_heartbeat_at) {
             displaced.push_back(records_.project<ById>(other));
-        } else if (server.last_called_at + kMinCallGap < other->first_called_at &&
+        } else if (server.last_called_at + kMinHeartbeatGap < other->first_heartbeat_at &&
                    is_running(other_server.state)) {
             displaced.push_back(it);
         }
--- a/src/cluster/registry/service_registry.cpp
+++ b/src/cluster/registry/service_registry.cpp
@@ -22,7 +22,7 @@
     view_->set_incarnation(new_incarnation);
 }
 bool ServiceRegistry::record_heartbeat(const Heartbeat& heartbeat, TimePoint now) {
-    return view_->record_call(heartbeat.server, now);
+    return view_->record_heartbeat(heartbeat.server, now);
 }
 bool ServiceRegistry::deregister(std::string_view id, TimePoint now) { return view_->deregister(id, now); }
 void ServiceRegistry::merge_changes(const std::string& from, std::string_view bytes, TimePoint now) {
--- a/src/cluster/registry/update_encoder.cpp
+++ b/src/cluster/registry/update_encoder.cpp
@@ -1,4 +1,4 @@
-// Updates for other controllers and for gateways.
+// Encodes updates for other controllers and for gateways.
 #include <algorithm>
 #include <unordered_map>
 
@@ -9,16 +9,16 @@
 namespace shaletray::registry {
 namespace {
 
-// All owners are listed once in so many updates, and in as many as half of the owners where that is more: a
-// reader gets several updates a second, and an owner is taken for lost after many seconds only. Without this
-// the list would make up most of the bytes that gateways receive.
+// All owners are listed only in every n-th update, where n is half the number of owners but at least this. A
+// reader receives several updates per second and an owner counts as lost only after many seconds, so listing
+// all of them each time is unnecessary, and would make up most of the bytes that gateways receive.
 constexpr std::uint64_t kMinOwnerAnnouncementPeriod = 4;
-// Sizes of the first segment of a message, in words.
+// Size of the first segment of a message, in words: fixed part, and part per entry.
 constexpr std::size_t kHeaderWords = 64;
 constexpr std::size_t kEntryWords = 16;
 
-// The names of an update, each once, numbered in the order of their first use. Refers to the strings, which
-// have to outlive it.
+// The distinct names of an update, numbered in the order of their first use. Points to the strings, which
+// must outlive it.
 class NameList {
 public:
     std::uint32_t index_of(const std::string& name) {
@@ -39,7 +39,7 @@
 
 }    // namespace
 
-// The owners of an update, the sender first, and the number that each has in it.
+// The owners listed in an update, the sender first, and the position of each.
 class EndpointView::Impl::OwnerList {
 public:
     explicit OwnerList(std::size_t owner_count) : positions_(owner_count, kNotListed) { add(kSelfOwner); }
@@ -53,7 +53,7 @@
 
 private:
     static constexpr std::uint16_t kNotListed = 0xffff;
-    std::vector<std::uint16_t> positions_;    // by the owner's index in this process
+    std::vector<std::uint16_t> positions_;    // by owner index in this process
     std::vector<std::uint32_t> listed_;
 };
 
@@ -98,7 +98,7 @@
         builder.setIncarnation(owner.incarnation);
         builder.setRegistrationsComplete(is_self ? now - started_at_ >= owner_timeout()
                                                  : owner.registrations_complete);
-        builder.setSilentMs(is_self ? 0 : to_milliseconds(now - owner.last_heard));
+        builder.setSilentMs(is_self ? 0 : to_milliseconds(now - owner.last_contact_at));
     }
 }
 
@@ -112,7 +112,7 @@
     builder.setCapacity(static_cast<std::uint32_t>(server.capacity));
     builder.setSlowStartLeftMs(to_milliseconds(server.slow_start_left));
     builder.setSilentMs(to_milliseconds(now - server.last_called_at));
-    builder.setAgeMs(to_milliseconds(now - record.first_called_at));
+    builder.setAgeMs(to_milliseconds(now - record.first_heartbeat_at));
     builder.setState(static_cast<std::uint8_t>(record.advertised_state()));
     builder.setDeregistered(record.deregistered);
     if (record.ownership.incarnation != owners_[record.ownership.owner].incarnation)
--- a/src/cluster/registry/update_merge.cpp
+++ b/src/cluster/registry/update_merge.cpp
@@ -1,4 +1,4 @@
-// Updates of other controllers: validation, and how their entries are merged.
+// Validates the updates of other controllers and merges their entries.
 #include <algorithm>
 #include <limits>
 
@@ -19,27 +19,27 @@
 
 leaf::result<void> validate_owners(const std::string& from, wire::RegistryUpdate::Reader update) {
     const auto owners = update.getOwners();
-    if (owners.size() == 0 || owners.size() > kMaxOwners) return malformed("owners: none or too many");
+    if (owners.size() == 0 || owners.size() > kMaxOwners) return malformed("owners: empty or too many");
     for (const auto owner : owners)
         if (owner.getAddress().size() == 0 || owner.getIncarnation() == 0)
-            return malformed("owners: no address or no incarnation");
+            return malformed("owners: address or incarnation is missing");
     if (!from.empty() && runtime::text_of(owners[0].getAddress()) != from)
-        return malformed("owners: the first is not the sender");
+        return malformed("owners: the first one is not the sender");
     return {};
 }
 
 leaf::result<void> validate_entry(wire::Entry::Reader entry, std::size_t name_count,
                                   std::size_t owner_count) {
-    if (entry.getId().size() == 0) return malformed("entries: no id");
+    if (entry.getId().size() == 0) return malformed("entries: id is missing");
     if (entry.getService() >= name_count || entry.getZone() >= name_count ||
         entry.getRevision() >= name_count)
-        return malformed("entries: no such name");
-    if (entry.getOwner() >= owner_count) return malformed("entries: no such owner");
+        return malformed("entries: name index is out of range");
+    if (entry.getOwner() >= owner_count) return malformed("entries: owner index is out of range");
     if (entry.getState() > static_cast<std::uint8_t>(State::Expired))
-        return malformed("entries: no such state");
+        return malformed("entries: unknown state");
     if (entry.getCapacity() > static_cast<std::uint32_t>(std::numeric_limits<int>::max()))
-        return malformed("entries: capacity");
-    static_cast<void>(entry.getAddress().size());    // throws if it cannot be read
+        return malformed("entries: capacity is out of range");
+    static_cast<void>(entry.getAddress().size());    // throws if the text is unreadable
     return {};
 }
 
@@ -79,11 +79,11 @@
     return changed_ids;
 }
 
-// Reads every field that apply_update does, so that nothing is changed by an update that cannot be read.
+// Reads every field that apply_update() reads, so that an unreadable update is rejected before any change.
 leaf::result<void> EndpointView::Impl::validate(const std::string& from,
                                                 wire::RegistryUpdate::Reader update) const {
     BOOST_LEAF_CHECK(validate_owners(from, update));
-    if (update.getSince() > update.getSequence()) return malformed("since: after the sequence");
+    if (update.getSince() > update.getSequence()) return malformed("since: greater than sequence");
     const auto names = update.getNames();
     if (names.size() > kMaxNames) return malformed("names: too many");
     for (const auto name : names) static_cast<void>(name.size());
@@ -101,22 +101,23 @@
 }
 
 void EndpointView::Impl::update_owner(std::uint32_t index, std::uint64_t incarnation,
-                                      bool registrations_complete, TimePoint heard_at, TimePoint now) {
+                                      bool registrations_complete, TimePoint contact_at, TimePoint now) {
     if (index == kSelfOwner) return;
     Owner& owner = owners_[index];
     if (incarnation < owner.incarnation) {
-        // Either a late message, or a restart after the clock was set back.
-        if (heard_at != now || now - owner.last_heard < owner_timeout()) return;
+        // Either a late message, or a restart after the clock was set back. The latter is assumed only for a
+        // message of the owner itself after it was unreachable.
+        if (contact_at != now || now - owner.last_contact_at < owner_timeout()) return;
         owner.incarnation = 0;
     }
     if (incarnation > owner.incarnation) {
-        owner = {std::move(owner.address), incarnation, 0, heard_at, registrations_complete};
+        owner = {std::move(owner.address), incarnation, 0, contact_at, registrations_complete};
         return;
     }
     owner.registrations_complete |= registrations_complete;
-    const bool was_unreachable = now - owner.last_heard >= owner_timeout();
-    owner.last_heard = std::max(owner.last_heard, heard_at);
-    const bool is_unreachable = now - owner.last_heard >= owner_timeout();
+    const bool was_unreachable = now - owner.last_contact_at >= owner_timeout();
+    owner.last_contact_at = std::max(owner.last_contact_at, contact_at);
+    const bool is_unreachable = now - owner.last_contact_at >= owner_timeout();
     if (was_unreachable && !is_unreachable) restore_servers({index, incarnation});
 }
 
@@ -156,12 +157,12 @@
 
 void EndpointView::Impl::apply_entry(wire::Entry::Reader entry, const std::vector<std::string>& names,
                                      Ownership ownership, TimePoint now) {
-    const TimePoint first_called_at = now - from_milliseconds(entry.getAgeMs());
+    const TimePoint first_heartbeat_at = now - from_milliseconds(entry.getAgeMs());
     const auto it = records_.find(runtime::text_of(entry.getId()));
     if (it == records_.end()) {
         Server server = read_server(entry, names, now);
         const bool deregistered = entry.getDeregistered();
-        displace_older(add_record(std::move(server), ownership, first_called_at, deregistered, now), now);
+        displace_older(add_record(std::move(server), ownership, first_heartbeat_at, deregistered, now), now);
         return;
     }
     if (it->deregistered) return;
@@ -171,24 +172,24 @@
     }
     const std::uint64_t known_call_count = it->server->second.call_count;
     if (entry.getCallCount() < known_call_count) {
-        // Another process takes itself for the owner, since a later call here was no change and not
-        // announced.
+        // Another process claims ownership, because a later heartbeat that this process received was not a
+        // change and was not announced. Announce it now.
         if (is_owned(*it) && entry.getCallCount() > it->announced_call_count) mark_changed(it);
         return;
     }
     if (entry.getCallCount() == known_call_count) {
-        apply_same_call(it, entry, ownership, now);
+        apply_same_heartbeat(it, entry, ownership, now);
         return;
     }
-    replace_server(it, read_server(entry, names, now), ownership, first_called_at, now);
+    replace_server(it, read_server(entry, names, now), ownership, first_heartbeat_at, now);
 }
 
-void EndpointView::Impl::apply_same_call(RecordIterator it, wire::Entry::Reader entry, Ownership ownership,
-                                         TimePoint now) {
+void EndpointView::Impl::apply_same_heartbeat(RecordIterator it, wire::Entry::Reader entry,
+                                              Ownership ownership, TimePoint now) {
     Server& known_server = it->server->second;
-    // An entry that was longer under way gives a time that is too late.
-    const TimePoint called_at = now - from_milliseconds(entry.getSilentMs());
-    known_server.last_called_at = std::min(known_server.last_called_at, called_at);
+    // A delayed entry yields a time that is too late, so the earliest one is kept.
+    const TimePoint received_at = now - from_milliseconds(entry.getSilentMs());
+    known_server.last_called_at = std::min(known_server.last_called_at, received_at);
     const Ownership known_ownership = it->ownership;
     if (known_ownership.owner == ownership.owner && ownership.incarnation > known_ownership.incarnation) {
         records_.modify(it, [&](Record& record) { record.ownership = ownership; });
@@ -197,14 +198,15 @@
     const auto state = static_cast<State>(entry.getState());
     const State known_state = it->advertised_state();
     const bool has_later_state = state_rank(state) > state_rank(known_state);
-    // If two processes take themselves for the owner, all agree on the one with the greater address.
+    // Where two processes claim ownership, the one with the greater address wins everywhere.
     const bool owner_changes = it->ownership.owner != ownership.owner &&
                                owners_[ownership.owner].address > owners_[it->ownership.owner].address;
     if (!has_later_state && !owner_changes) return;
     Server updated = known_server;
     updated.state = has_later_state ? state : known_state;
-    const TimePoint first_called_at = now - from_milliseconds(entry.getAgeMs());
-    replace_server(it, std::move(updated), owner_changes ? ownership : it->ownership, first_called_at, now);
+    const TimePoint first_heartbeat_at = now - from_milliseconds(entry.getAgeMs());
+    replace_server(it, std::move(updated), owner_changes ? ownership : it->ownership, first_heartbeat_at,
+                   now);
 }
 
 }    // namespace shaletray::registry
--- a/src/cluster/registry/wire_time.h
+++ b/src/cluster/registry/wire_time.h
@@ -1,4 +1,4 @@
-// Durations as registry.capnp holds them: milliseconds in 32 bits.
+// Conversion of durations to and from registry.capnp: milliseconds in 32 bits.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace shaletray::registry {
 
-// Durations out of range become the nearest value.
+// Clamps durations to the range.
 inline std::uint32_t to_milliseconds(Duration duration) {
     const auto count = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
     return static_cast<std::uint32_t>(
--- a/tests/cluster/registry/heartbeat_test.cpp
+++ b/tests/cluster/registry/heartbeat_test.cpp
@@ -1,4 +1,4 @@
-// Parsing of heartbeats.
+// Tests of the heartbeat parser.
 #include <criterion/criterion.h>
 
 #include <boost/leaf/handle_errors.hpp>
@@ -12,7 +12,7 @@
 using namespace shaletray::registry;
 using namespace std::chrono_literals;
 
-Test(heartbeat, is_parsed_with_and_without_optional_fields) {
+Test(heartbeat, parses_with_and_without_optional_fields) {
     const auto heartbeat = parse_heartbeat(
         "i-7f3a91c2",
         R"({"address":"10.128.0.9:8080","news":[1],"system_info":{"service":"huvo11a","revision":"v1","zone":"z",
@@ -29,7 +29,7 @@
     cr_assert(minimal.value().server.capacity == 3 && minimal->server.revision == "v2");
 }
 
-Test(heartbeat, tells_the_keys_that_a_server_holds_and_leaves_out_malformed_rows) {
+Test(heartbeat, parses_held_key_ranges_and_skips_malformed_rows) {
     const auto with_rows = [](const std::string& held, const std::string& released) {
         return parse_heartbeat(
                    "i", R"({"address":"a:1","system_info":{"service":"s"},"status":{"state":"in_service",)"
@@ -37,14 +37,14 @@
                             held + R"(,"released":)" + released + "}")
             .value();
     };
-    const Heartbeat good = with_rows("[[0,4095,7],[9000,9000,12]]", R"([[4096,65535,"5c0e"]])");
-    cr_assert(good.malformed_rows == 0);
-    cr_assert(good.holds.held == std::vector<ownership::HeldRange>({{{0, 4095}, 7}, {{9000, 9000}, 12}}));
-    cr_assert(good.holds.released == std::vector<ownership::ReleasedRange>({{{4096, 65535}, "5c0e"}}));
+    const Heartbeat valid = with_rows("[[0,4095,7],[9000,9000,12]]", R"([[4096,65535,"5c0e"]])");
+    cr_assert(valid.malformed_rows == 0);
+    cr_assert(valid.holds.held == std::vector<ownership::HeldRange>({{{0, 4095}, 7}, {{9000, 9000}, 12}}));
+    cr_assert(valid.holds.released == std::vector<ownership::ReleasedRange>({{{4096, 65535}, "5c0e"}}));
     for (const std::string row : {"[5,4,1]", "[0,65536,1]", "[-1,4,1]", "[0,1]", "[0,1,-1]", "[0,1,\"f\"]",
                                   "7", "[0.5,2,1]", "[0,1,2,3]"}) {
-        const Heartbeat bad = with_rows("[" + row + ",[1,2,3]]", "[]");
-        cr_assert(bad.malformed_rows == 1 && bad.holds.held.size() == 1, "%s", row.c_str());
+        const Heartbeat partial = with_rows("[" + row + ",[1,2,3]]", "[]");
+        cr_assert(partial.malformed_rows == 1 && partial.holds.held.size() == 1, "%s", row.c_str());
     }
     cr_assert(with_rows("{}", "7").malformed_rows == 2);
     cr_assert(with_rows("null", "null").malformed_rows == 0);
@@ -55,14 +55,14 @@
         return boost::leaf::try_handle_all(
             [&]() -> boost::leaf::result<std::string> {
                 BOOST_LEAF_CHECK(parse_heartbeat("i", body));
-                return std::string("good");
+                return std::string("valid");
             },
-            [](const std::string& text) { return text; }, [] { return std::string("?"); });
+            [](const std::string& text) { return text; }, [] { return std::string("unexpected error"); });
     };
     const std::string info = R"("system_info":{"service":"s"})",
                       status = R"("status":{"state":"draining","call_count":1)";
     const std::string address = R"({"address":"a:1",)";
-    cr_assert(error_of(address + info + "," + status + "}}") == "good");
+    cr_assert(error_of(address + info + "," + status + "}}") == "valid");
     for (const auto& [body, field] : std::vector<std::pair<std::string, std::string>>{
              {"", "body:"},
              {"[]", "body:"},
--- a/tests/cluster/registry/next_registry.capnp
+++ b/tests/cluster/registry/next_registry.capnp
@@ -1,4 +1,4 @@
-# The messages of registry.capnp as a later version may have them: its new fields follow the present ones.
+# The schema of registry.capnp as a later version may define it, with fields added to each struct.
 @0xbbe0755f82d8ba8c;
 
 using Cxx = import "/capnp/c++.capnp";
--- a/tests/cluster/registry/registry_helpers.h
+++ b/tests/cluster/registry/registry_helpers.h
@@ -1,4 +1,4 @@
-// Helpers of the registry tests: heartbeats, registries and the state of servers.
+// Helpers of the registry tests: build heartbeats and registries, and read the state of servers.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -11,10 +11,10 @@
 
 namespace shaletray::registry {
 
-// A moment of the test, by its offset from the start.
+// Returns a time by its offset from the start of the test.
 inline TimePoint time_at(Duration offset) { return TimePoint(std::chrono::seconds(1'000'000) + offset); }
 
-// A heartbeat of a server on the host with this number.
+// Returns a heartbeat of a server on the host with this number.
 inline Heartbeat make_heartbeat(const std::string& id, std::uint64_t call_count,
                                 State state = State::InService, int host = 1) {
     Heartbeat heartbeat;
@@ -29,20 +29,20 @@
     return heartbeat;
 }
 
-// The registry of the controller on the host with this number.
+// Returns the registry of the controller on the host with this number.
 inline ServiceRegistry make_registry(int host, std::uint64_t incarnation = 1) {
     return ServiceRegistry(
         {"10.0.0." + std::to_string(host) + ":7100", incarnation, std::chrono::milliseconds(1500), 4});
 }
 inline std::string controller_address(int host) { return "10.0.0." + std::to_string(host) + ":7100"; }
 
-// Fails the test if the server is not known.
+// Fails the test where the server is unknown.
 inline State state_of(const std::map<std::string, Server>& servers, const std::string& id) {
     const auto it = servers.find(id);
-    cr_assert(it != servers.end(), "%s is not known", id.c_str());
+    cr_assert(it != servers.end(), "%s is unknown", id.c_str());
     return it->second.state;
 }
-// False also if the server is not known.
+// Returns false also where the server is unknown.
 inline bool has_state(const std::map<std::string, Server>& servers, const std::string& id, State expected) {
     const auto it = servers.find(id);
     return it != servers.end() && it->second.state == expected;
--- a/tests/cluster/registry/service_registry_test.cpp
+++ b/tests/cluster/registry/service_registry_test.cpp
@@ -1,4 +1,4 @@
-// Calls of servers, expiry and displacement.
+// Tests of heartbeats, deregistration, expiry and displacement.
 #include "cluster/registry/service_registry.h"
 
 #include <criterion/criterion.h>
@@ -11,12 +11,12 @@
 using namespace shaletray::registry;
 using namespace std::chrono_literals;
 
-Test(service_registry, accepts_each_call_once_and_no_late_one) {
+Test(service_registry, accepts_each_heartbeat_once_and_rejects_late_ones) {
     ServiceRegistry service_registry = make_registry(1);
     cr_assert(service_registry.record_heartbeat(make_heartbeat("i", 5), time_at(0s)));
     const auto sequence = service_registry.sequence();
     cr_assert(service_registry.record_heartbeat(make_heartbeat("i", 6), time_at(1s)));
-    cr_assert(service_registry.sequence() == sequence);    // no change that others need
+    cr_assert(service_registry.sequence() == sequence);    // nothing to announce
     cr_assert(service_registry.record_heartbeat(make_heartbeat("i", 8, State::Draining), time_at(2s)));
     cr_assert(service_registry.sequence() > sequence);
     cr_assert(!service_registry.record_heartbeat(make_heartbeat("i", 7), time_at(3s)) &&
@@ -26,7 +26,7 @@
               !service_registry.deregister("i", time_at(4s)));
     cr_assert(!service_registry.record_heartbeat(make_heartbeat("i", 9), time_at(5s)));
     cr_assert(state_of(service_registry.servers(), "i") == State::Departed);
-    // Also if only the deregistration arrived; in the end the server is erased.
+    // Late heartbeats are also rejected where only the deregistration arrived. Later the server is erased.
     cr_assert(service_registry.deregister("j", time_at(5s)) &&
               !service_registry.record_heartbeat(make_heartbeat("j", 1), time_at(6s)));
     for (Duration elapsed = 6s; elapsed < 80s; elapsed += 500ms) service_registry.tick(time_at(elapsed));
@@ -35,7 +35,7 @@
 
 namespace {
 
-// Two controllers that exchange updates while they are linked, and a gateway that is connected to the second.
+// Two controllers that exchange updates while `linked`, and a gateway that receives those of the second one.
 struct RegistryPair {
     ServiceRegistry first = make_registry(1), second = make_registry(2);
     EndpointDirectory directory;
@@ -77,7 +77,7 @@
     cr_assert(has_state(pair.directory.servers(), "i", State::Expired));
     pair.run_until(18s, true, [&](Duration) {
         pair.second.record_heartbeat(make_heartbeat("i", ++call_count), time_at(pair.now));
-    });    // the server calls the other controller now
+    });    // the server sends its heartbeats to the other controller now
     cr_assert(has_state(pair.first.servers(), "i", State::InService) &&
               has_state(pair.directory.servers(), "i", State::InService));
 }
@@ -93,9 +93,8 @@
     pair.run_until(4s, true, send_heartbeats);
     pair.run_until(12s, false, send_heartbeats);
     cr_assert(has_state(pair.second.servers(), "i", State::InService));
-    pair.run_until(30s, false,
-                   send_heartbeats);    // twice the timeout: as far as the second can know, the servers ended
-                                        // with their owner
+    // After twice the timeout the second controller assumes that the servers ended with their owner.
+    pair.run_until(30s, false, send_heartbeats);
     cr_assert(has_state(pair.second.servers(), "i", State::Expired) &&
               has_state(pair.directory.servers(), "j", State::Expired));
     pair.run_until(31s, true, send_heartbeats);
@@ -112,7 +111,7 @@
                                     time_at(pair.now));
         pair.first.record_heartbeat(make_heartbeat("j", call_count, State::InService, 2), time_at(pair.now));
     });
-    pair.first = make_registry(1, 2);    // restarted, knows nothing
+    pair.first = make_registry(1, 2);    // restarted with an empty registry
     const auto send_heartbeat = [&](Duration) {
         pair.second.record_heartbeat(make_heartbeat("i", ++call_count, State::InService, 1),
                                      time_at(pair.now));
@@ -137,14 +136,14 @@
               has_state(pair.directory.servers(), "j", State::Expired));
 }
 
-Test(service_registry, a_new_server_at_an_address_displaces_the_old_one) {
+Test(service_registry, new_server_at_an_address_displaces_the_old_one) {
     ServiceRegistry first = make_registry(1), second = make_registry(2);
     first.record_heartbeat(make_heartbeat("old", 7), time_at(0s));
     second.merge_changes(controller_address(1), first.encode_changes(0, true, time_at(0s)), time_at(0s));
     second.record_heartbeat(make_heartbeat("new", 1), time_at(4s));
     cr_assert(has_state(second.servers(), "old", State::Departed) &&
               has_state(second.servers(), "new", State::InService));
-    // The updates cross: on no side the old server displaces the new one.
+    // Whatever the order of updates, the old server does not displace the new one.
     ServiceRegistry third = make_registry(3);
     third.merge_changes(controller_address(2), second.encode_changes(0, true, time_at(4s)), time_at(4s));
     third.merge_changes(controller_address(1), first.encode_changes(0, true, time_at(4s)), time_at(4s));
@@ -157,7 +156,7 @@
               has_state(directory.servers(), "old", State::Departed));
 }
 
-Test(service_registry, a_call_refutes_a_displacement_by_a_late_update) {
+Test(service_registry, heartbeat_reverts_a_displacement_by_a_late_update) {
     ServiceRegistry first = make_registry(1), second = make_registry(2);
     first.record_heartbeat(make_heartbeat("old", 7), time_at(0s));
     const std::string late_update = first.encode_changes(0, true, time_at(0s));
@@ -172,7 +171,7 @@
     cr_assert(has_state(second.servers(), "new", State::InService));
     cr_assert(directory.apply_changes(second.encode_changes(0, false, time_at(10s)), time_at(10s)));
     cr_assert(has_state(directory.servers(), "new", State::InService));
-    // Even if the owner concluded nothing, it announces the next call.
+    // The owner announces the next heartbeat even where it displaced nothing itself.
     ServiceRegistry third = make_registry(3), fourth = make_registry(4);
     third.record_heartbeat(make_heartbeat("new", 5), time_at(20s));
     fourth.merge_changes(controller_address(3), third.encode_changes(0, true, time_at(20s)), time_at(20s));
--- a/tests/cluster/registry/update_merge_test.cpp
+++ b/tests/cluster/registry/update_merge_test.cpp
@@ -1,4 +1,4 @@
-// How updates of several controllers are merged, and those of other versions.
+// Tests of merging updates of several controllers, and of compatibility with a later version.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -15,9 +15,9 @@
 
 namespace {
 
-// The updates of two controllers that servers call in turn, and the final state of each server.
+// The updates of two controllers that servers send heartbeats to, and the final state of each server.
 struct History {
-    std::vector<std::string> updates;    // for gateways, in the order in which they were encoded
+    std::vector<std::string> updates;    // for gateways, in the order of their encoding
     std::map<std::string, State> expected_states;
     ServiceRegistry first = make_registry(1), second = make_registry(2);
     TimePoint ended_at;
@@ -65,7 +65,7 @@
 
 }    // namespace
 
-Test(endpoint_directory, converges_whatever_the_order_of_updates) {
+Test(endpoint_directory, converges_regardless_of_the_order_of_updates) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         const auto history = make_history(seed);
         std::mt19937_64 random(seed);
@@ -73,14 +73,15 @@
             EndpointDirectory directory;
             std::vector<std::string> updates = history->updates;
             std::shuffle(updates.begin(), updates.end(), random);
-            std::map<std::string, std::uint64_t> drained_at_call;
+            std::map<std::string, std::uint64_t> draining_call_counts;
             for (const std::string& update : updates) {
                 for (std::uint64_t repeats = random() % 3 + 1; repeats > 0; --repeats)
                     cr_assert(directory.apply_changes(update, history->ended_at));
-                for (const auto& [id, server] : directory.servers()) {    // no older entry undoes a drain
-                    if (server.state == State::Draining) drained_at_call.try_emplace(id, server.call_count);
-                    cr_assert(server.state != State::InService || !drained_at_call.contains(id) ||
-                              server.call_count > drained_at_call[id]);
+                for (const auto& [id, server] : directory.servers()) {    // no older entry reverts Draining
+                    if (server.state == State::Draining)
+                        draining_call_counts.try_emplace(id, server.call_count);
+                    cr_assert(server.state != State::InService || !draining_call_counts.contains(id) ||
+                              server.call_count > draining_call_counts[id]);
                 }
             }
             for (const auto& [id, expected_state] : history->expected_states)
@@ -114,7 +115,7 @@
     }
 }
 
-Test(service_registry, resends_what_a_reader_missed) {
+Test(service_registry, resends_lost_updates) {
     ServiceRegistry first = make_registry(1), second = make_registry(2);
     first.record_heartbeat(make_heartbeat("i", 1, State::InService, 1), time_at(0s));
     second.merge_changes(controller_address(1), first.encode_changes(0, true, time_at(0s)), time_at(0s));
@@ -128,7 +129,7 @@
                          time_at(2s));
     cr_assert(second.servers().contains("k") && !second.servers().contains("j"));
     cr_assert(second.known_sequence(controller_address(1), 1) ==
-              known_sequence);    // it still lacks the lost update
+              known_sequence);    // the lost update is still missing
     second.merge_changes(controller_address(1), first.encode_changes(known_sequence, true, time_at(3s)),
                          time_at(3s));
     cr_assert(second.servers().contains("j") &&
@@ -138,7 +139,7 @@
     cr_assert(second.malformed_messages() == 1);
 }
 
-Test(endpoint_directory, survives_malformed_updates) {
+Test(endpoint_directory, handles_malformed_updates) {
     const auto history = make_history(3);
     const std::string valid_bytes = history->first.encode_changes(0, false, history->ended_at);
     std::mt19937_64 random(11);
@@ -185,8 +186,8 @@
               receiver.known_sequence(controller_address(2), 4) == 1);
 }
 
-// Where all servers start at once, the list of the controllers must not make up the bytes of each change.
-Test(service_registry, a_change_names_only_the_controllers_that_it_needs) {
+// Updates that listed all controllers would use most of the bandwidth when many servers start at once.
+Test(service_registry, update_lists_only_the_owners_that_it_refers_to) {
     ServiceRegistry service_registry = make_registry(1);
     for (int host = 2; host <= 25; ++host) {
         const ServiceRegistry other = make_registry(host);
@@ -204,5 +205,5 @@
         cr_assert(reader.apply_changes(change, time_at(0s)));
     }
     cr_assert(reader.servers().size() == 120);
-    cr_assert(change_bytes / 120 < 300, "%zu bytes a change", change_bytes / 120);
+    cr_assert(change_bytes / 120 < 300, "%zu bytes per change", change_bytes / 120);
 }
