--- a/src/cluster/transport/backoff.h
+++ b/src/cluster/transport/backoff.h
@@ -1,4 +1,4 @@
-// Delays between attempts to reach a peer.
+// Exponential backoff with jitter between connection attempts.
 #pragma once
 
 #include <chrono>
@@ -9,8 +9,8 @@
 
 namespace shaletray::transport {
 
-// Doubles the delay with each attempt, up to a bound. Each delay is shortened by a random part of up to a
-// quarter, so that processes that lost the same peer do not dial it all at once.
+// Doubles the delay with each attempt, up to kMaxDelay. Each delay is shortened by a random jitter of up to a
+// quarter, so that processes that lost the same peer do not all reconnect at once.
 class Backoff {
 public:
     static constexpr Duration kInitialDelay = std::chrono::milliseconds(200);
@@ -18,9 +18,9 @@
 
     explicit Backoff(std::uint32_t seed) : random_(seed) {}
 
-    // The delay before the next attempt.
+    // Returns the delay before the next attempt.
     Duration next_delay();
-    // Starts again from the initial delay.
+    // Restarts from the initial delay.
     void reset() { delay_ = kInitialDelay; }
 
 private:
--- a/src/cluster/transport/connection_manager.cpp
+++ b/src/cluster/transport/connection_manager.cpp
@@ -17,9 +17,10 @@
 
 using namespace std::chrono_literals;
 
-// A session that is not used for so long is closed, so that former peers cost nothing.
+// Unused sessions are closed after this time, so that former peers use no resources.
 constexpr Duration kIdleSessionTimeout = 30s;
-// An inbound connection that is silent for so long is closed: its sender, who would have closed it, is gone.
+// Inbound connections without input are closed after this time: a running sender would have closed its idle
+// session before.
 constexpr Duration kInboundTimeout = 60s;
 constexpr Duration kSweepInterval = 5s;
 
@@ -83,7 +84,7 @@
     datagrams_.close();
     reactor_.cancel_timer(sweep_timer_);
     sessions_.clear();
-    reactor_.destroy_retired();    // connections that were closed refer to us
+    reactor_.destroy_retired();    // closed connections still refer to this object
 }
 
 void ConnectionManager::Impl::send_datagram(const std::string& destination, Kind kind,
@@ -141,7 +142,7 @@
     const TimePoint now = reactor_.clock().now();
     std::erase_if(sessions_,
                   [&](const auto& entry) { return entry.second->close_if_idle(now - kIdleSessionTimeout); });
-    listener_.close_silent_connections(now - kInboundTimeout);
+    listener_.close_inactive_connections(now - kInboundTimeout);
     schedule_sweep();
 }
 
--- a/src/cluster/transport/datagram_channel.cpp
+++ b/src/cluster/transport/datagram_channel.cpp
@@ -12,7 +12,7 @@
 namespace shaletray::transport {
 namespace {
 
-// Read in one turn of the loop, so that a flood of datagrams does not keep other sockets waiting.
+// Datagrams read per event, so that a flood of them does not starve other sockets.
 constexpr int kMaxDatagramsPerEvent = 64;
 
 }    // namespace
@@ -62,7 +62,7 @@
         try {
             length = socket_.receiveFrom(buffer_.data(), static_cast<int>(buffer_.size()), source);
         } catch (const Poco::Exception&) {
-            continue;    // the fate of a datagram that we sent earlier; the next call reads on
+            continue;    // the error of an earlier sent datagram; the next call continues to read
         }
         if (length < 0) break;
         auto message = read_message({buffer_.data(), static_cast<std::size_t>(length)});
--- a/src/cluster/transport/datagram_channel.h
+++ b/src/cluster/transport/datagram_channel.h
@@ -16,8 +16,8 @@
 
 namespace shaletray::transport {
 
-// Sends and receives envelopes as datagrams. Datagrams may be lost in any case, so what cannot be sent at
-// once is dropped and counted.
+// Sends and receives envelopes as datagrams. As datagrams may be lost anyway, one that cannot be sent
+// immediately is dropped and counted.
 class DatagramChannel {
 public:
     DatagramChannel(Reactor& reactor, ConnectionCounters& counters,
@@ -26,7 +26,7 @@
     DatagramChannel(const DatagramChannel&) = delete;
     DatagramChannel& operator=(const DatagramChannel&) = delete;
 
-    // Starts to receive. Throws Poco::Exception where the address cannot be used.
+    // Starts receiving. Throws Poco::Exception where the address cannot be bound.
     void bind(const Poco::Net::SocketAddress& address);
     void send(const std::string& destination, const std::string& datagram);
     // Stops receiving.
@@ -40,7 +40,7 @@
     std::function<void(Message&&)> on_message_;
     Poco::Net::DatagramSocket socket_;
     bool receiving_ = false;
-    std::vector<char> buffer_;    // one byte longer than any datagram, so that longer ones are recognised
+    std::vector<char> buffer_;    // one byte above the limit, so that longer datagrams are detected
 };
 
 }    // namespace shaletray::transport
--- a/src/cluster/transport/frame.cpp
+++ b/src/cluster/transport/frame.cpp
@@ -17,7 +17,7 @@
 
 std::string write_envelope(Kind kind, std::string_view sender, std::uint64_t incarnation,
                            std::string_view payload, std::size_t header_bytes) {
-    // Everything fits into the first segment, so that the payload is copied only once.
+    // The first segment is large enough for the message, so that the payload is copied only once.
     const std::size_t word_count = kMaxEnvelopeOverhead / kWordBytes + payload.size() / kWordBytes;
     capnp::MallocMessageBuilder message(static_cast<unsigned>(word_count));
     auto envelope = message.initRoot<wire::Envelope>();
@@ -67,7 +67,7 @@
 }
 
 leaf::result<Message> read_message(std::string_view bytes) {
-    // Each word is read once; a few more allow for the way in which Cap'n Proto counts them.
+    // Each word is read once; the few extra words allow for the way Cap'n Proto counts reads.
     const runtime::ReadLimits limits{.max_words = bytes.size() / kWordBytes + 16,
                                      .max_depth = kMaxEnvelopeDepth};
     return leaf::try_handle_some(
--- a/src/cluster/transport/inbound_listener.cpp
+++ b/src/cluster/transport/inbound_listener.cpp
@@ -15,13 +15,13 @@
 using namespace std::chrono_literals;
 
 constexpr int kBacklog = 64;
-// Accepted in one turn of the loop, so that other sockets are served in between.
+// Connections accepted per event, so that they do not starve other sockets.
 constexpr int kMaxAcceptsPerEvent = 16;
-// Reads of a connection that is replaced: enough for all that its socket buffer holds.
+// Maximum reads from a replaced connection: enough to empty its socket buffer.
 constexpr int kMaxDrainReads = 64;
-// After accepting failed for lack of descriptors; connections wait in the backlog.
+// Pause after accepting failed for lack of file descriptors. Connections wait in the backlog.
 constexpr Duration kAcceptPause = 20ms;
-// Memory that is reserved at once for a frame, whatever length it claims.
+// Maximum buffer space reserved ahead for a frame, regardless of the length in its header.
 constexpr std::size_t kMaxReadAheadBytes = 64 * 1024;
 
 }    // namespace
@@ -72,14 +72,15 @@
         connection.stream.attach(socket);
         return true;
     } catch (const Poco::Exception& error) {
-        // No connection waits, or it was ended before it was accepted.
+        // No connection is pending, or the peer closed it before it was accepted.
         if (error.code() == POCO_EWOULDBLOCK) return false;
         pause_accepting();
         return false;
     }
 }
 
-// Usually there are no descriptors left. The socket stays readable, so that the loop would spin.
+// The usual cause is a lack of file descriptors. The socket stays readable, so without a pause the loop would
+// spin.
 void InboundListener::pause_accepting() {
     if (!connections_.empty()) close_connection(*connections_.front());
     set_accepting(false);
@@ -121,14 +122,14 @@
     }
     if (connection.sender.empty()) {
         connection.sender = message->sender;
-        supersede_previous(connection);
+        replace_previous(connection);
     }
     on_message_(std::move(*message));
     return true;
 }
 
-// What the sender's earlier connection still holds was sent before, and is delivered first.
-void InboundListener::supersede_previous(Connection& connection) {
+// Unread messages on the previous connection were sent before those on the new one, and are delivered first.
+void InboundListener::replace_previous(Connection& connection) {
     Connection* const previous = std::exchange(by_sender_[connection.sender], &connection);
     if (previous == nullptr) return;
     for (int i = 0; i < kMaxDrainReads && previous->stream.is_open() && !previous->stream.is_quiet(); ++i)
@@ -144,7 +145,7 @@
 }
 
 void InboundListener::close_connection(Connection& connection) {
-    struct RetiredConnection : RetiredObject {    // it may be on the call stack
+    struct RetiredConnection : RetiredObject {    // the connection may be on the call stack
         explicit RetiredConnection(std::unique_ptr<Connection> retired) : owned(std::move(retired)) {}
         std::unique_ptr<Connection> owned;
     };
@@ -156,8 +157,8 @@
     connections_.erase(position);
 }
 
-void InboundListener::close_silent_connections(TimePoint silent_since) {
-    while (!connections_.empty() && connections_.front()->last_received < silent_since)
+void InboundListener::close_inactive_connections(TimePoint cutoff) {
+    while (!connections_.empty() && connections_.front()->last_received < cutoff)
         close_connection(*connections_.front());
 }
 
--- a/src/cluster/transport/inbound_listener.h
+++ b/src/cluster/transport/inbound_listener.h
@@ -1,4 +1,4 @@
-// Sessions of peers, on the receiver's side.
+// The receiving side of sessions.
 #pragma once
 
 #include <Poco/AutoPtr.h>
@@ -19,10 +19,10 @@
 
 namespace shaletray::transport {
 
-// Accepts connections and reads messages from them. Each connection has one sender, which its first message
-// states, and a sender has one connection: a new one replaces an earlier one, after the messages that have
-// already arrived on the earlier one were delivered. At the limit of connections the one that was silent for
-// the longest time is closed.
+// Accepts connections and reads messages from them. Each connection has one sender, named by its first
+// message, and each sender has one connection: a new one replaces the previous one after the messages that
+// already arrived on that were delivered. At the connection limit the least recently active connection is
+// closed.
 class InboundListener {
 public:
     InboundListener(Reactor& reactor, const ConnectionLimits& limits, ConnectionCounters& counters,
@@ -31,17 +31,18 @@
     InboundListener(const InboundListener&) = delete;
     InboundListener& operator=(const InboundListener&) = delete;
 
-    // Binds the address. Throws Poco::Exception where it cannot be used.
+    // Throws Poco::Exception where the address cannot be bound.
     void bind(const Poco::Net::SocketAddress& address);
     Poco::Net::SocketAddress address() const { return socket_.address(); }
-    // Accepts connections from now on.
+    // Starts accepting connections.
     void start() { set_accepting(true); }
-    void close_silent_connections(TimePoint silent_since);
+    // Closes the connections without input since `cutoff`.
+    void close_inactive_connections(TimePoint cutoff);
     // Stops accepting and closes all connections.
     void close();
 
 private:
-    // A connection that a peer dialled; it is only read from.
+    // A connection dialled by a peer. It is never written to.
     struct Connection : StreamOwner {
         explicit Connection(InboundListener& owner) : listener(owner), stream(owner.reactor_, *this) {}
         void on_input() override { listener.receive_messages(*this); }
@@ -56,14 +57,15 @@
 
     void set_accepting(bool enabled);
     void on_connection_pending(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
-    // False where no connection waits, or none can be accepted now.
+    // Returns false where no connection is pending, or accepting failed.
     bool accept_connection();
     void pause_accepting();
 
     void receive_messages(Connection& connection);
-    // Reads the next message. False where it has not arrived completely, or the connection was closed.
+    // Reads the next message. Returns false where it is incomplete or the connection was closed.
     bool receive_message(Connection& connection);
-    void supersede_previous(Connection& connection);
+    // Drains and closes the previous connection of the same sender.
+    void replace_previous(Connection& connection);
     void close_malformed(Connection& connection);
     void close_connection(Connection& connection);
 
@@ -73,8 +75,8 @@
     std::function<void(Message&&)> on_message_;
     Poco::Net::ServerSocket socket_;
     bool accepting_ = false;
-    std::list<std::unique_ptr<Connection>> connections_;        // the longest silent one first
-    std::unordered_map<std::string, Connection*> by_sender_;    // the one that the sender dialled last
+    std::list<std::unique_ptr<Connection>> connections_;        // least recently active first
+    std::unordered_map<std::string, Connection*> by_sender_;    // the latest connection of each sender
     Timers::Id pause_timer_ = 0;
 };
 
--- a/src/cluster/transport/loopback_queue.cpp
+++ b/src/cluster/transport/loopback_queue.cpp
@@ -21,7 +21,7 @@
     if (timer_ == 0) timer_ = reactor_.schedule_after(Duration(0), [this] { deliver_pending(); });
 }
 
-// Messages that are sent meanwhile wait for the next turn.
+// Messages that are sent during delivery wait for the next iteration.
 void LoopbackQueue::deliver_pending() {
     timer_ = 0;
     pending_bytes_ = 0;
--- a/src/cluster/transport/loopback_queue.h
+++ b/src/cluster/transport/loopback_queue.h
@@ -1,4 +1,4 @@
-// Messages of a process to itself.
+// A queue for messages of a process to itself.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,8 @@
 
 namespace shaletray::transport {
 
-// Delivers messages to the process itself in a later turn of the loop, so that a sender is never called back
-// while it sends. Bounded like the queue to a peer.
+// Delivers messages to the sending process in a later iteration of the loop, so that a sender is never called
+// back while it sends. Bounded like the queue to a peer: the oldest messages are dropped.
 class LoopbackQueue {
 public:
     LoopbackQueue(Reactor& reactor, std::size_t max_bytes, ConnectionCounters& counters,
--- a/src/cluster/transport/message.h
+++ b/src/cluster/transport/message.h
@@ -1,4 +1,4 @@
-// A message between two of the system's processes.
+// A message between two processes.
 #pragma once
 
 #include <cstddef>
@@ -8,16 +8,16 @@
 
 namespace shaletray::transport {
 
-// The package that a message belongs to. The values are sent.
+// The component that handles a message. The values are part of the protocol.
 enum class Kind : std::uint8_t { Membership = 1, Consensus, Registry, Subscription, Quota };
 
 constexpr std::size_t kKindCount = 5;
-// 0 for the first kind.
+// Returns the array index of a kind: 0 for the first one.
 constexpr std::size_t index_of(Kind kind) { return static_cast<std::size_t>(kind) - 1; }
-// As in the log, in lower case.
+// Returns the name in the log, in lower case.
 std::string_view name_of(Kind kind);
 
-// A message as its recipient gets it. The sender's identity is its own statement and not verified.
+// A received message. The identity of the sender is not verified.
 struct Message {
     Kind kind{};
     std::string sender;               // internal address
--- a/src/cluster/transport/outbound_session.cpp
+++ b/src/cluster/transport/outbound_session.cpp
@@ -12,11 +12,12 @@
 
 using namespace std::chrono_literals;
 
-// Of frames that wait for a peer that cannot be reached. Their senders have repeated them by then.
+// Maximum age of frames for an unreachable peer. Their senders retry before that.
 constexpr Duration kMaxQueueAge = 3s;
-// After a connection that lasted so long failed, it is dialled again at once: the peer was restarted.
+// When a connection that lasted this long fails, it is dialled again immediately, as the peer was probably
+// restarted.
 constexpr Duration kStableConnectionTime = 1s;
-// Of frames that are written by one call.
+// Maximum size of a batch of frames that is written by one call.
 constexpr std::size_t kMaxBatchBytes = 64 * 1024;
 
 }    // namespace
@@ -55,7 +56,7 @@
     });
 }
 
-// Makes the system notice within peer_timeout that the peer's machine is gone.
+// Lets the kernel detect within peer_timeout that the peer's host is unreachable.
 void OutboundSession::set_socket_options() {
     using std::chrono::milliseconds;
     try {
@@ -67,7 +68,7 @@
         socket.setOption(IPPROTO_TCP, TCP_KEEPINTVL, 1);
         socket.setOption(IPPROTO_TCP, TCP_KEEPCNT, 2);
     } catch (const Poco::Exception&) {
-        // Either the connection failed meanwhile, which the stream will report, or it is noticed later.
+        // Either the connection has failed, which the stream will report, or failures are detected later.
     }
 }
 
@@ -90,7 +91,7 @@
     if (progress_timer_ == 0) watch_progress();
 }
 
-// A peer that accepts no data has failed even where its machine still answers.
+// A peer that accepts no data has failed even where its host still acknowledges packets.
 void OutboundSession::watch_progress() {
     last_unsent_bytes_ = stream_->unsent_bytes();
     progress_timer_ = reactor_.schedule_after(limits_.peer_timeout, [this] { check_progress(); });
@@ -108,7 +109,7 @@
     send_pending();
 }
 
-// Peers never answer on a session.
+// Peers must not send data on a session.
 void OutboundSession::on_input() {
     ++counters_.malformed;
     handle_failure();
@@ -131,9 +132,9 @@
     if (!send_queue_.empty()) retry_timer_ = reactor_.schedule_at(next_dial_at_, [this] { dial(); });
 }
 
-bool OutboundSession::close_if_idle(TimePoint unused_since) {
+bool OutboundSession::close_if_idle(TimePoint cutoff) {
     const bool is_dialling = stream_ && !connected_;
-    if (last_used_ >= unused_since || !send_queue_.empty() || is_dialling) return false;
+    if (last_used_ >= cutoff || !send_queue_.empty() || is_dialling) return false;
     if (stream_ && !stream_->all_sent()) return false;
     send_queue_.mark_written();
     close();
--- a/src/cluster/transport/outbound_session.h
+++ b/src/cluster/transport/outbound_session.h
@@ -1,4 +1,4 @@
-// A session to one peer, on the sender's side.
+// The sending side of a session to one peer.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +14,13 @@
 
 namespace shaletray::transport {
 
-// Sends frames to a peer in order. The connection is dialled while frames wait, and dialled again after it
-// failed, with a growing delay. Nothing is ever received on it. Frames that were being written when the
-// connection failed are lost, since it is not known how much of them was read; frames that wait are kept for
+// Sends frames to a peer in order. The connection is dialled when frames are queued, and dialled again with
+// exponential backoff after it failed. Nothing is received on it. Frames that were being written when the
+// connection failed are lost, since it is unknown how much of them the peer read; queued frames are kept for
 // a limited time.
 class OutboundSession : public StreamOwner {
 public:
-    // `seed` decides the jitter of the delays.
+    // `seed` is for the jitter of the backoff.
     OutboundSession(Reactor& reactor, const ConnectionLimits& limits, ConnectionCounters& counters,
                     std::string destination, std::uint32_t seed);
     ~OutboundSession() override;
@@ -28,8 +28,9 @@
     OutboundSession& operator=(const OutboundSession&) = delete;
 
     void enqueue(std::string frame);
-    // Closes the connection if it was not used since then. True where the session has nothing left to keep.
-    bool close_if_idle(TimePoint unused_since);
+    // Closes the connection where it was not used since `cutoff`. Returns true where the session was idle,
+    // and may be destroyed.
+    bool close_if_idle(TimePoint cutoff);
 
 private:
     void on_connected() override;
@@ -51,7 +52,7 @@
     std::string destination_;
     SendQueue send_queue_;
     Backoff backoff_;
-    std::unique_ptr<Stream> stream_;    // while it is dialled or connected
+    std::unique_ptr<Stream> stream_;    // null unless dialling or connected
     bool connected_ = false;
     TimePoint last_used_{}, connected_at_{}, next_dial_at_{};
     std::size_t last_unsent_bytes_ = 0;    // at the last check of progress
--- a/src/cluster/transport/send_queue.h
+++ b/src/cluster/transport/send_queue.h
@@ -1,4 +1,4 @@
-// Frames that wait for one peer.
+// A bounded queue of frames for one peer.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +9,22 @@
 
 namespace shaletray::transport {
 
-// Frames in the order in which they were pushed, bounded in bytes and, by expire(), in age. A batch of them
-// is taken at a time; its bytes count until it was written or discarded, which comes before the next batch.
+// A FIFO queue of frames, bounded in bytes and, by expire(), in age. Frames are taken in batches. The bytes
+// of a batch count until it is marked as written or discarded, which must happen before the next batch.
 class SendQueue {
 public:
     explicit SendQueue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-    // Returns how many older frames were dropped to make room. The newest one is always kept, so that a
-    // single frame may exceed the bound.
+    // Adds a frame and returns the number of older frames dropped for it. The newest frame is always kept, so
+    // that a single frame may exceed the limit.
     std::size_t push(std::string frame, TimePoint now);
-    // Drops the frames that were pushed before `cutoff`; returns how many.
+    // Drops the frames that were pushed before `cutoff` and returns their number.
     std::size_t expire(TimePoint cutoff);
-    // Takes one frame, and those behind it while all together have at most `max_bytes`. Only while the queue
-    // is not empty.
+    // Takes the first frame and as many of the following ones as fit into `max_bytes` in total. The queue
+    // must not be empty.
     std::string take_batch(std::size_t max_bytes);
     void mark_written() { batch_bytes_ = batch_frames_ = 0; }
-    // The batch was not written completely; returns how many frames it had.
+    // Discards a batch that was not written completely and returns the number of its frames.
     std::size_t discard_batch();
 
     bool empty() const { return pending_.empty(); }
--- a/src/cluster/transport/socket_address.h
+++ b/src/cluster/transport/socket_address.h
@@ -1,4 +1,4 @@
-// Addresses as text.
+// Parsing of socket addresses.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -8,7 +8,7 @@
 
 namespace shaletray::transport {
 
-// Parses a numeric IP address with its port. Names are not resolved, since that would block the loop.
+// Parses a numeric IP address with a port. Host names are not resolved, since that would block the loop.
 std::optional<Poco::Net::SocketAddress> parse_address(const std::string& address);
 
 }    // namespace shaletray::transport
--- a/src/cluster/transport/traffic.cpp
+++ b/src/cluster/transport/traffic.cpp
@@ -1,4 +1,4 @@
-// How the traffic between processes is described in the log.
+// Formats the traffic counters for the log.
 #include <fmt/format.h>
 
 #include "cluster/transport/limits.h"
--- a/tests/cluster/transport/connection_manager_test.cpp
+++ b/tests/cluster/transport/connection_manager_test.cpp
@@ -1,4 +1,5 @@
-// Connection managers on the loopback interface, whose loop runs while a test waits for a condition.
+// Tests of ConnectionManager on the loopback interface. The event loop runs while a test waits for a
+// condition.
 #include "cluster/transport/connection_manager.h"
 
 #include <Poco/Net/NetException.h>
@@ -32,7 +33,7 @@
     const std::string& address() const { return manager->address(); }
 };
 
-bool connected(Poco::Net::StreamSocket& socket) {
+bool is_connected(Poco::Net::StreamSocket& socket) {
     char byte = 0;
     try {
         socket.setBlocking(false);
@@ -44,7 +45,7 @@
 
 }    // namespace
 
-Test(connection_manager, sessions_keep_the_order_and_carry_large_messages) {
+Test(connection_manager, sessions_deliver_large_messages_in_order) {
     Loop loop;
     TestNode sender(loop, 1), receiver(loop, 2);
     const std::string large(5 * 1024 * 1024, 'L');
@@ -64,7 +65,7 @@
     cr_assert(sender.manager->counters().dropped == 0 && receiver.manager->counters().malformed == 0);
 }
 
-Test(connection_manager, datagrams_go_both_ways_and_bad_addresses_are_dropped) {
+Test(connection_manager, delivers_datagrams_and_drops_invalid_destinations) {
     Loop loop;
     TestNode first(loop, 1), second(loop, 2);
     first.manager->send_datagram(second.address(), Kind::Membership, "ping");
@@ -72,16 +73,16 @@
     cr_assert(loop.until([&] { return first.received.size() == 1 && second.received.size() == 1; }));
     cr_assert(first.received[0].payload == "pong" && second.received[0].payload == "ping" &&
               first.received[0].incarnation == 2);
-    for (const char* bad_address : {"", "controller:80", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"}) {
-        first.manager->send_datagram(bad_address, Kind::Membership, "x");
-        first.manager->send_session_message(bad_address, Kind::Membership, "x");
+    for (const char* invalid_address : {"", "controller:80", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999"}) {
+        first.manager->send_datagram(invalid_address, Kind::Membership, "x");
+        first.manager->send_session_message(invalid_address, Kind::Membership, "x");
     }
     first.manager->send_datagram(second.address(), Kind::Membership, std::string(70000, 'x'));
     cr_assert(first.manager->counters().dropped == 11);
 }
 
-// Messages that are written as a connection fails may be lost; later ones arrive once and in order.
-Test(connection_manager, a_restarted_peer_receives_again) {
+// Messages that are written while a connection fails may be lost; later ones arrive once and in order.
+Test(connection_manager, reconnects_to_a_restarted_peer) {
     Loop loop(20);
     TestNode sender(loop, 1);
     std::optional<TestNode> receiver(std::in_place, loop, 2);
@@ -91,7 +92,7 @@
     for (std::uint64_t incarnation = 3; incarnation < 6; ++incarnation) {
         receiver.reset();
         sender.manager->send_session_message(receiver_address, Kind::Consensus, "perhaps");
-        // The sender notices that the peer is gone, and keeps dialling while messages wait.
+        // The sender detects that the peer is down, and keeps dialling while messages are queued.
         cr_assert(loop.until([&] {
             const std::uint64_t before = sender.manager->counters().sent;
             sender.manager->send_session_message(receiver_address, Kind::Consensus, "later");
@@ -107,37 +108,37 @@
     }
 }
 
-// A new connection of the same sender replaces the earlier one, whose messages are delivered first.
-Test(connection_manager, messages_of_an_earlier_connection_come_first) {
+// A new connection of the same sender replaces the previous one, whose messages are delivered first.
+Test(connection_manager, delivers_messages_of_a_replaced_connection_first) {
     Loop loop;
     TestNode receiver(loop, 2);
     const Poco::Net::SocketAddress receiver_address(receiver.address());
     const auto frame = [](const char* text) {
         return write_frame(Kind::Consensus, "10.0.0.9:7100", 1, text);
     };
-    Poco::Net::StreamSocket earlier_socket(receiver_address);
+    Poco::Net::StreamSocket previous_socket(receiver_address);
     const std::string one = frame("1");
-    earlier_socket.sendBytes(one.data(), static_cast<int>(one.size()));
+    previous_socket.sendBytes(one.data(), static_cast<int>(one.size()));
     cr_assert(loop.until([&] { return receiver.received.size() == 1; }));
-    Poco::Net::StreamSocket later_socket(receiver_address);
+    Poco::Net::StreamSocket new_socket(receiver_address);
     const std::string two = frame("2"), half = frame("never").substr(0, 20), three = frame("3");
-    later_socket.sendBytes(three.data(), static_cast<int>(three.size()));
-    earlier_socket.sendBytes(two.data(), static_cast<int>(two.size()));
-    earlier_socket.sendBytes(half.data(), static_cast<int>(half.size()));
+    new_socket.sendBytes(three.data(), static_cast<int>(three.size()));
+    previous_socket.sendBytes(two.data(), static_cast<int>(two.size()));
+    previous_socket.sendBytes(half.data(), static_cast<int>(half.size()));
     cr_assert(loop.until([&] { return receiver.received.size() == 3; }));
     cr_assert(receiver.received[1].payload == "2" && receiver.received[2].payload == "3");
-    cr_assert(loop.until([&] { return !connected(earlier_socket); }));
-    cr_assert(connected(later_socket));
+    cr_assert(loop.until([&] { return !is_connected(previous_socket); }));
+    cr_assert(is_connected(new_socket));
 }
 
-Test(connection_manager, malformed_bytes_end_only_their_own_connection) {
+Test(connection_manager, malformed_bytes_close_only_their_own_connection) {
     Loop loop;
     TestNode sender(loop, 1), receiver(loop, 2);
     sender.manager->send_session_message(receiver.address(), Kind::Consensus, "before");
     cr_assert(loop.until([&] { return receiver.received.size() == 1; }));
     const Poco::Net::SocketAddress receiver_address(receiver.address());
-    const std::string good = write_frame(Kind::Consensus, "10.0.0.9:7100", 1, "x");
-    std::string other_version = good, too_long = good;
+    const std::string valid_frame = write_frame(Kind::Consensus, "10.0.0.9:7100", 1, "x");
+    std::string other_version = valid_frame, too_long = valid_frame;
     too_long[3] = '\x7f';
     for (std::size_t i = kFrameHeaderBytes; i < other_version.size(); ++i)
         if (other_version[i] == static_cast<char>(kProtocolVersion)) other_version[i] = 2;
@@ -148,39 +149,38 @@
         socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
         ++malformed;
         cr_assert(loop.until([&] { return receiver.manager->counters().malformed == malformed; }));
-        cr_assert(!connected(socket));
+        cr_assert(!is_connected(socket));
     }
     sender.manager->send_session_message(receiver.address(), Kind::Consensus, "after");
     cr_assert(loop.until([&] { return receiver.received.size() == 2; }));
     cr_assert(sender.manager->counters().sent == 2 && sender.manager->counters().dropped == 0);
 }
 
-// Neither for a closed port nor for a peer that never reads are more messages kept than the bound, or for
-// long.
-Test(connection_manager, a_dead_peer_holds_a_bounded_queue) {
+// The queues for a closed port and for a peer that never reads are bounded in bytes and in age.
+Test(connection_manager, queue_for_a_failed_peer_is_bounded) {
     Loop loop(20);
     ConnectionManager::Limits limits;
     limits.max_queued_bytes = 100000;
     limits.peer_timeout = 200ms;
     TestNode sender(loop, 1, "127.0.0.1:0", limits);
     Poco::Net::ServerSocket silent_listener(Poco::Net::SocketAddress("127.0.0.1:0"), 8);
-    std::string dead_address;
+    std::string stopped_address;
     {
         TestNode stopped_node(loop, 2);
-        dead_address = stopped_node.address();
+        stopped_address = stopped_node.address();
     }
     const std::string silent_address = silent_listener.address().toString();
     for (int i = 0; i < 1000; ++i)
-        sender.manager->send_session_message(dead_address, Kind::Consensus, std::string(1000, 'x'));
+        sender.manager->send_session_message(stopped_address, Kind::Consensus, std::string(1000, 'x'));
     cr_assert(sender.manager->counters().dropped >= 890);
-    // In the end no message is kept for it, and none was sent.
+    // Eventually all messages are dropped, and none was sent.
     cr_assert(loop.until([&] { return sender.manager->counters().dropped == 1000; }));
     cr_assert(sender.manager->counters().sent == 0);
     sender.manager->send_session_message(silent_address, Kind::Consensus, std::string(64 * 1024 * 1024, 'x'));
     cr_assert(loop.until([&] { return sender.manager->counters().dropped == 1001; }));
 }
 
-Test(connection_manager, the_longest_idle_connection_is_closed_at_the_limit) {
+Test(connection_manager, closes_the_least_recently_active_connection_at_the_limit) {
     Loop loop;
     ConnectionManager::Limits limits;
     limits.max_inbound_connections = 3;
@@ -202,6 +202,6 @@
     send_from(0);
     sockets.emplace_back(receiver_address);
     send_from(3);
-    cr_assert(connected(sockets[0]) && !connected(sockets[1]) && connected(sockets[2]) &&
-              connected(sockets[3]));
+    cr_assert(is_connected(sockets[0]) && !is_connected(sockets[1]) && is_connected(sockets[2]) &&
+              is_connected(sockets[3]));
 }
--- a/tests/cluster/transport/frame_test.cpp
+++ b/tests/cluster/transport/frame_test.cpp
@@ -1,3 +1,4 @@
+// Tests of encoding and decoding envelopes and frames.
 #include "cluster/transport/frame.h"
 
 #include <criterion/criterion.h>
@@ -21,8 +22,8 @@
     }
 }
 
-// Whatever the damage, the outcome is an error, or a message within its bounds.
-Test(frame, damaged_bytes_are_an_error_or_a_message) {
+// Corrupted bytes are rejected, or decoded to a message within its limits.
+Test(frame, rejects_or_decodes_corrupted_bytes) {
     std::mt19937 random(5);
     const std::string complete = write_datagram(Kind::Quota, "10.1.0.24:7101", 3, std::string(64, 'x'));
     int accepted = 0, rejected = 0;
--- a/tests/cluster/transport/send_queue_test.cpp
+++ b/tests/cluster/transport/send_queue_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the limits and the order of SendQueue.
 #include "cluster/transport/send_queue.h"
 
 #include <criterion/criterion.h>
@@ -6,7 +7,7 @@
 using namespace shaletray::transport;
 using namespace std::chrono_literals;
 
-Test(send_queue, is_bounded_in_bytes_and_age_and_keeps_the_order) {
+Test(send_queue, limits_bytes_and_age_and_keeps_the_order) {
     SendQueue queue(100);
     std::size_t dropped = 0;
     for (int i = 0; i < 10; ++i) {
@@ -17,8 +18,7 @@
     cr_assert(queue.expire(TimePoint(8s)) == 1);
     cr_assert(queue.take_batch(60) == std::string(30, 'i') + std::string(30, 'j'));
     cr_assert(queue.batch_frames() == 2 && queue.total_bytes() == 60 && queue.empty());
-    // The batch that is being written counts, but cannot be dropped any more; the newest frame is never
-    // dropped.
+    // The batch being written counts but can no longer be dropped. The newest frame is never dropped.
     cr_assert(queue.push(std::string(50, 'k'), TimePoint(9s)) == 0);
     cr_assert(queue.push(std::string(200, 'l'), TimePoint(9s)) == 1);
     cr_assert(queue.discard_batch() == 2 && queue.total_bytes() == 200);
