--- a/src/cluster/node/node_membership.h
+++ b/src/cluster/node/node_membership.h
@@ -1,5 +1,5 @@
-// What gateways and controllers do alike with the membership of the cluster: the identity and the settings
-// that they join with, the datagrams that they send for it, and the seeds that they have not met yet.
+// Cluster membership functions shared by gateways and controllers: identity and settings for joining, sending
+// of membership datagrams, and seeds that are still unknown.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,26 @@
 
 namespace shaletray::node {
 
+// Identifies a process in the cluster.
 struct Identity {
-    std::string address;    // the internal one
+    std::string address;    // internal address
     membership::Role role = membership::Role::Gateway;
     std::uint64_t incarnation = 0;
 };
 
-// Tells this process from earlier ones at its address: microseconds of Unix time, and never 0, which stands
-// for no incarnation. It may be too low where the machine's clock was set back: Membership raises it then.
+// Returns an incarnation that distinguishes this process from earlier ones at its address: microseconds of
+// Unix time, and never 0, which means no incarnation. It may be too low where the clock was set back;
+// Membership then raises it.
 std::uint64_t initial_incarnation(const Clock& clock);
 
-// What a process says of itself to the others, as far as gateways and controllers have it in common.
+// Returns the membership settings that gateways and controllers have in common.
 membership::Settings membership_settings(const Identity& identity, const runtime::NodeSettings& node_settings,
                                          std::uint64_t random_seed);
 
-// Sends the datagrams that the membership asks for.
+// Sends the datagrams that the membership requests.
 void send_datagrams(const membership::Actions& actions, transport::ConnectionManager& connections);
 
-// The seeds at whose address no member is known, in their order.
+// Returns the seeds without a known member at their address, in their order.
 std::vector<std::string> unknown_seeds(const std::vector<std::string>& seeds,
                                        const std::map<std::string, membership::Member>& members);
 
--- a/src/cluster/subscription/subscription.capnp
+++ b/src/cluster/subscription/subscription.capnp
@@ -1,4 +1,4 @@
-# Messages between gateways and controllers; see subscription.h.
+# Subscription messages between gateways and controllers; subscription.h describes the fields.
 @0x8ac931085f77d5e6;
 
 using Cxx = import "/capnp/c++.capnp";
--- a/src/cluster/subscription/subscription.cpp
+++ b/src/cluster/subscription/subscription.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// First segments of messages are made large enough for all of their fields besides data.
+// Size of the first segment of a message: enough for all fields other than data.
 constexpr std::size_t kFieldWords = 64;
 
 ownership::KeySamples read_samples(wire::KeySamples::Reader reader) {
--- a/src/cluster/subscription/subscription.h
+++ b/src/cluster/subscription/subscription.h
@@ -1,6 +1,6 @@
 // Messages by which gateways subscribe to the control plane's state (transport::Kind::Subscription): a
-// gateway reports what it has, and a controller sends what is new to it. Both only state what holds at that
-// moment, so that any message may be lost or arrive twice.
+// gateway reports the state that it has, and a controller sends the changes since then. Both messages
+// describe current state, so that any of them may be lost or duplicated.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -15,38 +15,38 @@
 
 namespace shaletray::subscription {
 
-// From a gateway to each controller that it knows: every 500 ms, and at once where it lacks something.
+// Sent by a gateway to each known controller every 500 ms, and immediately where it lacks changes.
 struct ClientState {
     std::uint64_t incarnation = 0;            // the gateway's
-    std::uint64_t version = 0, digest = 0;    // of the configuration in use; 0: none yet
-    std::uint64_t known_incarnation = 0;      // the controller's when it was last heard from; 0: never
+    std::uint64_t version = 0, digest = 0;    // of the active configuration; 0: none yet
+    std::uint64_t known_incarnation = 0;      // the controller's, from its last message; 0: none yet
     std::uint64_t known_sequence = 0;         // all changes of that incarnation up to this one are known
-    std::uint32_t quota_divisor = 0;          // number of gateways that quotas are divided by
-    std::uint64_t ownership_version = 0;      // of the owners of shard keys
-    // Of the requests since the previous regular report.
+    std::uint32_t quota_divisor = 0;          // number of gateways by which quotas are divided
+    std::uint64_t ownership_version = 0;      // of the ownership table of shard keys
+    // Samples of the requests since the previous periodic report.
     std::vector<ownership::KeySamples> key_samples{};
     bool operator==(const ClientState&) const = default;
 };
 
-// From a controller to a gateway: in answer to each ClientState, and unasked whenever something changed.
+// Sent by a controller to a gateway in reply to each ClientState, and whenever its state changed.
 struct ControlUpdate {
     std::uint64_t incarnation = 0;    // the controller's
-    // A quorum confirmed within the last 1.5 s that `version` was the newest committed configuration.
+    // Whether a quorum confirmed within the last 1.5 s that `version` is the latest committed configuration.
     bool quorum_confirmed = false;
-    std::uint64_t version = 0, digest = 0;    // of the newest configuration known to the controller; 0: none
-    // For configuration::apply_update; it leads to `version`. Empty where none is sent. A delta from another
-    // configuration than the gateway's is rejected there; its next ClientState reports which one it has, and
-    // the answer to that fits.
+    std::uint64_t version = 0, digest = 0;    // of the latest configuration known to the controller; 0: none
+    // An update to `version` for configuration::apply_update(); empty where none is sent. A gateway rejects a
+    // delta from another configuration than its own. Its next ClientState reports the one that it has, and
+    // the reply is a matching update.
     std::string configuration_delta;
-    // `endpoint_changes` is for registry::EndpointDirectory and holds the changes after `since_sequence` up
-    // to `sequence`; even without changes it says which registries are running. A gateway that knows less of
-    // that incarnation than `since_sequence` applies it all the same, and keeps reporting what it knew
-    // before.
+    // `endpoint_changes` is for registry::EndpointDirectory and contains the changes after `since_sequence`
+    // up to `sequence`; even without changes it shows which registries are running. A gateway that lacks
+    // changes before `since_sequence` applies it nevertheless, but keeps reporting its previous
+    // `known_sequence`.
     std::uint64_t since_sequence = 0, sequence = 0;
     std::string endpoint_changes;
-    // The committed ownership table; `ownership_changes` is for ownership::OwnerMap and holds the rows that
-    // changed after `ownership_since`, empty where there are none. A gateway that knows less than that asks
-    // again.
+    // The committed ownership table. `ownership_changes` is for ownership::OwnerMap and contains the rows
+    // that changed after `ownership_since`; empty where there are none. A gateway with an older version than
+    // that requests the changes again.
     std::uint64_t ownership_version = 0, ownership_since = 0;
     std::string ownership_changes{};
     bool operator==(const ControlUpdate&) const = default;
@@ -55,7 +55,7 @@
 std::string encode(const ClientState& client_state);
 std::string encode(const ControlUpdate& update);
 
-// Errors of these: runtime::MalformedMessage, also for a message of the other kind.
+// Errors: runtime::MalformedMessage, also for a message of the other type.
 boost::leaf::result<std::variant<ClientState, ControlUpdate>> decode(std::string_view bytes);
 boost::leaf::result<ClientState> decode_client_state(std::string_view bytes);
 boost::leaf::result<ControlUpdate> decode_control_update(std::string_view bytes);
--- a/tests/cluster/node/node_membership_test.cpp
+++ b/tests/cluster/node/node_membership_test.cpp
@@ -1,4 +1,4 @@
-// What gateways and controllers do alike with the membership.
+// Tests of the membership functions that gateways and controllers share.
 #include "cluster/node/node_membership.h"
 
 #include <criterion/criterion.h>
@@ -19,13 +19,13 @@
 
 }    // namespace
 
-Test(node_membership, initial_incarnation_is_the_time_and_never_zero) {
+Test(node_membership, initial_incarnation_is_the_unix_time_and_never_zero) {
     cr_assert_eq(node::initial_incarnation(FixedClock(TimePoint(1'700'000'000s))), 1'700'000'000'000'000u);
     cr_assert_eq(node::initial_incarnation(FixedClock(TimePoint(0s))), 1u);
     cr_assert_eq(node::initial_incarnation(FixedClock(TimePoint(-5s))), 1u);
 }
 
-Test(node_membership, settings_are_those_of_the_node) {
+Test(node_membership, membership_settings_contain_the_identity_and_node_settings) {
     runtime::NodeSettings node_settings;
     node_settings.node_name = "north-1";
     node_settings.zone = "north";
@@ -42,7 +42,7 @@
     cr_assert(settings.seeds == runtime::controller_seeds(node_settings) && settings.seeds.size() == 2);
 }
 
-Test(node_membership, unknown_seeds_are_those_without_a_member) {
+Test(node_membership, unknown_seeds_have_no_member) {
     std::map<std::string, membership::Member> members;
     members["10.1.0.24:7100"] = {};
     members["10.1.0.26:7100"] = {};
--- a/tests/cluster/subscription/subscription_test.cpp
+++ b/tests/cluster/subscription/subscription_test.cpp
@@ -1,3 +1,4 @@
+// Tests of encoding and decoding subscription messages.
 #include "cluster/subscription/subscription.h"
 
 #include <criterion/criterion.h>
@@ -34,7 +35,7 @@
     cr_assert(subscription::encode(client_state).size() < 64);
 }
 
-Test(subscription, malformed_bytes_are_an_error_or_a_message) {
+Test(subscription, rejects_or_decodes_corrupted_bytes) {
     std::mt19937_64 random(7);
     const std::string valid_messages[] = {
         subscription::encode(sample_update()),
@@ -42,7 +43,8 @@
     cr_assert(!subscription::decode(""));
     for (int i = 0; i < 20000; ++i) {
         std::string bytes = valid_messages[random() % 2];
-        for (int n = 0; n < 3; ++n) bytes[random() % bytes.size()] = static_cast<char>(random());
+        for (int change = 0; change < 3; ++change)
+            bytes[random() % bytes.size()] = static_cast<char>(random());
         if (random() % 2 == 0) bytes.resize(random() % (bytes.size() + 1));
         const auto message = subscription::decode(bytes);
         if (!message) continue;
