--- a/src/controller/api/command_queue.h
+++ b/src/controller/api/command_queue.h
@@ -1,4 +1,4 @@
-// Commands between the connections that they come by and the event loop that carries them out.
+// Queue of commands between the connections that receive them and the event loop that executes them.
 #pragma once
 
 #include <array>
@@ -13,17 +13,17 @@
 
 struct PendingCommand {
     Command command;
-    std::function<void(Response)> respond;    // to be called once, at any time, by the event loop
-    std::function<bool()> cancelled;          // whether the caller has gone
+    std::function<void(Response)> respond;    // called once, at any later time, on the event loop
+    std::function<bool()> cancelled;          // whether the caller has disconnected
     TimePoint queued_at{};
 };
 
-// Bounded. In the order of urgency: servers that leave, then other calls of servers and reads, then new
+// Bounded priority queue: first departures of servers, then other calls of servers and reads, then new
 // configurations; first in, first out within each priority.
 class CommandQueue {
 public:
     explicit CommandQueue(std::size_t max_per_priority = 4096) : max_per_priority_(max_per_priority) {}
-    // False where it is full: `pending` is then left as it was.
+    // Returns false and leaves `pending` unchanged if the queue of its priority is full.
     bool push(PendingCommand&& pending);
     std::optional<PendingCommand> pop();
     std::size_t size() const;
--- a/src/controller/api/control_command.cpp
+++ b/src/controller/api/control_command.cpp
@@ -9,10 +9,10 @@
 
 namespace leaf = boost::leaf;
 
-constexpr std::size_t kMaxIdLength = 256;
+constexpr std::size_t kMaxIdLength = 256;    // characters
 constexpr std::string_view kReplacePath = "/configuration/replace";
 constexpr std::string_view kReadPath = "/configuration/read";
-constexpr std::string_view kMembersPath = "/members/";    // followed by an id and one of the suffixes
+constexpr std::string_view kMembersPath = "/members/";    // followed by an id and one of the suffixes below
 constexpr std::string_view kHeartbeatSuffix = "/heartbeat";
 constexpr std::string_view kDeregisterSuffix = "/deregister";
 
@@ -37,7 +37,7 @@
     return {};
 }
 
-// Ids are repeated in headers and logs, so nothing in them may need escaping.
+// Ids are written to headers and logs without escaping, so only characters that need none are allowed.
 bool is_valid_id(std::string_view id) {
     return !id.empty() && id.size() <= kMaxIdLength && std::all_of(id.begin(), id.end(), [](char character) {
         return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
--- a/src/controller/api/control_command.h
+++ b/src/controller/api/control_command.h
@@ -1,5 +1,4 @@
-// The calls of the control API as typed commands: decoded from method, path and body, carried out elsewhere.
-// Pure.
+// Decodes the calls of the control API from method, path and body into typed commands. Pure.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -29,25 +28,25 @@
 struct ReadConfiguration {};
 using Command = std::variant<HeartbeatCommand, Deregister, ReplaceConfiguration, ReadConfiguration>;
 
-// Why a call is no command.
+// Why a call is rejected.
 struct CommandError {
     HttpStatus status = HttpStatus::BadRequest;
     std::string message;           // one line
-    std::string allowed_method;    // with MethodNotAllowed: the method that the path takes
+    std::string allowed_method;    // with MethodNotAllowed: the method that the path accepts
 };
-// The answer to a call that is no command.
+// The response to a rejected call.
 Response to_response(const CommandError& command_error);
 
-// Bytes of a body.
-constexpr std::size_t kMaxHeartbeatSize = 32 * 1024;    // with all ranges that a server may hold
+// Limits on the size of a body, in bytes.
+constexpr std::size_t kMaxHeartbeatSize = 32 * 1024;    // fits all key ranges that a server may hold
 constexpr std::size_t kMaxConfigurationSize = 64 * 1024 * 1024;
 
-// Errors: CommandError: BadRequest for a malformed body or id, NotFound for an unknown path,
+// Fails with a CommandError: BadRequest for a malformed body or id, NotFound for an unknown path,
 // MethodNotAllowed, PayloadTooLarge.
 boost::leaf::result<Command> decode_command(std::string_view method, std::string_view target,
                                             std::string_view body);
-// The largest body to read for a call, known from its head alone. decode_command rejects the calls for which
-// this says too much.
+// Largest body to read for a call, in bytes, determined by its request line alone. Unknown paths get
+// kMaxHeartbeatSize; decode_command rejects them.
 std::size_t max_body_size(std::string_view method, std::string_view target);
 
 }    // namespace shaletray::control_api
--- a/src/controller/api/response.cpp
+++ b/src/controller/api/response.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// Short against the second after which callers turn to another controller.
+// Short compared to the second after which callers switch to another controller.
 constexpr Duration kRetryDelay = 100ms;
 
 std::string escape_json(std::string_view text) {
--- a/src/controller/api/response.h
+++ b/src/controller/api/response.h
@@ -1,4 +1,4 @@
-// The answers of the control API: status, JSON body and the headers that go with them.
+// Responses of the control API: status, JSON body and headers.
 #pragma once
 
 #include <string>
@@ -23,27 +23,27 @@
 struct Response {
     HttpStatus status = HttpStatus::Ok;
     std::string body;
-    std::string allowed_method{};    // of the Allow header; empty: none
-    Duration retry_after{};          // of the Retry-After header; zero: none
+    std::string allowed_method{};    // value of the Allow header; empty: no header
+    Duration retry_after{};          // value of the Retry-After header; zero: no header
 };
 
-// The headers of a response besides the usual ones, each with its line end.
+// The headers of a response besides the standard ones, each with its line end.
 std::string extra_headers(const Response& response);
 
-// 200 with an empty object: the command was carried out.
+// 200 with an empty object: the command was executed.
 Response success();
-// 200 to a server's call. `heartbeat_target` is the control address to which its next heartbeats are to go;
-// empty: any.
+// 200 to a server's call. `heartbeat_target` is the control address to which the server must send its next
+// heartbeats; empty: any.
 Response call_accepted(std::string_view heartbeat_target);
-// The same to a server that owns keys: it may hold these rows for `hold` from its call's sending, and no
-// others.
+// The same for a server of a sharded service: it may hold the keys of these rows, and no others, for `hold`
+// from the moment at which it sent the call.
 Response call_accepted(std::string_view heartbeat_target, const std::vector<ownership::Assignment>& rows,
                        Duration hold);
 // 200 with the text of the configuration as it was sent.
 Response configuration_text(std::string text);
 // {"error":"..."}; control characters become blanks.
 Response error(HttpStatus status, std::string_view message);
-// 503: no majority answered in time, or too much is queued. The same call may succeed a moment later.
+// 503: no majority responded in time, or the queue is full. The same call may succeed a moment later.
 Response retry_later();
 
 }    // namespace shaletray::control_api
--- a/tests/controller/api/command_queue_test.cpp
+++ b/tests/controller/api/command_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which queued commands are run, and the bound on their number.
+// The order in which queued commands are executed, and the bound on their number.
 #include "controller/api/command_queue.h"
 
 #include <criterion/criterion.h>
--- a/tests/controller/api/control_command_test.cpp
+++ b/tests/controller/api/control_command_test.cpp
@@ -1,4 +1,4 @@
-// Which command a call is, and how calls that are none are rejected.
+// Decoding of calls into commands, and the rejection of invalid calls.
 #include "controller/api/control_command.h"
 
 #include <criterion/criterion.h>
@@ -37,7 +37,7 @@
         std::holds_alternative<ReadConfiguration>(decode_command("GET", "/configuration/read", "").value()));
 }
 
-Test(control_command, is_rejected_with_the_status_that_fits) {
+Test(control_command, is_rejected_with_the_matching_status) {
     for (const char* target : {"/", "/members/heartbeat", "/members/a/b/heartbeat", "/members/a",
                                "/configuration", "/configuration/read/", "/members/a/beat"})
         cr_assert(command_error("POST", target, kHeartbeatBody).status == HttpStatus::NotFound, "%s", target);
--- a/tests/controller/api/heartbeat_bodies.h
+++ b/tests/controller/api/heartbeat_bodies.h
@@ -1,4 +1,4 @@
-// Bodies of heartbeats, as servers send them.
+// Heartbeat bodies in the format that servers send.
 #pragma once
 
 #include <string_view>
--- a/tests/controller/api/response_test.cpp
+++ b/tests/controller/api/response_test.cpp
@@ -1,4 +1,4 @@
-// The answers of the control API, byte by byte: callers of several versions read them.
+// The exact bytes of the control API's responses, since callers of several versions parse them.
 #include "controller/api/response.h"
 
 #include <criterion/criterion.h>
@@ -8,7 +8,7 @@
 using namespace shaletray;
 using namespace shaletray::control_api;
 
-Test(response, has_the_body_and_the_headers_that_callers_know) {
+Test(response, has_the_exact_body_and_headers) {
     cr_assert(success().body == "{}" && extra_headers(success()).empty());
     cr_assert(call_accepted("10.1.0.24:7000").body == R"({"heartbeat_target":"10.1.0.24:7000"})");
     cr_assert(call_accepted("").body == "{}");
@@ -30,10 +30,10 @@
     cr_assert(call_accepted("", {}, 4s).body == R"({"held_duties":[],"hold":"4000ms"})");
     rows.assign(64, {{65535, 65535}, "i-1", 999'999'999, 1, true, "", 0, "5c0e7a21d94b36f8"});
     cr_assert(call_accepted("10.128.0.99:65535", rows, 4s).body.size() <= 4096,
-              "or the server takes none of it");
+              "a server rejects a larger response");
 }
 
-Test(response, escapes_messages_and_names_the_allowed_method) {
+Test(response, escapes_messages_and_states_the_allowed_method) {
     cr_assert(error(HttpStatus::BadRequest, "a \"b\" \\ c\nd").body == R"({"error":"a \"b\" \\ c d"})");
     const Response rejection = to_response({HttpStatus::MethodNotAllowed, "takes POST", "POST"});
     cr_assert(rejection.status == HttpStatus::MethodNotAllowed);
