--- a/src/controller/command_executor.cpp
+++ b/src/controller/command_executor.cpp
@@ -16,11 +16,11 @@
 using control_api::Response;
 using runtime::log_event;
 
-// In one turn of the event loop.
+// Limit for one turn of the event loop.
 constexpr int kMaxCommandsPerTurn = 64;
-// The answer to a server that leaves waits so long for the plan that gives its keys to others; together with
-// DepartureBarrier::kTimeout below the second after which it calls another controller.
-constexpr Duration kMaxPlanTime = 150ms;
+// Longest time that the response to a departing server waits for the plan that reassigns its keys. Together
+// with DepartureBarrier::kTimeout it is below the second after which the server calls another controller.
+constexpr Duration kMaxPlanWait = 150ms;
 
 void send_response(ApiCaller& caller, Response response) {
     ApiReply reply;
@@ -32,7 +32,7 @@
 
 using DecodedCall = std::variant<control_api::Command, Response>;
 
-// A command, or the response to a call that is none.
+// A command, or the response to an invalid call.
 DecodedCall decode_call(const ApiCall& call) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<DecodedCall> {
@@ -43,7 +43,7 @@
         [] { return DecodedCall(control_api::error(HttpStatus::BadRequest, "not understood")); });
 }
 
-std::string_view event_of(consensus::Outcome outcome) {
+std::string_view event_name_of(consensus::Outcome outcome) {
     switch (outcome) {
         case consensus::Outcome::Conflict: return "configuration_conflict";
         case consensus::Outcome::Indeterminate: return "configuration_indeterminate";
@@ -60,7 +60,7 @@
             return control_api::error(HttpStatus::Conflict,
                                       "revision: this number was taken by another body");
         case consensus::Outcome::Committed:
-        case consensus::Outcome::Stale: break;    // a later version is in force: nothing is left to do
+        case consensus::Outcome::Stale: break;    // a later version is in force: nothing to do
     }
     return control_api::success();
 }
@@ -118,14 +118,14 @@
     if (commands_.size() > 0) schedule_run();
 }
 
-// A server that went to another controller each time would have its owner changed, and sent to all, each
-// time.
+// The response names this controller as the heartbeat target: if a server called another controller each
+// time, its owner would change with each call, and each change would be sent to all.
 void CommandExecutor::acknowledge_server_calls() {
     for (const ServerCall& call : std::exchange(pending_acknowledgements_, {})) acknowledge_server_call(call);
 }
 
-// A server whose keys could not be renewed here has to ask another controller: an acknowledgement without
-// keys would let its holds run out.
+// A server whose keys could not be renewed here has to call another controller: an acknowledgement without
+// keys would let its holds expire.
 void CommandExecutor::acknowledge_server_call(const ServerCall& call) {
     const KeyGrant grant = ownership_.grant_for(call.service, call.id);
     switch (grant.kind) {
@@ -136,7 +136,7 @@
     call.respond(control_api::call_accepted(heartbeat_target_, grant.rows, grant.hold));
 }
 
-// What a server says counts also where it waits no longer for the answer.
+// A heartbeat counts even if the server no longer waits for the response.
 void CommandExecutor::execute(const control_api::HeartbeatCommand& command, PendingCommand& pending) {
     ++statistics_.heartbeats;
     distributor_.record_heartbeat(command.heartbeat);
@@ -154,39 +154,40 @@
     acknowledge_departure({{}, command.id, pending.respond});
 }
 
-// Once a majority of the voters knows of it: whichever part of the system gateways are in touch with, it then
-// has a controller that tells them.
+// Responds once a majority of the voters has recorded the departure: whichever majority a gateway is
+// connected to then has a controller that notifies it.
 void CommandExecutor::acknowledge_departure(const ServerCall& call) {
     distributor_.request_acknowledgement();
     departures_.wait(distributor_.sequence(), reactor_.clock().now(),
                      [this, call](DepartureBarrier::Result result) {
-                         if (result == DepartureBarrier::Result::Known) return acknowledge_after_plan(call);
+                         if (result == DepartureBarrier::Result::Confirmed)
+                             return acknowledge_after_plan(call);
                          ++statistics_.departures_unconfirmed;
                          call.respond(control_api::retry_later());
                      });
 }
 
-// The keys of a server that leaves go to others: it learns of that by this answer, if the plan is committed
-// soon.
+// Waits briefly for the plan that reassigns the departing server's keys: this response then revokes them.
 void CommandExecutor::acknowledge_after_plan(const ServerCall& call) {
     if (!ownership_.is_plan_due(call.service, call.id)) return acknowledge_server_call(call);
-    planned_departures_.push_back({call, reactor_.clock().now() + kMaxPlanTime});
+    planned_departures_.push_back({call, reactor_.clock().now() + kMaxPlanWait});
     if (plan_timer_ == 0)
-        plan_timer_ = reactor_.schedule_after(kMaxPlanTime, [this] { answer_planned_departures(); });
+        plan_timer_ = reactor_.schedule_after(kMaxPlanWait, [this] { respond_to_planned_departures(); });
 }
 
-void CommandExecutor::answer_planned_departures() {
+void CommandExecutor::respond_to_planned_departures() {
     const TimePoint now = reactor_.clock().now();
     for (PlannedDeparture& departure : std::exchange(planned_departures_, {})) {
-        const bool waits =
+        const bool is_still_waiting =
             now < departure.deadline && ownership_.is_plan_due(departure.call.service, departure.call.id);
-        if (waits) planned_departures_.push_back(std::move(departure));
+        if (is_still_waiting) planned_departures_.push_back(std::move(departure));
         else acknowledge_server_call(departure.call);
     }
     reactor_.cancel_timer(plan_timer_);
-    plan_timer_ = planned_departures_.empty() ? 0
-                                              : reactor_.schedule_at(planned_departures_.front().deadline,
-                                                                     [this] { answer_planned_departures(); });
+    plan_timer_ =
+        planned_departures_.empty() ? 0 : reactor_.schedule_at(planned_departures_.front().deadline, [this] {
+            respond_to_planned_departures();
+        });
 }
 
 void CommandExecutor::complete_departures() {
@@ -194,7 +195,7 @@
     std::vector<std::string> voters;
     for (const consensus::Replica& voter : consensus_.committed_entry().voters)
         voters.push_back(voter.address);
-    departures_.on_majority_known(distributor_.known_to_majority(voters));
+    departures_.on_majority_acknowledged(distributor_.majority_acknowledged_sequence(voters));
     schedule_expiry();
 }
 
@@ -242,7 +243,7 @@
     if (outcome == consensus::Outcome::Conflict) ++statistics_.conflicts;
     if (outcome == consensus::Outcome::Indeterminate) ++statistics_.indeterminate;
     log_event(
-        LogLevel::Info, event_of(outcome),
+        LogLevel::Info, event_name_of(outcome),
         {log_field("version", version), log_field("current_version", consensus_.committed_entry().version),
          log_field("took_ms", (reactor_.clock().now() - started_at) / 1ms)});
     respond(response_to_proposal(outcome));
--- a/src/controller/command_executor.h
+++ b/src/controller/command_executor.h
@@ -1,4 +1,4 @@
-// Carries out the calls of the control API: heartbeats and deregistrations of servers, replacing and reading
+// Executes the calls of the control API: heartbeats and deregistrations of servers, and replacing and reading
 // the configuration.
 #pragma once
 
@@ -18,17 +18,17 @@
 
 namespace shaletray::controller {
 
-// For the reactor's thread only. Calls are queued and run in later turns, so many at once, that messages of
-// other processes are not held up. What it is constructed with has to outlive it.
+// For the reactor's thread only. Calls are queued and run in later turns, a limited number in each, so that
+// messages from other processes are not delayed. Referenced constructor arguments must outlive it.
 class CommandExecutor {
 public:
     struct Statistics {
         std::uint64_t heartbeats = 0, deregistrations = 0, replacements = 0, reads = 0;
-        std::uint64_t rejected = 0;                  // no command, or too many were queued
-        std::uint64_t conflicts = 0;                 // replacements whose version belongs to another text
-        std::uint64_t indeterminate = 0;             // replacements without an answer of a majority
-        std::uint64_t departures_unconfirmed = 0;    // of which no majority knew in time
-        std::uint64_t malformed_hold_rows = 0;       // in heartbeats, of held or released keys
+        std::uint64_t rejected = 0;                  // not a valid command, or the queue was full
+        std::uint64_t conflicts = 0;                 // replacements whose version has another text
+        std::uint64_t indeterminate = 0;             // replacements without a majority's response in time
+        std::uint64_t departures_unconfirmed = 0;    // not acknowledged by a majority in time
+        std::uint64_t malformed_hold_rows = 0;       // rows of held or released keys in heartbeats
     };
     // Servers are told to send their heartbeats to `heartbeat_target`, this controller's control address.
     CommandExecutor(Reactor& reactor, ConsensusDriver& consensus, ConfigurationLoader& loader,
@@ -39,14 +39,15 @@
     CommandExecutor& operator=(const CommandExecutor&) = delete;
 
     void handle_call(const ApiCall& call, std::shared_ptr<ApiCaller> caller);
-    // Acknowledges the departures of which a majority of the voters knows by now.
+    // Acknowledges the departures that a majority of the voters has recorded.
     void complete_departures();
-    // The ownership table has changed: answers may have waited for it.
-    void on_ownership_changed() { answer_planned_departures(); }
-    // What waits can no longer be confirmed: the changes are numbered anew.
-    void abandon_departures() { departures_.reset(); }
-    // This controller is about to stop: servers are no longer asked to stay with it.
-    void release_servers() { heartbeat_target_.clear(); }
+    // The ownership table has changed: responses to planned departures may be due.
+    void on_ownership_changed() { respond_to_planned_departures(); }
+    // Call after the incarnation has risen: the registry's changes are then numbered anew, so that pending
+    // departures can no longer be confirmed.
+    void fail_pending_departures() { departures_.reset(); }
+    // Call when this controller is about to stop: servers are no longer told to send their heartbeats to it.
+    void clear_heartbeat_target() { heartbeat_target_.clear(); }
     const Statistics& statistics() const { return statistics_; }
 
 private:
@@ -54,7 +55,7 @@
 
     void schedule_run();
     void run_commands();
-    // A server's call that is to be answered.
+    // A server's call that awaits its response.
     struct ServerCall {
         std::string service, id;
         Respond respond;
@@ -63,7 +64,7 @@
     void acknowledge_server_call(const ServerCall& call);
     void acknowledge_departure(const ServerCall& call);
     void acknowledge_after_plan(const ServerCall& call);
-    void answer_planned_departures();
+    void respond_to_planned_departures();
     void expire_departures();
     void schedule_expiry();
     void execute(const control_api::HeartbeatCommand& command, control_api::PendingCommand& pending);
@@ -84,10 +85,10 @@
     std::string heartbeat_target_;
     control_api::CommandQueue commands_;
     Timers::Id run_timer_ = 0;
-    // Calls of servers that were run in this turn: acknowledged once their changes have been published.
+    // Calls of servers that were run in this turn; acknowledged once their changes have been published.
     std::vector<ServerCall> pending_acknowledgements_;
     DepartureBarrier departures_;
-    // Of servers that leave, and whose keys are being given to others: the answer takes the keys from them.
+    // A departing server whose keys are being reassigned; the response revokes its keys.
     struct PlannedDeparture {
         ServerCall call;
         TimePoint deadline{};
--- a/src/controller/configuration_loader.cpp
+++ b/src/controller/configuration_loader.cpp
@@ -8,8 +8,8 @@
 namespace shaletray::controller {
 namespace {
 
-// Proposals that may be under way at the same time without one being parsed twice; each takes memory.
-constexpr std::size_t kMaxChecked = 4;
+// Number of concurrent proposals whose parsed configurations are cached; bounded because each takes memory.
+constexpr std::size_t kMaxCheckedConfigurations = 4;
 
 }    // namespace
 
@@ -21,14 +21,14 @@
                 return on_checked(*error);
             configuration::Configuration& parsed = std::get<configuration::Configuration>(outcome);
             const std::uint64_t version = parsed.version;
-            remember(parsed_text, std::move(parsed));
+            cache_checked(parsed_text, std::move(parsed));
             on_checked(ValidText{std::move(parsed_text), version});
         });
 }
 
-void ConfigurationLoader::remember(const std::string& text, configuration::Configuration parsed) {
+void ConfigurationLoader::cache_checked(const std::string& text, configuration::Configuration parsed) {
     checked_.push_back({text.size(), std::hash<std::string>{}(text), std::move(parsed)});
-    if (checked_.size() > kMaxChecked) checked_.pop_front();
+    if (checked_.size() > kMaxCheckedConfigurations) checked_.pop_front();
 }
 
 void ConfigurationLoader::load(const consensus::LogEntry& entry) {
@@ -49,14 +49,15 @@
         return checked.parsed.version == entry.version && checked.text_length == entry.text.size() &&
                checked.text_hash == hash;
     };
-    const auto known = std::find_if(checked_.begin(), checked_.end(), is_entry);
-    if (known == checked_.end()) return false;
-    install_(std::move(known->parsed));
+    const auto found = std::find_if(checked_.begin(), checked_.end(), is_entry);
+    if (found == checked_.end()) return false;
+    install_(std::move(found->parsed));
     checked_.clear();
     return true;
 }
 
-// Every text is checked before it is proposed, so an error means that the proposer understands more.
+// Every text is checked before it is proposed, so an error means that the proposer runs a newer version that
+// accepts more.
 void ConfigurationLoader::on_entry_parsed(std::uint64_t version, ConfigurationValidator::Outcome outcome) {
     if (auto* parsed = std::get_if<configuration::Configuration>(&outcome))
         return install_(std::move(*parsed));
--- a/src/controller/configuration_publisher.cpp
+++ b/src/controller/configuration_publisher.cpp
@@ -12,8 +12,8 @@
     PublishedVersion published;
     published.digest = configuration::digest_of(new_configuration);
     if (!versions_.empty()) {
-        // Applying the delta shares all unchanged rows with the previous version; and most gateways hold that
-        // version, so the delta is needed anyway.
+        // Applying the delta lets the versions share all unchanged rows. The delta is needed anyway, as most
+        // gateways have the previous version.
         const PublishedVersion& previous = versions_.back();
         std::string delta = configuration::write_delta(*previous.snapshot, new_configuration);
         if (auto shared = configuration::apply_update(*previous.snapshot, delta)) {
@@ -54,7 +54,7 @@
     }
     update.since_sequence = position.sequence;
     update.sequence = registry_.sequence();
-    // Without any change it still proves which controllers run.
+    // Even without a change, the encoding shows which controllers run.
     update.endpoint_changes = registry_.encode_changes(update.since_sequence, false, now);
     position.sequence = update.sequence;
     update.ownership_version = ownership_table_.version;
@@ -72,9 +72,9 @@
     Client& client = clients_[from];
     client.position.version = client_state.version;
     client.position.digest = client_state.digest;
-    const bool knows_incarnation = client_state.known_incarnation == settings_.incarnation;
+    const bool is_known_incarnation = client_state.known_incarnation == settings_.incarnation;
     client.position.sequence =
-        knows_incarnation ? std::min(client_state.known_sequence, registry_.sequence()) : 0;
+        is_known_incarnation ? std::min(client_state.known_sequence, registry_.sequence()) : 0;
     client.position.ownership_version = client_state.ownership_version;
     client.last_contact = now;
     messages.push_back({from, make_update(client.position, now)});
--- a/src/controller/configuration_publisher.h
+++ b/src/controller/configuration_publisher.h
@@ -1,5 +1,5 @@
-// Makes the updates that gateways receive: for each that has reported, the difference between what it has and
-// the newest configuration and registry. Pure.
+// Builds the updates for gateways: for each gateway that has reported its state, the difference between that
+// state and the newest configuration, registry and ownership table. Pure.
 #pragma once
 
 #include <compare>
@@ -18,16 +18,16 @@
 
 namespace shaletray::controller {
 
-// Keeps the newest versions of the configuration, so that gateways which hold one of them are sent a delta;
-// all others get the full text. The registry is only read, and has to outlive the publisher.
+// Keeps the newest versions of the configuration. A gateway that has one of them receives a delta, any other
+// gateway the full configuration. The registry is only read and must outlive the publisher.
 class ConfigurationPublisher {
 public:
     struct Settings {
         std::uint64_t incarnation = 0;
-        std::size_t max_versions = 16;    // kept to make deltas from
-        // Gateways that reported within this time are sent changes unasked.
+        std::size_t max_versions = 16;    // kept as bases of deltas
+        // A gateway that has reported within this time receives changes without asking.
         Duration active_window = std::chrono::seconds(3);
-        Duration expiry_timeout = std::chrono::seconds(30);    // after which a silent gateway is forgotten
+        Duration expiry_timeout = std::chrono::seconds(30);    // a gateway silent for longer is removed
     };
     struct OutgoingMessage {
         std::string to, bytes;
@@ -35,17 +35,17 @@
     ConfigurationPublisher(Settings settings, const registry::ServiceRegistry& service_registry)
         : settings_(settings), registry_(service_registry) {}
 
-    // This controller's incarnation has risen: gateways are sent the whole registry again.
+    // Sets this controller's new, higher incarnation; gateways then receive the whole registry again.
     void set_incarnation(std::uint64_t incarnation) { settings_.incarnation = incarnation; }
-    // The newest committed configuration; its version is above all that were published before.
+    // Publishes the newest committed configuration. Its version must be above all published before.
     void publish(configuration::Configuration new_configuration);
-    // The newest committed ownership table.
+    // Publishes the newest committed ownership table.
     void publish(const ownership::OwnershipTable& table) { ownership_table_ = table; }
-    // Of the newest configuration; 0: there is none yet.
+    // Version of the newest configuration; 0 if there is none yet.
     std::uint64_t version() const { return versions_.empty() ? 0 : versions_.back().snapshot->version; }
-    // What the updates from now on say about this controller's contact with a majority of the voters.
+    // Sets whether later updates state that this controller is in contact with a majority of the voters.
     void set_quorum_confirmed(bool is_confirmed) { quorum_confirmed_ = is_confirmed; }
-    // Answers a gateway's report with an update, also where nothing is new to it.
+    // Responds to a gateway's report with an update, even if nothing has changed for it.
     void on_client_state(const std::string& from, const subscription::ClientState& client_state,
                          TimePoint now, std::vector<OutgoingMessage>& messages);
     // Sends an update to every active gateway that is behind.
@@ -57,7 +57,7 @@
         std::shared_ptr<const configuration::Configuration> snapshot;
         std::uint64_t digest = 0;
     };
-    // What a gateway has, as it reported or as it was sent since.
+    // State of a gateway: what it last reported, advanced by what it was sent since.
     struct ClientPosition {
         std::uint64_t version = 0, digest = 0;    // of its configuration
         std::uint64_t sequence = 0;               // of the registry
@@ -68,7 +68,7 @@
         ClientPosition position;
         TimePoint last_contact{};
     };
-    // The same for all clients at one position.
+    // Update for all clients at the same position.
     struct SharedUpdate {
         std::string bytes;
         ClientPosition position_after;
@@ -77,14 +77,14 @@
 
     bool is_behind(const ClientPosition& position) const;
     const SharedUpdate& shared_update(const ClientPosition& position, SharedUpdates& updates, TimePoint now);
-    // Moves the position to what the update leads to.
+    // Advances the position to the state after the update.
     std::string make_update(ClientPosition& position, TimePoint now);
     const std::string& delta_from(std::uint64_t version, std::uint64_t digest);
 
     Settings settings_;
     const registry::ServiceRegistry& registry_;
-    std::deque<PublishedVersion> versions_;    // the newest last
-    // From a version and its digest to the newest version; each is made once.
+    std::deque<PublishedVersion> versions_;    // newest last
+    // Deltas to the newest version, by the version and digest they start from; each is built once.
     std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> deltas_;
     std::map<std::string, Client> clients_;    // by the gateway's address
     bool quorum_confirmed_ = false;
--- a/src/controller/configuration_validator.cpp
+++ b/src/controller/configuration_validator.cpp
@@ -36,7 +36,7 @@
 }
 
 bool ConfigurationValidator::validate(std::string&& text, Callback callback) {
-    if (text.size() <= kInlineLimit) {
+    if (text.size() <= kMaxInlineBytes) {
         Outcome outcome = parse_text(text);
         callback(std::move(text), std::move(outcome));
         return true;
--- a/src/controller/configuration_validator.h
+++ b/src/controller/configuration_validator.h
@@ -1,4 +1,4 @@
-// Parses configurations without holding up the reactor: short texts at once, long ones on a worker thread.
+// Parses configurations without blocking the reactor: short texts at once, long ones on a worker thread.
 #pragma once
 
 #include <condition_variable>
@@ -15,24 +15,25 @@
 
 namespace shaletray::controller {
 
-// Owned and called by the reactor's thread; callbacks run there too. Results come in the order of the calls,
-// short and long texts each among themselves. What is still queued at the end is dropped without a callback.
+// Owned and called by the reactor's thread; callbacks run there too. Results of short texts come in the order
+// of the calls, and so do those of long texts, but the two are not ordered relative to each other. Texts that
+// are queued at destruction are dropped without a callback.
 class ConfigurationValidator {
 public:
     using Outcome = std::variant<configuration::Configuration, configuration::ConfigurationError>;
-    // Gets the text back, together with what it parses to.
+    // Receives the text back together with the result of parsing it.
     using Callback = std::function<void(std::string text, Outcome outcome)>;
-    // Bytes. Parsing longer texts would hold up the heartbeats of servers.
-    static constexpr std::size_t kInlineLimit = 64 * 1024;
-    // Bytes, of all queued texts together: one of the largest that the control API takes, and half as much.
+    // Parsing longer texts on the reactor's thread would delay the heartbeats of servers.
+    static constexpr std::size_t kMaxInlineBytes = 64 * 1024;
+    // Limit for all queued texts together: 1.5 times the largest text that the control API accepts.
     static constexpr std::size_t kMaxQueuedBytes = 96 * 1024 * 1024;
 
     explicit ConfigurationValidator(Reactor& reactor);
     ~ConfigurationValidator();
     ConfigurationValidator(const ConfigurationValidator&) = delete;
     ConfigurationValidator& operator=(const ConfigurationValidator&) = delete;
-    // The callback runs before this returns for a short text, in a later turn for a long one. False where the
-    // queue is full: the callback will not run.
+    // For a short text the callback runs before this returns, for a long one in a later turn. Returns false
+    // if the queue is full; the callback then does not run.
     bool validate(std::string&& text, Callback callback);
 
 private:
@@ -48,7 +49,7 @@
     std::mutex mutex_;    // guards queued_, completed_ and stopping_
     std::condition_variable ready_;
     std::deque<Job> queued_, completed_;
-    std::size_t queued_bytes_ = 0;    // until delivered; used by the reactor's thread only
+    std::size_t queued_bytes_ = 0;    // including undelivered results; reactor's thread only
     bool stopping_ = false;
     std::thread thread_;    // started by the first long text
 };
--- a/src/controller/consensus_driver.cpp
+++ b/src/controller/consensus_driver.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// Callers turn to another controller after a second without an answer.
+// Below the second after which callers without a response switch to another controller.
 constexpr Duration kRequestTimeout = 900ms;
 
 consensus::Settings with_retry_interval(consensus::Settings settings, const QuorumTracker& quorum) {
@@ -112,7 +112,7 @@
 
 void ConsensusDriver::complete_request(const consensus::Actions::Completion& completion) {
     const auto entry = pending_requests_.find(completion.request_id);
-    if (entry == pending_requests_.end()) return;    // a read that only confirms the quorum
+    if (entry == pending_requests_.end()) return;    // a periodic read that only confirms the quorum
     const OutcomeCallback on_outcome = std::move(entry->second);
     pending_requests_.erase(entry);
     on_outcome(completion.outcome);
--- a/src/controller/consensus_driver.h
+++ b/src/controller/consensus_driver.h
@@ -1,5 +1,5 @@
-// Runs the replicated register on the event loop: its writes go to the store, its messages to the other
-// controllers, its outcomes to whoever made the request. Also tracks the contact with a majority.
+// Runs the replicated register on the event loop: passes its writes to the store, its messages to the other
+// controllers and its outcomes to the callers. Also tracks the contact with a majority of the voters.
 #pragma once
 
 #include <cstdint>
@@ -19,16 +19,16 @@
 
 namespace shaletray::controller {
 
-// For the reactor's thread only. Reactor and connections have to outlive it. Requests that are open when it
-// is destroyed are dropped without their callback.
+// For the reactor's thread only. Reactor and connections must outlive it. Requests that are pending when it
+// is destroyed are dropped without a callback.
 class ConsensusDriver final : public OwnershipRegister {
 public:
     using OutcomeCallback = std::function<void(consensus::Outcome)>;
     struct Callbacks {
-        // The newest committed entry is another one. Called before the requests that it completes, so that
-        // gateways are notified before anybody is told that the change is in force.
+        // The newest committed entry has changed. Runs before the callbacks of the requests that the entry
+        // completes, so that gateways are notified before a caller learns that the change is in force.
         std::function<void()> entry_committed;
-        // tick() is due at this time, which may be earlier than next_deadline() was before.
+        // tick() is due at this time, which may be earlier than the last next_deadline().
         std::function<void(TimePoint)> tick_due;
     };
     ConsensusDriver(Reactor& reactor, transport::ConnectionManager& connections,
@@ -38,7 +38,7 @@
     ConsensusDriver(const ConsensusDriver&) = delete;
     ConsensusDriver& operator=(const ConsensusDriver&) = delete;
 
-    // Each calls back once, after kRequestTimeout at the latest.
+    // propose() and quorum_read() call back once, after kRequestTimeout at the latest.
     void propose(std::uint64_t version, std::string text, OutcomeCallback on_outcome);
     void quorum_read(OutcomeCallback on_outcome);
     void change_voters(const VoterReconciler::VoterChange& change);
@@ -47,7 +47,7 @@
     bool is_voter() const override { return register_.is_voter(); }
     void on_message(const std::string& from, const std::string& bytes);
     void set_peers(std::vector<std::string> addresses);
-    // Also confirms the quorum from time to time.
+    // Runs the register's timers and issues the periodic quorum read.
     void tick(TimePoint now);
     TimePoint next_deadline() const;
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -18,11 +18,11 @@
 using runtime::log_event;
 
 constexpr Duration kVoterCheckInterval = 250ms;
-// Time for the answers to leave, and for the other controllers to learn that this one stops voting.
+// Lets responses be sent and the other controllers learn that this one stops voting.
 constexpr Duration kMinShutdownTime = 300ms;
-// Calls that are still open, or a vote that nobody takes over, do not hold up the shutdown any longer.
+// Open calls or a vote that no other controller takes over delay the shutdown no longer than this.
 constexpr Duration kMaxShutdownTime = 1500ms;
-constexpr std::size_t kMaxCallers = 1024;
+constexpr std::size_t kMaxControlConnections = 1024;
 
 VoterReconciler::Settings reconciler_settings(const runtime::NodeSettings& settings,
                                               const std::string& address, std::uint64_t disk_id) {
@@ -101,12 +101,12 @@
 
 void Controller::start_servers() {
     ApiServer::Limits limits;
-    limits.max_connections = std::min(kMaxCallers, settings_.max_open_files / 4);
+    limits.max_connections = std::min(kMaxControlConnections, settings_.max_open_files / 4);
     const auto handle_call = [this](const ApiCall& call, std::shared_ptr<ApiCaller> caller) {
         commands_.handle_call(call, std::move(caller));
     };
-    call_server_ = std::make_unique<ApiServer>(reactor_, ApiServer::listen(settings_.control_address), limits,
-                                               handle_call, control_api::max_body_size);
+    control_server_ = std::make_unique<ApiServer>(reactor_, ApiServer::listen(settings_.control_address),
+                                                  limits, handle_call, control_api::max_body_size);
     const auto is_ready = [this] { return consensus_.is_quorum_held(); };
     const auto describe_owners = [this] {
         return describe_ownership(ownership_.table(), ownership_.busiest_loads());
@@ -136,7 +136,7 @@
     update_peers();
 }
 
-// ---- messages of other processes ----
+// ---- messages from other processes ----
 
 void Controller::on_message(const transport::Message& message) {
     const TimePoint now = clock_.now();
@@ -145,7 +145,7 @@
         membership_.on_message(message.sender, message.payload, now, actions);
         return apply_actions(actions);
     }
-    if (message.kind == transport::Kind::Quota) return;    // exchanged by gateways only
+    if (message.kind == transport::Kind::Quota) return;    // only between gateways
     membership_.record_contact(message.sender, message.incarnation, now);
     switch (message.kind) {
         case transport::Kind::Consensus: return consensus_.on_message(message.sender, message.payload);
@@ -185,7 +185,7 @@
     return {address_, settings_.heartbeat, settings_.bounds.max_hold};
 }
 
-// The other controllers: those that are members, and the seeds that were not met yet.
+// The peers are the controllers among the members and the seeds that are not members yet.
 void Controller::update_peers() {
     std::vector<std::string> peers;
     for (const auto& [address, member] : membership_.members()) {
@@ -199,7 +199,7 @@
     consensus_.set_peers(std::move(peers));
 }
 
-// ---- time ----
+// ---- timers ----
 
 void Controller::tick() {
     const TimePoint now = clock_.now();
@@ -211,7 +211,7 @@
     if (now >= next_voter_check_) {
         next_voter_check_ = now + kVoterCheckInterval;
         voter_manager_.reconcile();
-        loader_.load(consensus_.committed_entry());    // again, where too much was queued before
+        loader_.load(consensus_.committed_entry());    // retries if too many texts were queued before
     }
     schedule_tick(std::min({membership_.next_deadline(), consensus_.next_deadline(),
                             distributor_.next_deadline(), ownership_.next_deadline(), next_voter_check_}));
@@ -225,10 +225,10 @@
     incarnation_ = membership_.self().incarnation;
     connections_.set_incarnation(incarnation_);
     distributor_.set_incarnation(incarnation_);
-    commands_.abandon_departures();
+    commands_.fail_pending_departures();
 }
 
-// Timers only ever move to an earlier time: a tick that comes too early does no harm.
+// The timer is only moved to an earlier time: a tick that comes too early does no harm.
 void Controller::schedule_tick(TimePoint deadline) {
     if (deadline >= next_tick_at_) return;
     next_tick_at_ = deadline;
@@ -238,15 +238,15 @@
 
 // ---- shutdown ----
 
-// A voter hands its vote to another controller, where one can take it, before it says that it leaves.
+// A voter hands its vote to another controller, if one can take it, before it announces its departure.
 void Controller::stop() {
     if (is_stopping()) return;
     stopping_since_ = clock_.now();
     log_event(LogLevel::Info, "controller_stopping",
-              {log_field("calls", call_server_->active_calls()),
+              {log_field("calls", control_server_->active_calls()),
                log_field("votes", consensus_.replicated_register().is_voter())});
-    call_server_->start_shutdown();
-    commands_.release_servers();
+    control_server_->start_shutdown();
+    commands_.clear_heartbeat_target();
     membership_.set_voter_eligible(false);
     voter_manager_.start_handover();
 }
@@ -255,7 +255,8 @@
     if (!is_stopping()) return;
     const Duration elapsed = clock_.now() - stopping_since_;
     if (elapsed < kMinShutdownTime) return;
-    const bool has_unfinished_work = call_server_->active_calls() > 0 || voter_manager_.is_handover_pending();
+    const bool has_unfinished_work =
+        control_server_->active_calls() > 0 || voter_manager_.is_handover_pending();
     if (elapsed < kMaxShutdownTime && has_unfinished_work) return;
     membership::Actions actions;
     membership_.announce_departure(clock_.now(), actions);
@@ -264,22 +265,24 @@
 }
 
 std::string Controller::counters_text() const {
-    const CommandExecutor::Statistics& calls = commands_.statistics();
-    const transport::ConnectionManager::Counters& messages = connections_.counters();
+    const CommandExecutor::Statistics& command_statistics = commands_.statistics();
+    const transport::ConnectionManager::Counters& message_counters = connections_.counters();
     return fmt::format(
         "heartbeats={} deregistrations={} replacements={} reads={} rejected={} conflicts={} "
         "indeterminate={} departures_unconfirmed={} quorum={} quorum_losses={} gateways={} servers={} "
         "failed_writes={} "
         "messages_sent={} message_bytes={} messages_dropped={} messages_malformed={} {}",
-        calls.heartbeats, calls.deregistrations, calls.replacements, calls.reads, calls.rejected,
-        calls.conflicts, calls.indeterminate, calls.departures_unconfirmed,
+        command_statistics.heartbeats, command_statistics.deregistrations, command_statistics.replacements,
+        command_statistics.reads, command_statistics.rejected, command_statistics.conflicts,
+        command_statistics.indeterminate, command_statistics.departures_unconfirmed,
         consensus_.is_quorum_held() ? 1 : 0, consensus_.quorum_loss_count(), distributor_.gateway_count(),
-        distributor_.server_count(), consensus_.store().failed_writes(), messages.sent, messages.sent_bytes,
-        messages.dropped, messages.malformed, transport::describe_traffic(messages));
+        distributor_.server_count(), consensus_.store().failed_writes(), message_counters.sent,
+        message_counters.sent_bytes, message_counters.dropped, message_counters.malformed,
+        transport::describe_traffic(message_counters));
 }
 
 std::string Controller::metrics_text() const {
-    const CommandExecutor::Statistics& calls = commands_.statistics();
+    const CommandExecutor::Statistics& command_statistics = commands_.statistics();
     const consensus::LogEntry& entry = consensus_.committed_entry();
     std::string text;
     const auto append_value = [&text](std::string_view name, std::uint64_t value) {
@@ -292,18 +295,18 @@
     append_value("voters", entry.voters.size());
     append_value("servers", distributor_.server_count());
     append_value("gateways", distributor_.gateway_count());
-    append_value("heartbeats_total", calls.heartbeats);
-    append_value("deregistrations_total", calls.deregistrations);
-    append_value("replacements_total", calls.replacements);
-    const OwnershipCoordinator::Statistics& ownership = ownership_.statistics();
+    append_value("heartbeats_total", command_statistics.heartbeats);
+    append_value("deregistrations_total", command_statistics.deregistrations);
+    append_value("replacements_total", command_statistics.replacements);
+    const OwnershipCoordinator::Statistics& ownership_statistics = ownership_.statistics();
     append_value("ownership_version", ownership_.table().version);
     append_value("ownership_services", ownership_.table().services.size());
     append_value("ownership_unsettled_rows", ownership_.unsettled_rows());
-    append_value("ownership_granted_total", ownership.granted);
-    append_value("ownership_unconfirmed_total", ownership.unconfirmed);
-    append_value("ownership_proposals_total", ownership.proposals);
-    append_value("ownership_releases_proven_total", ownership.settled_by_proof);
-    append_value("ownership_malformed_rows_total", calls.malformed_hold_rows);
+    append_value("ownership_granted_total", ownership_statistics.granted);
+    append_value("ownership_unconfirmed_total", ownership_statistics.unconfirmed);
+    append_value("ownership_proposals_total", ownership_statistics.proposals);
+    append_value("ownership_releases_proven_total", ownership_statistics.settled_by_release);
+    append_value("ownership_malformed_rows_total", command_statistics.malformed_hold_rows);
     for (const auto& [service, load] : ownership_.busiest_loads())
         text += fmt::format("controller_ownership_busiest_server_load{{service=\"{}\"}} {:.3f}\n",
                             escape_label(service), load);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,5 +1,5 @@
-// A controller: the process that keeps the configuration and the registry of servers. Puts its parts together
-// on one event loop and drives them: messages, time, start and shutdown.
+// The controller process, which stores the configuration and the registry of servers. Connects its components
+// on one event loop and drives them: messages, timers, startup and shutdown.
 #pragma once
 
 #include <cstdint>
@@ -22,25 +22,25 @@
 
 namespace shaletray::controller {
 
-// All of it runs on the thread that calls run().
+// Everything runs on the thread that calls run().
 class Controller {
 public:
-    // Throws Poco::Exception where an address cannot be used.
+    // Throws Poco::Exception if it cannot listen on an address.
     Controller(const runtime::NodeSettings& settings, std::unique_ptr<consensus::StateStore> store);
     ~Controller();
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
 
-    // Until shutdown is complete. `on_turn` runs once in each turn of the event loop, at least ten times a
-    // second; it may call the methods below.
+    // Runs the event loop until shutdown is complete. `on_turn` runs once in each turn of the loop, at least
+    // ten times a second, and may call the methods below.
     void run(std::function<void()> on_turn);
-    // Starts the shutdown, which ends run() a little later.
+    // Starts the shutdown; run() returns when it is complete.
     void stop();
-    // Takes over the seeds; all other settings need a restart.
+    // Applies the seed addresses; all other settings need a restart.
     void reload_settings(const runtime::NodeSettings& settings);
-    // "name=value" pairs, for the log.
+    // Counters as "name=value" pairs, for the log.
     std::string counters_text() const;
-    // The same in the Prometheus text format, for GET /metrics at the metrics port.
+    // Metrics in the Prometheus text format, for GET /metrics at the metrics port.
     std::string metrics_text() const;
 
 private:
@@ -61,7 +61,7 @@
 
     runtime::NodeSettings settings_;
     SystemClock clock_;
-    std::string address_;    // the internal one
+    std::string address_;    // internal address
     std::uint64_t incarnation_;
     std::uint64_t random_seed_;
     std::uint64_t disk_id_;
@@ -75,9 +75,9 @@
     ConfigurationLoader loader_;
     VoterManager voter_manager_;
     CommandExecutor commands_;
-    std::unique_ptr<ApiServer> call_server_, readiness_server_, metrics_server_;
+    std::unique_ptr<ApiServer> control_server_, readiness_server_, metrics_server_;
     Timers::Id tick_timer_ = 0;
-    TimePoint next_tick_at_ = TimePoint::max();    // of tick_timer_
+    TimePoint next_tick_at_ = TimePoint::max();    // when tick_timer_ fires
     TimePoint next_voter_check_{};
     TimePoint stopping_since_{};    // zero: not stopping
 };
--- a/src/controller/departure_barrier.h
+++ b/src/controller/departure_barrier.h
@@ -1,6 +1,7 @@
-// Holds the acknowledgement of a server's departure until enough controllers know of it. A server ends soon
-// after the acknowledgement, so every gateway that might still send to it has to hear of it in time, also
-// where the controller that the server called is cut off from them right then. Pure.
+// Delays the acknowledgement of a server's departure until a majority of the controllers that vote has
+// recorded it. A server exits soon after the acknowledgement, so every gateway that might still send to it
+// must be notified in time, even if the controller that the server called is partitioned from them at that
+// moment. Pure.
 #pragma once
 
 #include <cstdint>
@@ -11,39 +12,40 @@
 
 namespace shaletray::controller {
 
-// Departures wait by the registry's sequence number at which they were recorded. Not thread-safe. Callbacks
-// run inside the calls below, and must not call back into the barrier.
+// Each departure waits for the acknowledgement of the registry's sequence number at which it was recorded.
+// Not thread-safe. Callbacks run inside the calls below and must not call back into the barrier.
 class DepartureBarrier {
 public:
-    // Below the second after which a server takes its call for failed and calls another controller.
+    // Below the second after which a server considers its call failed and calls another controller.
     static constexpr Duration kTimeout = std::chrono::milliseconds(800);
     enum class Result {
-        Known,      // a majority of the voters knows of the departure
-        TimedOut    // it may know nothing: the server has to call another controller
+        Confirmed,    // a majority of the voters has recorded the departure
+        TimedOut      // not confirmed in time: the server must call another controller
     };
     using Callback = std::function<void(Result)>;
 
     void wait(std::uint64_t sequence, TimePoint now, Callback on_done);
-    // A majority of the voters knows this registry's changes up to here.
-    void on_majority_known(std::uint64_t sequence);
-    // Ends what has waited for too long; to be called at next_deadline() or later.
+    // A majority of the voters has acknowledged this registry's changes up to `sequence`.
+    void on_majority_acknowledged(std::uint64_t sequence);
+    // Times out departures whose deadline has passed. Call at next_deadline() or later.
     void expire(TimePoint now);
-    // TimePoint::max(): nothing waits.
+    // Deadline of the oldest pending departure; TimePoint::max() if there is none.
     TimePoint next_deadline() const;
-    bool empty() const { return waiting_.empty(); }
-    // This controller's incarnation has risen, which numbers its changes anew: nothing waiting can be told.
+    bool empty() const { return pending_.empty(); }
+    // Times out all pending departures. Call when this controller's incarnation has risen: its changes are
+    // then numbered anew, so the pending sequence numbers can no longer be confirmed.
     void reset();
 
 private:
-    struct Waiting {
+    struct PendingDeparture {
         std::uint64_t sequence = 0;
         TimePoint deadline{};
         Callback on_done;
     };
-    // Ends those for which the predicate holds.
-    void finish(const std::function<bool(const Waiting&)>& is_over, Result result);
+    // Completes the departures for which the predicate holds.
+    void finish(const std::function<bool(const PendingDeparture&)>& should_finish, Result result);
 
-    std::vector<Waiting> waiting_;    // in the order of their deadlines
+    std::vector<PendingDeparture> pending_;    // in the order of their deadlines
 };
 
 }    // namespace shaletray::controller
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -1,5 +1,5 @@
-// The program `controller`: keeps the configuration and the registry of servers. Its settings file is named
-// by SHALETRAY_BOOT or --settings.
+// The program `controller`, which stores the configuration and the registry of servers. Its settings file is
+// given by SHALETRAY_BOOT or --settings.
 #include <Poco/Exception.h>
 
 #include <algorithm>
@@ -17,17 +17,17 @@
 using namespace std::chrono_literals;
 using namespace shaletray;
 
-// Below the data directory. Stores of all versions are found by this name.
+// Name of the store below the data directory. It must not change: existing stores are found by it.
 constexpr const char* kStoreFolder = "/lamp";
-constexpr auto kReopenInterval = 100ms;    // also how soon a request to stop is noticed meanwhile
+constexpr auto kReopenInterval = 100ms;    // also bounds the delay of a stop request meanwhile
 
-// The first voters are the controllers that the settings of the system's very first start name as seeds.
+// The first voters are the controllers that the settings of the cluster's first start list as seeds.
 bool is_founder(const runtime::NodeSettings& settings) {
     return settings.bootstrap && std::find(settings.seed_addresses.begin(), settings.seed_addresses.end(),
                                            settings.control_address) != settings.seed_addresses.end();
 }
 
-// A disk that cannot be used now may be usable again later, so this waits for it. Null: stopped meanwhile.
+// Retries while the disk is unusable, as it may recover. Returns null if a stop was requested meanwhile.
 std::unique_ptr<consensus::StateStore> open_store(const runtime::NodeSettings& settings) {
     if (settings.data_directory.empty()) return consensus::StateStore::in_memory(is_founder(settings));
     while (!runtime::is_stop_requested()) {
--- a/src/controller/ownership_coordinator.cpp
+++ b/src/controller/ownership_coordinator.cpp
@@ -14,25 +14,24 @@
 using ownership::OwnershipTable;
 using runtime::log_event;
 
-// How often changes of the servers are looked at.
+// Interval between two checks for changes of the servers.
 constexpr Duration kPlanInterval = 100ms;
-// Of settings that state none, or one that is too short to be kept.
+// Lower bound of the heartbeat interval where the settings give none or a shorter one.
 constexpr Duration kMinHeartbeatInterval = 10ms;
-// The first voter by address proposes at once, each of the others so much later than the one before it.
+// The first voter by address proposes at once, each further voter this much later than the one before it.
 constexpr Duration kProposalStagger = 500ms;
-// All servers have called by then, each at its own time within the heartbeat interval.
+// Added to the heartbeat interval, within which every server calls once at its own time.
 constexpr Duration kRegistrationMargin = 300ms;
-// In which a server that runs has called a controller again after all controllers were restarted, in
-// intervals of its heartbeats.
-constexpr int kUnknownIntervals = 6;
-// For so long the keys of most of a service's servers stay with them when all of these seem to be gone.
-constexpr Duration kMassLossDelay = 10s;
-// How often the spread of the requests over the keys is estimated anew.
-constexpr Duration kProfileInterval = 1s;
-// After a change of the table, servers with too many requests are left as they are for so long; by each
-// voter after the first for so many proposal delays longer, since each sees another sample of the requests.
-constexpr Duration kBalancePause = 3s;
-constexpr int kBalanceDelays = 8;
+// In heartbeat intervals: after a restart of all controllers, every running server has called again by then.
+constexpr int kRegistrationIntervals = 6;
+// When most servers of a service go missing at once, they keep their keys for this time.
+constexpr Duration kMassLossGracePeriod = 10s;
+// Interval between two estimates of the distribution of requests over keys.
+constexpr Duration kLoadProfileInterval = 1s;
+// Time after a change of the table in which load is not rebalanced. Each voter after the first waits this
+// many of its proposal delays longer, since each sees a different sample of the requests.
+constexpr Duration kBalancingCooldown = 3s;
+constexpr int kBalancingStaggerFactor = 8;
 
 }    // namespace
 
@@ -57,26 +56,26 @@
     if (!decoded) return log_event(LogLevel::Error, "ownership_table_unreadable", {});
     table_bytes_ = bytes;
     table_ = std::move(*decoded);
-    // Time is read after the entry is known: a row's wait must not begin before it was chosen.
+    // The clock is read after the entry is known: a row's wait must not begin before the row was chosen.
     table_changed_at_ = clock_.now();
     tracker_.on_table(table_, table_changed_at_);
     log_event(LogLevel::Info, "ownership_changed",
               {log_field("version", table_.version), log_field("unsettled", unsettled_rows())});
-    wake_at(clock_.now());
+    request_tick_at(clock_.now());
     callbacks_.table_changed(table_);
 }
 
 void OwnershipCoordinator::set_sharded_services(configuration::ServiceNames services) {
     sharded_services_ = std::move(services);
     key_loads_.set_services(sharded_services_);
-    wake_at(clock_.now());
+    request_tick_at(clock_.now());
 }
 
 void OwnershipCoordinator::on_heartbeat(const registry::Heartbeat& heartbeat) {
     const registry::Server& server = heartbeat.server;
     if (!table_.services.contains(server.service)) return;
     if (tracker_.on_report(server.service, server.id, heartbeat.holds)) {
-        ++statistics_.settled_by_proof;
+        ++statistics_.settled_by_release;
         propose_settled(clock_.now(), false);
     }
     if (is_plan_due(server.service, server.id)) {
@@ -93,7 +92,7 @@
     const auto rows = table_.services.find(service);
     if (rows == table_.services.end()) return {};
     KeyGrant grant;
-    // A hold counts from the heartbeat's sending, which was before this: see the design's first rule.
+    // A hold counts from the sending of the heartbeat, which was earlier: see the first rule of the design.
     if (!ownership::may_grant(register_.quorum_confirmed_at(), clock_.now())) {
         ++statistics_.unconfirmed;
         grant.kind = KeyGrant::Kind::Unconfirmed;
@@ -128,7 +127,7 @@
 
 std::map<std::string, double> OwnershipCoordinator::busiest_loads() const {
     std::map<std::string, double> result;
-    for (const auto& [service, load] : balance_.loads) {
+    for (const auto& [service, load] : balancing_input_.loads) {
         const auto rows = table_.services.find(service);
         if (rows == table_.services.end() || load.request_count() <= 0) continue;
         std::map<std::string, double> weights;
@@ -146,19 +145,19 @@
     if (now < next_tick_) return;
     next_tick_ = now + kPlanInterval;
     if (sharded_services_.empty() && table_.services.empty()) {
-        next_tick_ = TimePoint::max();    // until there is something to do
+        next_tick_ = TimePoint::max();    // until request_tick_at()
         return;
     }
-    // Subtracted from the time, as there may be no deadline.
+    // Subtracted from `now` instead of added to the deadline, which overflows if there is none.
     const bool is_wait_over = now - proposal_delay() >= tracker_.next_deadline();
     propose_settled(now, register_.is_voter() && is_wait_over);
     propose_plan(now);
 }
 
-void OwnershipCoordinator::propose_settled(TimePoint now, bool by_wait) {
+void OwnershipCoordinator::propose_settled(TimePoint now, bool by_expired_wait) {
     if (!register_.is_quorum_held()) return;
-    const auto next = tracker_.settle(register_.committed_entry().number + 1, now, by_wait);
-    if (next) propose(*next, by_wait ? "settled_after_wait" : "settled_by_release");
+    const auto next = tracker_.settle(register_.committed_entry().number + 1, now, by_expired_wait);
+    if (next) propose(*next, by_expired_wait ? "settled_after_wait" : "settled_by_release");
 }
 
 void OwnershipCoordinator::propose_plan(TimePoint now) {
@@ -167,9 +166,9 @@
     std::erase_if(servers, [&](const auto& entry) {
         return !table_.services.contains(entry.first) && !is_ready_to_assign(entry.first, entry.second, now);
     });
-    update_balance(servers, now);
+    update_balancing_input(servers, now);
     const ownership::OwnershipPlanner planner(table_, register_.committed_entry().number + 1);
-    auto next = planner.plan(servers, balance_);
+    auto next = planner.plan(servers, balancing_input_);
     if (!next) {
         plan_wanted_since_ = TimePoint{};
         is_urgent_ = false;
@@ -178,22 +177,23 @@
     if (plan_wanted_since_ == TimePoint{}) plan_wanted_since_ = now;
     if (!may_propose || (!is_urgent_ && now < plan_wanted_since_ + proposal_delay())) return;
     is_urgent_ = false;
-    // What settled rows were granted for counts for all later waits, so it never changes.
+    // All later waits rely on the hold for which settled rows were granted, so it never changes.
     if (next->hold == Duration(0))
         next->hold = ownership::choose_hold(settings_.heartbeat_interval, settings_.max_hold);
     propose(*next, "planned");
 }
 
-void OwnershipCoordinator::update_balance(const std::map<std::string, ownership::Servers>& servers,
-                                          TimePoint now) {
-    const bool is_due = now - table_changed_at_ >= kBalancePause + kBalanceDelays * proposal_delay();
-    if (!is_due) balance_.due.clear();
-    if (now < next_profile_at_) return;
-    next_profile_at_ = now + kProfileInterval;
-    balance_ = {};
-    for (const auto& [service, its_servers] : servers) {
-        balance_.loads[service] = key_loads_.profile(service, its_servers.size(), now);
-        if (is_due && key_loads_.is_current(service, now)) balance_.due.insert(service);
+void OwnershipCoordinator::update_balancing_input(const std::map<std::string, ownership::Servers>& servers,
+                                                  TimePoint now) {
+    const bool is_due =
+        now - table_changed_at_ >= kBalancingCooldown + kBalancingStaggerFactor * proposal_delay();
+    if (!is_due) balancing_input_.due.clear();
+    if (now < next_load_profile_at_) return;
+    next_load_profile_at_ = now + kLoadProfileInterval;
+    balancing_input_ = {};
+    for (const auto& [service, service_servers] : servers) {
+        balancing_input_.loads[service] = key_loads_.profile(service, service_servers.size(), now);
+        if (is_due && key_loads_.is_current(service, now)) balancing_input_.due.insert(service);
     }
 }
 
@@ -205,7 +205,7 @@
     register_.change_ownership_table(table_bytes_, ownership::encode(next));
 }
 
-// Of the services whose keys are to be divided, all servers that own keys or could.
+// All servers that own or may own keys, by sharded service.
 std::map<std::string, ownership::Servers> OwnershipCoordinator::servers_by_service(TimePoint now) {
     std::map<std::string, ownership::Servers> result;
     for (const std::string& service : sharded_services_) result[service];
@@ -215,45 +215,48 @@
         const auto found = result.find(server.service);
         if (is_running && found != result.end()) found->second[id] = server_info(server, now);
     }
-    for (auto& [service, servers] : result) keep_owners_of_mass_loss(service, servers, now);
+    for (auto& [service, servers] : result) keep_missing_owners(service, servers, now);
     return result;
 }
 
-// Until the registry, which is in memory only, has heard of all servers, those without an entry may well run.
-// And where most owners are gone at once, their heartbeats have more likely lost their way for a while.
-void OwnershipCoordinator::keep_owners_of_mass_loss(const std::string& service, ownership::Servers& servers,
-                                                    TimePoint now) {
+// After a restart the registry, which is in memory only, is incomplete until all servers have called again,
+// so an owner without an entry may still run. And where most owners go missing at once, it is more likely
+// that their heartbeats are not arriving for a while than that they all failed.
+void OwnershipCoordinator::keep_missing_owners(const std::string& service, ownership::Servers& servers,
+                                               TimePoint now) {
     const auto rows = table_.services.find(service);
     if (rows == table_.services.end()) return;
-    std::set<std::string> owners, gone;
+    std::set<std::string> owners, missing;
     for (const Assignment& row : rows->second) {
         owners.insert(row.owner);
-        if (!servers.contains(row.owner)) gone.insert(row.owner);
+        if (!servers.contains(row.owner)) missing.insert(row.owner);
     }
-    if (2 * gone.size() <= owners.size()) most_gone_since_.erase(service);
-    else most_gone_since_.try_emplace(service, now);
-    const auto since = most_gone_since_.find(service);
-    const bool is_mass_loss = since != most_gone_since_.end() && now - since->second < kMassLossDelay;
-    for (const std::string& id : gone) {
-        const bool is_unheard_of = !servers_.contains(id) && !is_registry_complete(now);
-        if (is_mass_loss || is_unheard_of) servers[id].state = ownership::ServerInfo::State::Unknown;
+    if (2 * missing.size() <= owners.size()) mass_loss_since_.erase(service);
+    else mass_loss_since_.try_emplace(service, now);
+    const auto mass_loss = mass_loss_since_.find(service);
+    const bool is_mass_loss =
+        mass_loss != mass_loss_since_.end() && now - mass_loss->second < kMassLossGracePeriod;
+    for (const std::string& id : missing) {
+        const bool may_be_unregistered = !servers_.contains(id) && !is_registry_complete(now);
+        if (is_mass_loss || may_be_unregistered) servers[id].state = ownership::ServerInfo::State::Unknown;
     }
 }
 
 bool OwnershipCoordinator::is_registry_complete(TimePoint now) const {
-    return now - started_at_ >= kUnknownIntervals * settings_.heartbeat_interval;
+    return now - started_at_ >= kRegistrationIntervals * settings_.heartbeat_interval;
 }
 
 ownership::ServerInfo OwnershipCoordinator::server_info(const registry::Server& server, TimePoint now) const {
     ownership::ServerInfo info;
     if (server.state == registry::State::Draining) info.state = ownership::ServerInfo::State::Leaving;
-    // Calls to other controllers are told here only where they say something new; their rhythm stays.
-    const Duration silent = std::max(Duration(0), now - server.last_called_at);
-    info.next_heartbeat_in = settings_.heartbeat_interval - silent % settings_.heartbeat_interval;
+    // Other controllers forward a heartbeat only if it changes the registry, so the last known call may be
+    // several intervals old; the phase of the heartbeats stays the same.
+    const Duration silence = std::max(Duration(0), now - server.last_called_at);
+    info.next_heartbeat_in = settings_.heartbeat_interval - silence % settings_.heartbeat_interval;
     return info;
 }
 
-// Once every server has had the time for its first heartbeat, so that the first assignment is an even one.
+// True once every server has had time for its first heartbeat, so that the first assignment is even.
 bool OwnershipCoordinator::is_ready_to_assign(const std::string& service, const ownership::Servers& servers,
                                               TimePoint now) {
     if (servers.empty()) return false;
@@ -270,7 +273,7 @@
     return delay;
 }
 
-void OwnershipCoordinator::wake_at(TimePoint time) {
+void OwnershipCoordinator::request_tick_at(TimePoint time) {
     if (time >= next_tick_) return;
     next_tick_ = time;
     callbacks_.tick_due(time);
--- a/src/controller/quorum_tracker.cpp
+++ b/src/controller/quorum_tracker.cpp
@@ -11,8 +11,8 @@
     if (is_held(now) == was_held_) return std::nullopt;
     was_held_ = !was_held_;
     if (!was_held_) ++loss_count_;
-    // A loss dates from the moment the last confirmation expired, not from when that was noticed.
-    const TimePoint changed_at = was_held_ ? now : std::min(now, *confirmed_at_ + validity_of_confirmation());
+    // A loss is dated to the expiry of the last confirmation, not to its detection.
+    const TimePoint changed_at = was_held_ ? now : std::min(now, *confirmed_at_ + confirmation_validity());
     return Change{was_held_, changed_at - std::exchange(changed_at_, changed_at)};
 }
 
--- a/src/controller/quorum_tracker.h
+++ b/src/controller/quorum_tracker.h
@@ -1,5 +1,5 @@
-// Tracks whether this controller is in contact with a majority of the voters: only then is what it holds
-// handed out as current. Pure.
+// Tracks whether this controller is in contact with a majority of the voters: only then is its state reported
+// as current. Pure.
 #pragma once
 
 #include <algorithm>
@@ -10,30 +10,31 @@
 
 namespace shaletray::controller {
 
-// All times derive from the contact timeout (`bounds.contact`), taken as 300 ms at least. Quorum reads are
-// issued often enough for two to be lost before the last confirmed one is too old, and are retried often
-// enough for a controller whose links return to have its quorum back within the contact timeout.
+// All times derive from the contact timeout (`bounds.contact`), which is raised to 300 ms if it is lower.
+// Quorum reads are issued often enough that two may be lost before the last confirmation expires, and retried
+// often enough that a controller regains its quorum within the contact timeout after its links are restored.
 class QuorumTracker {
 public:
     struct Change {
-        bool held = false;               // whether there is contact from now on
-        Duration previous_duration{};    // how long the opposite held
+        bool held = false;               // whether the quorum is held from now on
+        Duration previous_duration{};    // duration of the previous state
     };
     QuorumTracker(Duration contact_timeout, TimePoint now)
         : contact_timeout_(std::max<Duration>(contact_timeout, kMinContactTimeout)), changed_at_(now) {}
     Duration read_interval() const { return contact_timeout_ / 6; }
     Duration max_retry_interval() const { return contact_timeout_ / 3; }
-    // As of `now`, so that a process that was suspended knows it is out of date before it does anything else.
+    // Evaluated at `now`, so that a process that was suspended detects its loss of the quorum before it does
+    // anything else.
     bool is_held(TimePoint now) const {
-        return confirmed_at_ && now - *confirmed_at_ <= validity_of_confirmation();
+        return confirmed_at_ && now - *confirmed_at_ <= confirmation_validity();
     }
-    // Records when a majority last confirmed the entry held here (none: not yet). Reports each change once.
+    // Records when a majority last confirmed this controller's entry (none: not yet). Returns a change once.
     std::optional<Change> update(std::optional<TimePoint> confirmed_at, TimePoint now);
     std::uint64_t loss_count() const { return loss_count_; }
 
 private:
     static constexpr Duration kMinContactTimeout = std::chrono::milliseconds(300);
-    Duration validity_of_confirmation() const { return contact_timeout_ / 2; }
+    Duration confirmation_validity() const { return contact_timeout_ / 2; }
 
     Duration contact_timeout_;
     TimePoint changed_at_;
--- a/src/controller/registry_forwarder.cpp
+++ b/src/controller/registry_forwarder.cpp
@@ -12,9 +12,10 @@
 using namespace std::chrono_literals;
 namespace leaf = boost::leaf;
 
-// Between two messages to a peer that has nothing new to learn but that this controller runs.
-constexpr Duration kInterval = 1s;
-// Half an interval more than the peer takes to acknowledge by its own messages: what it has not was lost.
+// Interval between two messages to a peer when nothing changes.
+constexpr Duration kMessageInterval = 1s;
+// Half an interval longer than a peer takes to acknowledge with its periodic messages: changes that are still
+// unacknowledged then were lost.
 constexpr Duration kResendTimeout = 1500ms;
 
 }    // namespace
@@ -39,7 +40,7 @@
     const auto handle_update = [&](Reader update) -> leaf::result<int> {
         registry_.merge_changes(from, runtime::text_of(update.getChanges()), now);
         const auto entry = peers_.find(from);
-        if (entry == peers_.end()) return 0;    // it is a known peer by the time of its next message
+        if (entry == peers_.end()) return 0;    // will be a known peer when its next message comes
         Peer& peer = entry->second;
         if (peer.incarnation != incarnation) peer.sent_sequence = 0;
         peer.incarnation = incarnation;
@@ -65,7 +66,7 @@
     update.setKnownIncarnation(peer.incarnation);
     update.setKnownSequence(registry_.known_sequence(recipient, peer.incarnation));
     update.setChanges(runtime::data_of(registry_.encode_changes(peer.sent_sequence, true, now)));
-    update.setAcknowledgeNow(peer.acknowledged_sequence < wanted_sequence_);
+    update.setAcknowledgeNow(peer.acknowledged_sequence < requested_sequence_);
     peer.wants_acknowledgement = false;
     if (peer.acknowledged_sequence >= peer.sent_sequence) peer.waiting_since = now;
     peer.sent_sequence = registry_.sequence();
@@ -74,15 +75,15 @@
 
 bool RegistryForwarder::has_unsent_changes() const {
     return std::any_of(peers_.begin(), peers_.end(),
-                       [this](const auto& entry) { return has_news_for(entry.second); });
+                       [this](const auto& entry) { return must_send_to(entry.second); });
 }
 
-bool RegistryForwarder::has_news_for(const Peer& peer) const {
+bool RegistryForwarder::must_send_to(const Peer& peer) const {
     return peer.sent_sequence < registry_.sequence() || peer.wants_acknowledgement;
 }
 
-std::uint64_t RegistryForwarder::known_to_majority(const std::vector<std::string>& voters,
-                                                   const std::string& self_address) const {
+std::uint64_t RegistryForwarder::majority_acknowledged_sequence(const std::vector<std::string>& voters,
+                                                                const std::string& self_address) const {
     std::vector<std::uint64_t> known;
     for (const std::string& voter : voters) {
         const auto peer = peers_.find(voter);
@@ -97,12 +98,12 @@
 
 void RegistryForwarder::send_changes(TimePoint now, std::vector<OutgoingMessage>& messages) {
     for (auto& [address, peer] : peers_)
-        if (has_news_for(peer)) send_to_peer(address, peer, now, messages);
+        if (must_send_to(peer)) send_to_peer(address, peer, now, messages);
 }
 
 void RegistryForwarder::tick(TimePoint now, std::vector<OutgoingMessage>& messages) {
     if (now < next_deadline_) return;
-    next_deadline_ = now + kInterval;
+    next_deadline_ = now + kMessageInterval;
     for (auto& [address, peer] : peers_) {
         const bool awaits_acknowledgement = peer.acknowledged_sequence < peer.sent_sequence;
         if (awaits_acknowledgement && now - peer.waiting_since >= kResendTimeout)
--- a/src/controller/update_distributor.cpp
+++ b/src/controller/update_distributor.cpp
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-// How often servers are looked at whose heartbeats may have stopped.
+// Interval between two checks for servers whose heartbeats have stopped.
 constexpr Duration kTickInterval = 250ms;
-// There are far fewer controllers than gateways, and what they learn late the gateways learn later still.
-constexpr NotificationPacer::Settings kPeerPacing{.interval_per_reader = 2ms, .max_interval = 100ms};
+// Shorter than for gateways: there are far fewer controllers, and a delay here adds to that of the gateways.
+constexpr NotificationPacer::Settings kPeerPacing{.interval_per_recipient = 2ms, .max_interval = 100ms};
 
 }    // namespace
 
@@ -57,8 +57,8 @@
 void UpdateDistributor::on_registry_message(const transport::Message& message) {
     forwarder_.on_message(message.sender, message.incarnation, message.payload, clock_.now());
     notify_gateways_of_changes();
-    notify_peers_of_changes();    // where one of them waits for an acknowledgement
-    callbacks_.peer_heard();
+    notify_peers_of_changes();    // a peer may have asked for an acknowledgement
+    callbacks_.peer_message_received();
 }
 
 void UpdateDistributor::on_subscription_message(const transport::Message& message) {
@@ -68,7 +68,7 @@
     publisher_.set_quorum_confirmed(callbacks_.is_quorum_held());
     publisher_.on_client_state(message.sender, *client_state, clock_.now(), messages);
     send(messages);
-    if (!client_state->key_samples.empty()) callbacks_.key_samples_heard(client_state->key_samples);
+    if (!client_state->key_samples.empty()) callbacks_.key_samples_received(client_state->key_samples);
 }
 
 void UpdateDistributor::set_peers(const std::vector<std::string>& addresses) {
--- a/src/controller/update_distributor.h
+++ b/src/controller/update_distributor.h
@@ -1,6 +1,6 @@
-// Holds the registry of servers and the newest configuration, and spreads what is new in them: to the
-// gateways both, to the other controllers the servers that this one owns. Configurations leave at once,
-// changes of servers in paced rounds (notification_pacer.h).
+// Holds the registry of servers and the newest configuration, and distributes their changes: both to the
+// gateways, and the servers that this controller owns to the other controllers. Configurations are sent at
+// once, changes of servers in rate-limited rounds (notification_pacer.h).
 #pragma once
 
 #include <cstdint>
@@ -16,52 +16,52 @@
 
 namespace shaletray::controller {
 
-// For the reactor's thread only. Clock and connections have to outlive it.
+// For the reactor's thread only. Clock and connections must outlive it.
 class UpdateDistributor {
 public:
     struct Callbacks {
-        // Whether this controller is in contact with a majority of the voters now; gateways learn it with
-        // each update.
+        // Whether this controller is in contact with a majority of the voters. Part of each update to
+        // gateways.
         std::function<bool()> is_quorum_held;
-        // tick() is due at this time, which may be earlier than next_deadline() was before.
+        // tick() is due at this time, which may be earlier than the last next_deadline().
         std::function<void(TimePoint)> tick_due;
-        // A gateway has told which keys its requests ask for.
-        std::function<void(const std::vector<ownership::KeySamples>&)> key_samples_heard;
-        // Another controller has told which changes it knows.
-        std::function<void()> peer_heard;
+        // A gateway has sent samples of the keys that its requests ask for.
+        std::function<void(const std::vector<ownership::KeySamples>&)> key_samples_received;
+        // Another controller has sent a registry message, which may acknowledge changes.
+        std::function<void()> peer_message_received;
     };
     UpdateDistributor(const registry::ServiceRegistry::Settings& settings, const Clock& clock,
                       transport::ConnectionManager& connections, Callbacks callbacks);
     UpdateDistributor(const UpdateDistributor&) = delete;
     UpdateDistributor& operator=(const UpdateDistributor&) = delete;
 
-    // Calls of servers. Nothing is sent before publish_changes.
+    // Record calls of servers. Nothing is sent before publish_changes().
     void record_heartbeat(const registry::Heartbeat& heartbeat);
     void deregister(const std::string& server_id);
-    // The number of the latest change of the registry.
+    // Sequence number of the registry's latest change.
     std::uint64_t sequence() const { return registry_.sequence(); }
-    // A call waits until the changes so far are known to others: they are asked to tell it at once.
+    // Asks the other controllers to acknowledge all changes so far immediately, as a call waits for it.
     void request_acknowledgement() { forwarder_.request_acknowledgement(); }
-    // See RegistryForwarder::known_to_majority.
-    std::uint64_t known_to_majority(const std::vector<std::string>& voters) const {
-        return forwarder_.known_to_majority(voters, self_address_);
+    // See RegistryForwarder::majority_acknowledged_sequence.
+    std::uint64_t majority_acknowledged_sequence(const std::vector<std::string>& voters) const {
+        return forwarder_.majority_acknowledged_sequence(voters, self_address_);
     }
-    // Sends what has changed in the registry to the gateways and to the other controllers: now, or together
-    // with what follows within the next moments.
+    // Sends the registry's changes to the gateways and to the other controllers: now, or together with
+    // further changes in the next round of the pacer.
     void publish_changes();
-    // Sends a committed configuration to the gateways, unless a newer one was published already.
+    // Sends a committed configuration to the gateways, unless a newer one has been published.
     void publish(configuration::Configuration new_configuration);
-    // Sends the rows of the committed ownership table that have changed to the gateways.
+    // Sends the changed rows of the committed ownership table to the gateways.
     void publish(const ownership::OwnershipTable& table);
-    // All known servers by id. The reference stays valid.
+    // All known servers by id. The reference stays valid as long as this object.
     const std::map<std::string, registry::Server>& servers() const { return registry_.servers(); }
-    // A message of another controller about its servers.
+    // Handles another controller's message about its servers.
     void on_registry_message(const transport::Message& message);
-    // A gateway's report of what it has. Malformed ones are ignored.
+    // Handles a gateway's report of its state. Malformed reports are ignored.
     void on_subscription_message(const transport::Message& message);
-    // Internal addresses of all known controllers, without this one.
+    // Sets the internal addresses of all known controllers except this one.
     void set_peers(const std::vector<std::string>& addresses);
-    // This process has a higher incarnation now: everything is sent anew.
+    // Sets this process's new, higher incarnation; everything is sent again.
     void set_incarnation(std::uint64_t incarnation);
     void tick(TimePoint now);
     TimePoint next_deadline() const;
@@ -85,7 +85,7 @@
     RegistryForwarder forwarder_;
     ConfigurationPublisher publisher_;
     NotificationPacer gateway_pacer_, peer_pacer_;
-    // The registry's changes up to this one were sent to the gateways.
+    // Sequence number up to which the registry's changes were sent to the gateways.
     std::uint64_t notified_sequence_ = 0;
     TimePoint next_tick_{};
 };
--- a/src/controller/voter_manager.cpp
+++ b/src/controller/voter_manager.cpp
@@ -12,7 +12,7 @@
 // A replica that has not reported the newest entry for this long does not become a voter.
 constexpr Duration kCaughtUpWindow = 2s;
 
-// "10.1.0.24:7100/0,10.2.0.9:7100/77": address and disk of each.
+// Address and disk id of each voter: "10.1.0.24:7100/0,10.2.0.9:7100/77".
 std::string format_voters(const Voters& voters) {
     std::string text;
     for (const consensus::Replica& voter : voters)
--- a/src/controller/voter_manager.h
+++ b/src/controller/voter_manager.h
@@ -1,5 +1,4 @@
-// Keeps the voters of the replicated register as they should be: asks the reconciler from time to time, and
-// proposes the changes that it wants.
+// Runs the voter reconciler and proposes the changes of the replicated register's voters that it returns.
 #pragma once
 
 #include "base/common/log.h"
@@ -9,7 +8,7 @@
 
 namespace shaletray::controller {
 
-// For the reactor's thread only. Consensus and membership have to outlive it.
+// For the reactor's thread only. Clock, consensus and membership must outlive it.
 class VoterManager {
 public:
     VoterManager(VoterReconciler::Settings settings, const Clock& clock, ConsensusDriver& consensus,
@@ -19,11 +18,11 @@
           membership_(membership),
           reconciler_(std::move(settings), clock.now()) {}
 
-    // Proposes the next change of the voters, if there is one to be proposed by this controller.
+    // Proposes the next change of the voters if this controller is the one to propose it.
     void reconcile();
-    // This controller is about to stop: it proposes to hand its vote to another one.
+    // Call when this controller is about to stop: proposes to hand its vote to another controller.
     void start_handover();
-    // Whether a change that frees this controller of its vote is still to be committed.
+    // Whether the change that removes this controller's vote is not committed yet.
     bool is_handover_pending() const;
 
 private:
@@ -31,7 +30,7 @@
     ConsensusDriver& consensus_;
     const membership::Membership& membership_;
     VoterReconciler reconciler_;
-    LogRateLimiter log_limiter_;    // a change is proposed again until it is committed
+    LogRateLimiter log_limiter_;    // a change is proposed repeatedly until it is committed
     bool is_leaving_ = false, has_wanted_change_ = false;
 };
 
--- a/src/controller/voter_plan.h
+++ b/src/controller/voter_plan.h
@@ -1,4 +1,4 @@
-// The set of voters that a reconciler works towards, built up step by step from the current one. Pure.
+// Computes the target set of voters step by step from the current set. Pure.
 #pragma once
 
 #include <map>
@@ -10,38 +10,38 @@
 
 namespace shaletray::controller {
 
-// Sorted, or in the order of a set that is being edited.
+// Sorted, unless it is a set that is being edited.
 using Voters = std::vector<consensus::Replica>;
-// The known members of the cluster by their internal address, without this process.
+// The known members of the cluster except this process, by internal address.
 using Members = std::map<std::string, membership::Member>;
 
-// Bounds on the number of voters: none is dropped below the lower, none is added above the upper one.
+// Bounds on the number of voters: voters are not dropped below min_voters nor added above max_voters.
 struct VoterLimits {
     std::size_t min_voters = 3, max_voters = 3;
 };
 
-// One use: mark the voters to be replaced, resolve them, resize the set, take the result. `members` has to
-// outlive the plan. Candidates are replicas that may start to vote; each is used at most once. Among several,
-// the one whose zone has the fewest voters is taken, then the lowest.
+// For a single use: mark the unavailable voters, replace or drop them, resize the set, then read targets().
+// `members` must outlive the plan. Candidates are replicas that may become voters; each is used at most once.
+// Candidates whose zone has the fewest voters are preferred, then the lowest replica.
 class VoterPlan {
 public:
     VoterPlan(Voters current, Voters candidates, const Members& members, VoterLimits limits);
 
-    // This voter cannot be counted on. A candidate at its address (the same machine with another disk) takes
-    // its place at once, so that one address never has two votes; otherwise it waits for replace_unavailable.
+    // Marks the voter as unavailable. A candidate at its address (the same machine with another disk)
+    // replaces it immediately, so that one address never has two votes; otherwise it stays marked.
     void mark_unavailable(const consensus::Replica& voter);
-    // Candidates take the places of the voters that were marked.
+    // Replaces marked voters by candidates, as far as there are any.
     void replace_unavailable();
-    // Drops marked voters that nobody can replace, where that lowers what a majority is: one of an even
+    // Drops marked voters that have no replacement where that lowers the size of a majority: one of an even
     // number, or two at once.
     void drop_unavailable();
-    // Adds one candidate to an even number of voters: it raises the tolerated failures by one.
+    // Adds a candidate to an even number of voters, which raises the tolerated failures by one.
     void add_to_even_number();
-    // To the upper limit, in pairs: an even number tolerates no more failures than one fewer. A voter that
-    // makes the number even is left out first, and is a candidate for any other's place later.
+    // Grows the set in pairs up to max_voters, since an even number tolerates no more failures than one voter
+    // fewer. First removes a voter that makes the number even; it can replace another voter later.
     void resize();
     bool has_unavailable() const { return !unavailable_.empty(); }
-    // Sorted.
+    // The resulting set, sorted.
     Voters targets() const;
 
 private:
--- a/src/controller/voter_reconciler.cpp
+++ b/src/controller/voter_reconciler.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-// Twice the register's round timeout, so that a proposal is as a rule committed before the next one is made.
+// Twice the register's round timeout, so that a proposal is usually committed before the next voter proposes.
 constexpr Duration kProposalStagger = 500ms;
 
 bool contains(const Voters& voters, const consensus::Replica& replica) {
@@ -20,8 +20,8 @@
            member.state == membership::State::Alive;
 }
 
-// The upper limit is one failure more than the system has to tolerate: a replacement in progress then takes
-// nothing from what is promised.
+// The upper limit tolerates one failure more than the system has to, so that a replacement in progress does
+// not lower the promised fault tolerance.
 VoterLimits voter_limits(std::size_t max_failures) {
     return {std::max<std::size_t>(3, 2 * max_failures + 1), std::max<std::size_t>(3, 2 * max_failures + 3)};
 }
@@ -36,7 +36,7 @@
     return is_leaving_ ? VoterStatus::Leaving : VoterStatus::Responding;
 }
 
-// A voter counts as unavailable early enough for its place to be taken within the catch-up time.
+// A voter counts as unavailable early enough to be replaced within the catch-up time.
 VoterReconciler::VoterStatus VoterReconciler::voter_status(const consensus::Replica& voter,
                                                            const Members& members, TimePoint now) const {
     if (voter.address == settings_.self.address) return own_status(voter);
@@ -50,7 +50,7 @@
     const bool is_alive = member.state == membership::State::Alive;
     if (is_alive && member.info.disk_id == voter.disk_id)
         return member.info.voter_eligible ? VoterStatus::Responding : VoterStatus::Leaving;
-    if (is_alive || member.departed) return VoterStatus::Unavailable;    // another disk, or it has left
+    if (is_alive || member.departed) return VoterStatus::Unavailable;    // another disk, or it has departed
     const Duration silence = now - std::max(member.last_heard, started_at_);
     return silence > contact_timeout ? VoterStatus::Unavailable : VoterStatus::Unknown;
 }
@@ -63,7 +63,7 @@
     return static_cast<std::size_t>(std::count_if(voters.begin(), voters.end(), is_responding));
 }
 
-// Controllers that may start to vote: they have the newest entry, and have been seen for a while.
+// Controllers that may become voters: they have the newest entry and have been members for min_presence.
 Voters VoterReconciler::find_candidates(const consensus::LogEntry& entry, const Members& members,
                                         const CaughtUpPredicate& is_caught_up, TimePoint now) {
     const Duration min_presence = settings_.catch_up_time / 8;
@@ -107,7 +107,7 @@
     return tolerance_of(change.new_voters) < tolerance_of(change.current_voters);
 }
 
-// How long the responding voters before this one are left to propose the change.
+// Time that is left to the responding voters before this one to propose the change.
 Duration VoterReconciler::proposal_delay(const Voters& voters, const Members& members, TimePoint now) const {
     if (is_leaving_) return Duration(0);
     const auto proposes_before_self = [&](const consensus::Replica& voter) {
--- a/src/controller/voter_reconciler.h
+++ b/src/controller/voter_reconciler.h
@@ -1,11 +1,11 @@
-// Decides which controllers should vote on the replicated register, by what the membership knows of them, and
-// which change of the voters is to be proposed next. Pure: no clock, no sockets.
+// Decides from the membership which controllers should vote on the replicated register, and which change of
+// the voters to propose next. Pure: no clock, no sockets.
 //
 // A set of n voters of which r respond tolerates r - (n / 2 + 1) further failures. No change lowers that
 // number: voters that are unavailable or leaving are replaced, and where no candidate is left they are
-// dropped as long as that raises it. A change may exchange several voters at once, since it is one log entry
-// of the current voters, and nothing that depends on it is acknowledged before a majority of the new ones
-// stores it.
+// dropped as long as that raises the number. A change may replace several voters at once, since it is one log
+// entry that the current voters commit, and nothing that depends on it is acknowledged before a majority of
+// the new voters has stored it.
 #pragma once
 
 #include <functional>
@@ -22,25 +22,26 @@
 public:
     struct Settings {
         consensus::Replica self;
-        std::size_t max_failures = 1;    // machines that may fail at the same time
-        // How long after a failure the next one may follow: the place of the failed voter is taken by then.
+        std::size_t max_failures = 1;    // number of machines that may fail at the same time
+        // Time after a failure at which the next one may follow: the failed voter must be replaced by then.
         Duration catch_up_time = std::chrono::seconds(4);
     };
     struct VoterChange {
         Voters current_voters, new_voters;    // both sorted
     };
-    // Whether a replica has recently reported the newest log entry, or nearly the newest.
+    // Whether a replica has recently reported the newest or nearly the newest log entry.
     using CaughtUpPredicate = std::function<bool(const consensus::Replica&)>;
 
     VoterReconciler(Settings settings, TimePoint now);
-    // This controller is about to stop: it hands its vote to a candidate, if there is one.
+    // Call when this controller is about to stop: its vote passes to a candidate, if there is one.
     void start_leaving() { is_leaving_ = true; }
-    // The change that this controller is to propose now. None: the voters are as they should be, or another
-    // controller is to propose first. The first responding voter by address proposes at once, as does one
-    // that is leaving; each of the others waits half a second longer than the one before it.
+    // The change that this controller must propose now. None if the voters need no change or another
+    // controller proposes first. The first responding voter by address and a leaving voter propose at once;
+    // each of the others waits half a second longer than the one before it.
     std::optional<VoterChange> next_change(const consensus::LogEntry& entry, const Members& members,
                                            const CaughtUpPredicate& is_caught_up, TimePoint now);
-    // The failures that so many voters tolerate, of which so many respond. Negative: they have no majority.
+    // Number of further failures that `voters` voters tolerate when `responding` of them respond. Negative if
+    // these are no majority.
     static int tolerated_failures(std::size_t responding, std::size_t voters) {
         return static_cast<int>(responding) - static_cast<int>(voters / 2 + 1);
     }
@@ -62,7 +63,7 @@
     TimePoint started_at_;
     bool is_leaving_ = false;
     std::map<consensus::Replica, TimePoint> candidates_since_;    // when each was first seen
-    TimePoint change_wanted_since_{};                             // zero: no change is wanted
+    TimePoint change_wanted_since_{};                             // zero: no change is pending
 };
 
 }    // namespace shaletray::controller
--- a/tests/controller/configuration_publisher_test.cpp
+++ b/tests/controller/configuration_publisher_test.cpp
@@ -1,4 +1,4 @@
-// The updates that gateways are sent, applied as gateways apply them.
+// Updates for gateways, applied as gateways apply them.
 #include "controller/configuration_publisher.h"
 
 #include <criterion/criterion.h>
@@ -29,7 +29,7 @@
 }
 
 struct TestGateway {
-    explicit TestGateway(std::string n) : name(std::move(n)) {}
+    explicit TestGateway(std::string gateway_name) : name(std::move(gateway_name)) {}
     void accept_update(const std::string& bytes, TimePoint now) {
         const auto update = subscription::decode_control_update(bytes);
         cr_assert(update);
@@ -37,7 +37,7 @@
         received_bytes += bytes.size();
         if (!update->configuration_delta.empty()) {
             auto next = configuration::apply_update(current, update->configuration_delta);
-            cr_assert(next, "%s cannot use an update to %lu", name.c_str(), update->version);
+            cr_assert(next, "%s cannot apply an update to version %lu", name.c_str(), update->version);
             current = std::move(*next);
         }
         cr_assert(directory.apply_changes(update->endpoint_changes, now));
@@ -82,7 +82,7 @@
 
 }    // namespace
 
-Test(configuration_publisher, notifies_active_gateways_at_once_and_others_in_the_answer_to_their_report) {
+Test(configuration_publisher, notifies_active_gateways_at_once_and_others_in_response_to_their_report) {
     PublisherFixture fixture;
     fixture.report("a", time_at(0s));
     fixture.report("b", time_at(0s));
@@ -96,7 +96,7 @@
     cr_assert(fixture.gateway("a").message_count == 1 && fixture.gateway("b").current.version == 2);
     cr_assert(fixture.gateway("b").directory.servers().contains("i"));
     fixture.publisher.notify_clients(time_at(4s), fixture.messages);
-    cr_assert(fixture.messages.empty());    // nobody is behind
+    cr_assert(fixture.messages.empty());    // no gateway is behind
     fixture.report("a", time_at(5s));
     cr_assert(fixture.gateway("a").current == fixture.gateway("b").current &&
               fixture.gateway("a").directory.servers().contains("i"));
@@ -113,13 +113,13 @@
         const auto before = gateway.received_bytes;
         fixture.report(name, time_at(1s));
         cr_assert(gateway.current == make_configuration(20));
-        // The oldest one's version is not kept any more, so it gets the full configuration.
+        // The version of the oldest gateway is no longer kept, so it receives the full configuration.
         cr_assert((gateway.received_bytes - before < 1500) == (gateway.name != "oldest"), "%s: %zu", name,
                   gateway.received_bytes - before);
     }
 }
 
-Test(configuration_publisher, resends_what_was_lost_and_starts_anew_with_another_incarnation) {
+Test(configuration_publisher, resends_lost_changes_and_restarts_after_an_incarnation_change) {
     PublisherFixture fixture;
     fixture.publisher.publish(make_configuration(1));
     fixture.report("a", time_at(0s));
--- a/tests/controller/controller_cluster.cpp
+++ b/tests/controller/controller_cluster.cpp
@@ -160,8 +160,9 @@
         }
         ++committed_count;
         const std::uint64_t current_version = machine.replica->committed_entry().version;
-        cr_assert(current_version >= request.min_version, "%lu answered after %lu was acknowledged",
-                  current_version, request.min_version);
+        cr_assert(current_version >= request.min_version,
+                  "request completed at version %lu after %lu was acknowledged", current_version,
+                  request.min_version);
         committed.acknowledged_version = std::max(committed.acknowledged_version, current_version);
     }
 }
@@ -281,7 +282,7 @@
     if (!machine.replica || (event.incarnation != 0 && event.incarnation != machine.incarnation) ||
         (event.incarnation == 0 && partitioned_links.contains({event.sender, event.recipient})))
         return;
-    if (machine.frozen_until > now) {    // delivered when it runs again
+    if (machine.frozen_until > now) {    // delivered when the machine resumes
         event.delivery_time = machine.frozen_until;
         event.sequence = ++last_sequence;
         events.push(std::move(event));
@@ -349,7 +350,7 @@
                 index = random_below(machines.size());
             if (is_read) submit_request(index, true);
             else {
-                last_version = target_version - 1;    // the same proposal again
+                last_version = target_version - 1;    // repeats the same proposal
                 submit_request(index, false);
             }
             run(1s);
--- a/tests/controller/controller_cluster.h
+++ b/tests/controller/controller_cluster.h
@@ -1,6 +1,6 @@
-// A cluster of controllers in virtual time: each has a membership, a replicated register and a voter
-// reconciler, put together as in Controller, on machines that crash, freeze, are partitioned, lose power or
-// disks, and are replaced by empty ones at other addresses.
+// A simulated cluster of controllers in virtual time. Each has a membership, a replicated register and a
+// voter reconciler, connected as in Controller. Machines crash, freeze, are partitioned, lose power or disks,
+// and are replaced by empty ones at other addresses.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -32,15 +32,15 @@
         std::uint64_t incarnation = 0;
         TimePoint frozen_until{}, starts_at{}, next_read_at{}, next_check_at{}, leaves_at{},
             unavailable_until{};
-        bool is_removed = false;    // never to come back
-        bool is_counted = true;     // false: its successor counts instead
+        bool is_removed = false;    // permanently
+        bool is_counted = true;     // false: its successor is counted instead
         bool has_vote_handover = false;
     };
     struct Event {
         TimePoint delivery_time;
         std::uint64_t sequence = 0;
         std::size_t recipient = 0, sender = 0;
-        std::uint64_t incarnation = 0;    // with a token: of the process that wrote; else 0
+        std::uint64_t incarnation = 0;    // with a token: of the process that wrote; otherwise 0
         std::uint64_t token = 0, sender_incarnation = 0;
         bool is_membership = false;
         std::string bytes;
@@ -49,7 +49,7 @@
         }
     };
     struct PendingRequest {
-        std::uint64_t version = 0, min_version = 0;    // min_version: acknowledged before
+        std::uint64_t version = 0, min_version = 0;    // min_version: acknowledged before the request
         TimePoint requested_at;
         bool is_read = false;
     };
@@ -62,7 +62,7 @@
     std::map<consensus::RequestId, PendingRequest> requests;
     consensus::test::CommittedEntries committed;
     std::size_t max_failures;
-    bool is_diskless = false;    // a restart loses all state, and is another voter
+    bool is_diskless = false;    // a restart loses all state and yields another voter
     std::uint64_t last_sequence = 0, last_request_id = 0, last_version = 0, indeterminate_count = 0,
                   committed_count = 0;
 
@@ -74,15 +74,15 @@
     bool is_up(std::size_t index) const;
 
     void start_machine(std::size_t index, std::size_t founder_count = 0);
-    // After a crash the disk holds what was synced, and perhaps some of what was only written; after a loss
-    // of power only what was synced.
+    // After a crash the disk has what was synced and possibly some unsynced writes; after a loss of power
+    // only what was synced.
     void stop_machine(std::size_t index, bool power_loss);
     void crash_machine(std::size_t index, Duration downtime, bool power_loss, bool disk_wiped);
     void mark_unavailable(std::size_t index, Duration downtime);
-    // A SIGTERM: it hands over its vote, announces its departure and ends.
+    // SIGTERM: the machine hands over its vote, announces its departure and stops.
     void start_departure(std::size_t index);
     std::size_t add_machine();
-    // The removed machine no longer counts; its successor does, and is unavailable until it has caught up.
+    // The removed machine is no longer counted; its successor is, and is unavailable until it has caught up.
     std::size_t replace_machine(std::size_t index);
     std::size_t unavailable_count() const;
 
@@ -101,13 +101,13 @@
     void run(Duration duration) { run(now + duration); }
     void deliver_event(Event event);
 
-    // ---- what must hold once every returned or new machine has had its catch-up time ----
+    // ---- invariants once every restarted or new machine has had its catch-up time ----
     const consensus::LogEntry& newest_entry() const { return committed.entries.rbegin()->second; }
     const Machine* machine_of_voter(const consensus::Replica& voter) const;
     // The voters tolerate the promised failures, and acknowledged changes are on more disks than may fail.
     void check_fault_tolerance(const char* phase) const;
     double elapsed_seconds() const;
-    // A proposal is acknowledged, and a read answered, within kAckTimeout at any machine that runs.
+    // Any running machine acknowledges a proposal and completes a read within kAckTimeout.
     void check_progress(const char* phase);
 };
 
--- a/tests/controller/controller_cluster_test.cpp
+++ b/tests/controller/controller_cluster_test.cpp
@@ -1,5 +1,5 @@
-// Consecutive failures: at every moment of a replacement, one more failure that the system tolerates leaves a
-// majority which holds everything that was acknowledged.
+// Consecutive failures: at any moment of a replacement, a further failure within the tolerated number must
+// leave a majority that has everything that was acknowledged.
 #include "controller/controller_cluster.h"
 
 namespace shaletray::controller::test {
@@ -16,13 +16,13 @@
     }
 }
 
-// Right after an acknowledgement as many machines as may fail lose their disks, and all others lose power.
+// Right after an acknowledgement the tolerated number of machines lose their disks, all others lose power.
 void check_final_state(ControllerCluster& cluster, const char* phase) {
     cluster.check_progress(phase);
     std::size_t wiped = 0;
     const std::size_t first = cluster.random_below(cluster.machines.size());
-    for (std::size_t k = 0; k < cluster.machines.size(); ++k) {
-        const std::size_t i = (first + k) % cluster.machines.size();
+    for (std::size_t offset = 0; offset < cluster.machines.size(); ++offset) {
+        const std::size_t i = (first + offset) % cluster.machines.size();
         if (cluster.machines[i].replica) cluster.crash_machine(i, 1s, true, wiped++ < cluster.max_failures);
     }
     cluster.run(1s + ControllerCluster::kContactTimeout);
@@ -40,8 +40,8 @@
     Frozen
 };
 
-// One failure after the other, each as soon as the system has to tolerate it; several may overlap where it
-// tolerates that many.
+// Injects one failure. The caller injects the next as soon as the system must tolerate it; several may
+// overlap if the system tolerates that many.
 void inject_fault(ControllerCluster& cluster, FaultKind kind, std::size_t i) {
     switch (kind) {
         case FaultKind::DiskWiped: cluster.crash_machine(i, 1s, true, true); break;
@@ -56,7 +56,7 @@
                 submit_requests(cluster, Duration(cluster.random_below(8'000'000)));
             cluster.replace_machine(i);
             break;
-        case FaultKind::PlannedReplacement:    // the successor is there before the old machine leaves
+        case FaultKind::PlannedReplacement:    // the successor joins before the old machine leaves
         case FaultKind::Terminated: {
             const bool is_planned = kind == FaultKind::PlannedReplacement;
             if (is_planned) {
@@ -76,10 +76,10 @@
             break;
         }
         case FaultKind::Partitioned: {
-            const bool one_way = cluster.random_chance(0.3), outwards = cluster.random_chance(0.5);
-            for (std::size_t o = 0; o < cluster.machines.size(); ++o) {
-                if (!one_way || outwards) cluster.partitioned_links.insert({i, o});
-                if (!one_way || !outwards) cluster.partitioned_links.insert({o, i});
+            const bool is_one_way = cluster.random_chance(0.3), is_outbound = cluster.random_chance(0.5);
+            for (std::size_t other = 0; other < cluster.machines.size(); ++other) {
+                if (!is_one_way || is_outbound) cluster.partitioned_links.insert({i, other});
+                if (!is_one_way || !is_outbound) cluster.partitioned_links.insert({other, i});
             }
             submit_requests(cluster,
                             cluster.random_chance(0.2) ? 25s : Duration(cluster.random_below(6'000'000)));
@@ -108,15 +108,16 @@
         std::size_t i = cluster.random_below(cluster.machines.size());
         while (!cluster.is_up(i)) i = cluster.random_below(cluster.machines.size());
         inject_fault(cluster, kind, i);
-        // The next failure comes as soon as it is tolerated: often at once where two are.
+        // The next failure follows as soon as it is tolerated: often immediately if two are.
         while (cluster.unavailable_count() >= cluster.max_failures) submit_requests(cluster, 50ms);
         if (cluster.unavailable_count() > 0) continue;
         cluster.check_fault_tolerance("once all have caught up");
-        if (cluster.random_chance(0.2)) {    // all of them at once
-            const bool power = cluster.random_chance(0.5);
-            for (std::size_t o = 0; o < cluster.machines.size(); ++o)
-                if (cluster.machines[o].replica)
-                    cluster.crash_machine(o, Duration(cluster.random_below(1'000'000)), power, false);
+        if (cluster.random_chance(0.2)) {    // all machines at once
+            const bool power_loss = cluster.random_chance(0.5);
+            for (std::size_t other = 0; other < cluster.machines.size(); ++other)
+                if (cluster.machines[other].replica)
+                    cluster.crash_machine(other, Duration(cluster.random_below(1'000'000)), power_loss,
+                                          false);
             cluster.run(1s + ControllerCluster::kContactTimeout);
             cluster.check_progress("after all were killed or lost power");
         }
@@ -126,8 +127,8 @@
     check_final_state(cluster, "at the end");
 }
 
-// The usual maintenance: a planned replacement, whose old machine leaves when the new one is there, then
-// another failure.
+// Typical maintenance: a planned replacement, where the old machine leaves after the new one has joined, and
+// then another failure. Guards against a voter set that is enlarged without dropping the departed voter.
 Test(controller_cluster, tolerates_a_failure_after_a_planned_replacement) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
         for (const FaultKind second :
@@ -166,15 +167,15 @@
            std::chrono::duration<double>(max_time).count());
 }
 
-Test(controller_cluster, one_and_two_machines_serve_and_restart_and_a_third_joins) {
+Test(controller_cluster, one_or_two_machines_serve_and_restart_and_accept_a_third) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
         for (const std::size_t size : {1u, 2u}) {
             ControllerCluster cluster(seed, size, size, 0);
             cluster.run(2s);
-            for (const bool power : {false, true}) {
+            for (const bool power_loss : {false, true}) {
                 cluster.check_progress("with fewer than three");
                 for (std::size_t i = 0; i < size; ++i)
-                    cluster.crash_machine(i, Duration(cluster.random_below(1'000'000)), power, false);
+                    cluster.crash_machine(i, Duration(cluster.random_below(1'000'000)), power_loss, false);
                 cluster.run(ControllerCluster::kContactTimeout);
                 cluster.check_progress("after all were restarted");
             }
@@ -185,7 +186,7 @@
         }
 }
 
-Test(controller_cluster, without_disks_a_restart_is_another_voter) {
+Test(controller_cluster, diskless_restart_joins_as_a_new_voter) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         ControllerCluster cluster(seed, 3, 3, 1);
         cluster.is_diskless = true;
--- a/tests/controller/departure_barrier_test.cpp
+++ b/tests/controller/departure_barrier_test.cpp
@@ -1,4 +1,4 @@
-// Departures that wait until a majority knows of them.
+// Departures that wait for the confirmation of a majority.
 #include "controller/departure_barrier.h"
 
 #include <criterion/criterion.h>
@@ -9,22 +9,22 @@
 using namespace std::chrono_literals;
 using controller::DepartureBarrier;
 
-Test(departure_barrier, ends_each_once_by_its_sequence_or_its_time) {
+Test(departure_barrier, completes_each_departure_once_by_confirmation_or_timeout) {
     const TimePoint start = TimePoint{} + 100s;
     DepartureBarrier barrier;
     std::string log;
     const auto wait = [&](std::uint64_t sequence, TimePoint now, const char* name) {
         barrier.wait(sequence, now, [&log, name](DepartureBarrier::Result result) {
-            log += std::string(name) + (result == DepartureBarrier::Result::Known ? "+" : "-");
+            log += std::string(name) + (result == DepartureBarrier::Result::Confirmed ? "+" : "-");
         });
     };
     cr_assert(barrier.next_deadline() == TimePoint::max());
     wait(5, start, "a");
     wait(7, start + 100ms, "b");
     wait(6, start + 200ms, "c");
-    barrier.on_majority_known(4);
+    barrier.on_majority_acknowledged(4);
     cr_assert(log.empty() && barrier.next_deadline() == start + DepartureBarrier::kTimeout);
-    barrier.on_majority_known(6);
+    barrier.on_majority_acknowledged(6);
     cr_assert(log == "a+c+", "%s", log.c_str());
     barrier.expire(start + 899ms);
     cr_assert(log == "a+c+");
--- a/tests/controller/hold_model.h
+++ b/tests/controller/hold_model.h
@@ -1,5 +1,5 @@
-// The keys that a modelled server holds, as the users' protocol has it: per key the highest fence that was
-// seen and the end of the hold. Kept by ranges, so that thousands of steps are cheap.
+// The keys that a simulated server holds according to the protocol of key ownership: for each key the highest
+// fence that was seen and the expiry of the hold. Stored by ranges, so that thousands of steps are cheap.
 #pragma once
 
 #include <algorithm>
@@ -15,27 +15,27 @@
 public:
     HoldModel() { segments_[0] = {}; }
 
-    // False where a higher fence was seen on one of the keys: then nothing changes.
-    bool take(const ownership::KeyRange& keys, std::uint64_t fence, TimePoint until) {
+    // Returns false without a change if a higher fence was seen on one of the keys.
+    bool accept(const ownership::KeyRange& keys, std::uint64_t fence, TimePoint expires_at) {
         bool is_refused = false;
         for_each(keys, [&](Segment& segment) { is_refused = is_refused || segment.fence > fence; });
         if (is_refused) return false;
         for_each(keys, [&](Segment& segment) {
             segment.fence = fence;
-            segment.until = std::max(segment.until, until);
-            segment.is_wanted = true;
+            segment.expires_at = std::max(segment.expires_at, expires_at);
+            segment.is_granted = true;
         });
         return true;
     }
-    void begin_answer() {
-        for (auto& [first, segment] : segments_) segment.is_wanted = false;
+    void begin_response() {
+        for (auto& [first, segment] : segments_) segment.is_granted = false;
     }
-    // Lets go of all that no row of the answer named; returns what it held of that.
-    std::vector<ownership::KeyRange> release_rest(TimePoint now) {
+    // Releases all keys that no row of the response granted; returns those that were held.
+    std::vector<ownership::KeyRange> release_ungranted(TimePoint now) {
         std::vector<ownership::KeyRange> released;
         visit([&](const ownership::KeyRange& keys, Segment& segment) {
-            if (segment.is_wanted || segment.until <= now) return;
-            segment.until = now;
+            if (segment.is_granted || segment.expires_at <= now) return;
+            segment.expires_at = now;
             released.push_back(keys);
         });
         return released;
@@ -43,7 +43,7 @@
     std::vector<ownership::HeldRange> held(TimePoint now) const {
         std::vector<ownership::HeldRange> ranges;
         const_cast<HoldModel*>(this)->visit([&](const ownership::KeyRange& keys, const Segment& segment) {
-            if (segment.until <= now) return;
+            if (segment.expires_at <= now) return;
             const bool is_next = !ranges.empty() && ranges.back().fence == segment.fence &&
                                  std::uint32_t{ranges.back().keys.last} + 1 == keys.first;
             if (is_next) ranges.back().keys.last = keys.last;
@@ -60,8 +60,8 @@
 private:
     struct Segment {
         std::uint64_t fence = 0;
-        TimePoint until{};
-        bool is_wanted = false;
+        TimePoint expires_at{};
+        bool is_granted = false;
     };
 
     void split_at(std::uint32_t first) {
@@ -87,7 +87,7 @@
         }
     }
 
-    std::map<std::uint32_t, Segment> segments_;    // by their first keys; they cover all
+    std::map<std::uint32_t, Segment> segments_;    // by first key; they cover all keys
 };
 
 }    // namespace shaletray::controller::test
--- a/tests/controller/ownership_report_test.cpp
+++ b/tests/controller/ownership_report_test.cpp
@@ -1,4 +1,4 @@
-// The ownership table as operators read it.
+// The JSON description of the ownership table for operators.
 #include "controller/ownership_report.h"
 
 #include <criterion/criterion.h>
@@ -6,7 +6,7 @@
 using namespace shaletray;
 using namespace shaletray::controller;
 
-Test(ownership_report, tells_of_each_range_who_owns_it_and_what_it_waits_for) {
+Test(ownership_report, describes_owner_and_state_of_each_range) {
     ownership::OwnershipTable table{9, std::chrono::seconds(4), {}};
     table.services["saves"] = {{{0, 99}, "i-1", 7, 7, true},
                                {{100, 199}, "i-2", 9, 9, false, "i-1", 7},
--- a/tests/controller/quorum_tracker_test.cpp
+++ b/tests/controller/quorum_tracker_test.cpp
@@ -1,5 +1,5 @@
-// A controller without contact to a majority, in virtual time: it hands out nothing as current, acknowledges
-// and rejects nothing, and has its quorum back within the contact timeout after its return.
+// A controller without contact with a majority, in virtual time: it reports nothing as current, acknowledges
+// and rejects nothing, and regains its quorum within the contact timeout after its links are restored.
 #include "controller/quorum_tracker.h"
 
 #include "cluster/consensus/register_cluster.h"
@@ -13,8 +13,8 @@
 
 enum class ConnectivityFault {
     Partitioned,
-    InboundBlocked,     // it receives nothing
-    OutboundBlocked,    // nothing from it is received
+    InboundBlocked,     // the controller receives nothing
+    OutboundBlocked,    // none of its messages are received
     Frozen,
 };
 
@@ -41,7 +41,7 @@
         }
         run(1s);
     }
-    // The tracker is updated after each turn of the register, as by ConsensusDriver; here every 10 ms.
+    // Updates the trackers after each turn of the register, as ConsensusDriver does; here every 10 ms.
     void run(Duration duration) {
         const TimePoint deadline = cluster.now + duration;
         while (cluster.now < deadline) {
@@ -114,7 +114,7 @@
 
     if (kind == ConnectivityFault::Frozen) {
         fixture.cluster.run(fault_end);
-        cr_assert(!fixture.has_quorum(2));    // before it has done or received anything
+        cr_assert(!fixture.has_quorum(2));    // before it has sent or received anything
     } else {
         fixture.run(fault_end - fixture.cluster.now);
         fixture.cluster.partitioned_links.clear();
--- a/tests/controller/registry_forwarder_test.cpp
+++ b/tests/controller/registry_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// Controllers that exchange their servers over links that lose messages at random.
+// Controllers that replicate their servers over links with random message loss.
 #include "controller/registry_forwarder.h"
 
 #include <criterion/criterion.h>
@@ -29,7 +29,8 @@
 
 struct TestCluster {
     TestCluster() {
-        for (const char* a : {"10.0.0.1:7100", "10.0.0.2:7100", "10.0.0.3:7100"}) start_node(a, 1);
+        for (const char* address : {"10.0.0.1:7100", "10.0.0.2:7100", "10.0.0.3:7100"})
+            start_node(address, 1);
     }
     void start_node(const std::string& address, std::uint64_t incarnation) {
         controllers[address] = std::make_unique<TestController>(address, incarnation);
@@ -86,7 +87,7 @@
 
 }    // namespace
 
-Test(registry_forwarder, converges_whatever_was_lost) {
+Test(registry_forwarder, converges_after_message_loss) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         TestCluster cluster;
         cluster.random.seed(seed);
@@ -101,9 +102,9 @@
                     to, id, ++calls,
                     cluster.random() % 5 == 0 ? registry::State::Draining : registry::State::InService);
             cluster.step(0.5);
-            if (i == 50) cluster.start_node("10.0.0.2:7100", 2);    // one is restarted
+            if (i == 50) cluster.start_node("10.0.0.2:7100", 2);    // restart with a higher incarnation
         }
-        // Servers that only the earlier incarnation owned are known again by their next heartbeat.
+        // Servers that only the earlier incarnation had recorded are recorded again by their next heartbeat.
         for (int id = 8000; id < 8010; ++id)
             cluster.send_heartbeat("10.0.0." + std::to_string(cluster.random() % 3 + 1) + ":7100",
                                    std::to_string(id), ++calls);
@@ -120,8 +121,8 @@
     cr_assert(cluster.all_agree());
     cluster.message_count = cluster.bytes = 0;
     for (std::uint64_t i = 0; i < 10; ++i) {
-        for (int n = 0; n < 200; ++n)
-            cluster.send_heartbeat("10.0.0.1:7100", std::to_string(8000 + n), 2 + i);
+        for (int server = 0; server < 200; ++server)
+            cluster.send_heartbeat("10.0.0.1:7100", std::to_string(8000 + server), 2 + i);
         cluster.step(0.0);
     }
     cr_assert(cluster.message_count == 6 && cluster.bytes < 6 * 300, "%zu, %zu bytes", cluster.message_count,
@@ -135,7 +136,7 @@
 Test(registry_forwarder, keeps_servers_whose_owner_got_a_higher_incarnation) {
     TestCluster cluster;
     cluster.start_node("10.0.0.1:7100",
-                       500);    // its clock is set back next, while this incarnation is remembered
+                       500);    // its clock is set back next, while the peers remember this incarnation
     cluster.send_heartbeat("10.0.0.1:7100", "8000", 1);
     for (int i = 0; i < 20; ++i) cluster.step(0.0);
     cluster.start_node("10.0.0.1:7100", 400);
@@ -144,21 +145,21 @@
         for (int i = 0; i < steps; ++i) {
             if (i % 15 == 0) cluster.send_heartbeat("10.0.0.1:7100", "8000", ++calls);
             cluster.step(0.0);
-            const auto& there = cluster.controllers.at("10.0.0.3:7100")->service_registry.servers();
-            cr_assert(there.at("8000").state == registry::State::InService);
+            const auto& servers = cluster.controllers.at("10.0.0.3:7100")->service_registry.servers();
+            cr_assert(servers.at("8000").state == registry::State::InService);
         }
     };
     run(10);
-    TestController& back = *cluster.controllers.at("10.0.0.1:7100");
-    back.incarnation = 501;    // what the others require
-    back.service_registry.incarnation(501);
-    back.forwarder.reset_peers();
+    TestController& restarted = *cluster.controllers.at("10.0.0.1:7100");
+    restarted.incarnation = 501;    // above the incarnation that the others remember
+    restarted.service_registry.incarnation(501);
+    restarted.forwarder.reset_peers();
     run(300);
     cr_assert(cluster.all_agree());
 }
 
-// A controller that is cut off right after a server told it that it leaves must not confirm it.
-Test(registry_forwarder, tells_when_a_majority_of_the_voters_knows_of_a_change) {
+// A controller that is partitioned right after a server announced its departure must not confirm it.
+Test(registry_forwarder, reports_changes_acknowledged_by_a_majority_of_the_voters) {
     const std::string self = "10.0.0.1:7100";
     const std::vector<std::string> voters{"10.0.0.1:7100", "10.0.0.2:7100", "10.0.0.3:7100"};
     TestCluster cluster;
@@ -167,16 +168,18 @@
     TestController& owner = *cluster.controllers.at(self);
     cluster.send_heartbeat(self, "8000", 2, registry::State::Draining);
     const std::uint64_t sequence = owner.service_registry.sequence();
-    cr_assert(owner.forwarder.known_to_majority(voters, self) < sequence);
-    cr_assert(owner.forwarder.known_to_majority({self}, self) == sequence, "the only voter");
+    cr_assert(owner.forwarder.majority_acknowledged_sequence(voters, self) < sequence);
+    cr_assert(owner.forwarder.majority_acknowledged_sequence({self}, self) == sequence, "the only voter");
     owner.forwarder.request_acknowledgement();
     for (int i = 0; i < 20; ++i) cluster.step(1.0);
-    cr_assert(owner.forwarder.known_to_majority(voters, self) < sequence, "nobody has heard of it");
-    for (int i = 0; i < 20; ++i) cluster.step(0.0);    // what was lost is sent again
-    cr_assert(owner.forwarder.known_to_majority(voters, self) == sequence);
+    cr_assert(owner.forwarder.majority_acknowledged_sequence(voters, self) < sequence,
+              "no peer has received it");
+    for (int i = 0; i < 20; ++i) cluster.step(0.0);    // lost changes are resent
+    cr_assert(owner.forwarder.majority_acknowledged_sequence(voters, self) == sequence);
     cluster.send_heartbeat(self, "8000", 3, registry::State::InService);
     owner.forwarder.request_acknowledgement();
     cluster.step(0.0);
-    cluster.step(0.0);    // acknowledged at once, not with the next message of a second
-    cr_assert(owner.forwarder.known_to_majority(voters, self) == owner.service_registry.sequence());
+    cluster.step(0.0);    // acknowledged at once, not with the next periodic message
+    cr_assert(owner.forwarder.majority_acknowledged_sequence(voters, self) ==
+              owner.service_registry.sequence());
 }
--- a/tests/controller/voter_reconciler_test.cpp
+++ b/tests/controller/voter_reconciler_test.cpp
@@ -1,4 +1,4 @@
-// Which voters are proposed, when, and by which controller.
+// Which voter changes are proposed, when, and by which controller.
 #include "controller/voter_reconciler.h"
 
 #include <criterion/criterion.h>
@@ -16,10 +16,10 @@
 
 struct Proposal {
     VoterReconciler::VoterChange change;
-    Duration proposed_at;    // as an offset
+    Duration proposed_at;    // offset of time_at()
 };
 
-// Controllers by their address; each sees the others as `members` says.
+// A cluster in which each controller sees the other members as in `members`.
 struct TestCluster {
     TestCluster() {
         for (const char* address : {"a", "b", "c"}) {
@@ -40,8 +40,8 @@
         members[address].state = to;
         members[address].state_changed_at = now;
     }
-    // What `self` proposes first, and when, asked four times a second. Those in `behind` lack the newest
-    // entry.
+    // The first proposal of `self` and its time; the reconciler runs four times a second. Controllers in
+    // `behind` lack the newest entry.
     std::optional<Proposal> first_proposal(VoterReconciler& reconciler, const std::string& self,
                                            Duration from, Duration until) {
         for (Duration offset = from; offset <= until; offset += 250ms) {
@@ -69,29 +69,29 @@
 
 }    // namespace
 
-Test(voter_reconciler, leaves_responding_voters_alone) {
+Test(voter_reconciler, keeps_responding_voters) {
     TestCluster cluster;
     VoterReconciler reconciler = make_reconciler("a", 0, 0s);
     cr_assert(!cluster.first_proposal(reconciler, "a", 0s, 30s));
-    cluster.set_state("c", membership::State::Suspect, time_at(1s));    // nobody can take its place
+    cluster.set_state("c", membership::State::Suspect, time_at(1s));    // there is no candidate to replace it
     cr_assert(!cluster.first_proposal(reconciler, "a", 0s, 60s));
 }
 
-Test(voter_reconciler, readmits_an_emptied_disk_by_the_first_voter_that_responds) {
+Test(voter_reconciler, first_responding_voter_readmits_a_wiped_disk) {
     TestCluster cluster;
     cluster.add("a", 77, time_at(0s));
-    VoterReconciler a = make_reconciler("a", 77, 0s), b = make_reconciler("b", 0, 0s),
+    VoterReconciler voter_a = make_reconciler("a", 77, 0s), voter_b = make_reconciler("b", 0, 0s),
                     reconciler = make_reconciler("c", 0, 0s);
-    const auto step = cluster.first_proposal(b, "b", 0s, 10s);
-    cr_assert(step && step->proposed_at <= 1250ms);
-    cr_assert(step->change.current_voters == cluster.entry.voters);
-    cr_assert(step->change.new_voters == (Voters{{"a", 77}, {"b", 0}, {"c", 0}}));
-    cr_assert(!cluster.first_proposal(a, "a", 0s, 30s));    // it has no vote itself
-    const auto later = cluster.first_proposal(reconciler, "c", 0s, 30s);
-    cr_assert(later && later->proposed_at >= step->proposed_at + 500ms);
-    cluster.behind = {"a"};    // who lacks the newest entry must not vote on the next one
-    VoterReconciler again = make_reconciler("b", 0, 0s);
-    cr_assert(!cluster.first_proposal(again, "b", 0s, 30s));
+    const auto proposal = cluster.first_proposal(voter_b, "b", 0s, 10s);
+    cr_assert(proposal && proposal->proposed_at <= 1250ms);
+    cr_assert(proposal->change.current_voters == cluster.entry.voters);
+    cr_assert(proposal->change.new_voters == (Voters{{"a", 77}, {"b", 0}, {"c", 0}}));
+    cr_assert(!cluster.first_proposal(voter_a, "a", 0s, 30s));    // it has no vote itself
+    const auto later_proposal = cluster.first_proposal(reconciler, "c", 0s, 30s);
+    cr_assert(later_proposal && later_proposal->proposed_at >= proposal->proposed_at + 500ms);
+    cluster.behind = {"a"};    // a controller that lacks the newest entry must not vote on the next one
+    VoterReconciler new_reconciler = make_reconciler("b", 0, 0s);
+    cr_assert(!cluster.first_proposal(new_reconciler, "b", 0s, 30s));
 }
 
 Test(voter_reconciler, replaces_a_failed_voter_in_time_and_keeps_the_number_of_voters) {
@@ -102,48 +102,48 @@
         !cluster.first_proposal(reconciler, "a", 0s, 20s));    // four tolerate no more failures than three
     cluster.set_state("c", membership::State::Suspect, time_at(22s));
     cluster.members["c"].last_heard = time_at(20s);
-    const auto step = cluster.first_proposal(reconciler, "a", 22s, 40s);
-    cr_assert(step && step->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
-    // Within the catch-up time (4 s), after which another failure may follow; but not after a short silence.
-    cr_assert(step->proposed_at > 22s && step->proposed_at <= 23s);
+    const auto proposal = cluster.first_proposal(reconciler, "a", 22s, 40s);
+    cr_assert(proposal && proposal->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
+    // Within the catch-up time (4 s), after which another failure may follow, but not after a short silence.
+    cr_assert(proposal->proposed_at > 22s && proposal->proposed_at <= 23s);
 }
 
 Test(voter_reconciler, replaces_a_departed_voter_at_once_and_waits_for_unknown_ones) {
-    TestCluster w;
-    w.add("d", 9, time_at(0s));
-    w.set_state("c", membership::State::Dead, time_at(1s));
-    w.members["c"].departed = true;
-    VoterReconciler a = make_reconciler("a", 0, 0s);
-    const auto step = w.first_proposal(a, "a", 1s, 20s);
-    cr_assert(step && step->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}) &&
-              step->proposed_at <= 2s);
+    TestCluster departed_cluster;
+    departed_cluster.add("d", 9, time_at(0s));
+    departed_cluster.set_state("c", membership::State::Dead, time_at(1s));
+    departed_cluster.members["c"].departed = true;
+    VoterReconciler voter_a = make_reconciler("a", 0, 0s);
+    const auto proposal = departed_cluster.first_proposal(voter_a, "a", 1s, 20s);
+    cr_assert(proposal && proposal->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}) &&
+              proposal->proposed_at <= 2s);
     TestCluster cluster;
     cluster.add("d", 9, time_at(10s));
     cluster.members.erase("c");    // this process has just started
     VoterReconciler reconciler = make_reconciler("a", 0, 10s);
-    const auto late = cluster.first_proposal(reconciler, "a", 10s, 30s);
-    cr_assert(late && late->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}) &&
-              late->proposed_at > 14s);
+    const auto late_proposal = cluster.first_proposal(reconciler, "a", 10s, 30s);
+    cr_assert(late_proposal && late_proposal->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}) &&
+              late_proposal->proposed_at > 14s);
 }
 
 Test(voter_reconciler, hands_over_its_vote_before_it_leaves) {
     TestCluster cluster;
     cluster.add("d", 9, time_at(0s));
-    VoterReconciler c = make_reconciler("c", 0, 0s);
-    cr_assert(!cluster.first_proposal(c, "c", 0s, 2s));
-    c.start_leaving();
-    const auto step =
-        cluster.first_proposal(c, "c", 2s, 2s);    // at once, though others are before it by address
-    cr_assert(step && step->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
+    VoterReconciler voter_c = make_reconciler("c", 0, 0s);
+    cr_assert(!cluster.first_proposal(voter_c, "c", 0s, 2s));
+    voter_c.start_leaving();
+    const auto proposal =
+        cluster.first_proposal(voter_c, "c", 2s, 2s);    // at once, although others precede it by address
+    cr_assert(proposal && proposal->change.new_voters == (Voters{{"a", 0}, {"b", 0}, {"d", 9}}));
     cluster.members["c"].info.voter_eligible = false;    // as it then announces
     VoterReconciler reconciler = make_reconciler("a", 0, 0s);
-    const auto others = cluster.first_proposal(reconciler, "a", 0s, 2s);
-    cr_assert(others && others->change.new_voters == step->change.new_voters);
-    TestCluster alone;
-    VoterReconciler last = make_reconciler("c", 0, 0s);
-    last.start_leaving();    // nobody takes its vote: two of two tolerate less than two of three, one of
-                             // which may return
-    cr_assert(!alone.first_proposal(last, "c", 0s, 5s));
+    const auto other_proposal = cluster.first_proposal(reconciler, "a", 0s, 2s);
+    cr_assert(other_proposal && other_proposal->change.new_voters == proposal->change.new_voters);
+    TestCluster cluster_without_candidate;
+    VoterReconciler leaving = make_reconciler("c", 0, 0s);
+    leaving.start_leaving();    // no candidate for its vote: two of two tolerate fewer failures than
+                                // two of three, one of which may return
+    cr_assert(!cluster_without_candidate.first_proposal(leaving, "c", 0s, 5s));
 }
 
 namespace {
@@ -159,8 +159,8 @@
 
 std::string address_of(std::size_t index) { return std::string(1, static_cast<char>('a' + index)); }
 
-// The first voter responds; after it come those that leave, those that respond too, those that are
-// unavailable, and the candidates.
+// Order of the controllers: one responding voter, the leaving voters, further responding voters, the
+// unavailable voters, and the candidates.
 TestCluster make_cluster(const VoterSetCase& set) {
     TestCluster cluster;
     cluster.entry.voters.clear();
@@ -189,7 +189,7 @@
     return VoterReconciler::tolerated_failures(static_cast<std::size_t>(responding), voters.size());
 }
 
-void carry_out_all_changes(TestCluster& cluster, const VoterSetCase& set) {
+void apply_all_changes(TestCluster& cluster, const VoterSetCase& set) {
     VoterReconciler reconciler = make_reconciler("a", 0, 0s, set.max_failures);
     int changes = 0;
     while (const auto proposal = cluster.first_proposal(reconciler, "a", 10s, 12s)) {
@@ -203,22 +203,22 @@
 
 void check_voter_set(const VoterSetCase& set) {
     TestCluster cluster = make_cluster(set);
-    carry_out_all_changes(cluster, set);
+    apply_all_changes(cluster, set);
     const std::size_t responding = set.voters - set.unavailable - set.leaving;
     const std::size_t voters = cluster.entry.voters.size(), min_voters = 2 * set.max_failures + 1;
-    // As many failures as the system has to tolerate, wherever there are machines for it.
+    // The voters tolerate the required number of failures wherever there are enough machines.
     if (responding + set.candidates >= min_voters && voters >= min_voters)
         cr_assert(tolerated_failures(cluster) >= static_cast<int>(set.max_failures), "%s: tolerates %d",
                   set.text().c_str(), tolerated_failures(cluster));
     const bool is_complete = set.unavailable + set.leaving == 0 && set.candidates == 0;
-    cr_assert(voters % 2 == 1 || voters <= min_voters || is_complete, "%s: %zu are left", set.text().c_str(),
-              voters);
+    cr_assert(voters % 2 == 1 || voters <= min_voters || is_complete, "%s: %zu voters are left",
+              set.text().c_str(), voters);
 }
 
 }    // namespace
 
-// Every set of 1 to 9 voters with any number of them unavailable or leaving, and up to four candidates: no
-// proposed change tolerates fewer failures than before, and the changes come to an end.
+// For every set of 1 to 9 voters with any number of them unavailable or leaving, and up to four candidates:
+// no proposed change lowers the tolerated failures, and the sequence of changes ends.
 Test(voter_reconciler, no_change_lowers_the_tolerated_failures_and_all_end_in_an_odd_number) {
     std::size_t cases = 0;
     for (std::size_t max_failures = 1; max_failures <= 3; ++max_failures)
