--- a/tests/gateway/control_plane_client_test.cpp
+++ b/tests/gateway/control_plane_client_test.cpp
@@ -1,4 +1,4 @@
-// The controllers' updates, lost, late, duplicated and from several controllers at a time.
+// Tests the subscription with lost, late and duplicated updates, and updates from several controllers.
 #include "gateway/control_plane_client.h"
 
 #include <criterion/criterion.h>
@@ -33,7 +33,8 @@
     std::uint64_t incarnation = 7, version = 0, sequence = 0;
     bool confirmed = true;
 
-    // The update for a client in this state: a delta where it has the version before, otherwise a full one.
+    // Returns the update for a client in this state: a delta if the client has `base_version`, else a full
+    // update.
     std::string make_update(const subscription::ClientState& client_state, std::uint64_t base_version) const {
         subscription::ControlUpdate update;
         update.incarnation = incarnation;
@@ -72,20 +73,20 @@
         cr_assert(client_state.has_value());
         return *client_state;
     }
-    cr_assert(false, "nothing was said to %s", to.c_str());
+    cr_assert(false, "nothing was sent to %s", to.c_str());
     return {};
 }
 
 }    // namespace
 
-Test(control_plane_client, is_caught_up_by_an_update_that_a_quorum_confirmed) {
+Test(control_plane_client, is_caught_up_after_a_quorum_confirmed_update) {
     ControlPlaneClient client = make_client();
     client.set_controllers(controllers_named({"a"}));
     ControlPlaneClient::Actions actions;
     client.tick(kStart, 1, actions);
     FakeController fake_controller{.version = 4, .confirmed = false};
     client.on_message("a", 7, fake_controller.make_update(sent_state(actions, "a"), 0), kStart, actions);
-    cr_assert(actions.configuration_changed && !client.caught_up(), "it may be old");
+    cr_assert(actions.configuration_changed && !client.caught_up(), "the configuration may be outdated");
     ControlPlaneClient::Actions next_actions;
     client.tick(kStart + 500ms, 1, next_actions);
     cr_assert(sent_state(next_actions, "a").version == 4);
@@ -95,7 +96,7 @@
     cr_assert(client.caught_up() && !next_actions.configuration_changed);
 }
 
-Test(control_plane_client, tells_each_controller_which_keys_were_asked_for_once) {
+Test(control_plane_client, sends_key_samples_to_each_controller_once) {
     ControlPlaneClient client = make_client();
     client.set_controllers(controllers_named({"a", "b"}));
     const std::vector<ownership::KeySamples> samples{{"saves", {5, 6}, 9}};
@@ -107,7 +108,7 @@
     for (const std::string to : {"a", "b"}) cr_assert(sent_state(next_actions, to).key_samples.empty());
 }
 
-Test(control_plane_client, a_configuration_never_goes_back) {
+Test(control_plane_client, configuration_version_never_decreases) {
     ControlPlaneClient client = make_client();
     client.set_controllers(controllers_named({"a", "b"}));
     ControlPlaneClient::Actions actions;
@@ -119,7 +120,7 @@
     cr_assert(client.configuration_index()->config().version == 9 && !later.configuration_changed);
 }
 
-Test(control_plane_client, a_delta_that_does_not_fit_is_rejected_and_a_full_update_requested) {
+Test(control_plane_client, inapplicable_delta_is_rejected_and_full_update_requested) {
     ControlPlaneClient client = make_client();
     client.set_controllers(controllers_named({"a"}));
     ControlPlaneClient::Actions actions;
@@ -132,15 +133,17 @@
     ControlPlaneClient::Actions rejected;
     client.on_message("a", 7, subscription::encode(update), kStart + 1s, rejected);
     cr_assert(client.configuration_index()->config().version == 2 && !rejected.configuration_changed);
-    cr_assert(sent_state(rejected, "a").version == 0, "at once, as one that has nothing");
+    cr_assert(sent_state(rejected, "a").version == 0,
+              "requested at once, as by a client without a configuration");
     ControlPlaneClient::Actions recovered;
     client.on_message("a", 7, FakeController{.version = 6}.make_update(sent_state(rejected, "a"), 0),
                       kStart + 2s, recovered);
     cr_assert(recovered.configuration_changed && client.configuration_index()->config().version == 6);
 }
 
-// An update for a later table than this gateway has is asked for again, and an older table changes nothing.
-Test(control_plane_client, follows_the_owners_of_shard_keys_and_never_goes_back) {
+// An update with a gap to the gateway's table makes it request the missing changes; an older table is
+// ignored.
+Test(control_plane_client, applies_ownership_changes_and_never_decreases_their_version) {
     ControlPlaneClient client = make_client();
     client.set_controllers({{.address = "a"}});
     ControlPlaneClient::Actions actions;
@@ -153,19 +156,19 @@
         update.ownership_version = version;
         update.ownership_since = since;
         update.ownership_changes = ownership::encode(table);
-        ControlPlaneClient::Actions answers;
-        client.on_message("a", 7, subscription::encode(update), kStart + 1s, answers);
-        return answers.sends.size();
+        ControlPlaneClient::Actions resulting_actions;
+        client.on_message("a", 7, subscription::encode(update), kStart + 1s, resulting_actions);
+        return resulting_actions.sends.size();
     };
     cr_assert(deliver(5, 0, "i-1") == 0);
     cr_assert(client.owners().find("s", 7)->owner == "i-1");
     cr_assert(deliver(4, 0, "i-0") == 0 && client.owners().find("s", 7)->owner == "i-1");
-    cr_assert(deliver(9, 8, "i-3") == 1, "it lacks what came between");
+    cr_assert(deliver(9, 8, "i-3") == 1, "the changes in between are missing");
     cr_assert(client.owners().find("s", 7)->owner == "i-1" && client.owners().version() == 5);
     cr_assert(deliver(9, 5, "i-2") == 0 && client.owners().find("s", 7)->owner == "i-2");
 }
 
-Test(control_plane_client, a_silent_controller_is_replaced_by_another_one) {
+Test(control_plane_client, unresponsive_controller_is_replaced) {
     ControlPlaneClient client = make_client();
     client.set_controllers(controllers_named({"a", "b", "c", "d", "e"}));
     ControlPlaneClient::Actions actions;
@@ -177,9 +180,10 @@
         client.tick(now, 1, step);
         for (const auto& send : step.sends) {
             ever_contacted.insert(send.to);
-            if (send.to != "a" && send.to != "b") continue;    // the others are dead
-            ControlPlaneClient::Actions answer;
-            client.on_message(send.to, 7, FakeController{.version = 1}.make_update({}, 0), now + 1ms, answer);
+            if (send.to != "a" && send.to != "b") continue;    // the other controllers are dead
+            ControlPlaneClient::Actions reply_actions;
+            client.on_message(send.to, 7, FakeController{.version = 1}.make_update({}, 0), now + 1ms,
+                              reply_actions);
         }
         if (now < kStart + 8s) continue;
         std::set<std::string> contacted;
@@ -189,10 +193,10 @@
     cr_assert(ever_contacted.size() == 5);
 }
 
-// Four of nine controllers are partitioned from the others and still answer. Whichever the client subscribes
-// to, it reaches the majority's configuration, and doesn't go back when it subscribes to a partitioned one
-// again.
-Test(control_plane_client, a_controller_without_a_quorum_is_not_taken_for_current) {
+// Four of nine controllers are partitioned from the majority and still respond. Whichever controllers the
+// client subscribes to first, it must reach the majority's configuration, and must not return to an older one
+// when it subscribes to a partitioned controller again.
+Test(control_plane_client, controllers_without_a_quorum_are_replaced) {
     for (int self = 0; self < 40; ++self) {
         ControlPlaneClient::Settings settings;
         settings.self = "10.0.0." + std::to_string(self) + ":7101";
@@ -210,10 +214,10 @@
                 ControlPlaneClient::Actions step;
                 client.tick(now, 1, step);
                 for (const auto& send : step.sends) {
-                    ControlPlaneClient::Actions answer;
+                    ControlPlaneClient::Actions reply_actions;
                     const auto client_state = subscription::decode_client_state(send.bytes);
                     client.on_message(send.to, 7, controllers[send.to].make_update(*client_state, 0), now,
-                                      answer);
+                                      reply_actions);
                 }
             }
         };
@@ -237,8 +241,8 @@
     }
 }
 
-// Sixty gateways begin at the three seeds, as all do, and learn of fifteen controllers in five zones.
-Test(control_plane_client, moves_from_the_seeds_to_controllers_of_its_zone_and_spreads_the_load) {
+// Sixty gateways start with the three seeds, then discover fifteen controllers in five zones.
+Test(control_plane_client, moves_from_seeds_to_controllers_of_its_zone_and_balances_load) {
     std::map<std::string, int> gateways_by_controller;
     for (int self = 0; self < 60; ++self) {
         ControlPlaneClient::Settings settings;
@@ -249,9 +253,9 @@
                 ControlPlaneClient::Actions step;
                 client.tick(now, 1, step);
                 for (const auto& send : step.sends) {
-                    ControlPlaneClient::Actions answer;
+                    ControlPlaneClient::Actions reply_actions;
                     client.on_message(send.to, 7, FakeController{.version = 1}.make_update({}, 0), now,
-                                      answer);
+                                      reply_actions);
                 }
                 cr_assert(client.confirmed_controllers(now, 1s).size() >= 3, "never fewer while moving");
             }
@@ -278,23 +282,23 @@
         cr_assert(gateways <= 24, "%s has %d of 180 subscriptions", address.c_str(), gateways);
 }
 
-Test(control_plane_client, prefers_controllers_that_may_vote_and_uses_the_others_where_those_are_away) {
+Test(control_plane_client, prefers_voters_and_falls_back_to_other_controllers) {
     ControlPlaneClient client = make_client();
     std::vector<ControlPlaneClient::Controller> controllers;
     for (const char* address : {"v1", "v2", "v3"}) controllers.push_back({.address = address});
     for (const char* address : {"w1", "w2", "w3"})
         controllers.push_back({.address = address, .same_zone = true, .may_vote = false});
     client.set_controllers(controllers);
-    std::set<std::string> silent;
+    std::set<std::string> unresponsive;
     const auto run = [&](TimePoint from, Duration length) {
         for (TimePoint now = from; now < from + length; now += 500ms) {
             ControlPlaneClient::Actions step;
             client.tick(now, 1, step);
             for (const auto& send : step.sends) {
-                ControlPlaneClient::Actions answer;
-                if (!silent.contains(send.to))
+                ControlPlaneClient::Actions reply_actions;
+                if (!unresponsive.contains(send.to))
                     client.on_message(send.to, 7, FakeController{.version = 1}.make_update({}, 0), now,
-                                      answer);
+                                      reply_actions);
             }
         }
         const std::vector<std::string> confirmed = client.confirmed_controllers(from + length, 1s);
@@ -302,15 +306,16 @@
     };
     const std::set<std::string> voters{"v1", "v2", "v3"};
     cr_assert(run(kStart, 2s) == voters);
-    silent = {"v1", "v2"};
+    unresponsive = {"v1", "v2"};
     const std::set<std::string> substitutes = run(kStart + 2s, 5s);
     cr_assert(substitutes.size() == 3 && substitutes.contains("v3"));
-    silent.clear();
-    cr_assert(run(kStart + 7s, 20s) == voters, "it goes back to them");
+    unresponsive.clear();
+    cr_assert(run(kStart + 7s, 20s) == voters, "it returns to the voters");
 }
 
-// Any order, loss and repetition of updates leads to the newest configuration, in rising versions.
-Test(control_plane_client, reaches_the_newest_configuration_whatever_is_lost) {
+// With updates lost, repeated and reordered, the client still reaches the newest configuration, and the
+// version never decreases.
+Test(control_plane_client, reaches_the_newest_configuration_despite_message_loss) {
     for (unsigned seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
         ControlPlaneClient client = make_client();
@@ -345,7 +350,7 @@
             }
             const std::uint64_t current_version =
                 client.configuration_index() ? client.configuration_index()->config().version : 0;
-            cr_assert(current_version >= previous_version, "seed %u went back", seed);
+            cr_assert(current_version >= previous_version, "seed %u: the version decreased", seed);
             previous_version = current_version;
         }
         for (int step = 0; step < 10; ++step) {
--- a/tests/gateway/response_test_site.h
+++ b/tests/gateway/data_plane_fixture.h
@@ -1,6 +1,6 @@
-// The whole way of a request, over loopback: clients' sockets, the gateway's request mapper, dispatcher,
-// engines and pools, and servers that do to each request what a script says. One thread and a clock that is
-// stepped: nothing sleeps.
+// Test fixture for a gateway's complete data plane over loopback: client sockets, request mapper, dispatcher,
+// engines, connection pools, and scripted servers. Runs in one thread on a clock that the test advances,
+// without sleeping.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -17,22 +17,22 @@
 
 #include "base/net/loop.h"
 #include "data_plane/proxy/client_listener.h"
+#include "gateway/loopback_client.h"
 #include "gateway/request_dispatcher.h"
-#include "gateway/response_test_client.h"
 #include "gateway/scripted_server.h"
 
 namespace shaletray::test {
 
-// One gateway's data plane with its servers, in one thread. Its clock moves a millisecond with each turn.
-class ResponseTestSite {
+// A gateway's data plane with its servers. The clock advances by a millisecond in each turn.
+class DataPlaneFixture {
 public:
-    // What to do to a request of which all, or at least the head, was received.
+    // Chooses the behaviour for a request; `complete` is false where only its head was received so far.
     std::function<ServerBehaviour(const ServerRequest&, bool complete)> choose_behaviour =
-        [](const ServerRequest&, bool) { return ServerBehaviour::Answer; };
-    std::string idle_timeout_header;    // of good answers: how long the server says that it keeps connections
-    std::function<int()> delay_turns = [] { return 5; };    // by which something comes later
-    std::map<std::string, int> arrivals, executions;        // by id
-    std::map<std::string, std::string> answer_bodies;       // of good answers, by id
+        [](const ServerRequest&, bool) { return ServerBehaviour::Respond; };
+    std::string idle_timeout_header;    // in success responses: the server's stated idle timeout
+    std::function<int()> delay_turns = [] { return 5; };    // delay of late responses, in turns
+    std::map<std::string, int> arrivals, executions;        // by request id
+    std::map<std::string, std::string> response_bodies;     // of success responses, by request id
     std::map<ServerBehaviour, int> behaviour_counts;
 
     Loop loop;
@@ -45,7 +45,7 @@
     std::optional<ClientListener> listener;
     std::vector<std::unique_ptr<ScriptedServer>> servers;
 
-    explicit ResponseTestSite(int count, std::uint64_t seed = 1, bool is_sharded = false)
+    explicit DataPlaneFixture(int count, std::uint64_t seed = 1, bool is_sharded = false)
         : balancer(balancer_settings(), loop.clock.now()) {
         gateway::DispatcherSettings dispatcher_settings;
         dispatcher_settings.seed = seed;
@@ -79,14 +79,14 @@
         hosts.update(servers_by_id, loop.clock.now());
         dispatcher->on_servers_changed({"pay"});
     }
-    // Announces that this server owns all keys, and whether that is settled.
+    // Announces that this server owns all shard keys, and whether the assignment is settled.
     void publish_owner(const std::string& id, std::uint64_t version, bool settled = true,
                        const std::string& previous_owner = "") {
         ownership::OwnershipTable table{version, 4s, {}};
         table.services["pay"] = {{{0, 65535}, id, version, version, settled, previous_owner}};
         cr_assert(owners.apply(ownership::encode(table)));
     }
-    // Runs turns of a millisecond each. False where the condition did not become true within so many.
+    // Runs turns of a millisecond each. Returns false if the condition is not met within max_turns.
     bool run_until(const std::function<bool()>& condition, int max_turns = 15000) {
         int turns_left = max_turns;
         bool condition_met = false;
@@ -114,8 +114,8 @@
     }
     int current_turn() const { return current_turn_; }
 
-    static std::string success_answer(const ServerRequest& request, const std::string& body,
-                                      const std::string& extra_headers = "") {
+    static std::string success_response(const ServerRequest& request, const std::string& body,
+                                        const std::string& extra_headers = "") {
         return fmt::format(
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Seal: seal-{}\r\n{}Content-Length: {}\r\n\r\n{}",
             request.id, request.id, extra_headers, body.size(), body);
@@ -213,8 +213,8 @@
                          const ServerRequest& request, ServerBehaviour behaviour) {
         using Server = ScriptedServer;
         const std::string body = fmt::format("of {} by {}", request.id, server.id);
-        answer_bodies[request.id] = body;
-        const std::string answer = success_answer(request, body, idle_timeout_header);
+        response_bodies[request.id] = body;
+        const std::string response = success_response(request, body, idle_timeout_header);
         const auto send_plain = [&](const std::string& head, const std::string& text) {
             Server::send(connection,
                          fmt::format("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n{}", head, text.size(), text));
@@ -222,46 +222,46 @@
         const std::string id_header = "X-Attempt-Id: " + request.id;
         request_ids_.insert(request.id);
         switch (behaviour) {
-            case ServerBehaviour::Answer: Server::send(connection, answer); break;
-            case ServerBehaviour::SlowAnswer:
+            case ServerBehaviour::Respond: Server::send(connection, response); break;
+            case ServerBehaviour::SlowResponse:
                 connection.is_paused = true;
-                schedule_on_connection(server, connection, [answer](Server::Connection& live_connection) {
+                schedule_on_connection(server, connection, [response](Server::Connection& live_connection) {
                     live_connection.is_paused = false;
-                    Server::send(live_connection, answer);
+                    Server::send(live_connection, response);
                 });
                 break;
-            case ServerBehaviour::DuplicateAnswer: Server::send(connection, answer + answer); break;
+            case ServerBehaviour::DuplicateResponse: Server::send(connection, response + response); break;
             case ServerBehaviour::LateDuplicate:
-                Server::send(connection, answer);
-                schedule_on_connection(server, connection, [answer](Server::Connection& live_connection) {
-                    Server::send(live_connection, answer);
+                Server::send(connection, response);
+                schedule_on_connection(server, connection, [response](Server::Connection& live_connection) {
+                    Server::send(live_connection, response);
                 });
                 break;
-            case ServerBehaviour::PreviousAnswerFirst:
-                Server::send(connection, connection.last_answer + answer);
+            case ServerBehaviour::PreviousResponseFirst:
+                Server::send(connection, connection.last_response + response);
                 break;
-            case ServerBehaviour::CloseAfterAnswer:
-                Server::send(connection, success_answer(request, body, "Connection: close\r\n"));
+            case ServerBehaviour::CloseAfterResponse:
+                Server::send(connection, success_response(request, body, "Connection: close\r\n"));
                 connection.is_open = false;
                 connection.socket.close();
                 break;
             case ServerBehaviour::ResetOnNextInput:
-                Server::send(connection, answer);
+                Server::send(connection, response);
                 connection.resets_on_input = true;
                 break;
-            case ServerBehaviour::TruncatedAnswer:
-                Server::send(connection, answer.substr(0, answer.size() / 2));
+            case ServerBehaviour::TruncatedResponse:
+                Server::send(connection, response.substr(0, response.size() / 2));
                 connection.is_open = false;
                 connection.socket.close();
                 break;
-            case ServerBehaviour::ResetDuringAnswer:
-                Server::send(connection, answer.substr(0, answer.size() - 1));
+            case ServerBehaviour::ResetDuringResponse:
+                Server::send(connection, response.substr(0, response.size() - 1));
                 Server::reset(connection);
                 break;
             case ServerBehaviour::ResetAfterExecution:
             case ServerBehaviour::ResetBeforeRead:
             case ServerBehaviour::ResetDuringRead: Server::reset(connection); break;
-            case ServerBehaviour::NoAnswer: connection.is_paused = true; break;
+            case ServerBehaviour::NoResponse: connection.is_paused = true; break;
             case ServerBehaviour::ServerError:
                 send_plain("500 No\r\n" + id_header, "why-" + request.id);
                 break;
@@ -271,7 +271,7 @@
             case ServerBehaviour::Unmarked429:
                 send_plain("429 No\r\n" + id_header + "\r\nRetry-After: 1", "busy");
                 break;
-            case ServerBehaviour::MalformedAnswer:
+            case ServerBehaviour::MalformedResponse:
                 Server::send(connection, "\x16\x03nothing of yours\r\n\r\n");
                 break;
             case ServerBehaviour::SuccessWithoutId: send_plain("200 OK\r\nX-Server-Seal: s", "stray"); break;
@@ -281,7 +281,7 @@
                                                    [&](const std::string& id) { return id != request.id; });
                 ServerRequest other_request = request;
                 other_request.id = other_id == request_ids_.end() ? "nobody" : *other_id;
-                Server::send(connection, success_answer(other_request, "stray"));
+                Server::send(connection, success_response(other_request, "stray"));
                 connection.is_paused = true;
                 break;
             }
@@ -296,10 +296,10 @@
                 break;
             case ServerBehaviour::kCount: break;
         }
-        if (behaviour == ServerBehaviour::Answer || behaviour == ServerBehaviour::DuplicateAnswer)
-            connection.last_answer = answer;
+        if (behaviour == ServerBehaviour::Respond || behaviour == ServerBehaviour::DuplicateResponse)
+            connection.last_response = response;
     }
-    // On that connection, where it is still there.
+    // Runs the task on the connection later, if it is still open then.
     void schedule_on_connection(ScriptedServer& server, const ScriptedServer::Connection& connection,
                                 std::function<void(ScriptedServer::Connection&)> task) {
         schedule_after(delay_turns(), [&server, number = connection.number, task = std::move(task)] {
--- a/tests/gateway/gateway_metrics_test.cpp
+++ b/tests/gateway/gateway_metrics_test.cpp
@@ -1,4 +1,4 @@
-// What the metrics tell of requests, by tenant and by route.
+// Tests the metrics on admitted and rejected requests, by tenant, route and service.
 #include "gateway/gateway_metrics.h"
 
 #include <criterion/criterion.h>
@@ -20,7 +20,7 @@
 
 }    // namespace
 
-Test(gateway_metrics, tell_why_requests_of_a_tenant_were_rejected) {
+Test(gateway_metrics, report_admission_outcomes_by_tenant_and_route) {
     AdmissionStatistics admissions;
     admissions.record("acme", "read", AdmissionOutcome::Granted);
     admissions.record("acme", "pay", AdmissionOutcome::RejectedAtOnce);
@@ -50,7 +50,7 @@
     cr_expect(admissions.by_tenant().at("other")[0] == AdmissionStatistics::kMaxNames + 1);
 }
 
-Test(gateway_metrics, tell_why_servers_turned_requests_away) {
+Test(gateway_metrics, report_misdirected_requests_by_reason) {
     const std::string zone = "north";
     const AdmissionStatistics admissions;
     const std::map<std::string, double> units;
--- a/tests/gateway/http_mapping/request_mapper_test.cpp
+++ b/tests/gateway/http_mapping/request_mapper_test.cpp
@@ -1,4 +1,4 @@
-// What clients' requests and servers' answers mean: fed as bytes, complete and cut anywhere.
+// Tests the interpretation of clients' requests, also split at any position, and of servers' responses.
 #include "gateway/http_mapping/request_mapper.h"
 
 #include <criterion/criterion.h>
@@ -51,7 +51,7 @@
     }
 };
 
-// In two pieces, cut at `cut`.
+// Parses the request in two pieces, split at `split_at`, and maps it.
 ReadResult read_request(RequestMapper& mapper, const std::string& text, std::size_t split_at = 0) {
     ReadResult read_result;
     read_result.buffer.append(text.substr(0, split_at));
@@ -89,7 +89,7 @@
 
 }    // namespace
 
-Test(request_mapper, forwards_a_request_and_replaces_the_systems_own_headers) {
+Test(request_mapper, forwards_a_request_and_replaces_reserved_headers) {
     RequestMapper mapper;
     mapper.set_configuration(make_index());
     const std::string text = request_text(
@@ -110,7 +110,7 @@
     }
 }
 
-Test(request_mapper, finds_route_and_key_or_says_which_is_missing) {
+Test(request_mapper, rejects_requests_without_a_route_or_api_key) {
     RequestMapper mapper;
     cr_assert(read_request(mapper, request_text("/claims/7", "Authorization: Bearer k1\r\n")).status() ==
               503);
@@ -130,12 +130,12 @@
     cr_assert(open.accepted().allows_pipelining && open.route_match().tenant == nullptr);
     cr_assert(open.route_match().route->name == "open");
     const ReadResult sur = read_request(mapper, request_text("/claims/7", "Authorization: Bearer k3\r\n"));
-    cr_assert(sur.route_match().priority() == 3, "the route's, where the tenant has none");
+    cr_assert(sur.route_match().priority() == 3, "the route's priority, since the tenant has none");
     cr_assert(sur.accepted().incoming.time_budget == 800ms);
 }
 
-// Only routes to services that divide their keys need one, and it is passed on.
-Test(request_mapper, wants_a_shard_key_where_a_service_of_the_route_divides_its_keys) {
+// Only routes to sharded services require a shard key. The header is forwarded.
+Test(request_mapper, requires_a_shard_key_on_routes_to_sharded_services) {
     RequestMapper mapper;
     mapper.set_configuration(make_index());
     const std::string key = "Authorization: Bearer k1\r\n";
@@ -153,7 +153,7 @@
     cr_assert(good.accepted().incoming.payload.head.find("X-Shard-Key: 65535\r\n") != std::string::npos);
 }
 
-Test(request_mapper, a_request_keeps_the_configuration_under_which_it_arrived) {
+Test(request_mapper, request_keeps_the_configuration_under_which_it_arrived) {
     RequestMapper mapper;
     mapper.set_configuration(make_index(1));
     const ReadResult before = read_request(mapper, request_text("/claims/7", "Authorization: Bearer k1\r\n"));
@@ -163,7 +163,7 @@
     cr_assert(after.route_match().configuration_index->config().version == 2);
 }
 
-Test(request_mapper, only_what_was_not_executed_is_rejected) {
+Test(request_mapper, rejections_and_failures_have_different_status_codes) {
     RequestMapper mapper;
     cr_assert(mapper.rejection_answer(RejectionReason::Quota, 1500ms).status_code == 429);
     cr_assert(mapper.rejection_answer(RejectionReason::Quota, 1500ms).headers == "Retry-After: 1.500\r\n");
@@ -172,7 +172,7 @@
     cr_assert(mapper.failure_answer(FailureReason::DeadlineExceeded).status_code == 504);
 }
 
-Test(upstream_codec, names_the_server_and_the_time_left) {
+Test(upstream_codec, writes_target_instance_and_remaining_time) {
     Payload payload;
     payload.head = "GET /x HTTP/1.1\r\n";
     cr_assert(make_codec().write_request(payload, HostId{7}, 1700us) ==
@@ -181,30 +181,31 @@
               "GET /health HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\r\n");
 }
 
-Test(upstream_codec, an_answer_counts_only_with_its_id_and_its_seal) {
+Test(upstream_codec, response_matches_only_with_its_id_and_seal) {
     const UpstreamCodec codec = make_codec();
-    const auto fits = [&](const std::string& status, const std::string& headers) {
+    const auto match_of = [&](const std::string& status, const std::string& headers) {
         const ParsedResponse response("HTTP/1.1 " + status + " X\r\n" + headers +
                                       "Content-Length: 2\r\n\r\nab");
         return codec.match_answer(kSentRequest, response.parser, response.buffer);
     };
-    cr_assert(fits("200", "X-Attempt-Id: 9c41\r\nX-Server-Seal: s\r\n") == AnswerMatch::Match);
-    cr_assert(fits("200", "X-Attempt-Id: 8888\r\nX-Server-Seal: s\r\n") == AnswerMatch::EarlierRequest);
-    cr_assert(fits("200", "X-Attempt-Id: 9c41\r\n") == AnswerMatch::Mismatch);
-    cr_assert(fits("200", "X-Server-Seal: s\r\n") == AnswerMatch::Mismatch);
-    cr_assert(fits("200", "X-Attempt-Id: 9c41\r\nX-Server-Seal: s\r\nContent-Encoding: gzip\r\n") ==
+    cr_assert(match_of("200", "X-Attempt-Id: 9c41\r\nX-Server-Seal: s\r\n") == AnswerMatch::Match);
+    cr_assert(match_of("200", "X-Attempt-Id: 8888\r\nX-Server-Seal: s\r\n") == AnswerMatch::EarlierRequest);
+    cr_assert(match_of("200", "X-Attempt-Id: 9c41\r\n") == AnswerMatch::Mismatch);
+    cr_assert(match_of("200", "X-Server-Seal: s\r\n") == AnswerMatch::Mismatch);
+    cr_assert(match_of("200", "X-Attempt-Id: 9c41\r\nX-Server-Seal: s\r\nContent-Encoding: gzip\r\n") ==
               AnswerMatch::Mismatch);
-    cr_assert(fits("503", "X-Not-Executed: 1\r\n") == AnswerMatch::Mismatch,
-              "a promise without an id may be another's");
-    cr_assert(fits("503", "X-Attempt-Id: 9c41\r\nX-Not-Executed: 1\r\n") == AnswerMatch::Match);
-    cr_assert(fits("500", "") == AnswerMatch::Mismatch, "a failure without an id may be another's too");
-    cr_assert(fits("500", "X-Attempt-Id: 9c41\r\n") == AnswerMatch::Match);
-    cr_assert(fits("200", "X-Attempt-Id: 9c41\r\nX-Attempt-Id: 8888\r\nX-Server-Seal: s\r\n") ==
+    cr_assert(match_of("503", "X-Not-Executed: 1\r\n") == AnswerMatch::Mismatch,
+              "a 503 without an id may belong to another request");
+    cr_assert(match_of("503", "X-Attempt-Id: 9c41\r\nX-Not-Executed: 1\r\n") == AnswerMatch::Match);
+    cr_assert(match_of("500", "") == AnswerMatch::Mismatch,
+              "a failure without an id may belong to another request, too");
+    cr_assert(match_of("500", "X-Attempt-Id: 9c41\r\n") == AnswerMatch::Match);
+    cr_assert(match_of("200", "X-Attempt-Id: 9c41\r\nX-Attempt-Id: 8888\r\nX-Server-Seal: s\r\n") ==
               AnswerMatch::Mismatch);
-    cr_assert(fits("500", "X-Attempt-Id: 9c41\r\nX-Attempt-Id: 9c41\r\n") == AnswerMatch::Mismatch);
+    cr_assert(match_of("500", "X-Attempt-Id: 9c41\r\nX-Attempt-Id: 9c41\r\n") == AnswerMatch::Mismatch);
 }
 
-Test(upstream_codec, only_the_servers_statement_proves_that_it_was_not_executed) {
+Test(upstream_codec, only_an_explicit_statement_proves_that_nothing_was_executed) {
     const UpstreamCodec codec = make_codec();
     const auto outcome = [&](const std::string& status, const std::string& headers) {
         const ParsedResponse response("HTTP/1.1 " + status + " X\r\n" + headers +
@@ -219,11 +220,11 @@
     cr_assert(outcome("504", "") == Outcome::Error);
     cr_assert(outcome("429", "") == Outcome::Error);
     cr_assert(outcome("408", "") == Outcome::Error);
-    cr_assert(outcome("404", "") == Outcome::Ok, "an answer of its own");
+    cr_assert(outcome("404", "") == Outcome::Ok, "a valid result of the server");
     cr_assert(outcome("204", "") == Outcome::Ok);
 }
 
-Test(upstream_codec, tells_an_old_list_of_servers_from_a_key_that_is_not_held) {
+Test(upstream_codec, distinguishes_another_instance_from_a_key_not_held) {
     std::vector<MisdirectionReason> reasons;
     const UpstreamCodec codec(
         [](HostId) {
@@ -240,7 +241,7 @@
     cr_assert(reasons == std::vector<MisdirectionReason>({OtherInstance, KeyNotHeld, KeyNotHeld}));
 }
 
-Test(upstream_codec, forwards_status_and_headers_but_for_the_connections_own) {
+Test(upstream_codec, forwards_status_and_headers_except_hop_by_hop_headers) {
     const ParsedResponse response(
         "HTTP/1.1 206 X\r\nX-Server-Seal: s\r\nConnection: close\r\nKeep-Alive: timeout=10\r\n"
         "Content-Length: 2\r\n\r\nab");
@@ -249,8 +250,9 @@
     cr_assert(make_codec().server_idle_timeout(response.parser, response.buffer) == Duration(10s));
 }
 
-// 503, 429 and 408 promise a client that nothing was executed; without X-Not-Executed no server said so.
-Test(upstream_codec, a_promise_that_no_server_gave_is_not_forwarded) {
+// 503, 429 and 408 tell a client that nothing was executed, which holds only if the server sent
+// X-Not-Executed.
+Test(upstream_codec, unstated_promise_of_non_execution_is_not_forwarded) {
     for (const char* const status : {"503", "429", "408"}) {
         const ParsedResponse response(
             "HTTP/1.1 " + std::string(status) +
--- a/tests/gateway/response_test_client.h
+++ b/tests/gateway/loopback_client.h
@@ -1,4 +1,4 @@
-// Clients over loopback, with non-blocking sockets.
+// Test clients over loopback with non-blocking sockets.
 #pragma once
 
 #include <Poco/Net/StreamSocket.h>
@@ -12,13 +12,13 @@
 
 namespace shaletray::test {
 
-// A client's connection.
-struct ResponseTestClient {
-    explicit ResponseTestClient(const std::string& address) : socket(Poco::Net::SocketAddress(address)) {
+// A client with one connection.
+struct LoopbackClient {
+    explicit LoopbackClient(const std::string& address) : socket(Poco::Net::SocketAddress(address)) {
         socket.setBlocking(false);
         socket.setNoDelay(true);
     }
-    struct Answer {
+    struct ReceivedResponse {
         int status = 0;
         std::string id, seal, body;
         bool has_retry_after = false;
@@ -38,7 +38,7 @@
             disconnected = disconnected || error.code() != POCO_EWOULDBLOCK;
         }
     }
-    std::optional<Answer> next_answer() {
+    std::optional<ReceivedResponse> next_response() {
         flush();
         char bytes[16384];
         try {
@@ -53,20 +53,21 @@
         const http::ParseStatus status = parser.parse(input);
         cr_assert(status != http::ParseStatus::Malformed);
         if (status != http::ParseStatus::Complete) return std::nullopt;
-        Answer answer{parser.status_code(), std::string(parser.header(input, "X-Attempt-Id")),
-                      std::string(parser.header(input, "X-Server-Seal")), std::string(parser.body(input)),
-                      !parser.header(input, "Retry-After").empty()};
+        ReceivedResponse response{parser.status_code(), std::string(parser.header(input, "X-Attempt-Id")),
+                                  std::string(parser.header(input, "X-Server-Seal")),
+                                  std::string(parser.body(input)),
+                                  !parser.header(input, "Retry-After").empty()};
         if (!parser.keep_alive()) close_announced = true;
         input.consume(parser.message_size());
         parser.reset();
-        return answer;
+        return response;
     }
 
     Poco::Net::StreamSocket socket;
     http::Buffer input;
     http::Parser parser{http::Parser::Kind::Response};
     std::string unsent;
-    bool disconnected = false, close_announced = false;    // close_announced: by the last answer
+    bool disconnected = false, close_announced = false;    // close_announced: by the last response
 };
 
 inline std::string request_text(bool unsafe, const std::string& id, const std::string& body = "",
--- a/tests/gateway/quota_lease_world.h
+++ b/tests/gateway/quota_lease_simulation.h
@@ -1,6 +1,6 @@
-// Gateways with their real membership, quota lease and balancer, and controllers with their membership, in
-// virtual time: partitioned, frozen, killed, replaced. Every gateway grants all it may to a tenant that wants
-// everything.
+// Simulates gateways with their real membership, quota lease and balancer, and controllers with their
+// membership, in virtual time. Processes can be partitioned, frozen, killed and replaced. Each gateway grants
+// every unit it has, as if the tenants' demand were unlimited.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
 #include "cluster/quota/balancer_world.h"
 #include "gateway/quota_lease.h"
 
-namespace shaletray::gateway::world {
+namespace shaletray::gateway::test {
 
 using namespace std::chrono_literals;
 using membership::Network;
 
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::uint64_t kSanitizerReduction = 24;    // the factor by which everything takes longer
+constexpr std::uint64_t kSanitizerSlowdown = 24;    // tests under sanitizers run this many times slower
 #else
-constexpr std::uint64_t kSanitizerReduction = 1;
+constexpr std::uint64_t kSanitizerSlowdown = 1;
 #endif
 
 constexpr Duration kStepInterval = 50ms, kUpdateInterval = 250ms, kControlUpdateInterval = 500ms;
@@ -31,12 +31,12 @@
     return (tenant_quota.rate * 5.0 + tenant_quota.burst) * 1.1 + 20.0;
 }
 
-class World {
+class Simulation {
 public:
     using Quotas = std::map<std::string, quota::Quota>;
 
-    World(int controller_count, int gateway_count, std::uint64_t seed,
-          Quotas tenant_quotas = {{"large", {200, 20}}, {"small", {10, 5}}})
+    Simulation(int controller_count, int gateway_count, std::uint64_t seed,
+               Quotas tenant_quotas = {{"large", {200, 20}}, {"small", {10, 5}}})
         : random(seed), network(seed * 7919), quotas(std::move(tenant_quotas)) {
         for (int index = 0; index < controller_count; ++index)
             controllers_.push_back(Network::controller_address(index));
@@ -54,7 +54,7 @@
         std::uint64_t incarnation = 0;
         std::unique_ptr<QuotaLease> lease;
         std::unique_ptr<quota::QuotaBalancer> balancer;
-        std::map<std::string, TimePoint> confirmations;    // of controllers that a quorum confirmed
+        std::map<std::string, TimePoint> confirmations;    // last confirmation by a quorum, by controller
         TimePoint next_update{}, next_control_update{};
     };
 
@@ -79,13 +79,13 @@
         gateways.erase(address);
     }
     void run(Duration duration) { network.run_for(duration); }
-    double granted_per_s(const std::string& tenant, Duration lately) const {
+    double granted_per_s(const std::string& tenant, Duration window) const {
         double count = 0.0;
-        for (auto it = grants.rbegin(); it != grants.rend() && network.now - it->time < lately; ++it)
+        for (auto it = grants.rbegin(); it != grants.rend() && network.now - it->time < window; ++it)
             count += it->tenant == tenant ? 1.0 : 0.0;
-        return count / std::chrono::duration<double>(lately).count();
+        return count / std::chrono::duration<double>(window).count();
     }
-    // The largest number of grants in any window above what the bound permits.
+    // Largest number of grants in any window, minus the permitted number.
     double excess() const {
         double worst = -1e9;
         for (const auto& [name, quota] : quotas)
@@ -103,7 +103,7 @@
 
     std::mt19937_64 random;
     Network network;
-    std::map<std::string, Gateway> gateways;    // that run
+    std::map<std::string, Gateway> gateways;    // the running ones
     std::vector<quota::world::World::Grant> grants;
     const Quotas quotas;
     std::function<bool(const std::string& from, const std::string& to)> is_partitioned =
@@ -141,17 +141,17 @@
         network.schedule(network.now + kStepInterval, [this] { step_all(); });
     }
     void step(const std::string& address, Gateway& process) {
-        if (network.now >= process.next_control_update) {    // messages that come to a frozen process are
-                                                             // read when it resumes, as new
+        if (network.now >= process.next_control_update) {    // A frozen process reads messages when it
+                                                             // resumes, and takes them for new.
             process.next_control_update = network.now + kControlUpdateInterval;
             for (const std::string& controller_address : controllers_)
                 if (is_connected(address, controller_address) && has_quorum(controller_address))
                     process.confirmations[controller_address] = TimePoint::max();
         }
         if (frozen(address)) return;
-        for (auto& [l, confirmed_at] : process.confirmations)
+        for (auto& [controller, confirmed_at] : process.confirmations)
             if (confirmed_at == TimePoint::max()) confirmed_at = network.now;
-        // Before all else: the worst that a process can do which was just resumed.
+        // Granting comes first: this is the worst case for a process that was just resumed.
         for (const auto& [name, quota] : quotas) {
             Duration retry_after{};
             while (saturating && process.balancer->request_unit(name, 0ms, network.now, retry_after) ==
@@ -202,4 +202,4 @@
     std::uint64_t last_incarnation_ = 0;
 };
 
-}    // namespace shaletray::gateway::world
+}    // namespace shaletray::gateway::test
--- a/tests/gateway/scripted_server.h
+++ b/tests/gateway/scripted_server.h
@@ -1,4 +1,4 @@
-// Servers over loopback that do to each request what a script says, and do not sleep.
+// Servers over loopback that treat each request as a script prescribes, without sleeping.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -12,46 +12,48 @@
 
 namespace shaletray::test {
 
-// What a server does to a request. Those from Answer to Restart have executed it, the others have not.
+// How a server treats a request. From Respond to Restart it executes the request; with the others it does
+// not.
 enum class ServerBehaviour {
-    Answer,
-    SlowAnswer,             // answers some turns later
-    DuplicateAnswer,        // a second copy of the answer in the same write
-    LateDuplicate,          // a second copy some turns later, where the next answer is expected
-    PreviousAnswerFirst,    // the connection's last answer once more, then its own
-    CloseAfterAnswer,       // says so, and does
-    ResetOnNextInput,       // answers, and resets at whatever comes next on this connection, unread
-    TruncatedAnswer,        // ends the connection in the middle of the answer
-    ResetDuringAnswer,      // the same, by a reset
-    ResetAfterExecution,    // after the request was read and executed
-    NoAnswer,               // for good
-    ServerError,            // 500
-    Unmarked503,            // a promise without X-Not-Executed
-    Unmarked429,
-    MalformedAnswer,     // not HTTP
-    SuccessWithoutId,    // a complete success without an id
-    FailureWithoutId,    // a complete failure without an id
-    WrongId,             // a complete success of another open request, and nothing else
-    Restart,             // all its connections are reset, and another server is at its address
-    Overloaded,          // 503 with X-Not-Executed
-    ResetBeforeRead,     // before any of it was read
-    ResetDuringRead,     // once a part of it was read
+    Respond,
+    SlowResponse,             // responds some turns later
+    DuplicateResponse,        // sends a second copy of the response in the same write
+    LateDuplicate,            // sends a second copy some turns later, where the next response is expected
+    PreviousResponseFirst,    // repeats the connection's last response, then sends its own
+    CloseAfterResponse,       // announces that it closes the connection, and closes it
+    ResetOnNextInput,         // responds, and resets the connection at its next input, unread
+    TruncatedResponse,        // closes the connection in the middle of the response
+    ResetDuringResponse,      // resets the connection in the middle of the response
+    ResetAfterExecution,      // after the request was read and executed
+    NoResponse,               // never responds
+    ServerError,              // 500
+    Unmarked503,              // 503 without X-Not-Executed
+    Unmarked429,              // 429 without X-Not-Executed
+    MalformedResponse,        // not HTTP
+    SuccessWithoutId,         // a complete success response without an id
+    FailureWithoutId,         // a complete failure response without an id
+    WrongId,                  // only a complete success response of another open request
+    Restart,                  // resets all its connections; another server takes over its address
+    Overloaded,               // 503 with X-Not-Executed
+    ResetBeforeRead,          // resets before the request was read
+    ResetDuringRead,          // resets after a part of the request was read
     kCount
 };
 inline bool executes_request(ServerBehaviour behaviour) { return behaviour <= ServerBehaviour::Restart; }
 
 struct ServerRequest {
-    std::string id, method, target, body, target_instance;    // target_instance: the server that it names
+    std::string id, method, target, body,
+        target_instance;    // target_instance: the server that the request names
 };
 
-// One address. The server there may be followed by another one with another id.
+// A server at one address. Its id changes when it is replaced by another server.
 class ScriptedServer {
 public:
     struct Connection {
         Poco::Net::StreamSocket socket;
         http::Buffer input;
         http::Parser parser{http::Parser::Kind::Request, {16 * 1024, 64 * 1024 * 1024, 100}};
-        std::string last_answer;    // answer
+        std::string last_response;    // last response sent
         bool resets_on_input = false, is_open = true, is_paused = false;
         std::uint64_t number = 0;
     };
@@ -67,7 +69,7 @@
             Connection& connection = connections.emplace_back();
             connection.socket = listening_socket_.acceptConnection();
             connection.socket.setBlocking(false);
-            connection.socket.setNoDelay(true);    // the clock runs ahead of the system's
+            connection.socket.setNoDelay(true);    // the test's clock runs ahead of the system clock
             connection.number = ++last_number_;
         }
         for (Connection& connection : connections) {
@@ -75,7 +77,7 @@
         }
         connections.remove_if([](const Connection& connection) { return !connection.is_open; });
     }
-    void shut_down() {    // nobody listens there any more
+    void shut_down() {    // stops listening and resets all connections
         is_listening_ = false;
         for (Connection& connection : connections) reset(connection);
         connections.clear();
@@ -91,7 +93,7 @@
         try {
             connection.socket.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
         } catch (const Poco::Exception&) {
-            connection.is_open = false;    // the pool had closed it
+            connection.is_open = false;    // the server pool had closed it
         }
     }
 
