--- a/src/gateway/admission_statistics.h
+++ b/src/gateway/admission_statistics.h
@@ -1,4 +1,4 @@
-// Counts what became of requests, by tenant and by route, for the metrics. Pure.
+// Counts admission outcomes by tenant and by route, for the metrics. Does no I/O.
 #pragma once
 
 #include <array>
@@ -10,12 +10,12 @@
 
 namespace shaletray::gateway {
 
-// What became of a request at this gateway, as far as quotas and capacity decide.
+// The decision on a request by quotas and capacity.
 enum class AdmissionOutcome {
-    Granted,               // a unit of its tenant's quota was taken, or none was needed
-    RejectedAtOnce,        // no unit was here or expected from other gateways
-    RejectedAfterWait,     // units were expected and did not come in time
-    RejectedByCapacity,    // granted, but no server could take it
+    Granted,               // a quota unit was taken, or none was needed
+    RejectedAtOnce,        // no quota unit was available or expected from other gateways
+    RejectedAfterWait,     // expected quota units did not arrive in time
+    RejectedByCapacity,    // granted, but no server had capacity
     kCount
 };
 std::string_view outcome_name(AdmissionOutcome outcome);
@@ -24,13 +24,13 @@
 class AdmissionStatistics {
 public:
     using Counts = std::array<std::uint64_t, static_cast<std::size_t>(AdmissionOutcome::kCount)>;
-    // An empty tenant is one without a quota.
+    // An empty `tenant` stands for requests without a quota.
     void record(const std::string& tenant, const std::string& route, AdmissionOutcome outcome);
-    // Those that do not fit kMaxNames are counted together as "other".
+    // Names beyond kMaxNames are counted together as "other".
     const std::map<std::string, Counts>& by_tenant() const { return by_tenant_; }
     const std::map<std::string, Counts>& by_route() const { return by_route_; }
 
-    // Bounds the memory, whatever clients send: some 100 bytes a name.
+    // Bounds the memory, about 100 bytes a name, regardless of what clients send.
     static constexpr std::size_t kMaxNames = 2000;
 
 private:
--- a/src/gateway/control_plane_client.cpp
+++ b/src/gateway/control_plane_client.cpp
@@ -10,14 +10,14 @@
 namespace shaletray::gateway {
 namespace {
 
-// An update that is missing is asked for at most so many times in one request interval.
-constexpr int kRepairsPerInterval = 5;
+// Maximum number of requests for missing updates to a controller in one request interval.
+constexpr int kMaxRepairRequestsPerInterval = 5;
 
-// Of the preferred controllers; the other ones outlast the loss of the zone.
+// Preferred controllers in the gateway's own zone; the others stay available if the zone fails.
 constexpr std::size_t kPreferredInZone = 2;
 
-// A fixed order for each gateway, and another one for each: the controllers get even parts of the load.
-std::size_t preference(const std::string& self, const std::string& controller_address) {
+// Gives each gateway its own fixed order of the controllers, which balances the load among them.
+std::size_t preference_hash(const std::string& self, const std::string& controller_address) {
     return std::hash<std::string>{}(self + "|" + controller_address);
 }
 
@@ -27,7 +27,7 @@
 
 void ControlPlaneClient::set_controllers(std::vector<Controller> controllers) {
     std::sort(controllers.begin(), controllers.end(), [this](const Controller& a, const Controller& b) {
-        return preference(settings_.self, a.address) < preference(settings_.self, b.address);
+        return preference_hash(settings_.self, a.address) < preference_hash(settings_.self, b.address);
     });
     std::size_t in_zone = 0;
     const auto tier_of = [&](const Controller& controller) {
@@ -50,7 +50,7 @@
     std::erase_if(failed_at_, is_unknown);
 }
 
-// controllers_.size() for one that is not known.
+// Position in the order of preference; controllers_.size() for an unknown controller.
 std::size_t ControlPlaneClient::rank_of(const std::string& address) const {
     const auto it = std::find(controllers_.begin(), controllers_.end(), address);
     return static_cast<std::size_t>(it - controllers_.begin());
@@ -59,7 +59,7 @@
 std::vector<std::string> ControlPlaneClient::confirmed_controllers(TimePoint now, Duration timeout) const {
     std::vector<std::string> addresses;
     for (const auto& [address, controller_state] : controller_states_)
-        if (controller_state.confirmed && now - controller_state.last_heard <= timeout)
+        if (controller_state.confirmed && now - controller_state.last_update_at <= timeout)
             addresses.push_back(address);
     return addresses;
 }
@@ -67,12 +67,12 @@
 void ControlPlaneClient::select_controllers(TimePoint now) {
     if (controllers_.size() > settings_.max_controllers) replace_failed(now);
     while (controller_states_.size() < std::min(settings_.max_controllers, controllers_.size())) {
-        // The first that did not fail lately, otherwise the one whose failure is the oldest.
+        // The first without a recent failure, otherwise the one whose failure is the oldest.
         const std::string* best = nullptr;
         TimePoint best_failure = TimePoint::max();
         for (const std::string& address : controllers_) {
             if (controller_states_.contains(address)) continue;
-            const TimePoint failure = failed_lately(address, now) ? failed_at_.at(address) : TimePoint{};
+            const TimePoint failure = failed_recently(address, now) ? failed_at_.at(address) : TimePoint{};
             if (best != nullptr && failure >= best_failure) continue;
             best = &address;
             best_failure = failure;
@@ -86,34 +86,35 @@
     controller_states_[address].subscribed_since = now;
 }
 
-bool ControlPlaneClient::is_silent(const ControllerState& controller_state, TimePoint now) const {
+bool ControlPlaneClient::is_unresponsive(const ControllerState& controller_state, TimePoint now) const {
     return controller_state.requested_at != TimePoint{} &&
-           now - std::max(controller_state.last_heard, controller_state.requested_at) >
+           now - std::max(controller_state.last_update_at, controller_state.requested_at) >
                settings_.response_timeout;
 }
 
 bool ControlPlaneClient::is_unconfirmed(const ControllerState& controller_state, TimePoint now) const {
     return controller_state.requested_at != TimePoint{} &&
-           now - std::max(controller_state.last_confirmed, controller_state.subscribed_since) >
+           now - std::max(controller_state.last_confirmed_at, controller_state.subscribed_since) >
                settings_.response_timeout;
 }
 
-bool ControlPlaneClient::failed_lately(const std::string& address, TimePoint now) const {
+bool ControlPlaneClient::failed_recently(const std::string& address, TimePoint now) const {
     const auto it = failed_at_.find(address);
     return it != failed_at_.end() && now - it->second < settings_.failure_retention;
 }
 
-// One that does not answer is given up. So is one that no quorum confirms: the subscribed ones may be
-// partitioned from the others together, and their information old.
+// Unsubscribes from controllers that do not respond and from those that no quorum confirms: the subscribed
+// controllers may be partitioned from the others together, and their state outdated.
 void ControlPlaneClient::replace_failed(TimePoint now) {
     std::erase_if(controller_states_, [&](const auto& item) {
-        if (!is_silent(item.second, now) && !is_unconfirmed(item.second, now)) return false;
+        if (!is_unresponsive(item.second, now) && !is_unconfirmed(item.second, now)) return false;
         failed_at_[item.first] = now;
         return true;
     });
 }
 
-// At most one controller more than the limit is subscribed to, until it has proven to be of use.
+// Subscribes to one preferred controller beyond the limit; once all are confirmed, leaves the least
+// preferred.
 void ControlPlaneClient::move_to_preferred(TimePoint now) {
     if (controllers_.size() <= settings_.max_controllers) return;
     if (controller_states_.size() > settings_.max_controllers) {
@@ -129,7 +130,7 @@
     }
     for (std::size_t rank = 0; rank < settings_.max_controllers; ++rank) {
         const std::string& address = controllers_[rank];
-        if (controller_states_.contains(address) || failed_lately(address, now)) continue;
+        if (controller_states_.contains(address) || failed_recently(address, now)) continue;
         return subscribe_to(address, now);
     }
 }
@@ -149,7 +150,7 @@
     client_state.quota_divisor = quota_divisor_;
     client_state.ownership_version = owners_.version();
     client_state.key_samples = key_samples;
-    if (controller_state.requested_at < controller_state.last_heard ||
+    if (controller_state.requested_at < controller_state.last_update_at ||
         controller_state.requested_at == TimePoint{})
         controller_state.requested_at = now;
     actions.sends.push_back({to, subscription::encode(client_state)});
@@ -168,7 +169,7 @@
 void ControlPlaneClient::on_message(const std::string& from, std::uint64_t incarnation,
                                     std::string_view bytes, TimePoint now, Actions& actions) {
     const auto it = controller_states_.find(from);
-    if (it == controller_states_.end()) return;    // not subscribed to, or not any more
+    if (it == controller_states_.end()) return;    // not subscribed, or no longer
     const boost::leaf::result<subscription::ControlUpdate> decoded =
         subscription::decode_control_update(bytes);
     if (!decoded || decoded->incarnation != incarnation) {
@@ -189,24 +190,24 @@
     if (update.quorum_confirmed && complete && update.version > 0 &&
         configuration_version() >= update.version)
         caught_up_ = true;
-    const Duration min_repair_interval = settings_.request_interval / kRepairsPerInterval;
-    if (incomplete && now - controller_state.last_repair >= min_repair_interval) {
-        controller_state.last_repair = now;
+    const Duration min_repair_interval = settings_.request_interval / kMaxRepairRequestsPerInterval;
+    if (incomplete && now - controller_state.last_repair_request_at >= min_repair_interval) {
+        controller_state.last_repair_request_at = now;
         send_client_state(from, controller_state, now, {}, actions);
     }
 }
 
 void ControlPlaneClient::record_contact(const subscription::ControlUpdate& update,
                                         ControllerState& controller_state, TimePoint now) {
-    controller_state.last_heard = now;
+    controller_state.last_update_at = now;
     controller_state.confirmed = update.quorum_confirmed;
-    if (update.quorum_confirmed) controller_state.last_confirmed = now;
+    if (update.quorum_confirmed) controller_state.last_confirmed_at = now;
     if (controller_state.incarnation == update.incarnation) return;
     controller_state.incarnation = update.incarnation;
     controller_state.sequence = 0;
 }
 
-// False where the changes are malformed.
+// Returns false where the changes are malformed.
 bool ControlPlaneClient::apply_endpoint_changes(const subscription::ControlUpdate& update, TimePoint now,
                                                 Actions& actions) {
     if (update.endpoint_changes.empty()) return true;
@@ -220,23 +221,23 @@
     return true;
 }
 
-// Applies the owners of shard keys. True where this gateway is still behind the update's version.
+// Applies the owners of shard keys. Returns true where this gateway is still behind the update's version.
 bool ControlPlaneClient::apply_ownership(const subscription::ControlUpdate& update) {
-    if (update.ownership_version <= owners_.version()) return false;    // never go back
+    if (update.ownership_version <= owners_.version()) return false;    // versions never decrease
     if (update.ownership_changes.empty() || update.ownership_since > owners_.version()) return true;
     if (!owners_.apply(update.ownership_changes)) ++statistics_.malformed_updates;
     return owners_.version() < update.ownership_version;
 }
 
-// Applies the configuration of the update. True where this gateway is still behind the update's version.
+// Applies the configuration of the update. Returns true where this gateway is still behind its version.
 bool ControlPlaneClient::apply_update(const subscription::ControlUpdate& update, Actions& actions) {
-    if (update.version <= configuration_version()) return false;    // never go back
+    if (update.version <= configuration_version()) return false;    // versions never decrease
     if (update.configuration_delta.empty()) return true;
     boost::leaf::result<configuration::Configuration> new_configuration = configuration::apply_update(
         configuration_index_ ? configuration_index_->config() : empty_configuration_,
         update.configuration_delta);
     if (!new_configuration || new_configuration->version != update.version) {
-        // The delta is for another configuration, or damaged: the next message asks for a full one.
+        // The delta has another base, or is corrupt: the next message requests a full configuration.
         ++statistics_.malformed_updates;
         needs_full_update_ = true;
         return true;
--- a/src/gateway/control_plane_client.h
+++ b/src/gateway/control_plane_client.h
@@ -1,5 +1,6 @@
-// A gateway's subscription to the controllers: the configuration and the servers as they announce them, and
-// what the gateway tells them about its own state. Pure: the caller hands in the time and sends the messages.
+// A gateway's subscription to the controllers: it receives the configuration, the servers and the owners of
+// shard keys, and reports the gateway's own state. Does no I/O: the caller passes the time and sends the
+// messages.
 #pragma once
 
 #include <map>
@@ -16,11 +17,12 @@
 
 namespace shaletray::gateway {
 
-// Subscribes to the first controllers of an order of its own: of those that may vote, two of its zone and one
-// of another, by a hash that is different for each gateway, so that the controllers get even parts of the
-// gateways. Voters come first since they are the first to know of a change, and have the links for it. A
-// gateway that had to begin elsewhere, with the seeds or while a controller was away, moves there one by one,
-// and leaves a controller only after the next one has answered.
+// Subscribes to the preferred controllers: among those that may vote, two of its own zone and one of another
+// zone, ordered by a hash that differs between gateways, so that the gateways are spread evenly over the
+// controllers. Voters come first since they receive each change first and have sufficient bandwidth. A
+// gateway that started with other controllers (the seeds, or substitutes for an unavailable controller) moves
+// to the preferred ones one at a time, and leaves a controller only after its replacement was confirmed by a
+// quorum.
 //
 // Invariant: within an incarnation, the configuration never goes back to an earlier version. Not thread-safe.
 class ControlPlaneClient {
@@ -28,15 +30,15 @@
     struct Settings {
         std::string self;    // internal address of this gateway
         std::uint64_t incarnation = 0;
-        std::size_t max_controllers = 3;    // to which this gateway is subscribed at a time
-        // Between two messages to each of them.
+        std::size_t max_controllers = 3;    // subscribed to at a time
+        // Interval between two messages to each of them.
         Duration request_interval = std::chrono::milliseconds(500);
-        // A controller that is silent for longer is replaced by another one, if there is one.
+        // A controller that sends nothing for longer is replaced, if there is another one.
         Duration response_timeout = std::chrono::milliseconds(1500);
-        // For so long a controller that was given up is tried only where there is no other.
+        // Time for which a failed controller is used only where there is no other.
         Duration failure_retention = std::chrono::seconds(10);
     };
-    // What the caller has to do.
+    // What the caller must do after a call.
     struct Actions {
         struct Send {
             std::string to;
@@ -44,46 +46,46 @@
         };
         std::vector<Send> sends;
         bool configuration_changed = false;
-        std::vector<std::string> changed_servers;    // ids; an erased one is in servers() no more
+        std::vector<std::string> changed_servers;    // ids; those missing in servers() were erased
     };
     explicit ControlPlaneClient(Settings settings);
 
     void set_incarnation(std::uint64_t incarnation) { settings_.incarnation = incarnation; }
     struct Controller {
         std::string address;       // internal
-        bool suspect = false;      // of a failure: subscribed to last
-        bool same_zone = false;    // as this gateway: preferred, since bytes between zones cost more
-        bool may_vote = true;      // it has a disk; others serve where no voter does
+        bool suspect = false;      // suspected by the failure detector; the last choice
+        bool same_zone = false;    // as this gateway; preferred, since traffic between zones costs more
+        bool may_vote = true;      // has a disk; other controllers are used only where no voter is available
     };
-    // All known controllers.
+    // Replaces the list of all known controllers.
     void set_controllers(std::vector<Controller> controllers);
-    // A message that arrived from a controller of this incarnation. Malformed ones are counted and ignored.
+    // Handles a message from a controller with this incarnation. Malformed messages are counted and ignored.
     void on_message(const std::string& from, std::uint64_t incarnation, std::string_view bytes, TimePoint now,
                     Actions& actions);
-    // To be told to all controllers at the next tick that is due, and only then.
+    // Sets the samples that the next due tick sends to all controllers, once.
     void set_key_samples(std::vector<ownership::KeySamples> key_samples) {
         key_samples_ = std::move(key_samples);
     }
-    // To be called at next_deadline(). `quota_divisor` is what the membership announces of this gateway.
+    // Must be called at next_deadline(). `quota_divisor`: as the membership announces it for this gateway.
     void tick(TimePoint now, std::uint32_t quota_divisor, Actions& actions);
     TimePoint next_deadline() const { return next_tick_; }
 
-    // Null until the first configuration arrived.
+    // Null until the first configuration has arrived.
     const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index() const {
         return configuration_index_;
     }
-    // Of services whose keys are divided among their servers.
+    // Owners of the shard keys of sharded services.
     const ownership::OwnerMap& owners() const { return owners_; }
-    // By instance id.
+    // Servers by instance id.
     const std::map<std::string, registry::Server>& servers() const { return endpoints_.servers(); }
-    // Whether a controller that a quorum confirmed has told this incarnation all that there is.
+    // Whether this incarnation has received the complete state from a controller that a quorum confirmed.
     bool caught_up() const { return caught_up_ && configuration_index_ != nullptr; }
-    // The controllers whose last message is not older than `timeout` and was confirmed by a quorum.
+    // Controllers whose last message is at most `timeout` old and was confirmed by a quorum.
     std::vector<std::string> confirmed_controllers(TimePoint now, Duration timeout) const;
     struct Statistics {
         std::uint64_t updates = 0;
-        std::uint64_t full_updates = 0;     // a whole configuration
-        std::uint64_t delta_updates = 0;    // the difference to an earlier one
+        std::uint64_t full_updates = 0;     // with a full configuration
+        std::uint64_t delta_updates = 0;    // with the difference to an earlier one
         std::uint64_t malformed_updates = 0;
     };
     const Statistics& statistics() const { return statistics_; }
@@ -92,13 +94,13 @@
     // A controller to which this gateway is subscribed.
     struct ControllerState {
         std::uint64_t incarnation = 0;
-        std::uint64_t sequence = 0;    // up to which its registry's changes are known here
-        TimePoint requested_at{};      // of the first message without an answer
-        TimePoint last_heard{};
-        TimePoint last_repair{};    // a message outside of the interval, since an update was missing
+        std::uint64_t sequence = 0;    // of the last change of its registry that is known here
+        TimePoint requested_at{};      // time of the first message that was not answered yet
+        TimePoint last_update_at{};
+        TimePoint last_repair_request_at{};    // last request outside of the interval, for a missing update
         TimePoint subscribed_since{};
-        TimePoint last_confirmed{};    // last message that a quorum confirmed
-        bool confirmed = false;        // whether its last message was
+        TimePoint last_confirmed_at{};    // time of the last message that a quorum confirmed
+        bool confirmed = false;           // whether a quorum confirmed its last message
     };
     void send_client_state(const std::string& to, ControllerState& controller_state, TimePoint now,
                            const std::vector<ownership::KeySamples>& key_samples, Actions& actions);
@@ -106,9 +108,9 @@
     void replace_failed(TimePoint now);
     void move_to_preferred(TimePoint now);
     void subscribe_to(const std::string& address, TimePoint now);
-    bool is_silent(const ControllerState& controller_state, TimePoint now) const;
+    bool is_unresponsive(const ControllerState& controller_state, TimePoint now) const;
     bool is_unconfirmed(const ControllerState& controller_state, TimePoint now) const;
-    bool failed_lately(const std::string& address, TimePoint now) const;
+    bool failed_recently(const std::string& address, TimePoint now) const;
     std::size_t rank_of(const std::string& address) const;
     void record_contact(const subscription::ControlUpdate& update, ControllerState& controller_state,
                         TimePoint now);
@@ -120,17 +122,17 @@
     }
 
     Settings settings_;
-    std::vector<std::string> controllers_;    // in the order of preference
+    std::vector<std::string> controllers_;    // in order of preference
     std::map<std::string, ControllerState> controller_states_;
-    std::map<std::string, TimePoint> failed_at_;    // when a controller was given up last
+    std::map<std::string, TimePoint> failed_at_;    // last failure, by address
     std::shared_ptr<const configuration::ConfigurationIndex> configuration_index_;
-    configuration::Configuration empty_configuration_;    // what the first update is applied to
+    configuration::Configuration empty_configuration_;    // base of the first update
     std::uint64_t digest_ = 0;                            // of the configuration
     registry::EndpointDirectory endpoints_;
     ownership::OwnerMap owners_;
     std::vector<ownership::KeySamples> key_samples_;
     bool caught_up_ = false;
-    bool needs_full_update_ = false;    // a delta did not fit
+    bool needs_full_update_ = false;    // a delta could not be applied
     std::uint32_t quota_divisor_ = 0;
     TimePoint next_tick_{};
     Statistics statistics_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,13 +16,15 @@
 using runtime::log_event;
 
 constexpr Duration kPeerUpdateInterval = 250ms;
-constexpr Duration kConfirmationTimeout = 3s;    // of a controller's confirmation, for the quota lease
-// After the order to stop, new clients arrive until the platform has noticed: it checks readiness each
-// second, and believes the second failure. Open requests may end until shortly before the process is killed.
+// How long a controller counts as confirmed by a quorum, for the quota lease.
+constexpr Duration kConfirmationTimeout = 3s;
+// New clients are accepted for kAcceptAfterStop after stop(): the platform checks readiness each second and
+// stops sending clients after the second failure. Open requests may finish until kKillMargin before the
+// platform kills the process.
 constexpr Duration kAcceptAfterStop = 2200ms, kKillMargin = 500ms;
-// A connection to a server that drains may still be used for so long after it was being opened.
+// Time for which a connection that was being opened may still be used after its server began to drain.
 constexpr Duration kDrainStartGrace = 300ms;
-// Between two ticks, whatever the parts ask for.
+// Minimum interval between two ticks, whichever deadlines the components have.
 constexpr Duration kMinTickInterval = 5ms;
 
 std::string_view state_name(membership::State state) {
@@ -107,7 +109,7 @@
     update_controllers();
 }
 
-// The buckets of an incarnation start empty.
+// Creates a quota balancer for this incarnation; its token buckets start empty.
 void Gateway::start_quota_balancer() {
     quota_balancer_ = std::make_unique<quota::QuotaBalancer>(
         balancer_settings_of(settings_, address_, incarnation_), clock_.now());
@@ -126,7 +128,8 @@
     quota_balancer_->set_quotas(quotas, clock_.now());
 }
 
-// An earlier incarnation of this address had a higher number: the machine's clock was set back since then.
+// Adopts a higher incarnation number from the membership: an earlier incarnation of this address had a higher
+// number than the clock gives, since the machine's clock was set back.
 void Gateway::check_incarnation() {
     if (membership_->self().incarnation == incarnation_) return;
     log_event(LogLevel::Info, "incarnation_raised",
@@ -164,7 +167,7 @@
             apply_actions(actions);
             break;
         }
-        default: break;    // between controllers only
+        default: break;    // other kinds are sent between controllers only
     }
 }
 
@@ -199,7 +202,7 @@
     if (ready() != was_ready_) {
         was_ready_ = ready();
         log_event(LogLevel::Info, was_ready_ ? "gateway_ready" : "gateway_not_ready");
-        next_peer_update_ = TimePoint{};    // the quota lease may start with readiness
+        next_peer_update_ = TimePoint{};    // readiness may start the quota lease
         schedule_tick();
     }
 }
@@ -218,7 +221,7 @@
                log_field("services", configuration.services.size()), log_field("tenants", tenant_count)});
 }
 
-// Takes over these servers as the controllers announce them.
+// Applies the announced changes of these servers.
 void Gateway::update_hosts(const std::vector<std::string>& changed_servers) {
     const TimePoint now = clock_.now();
     dispatcher_->on_servers_changed(
@@ -279,7 +282,7 @@
     tick_timer_ = reactor_.schedule_after(Duration(0), [this] { tick(); });
 }
 
-// Updates which gateways share the quotas, and whether this one may go on refilling its share.
+// Updates the set of gateways that share the quotas, and the time until which this one may refill its share.
 void Gateway::update_quota_peers() {
     const TimePoint now = clock_.now();
     next_peer_update_ = now + kPeerUpdateInterval;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,4 +1,4 @@
-// One gateway process: clients, engines, membership, quotas and the subscription to the controllers.
+// A gateway process: client listener, engines, membership, quotas and the subscription to the controllers.
 #pragma once
 
 #include <functional>
@@ -18,22 +18,22 @@
 
 namespace shaletray::gateway {
 
-// Owns all parts and connects them. Everything runs on the thread that calls run(), on one reactor.
+// Owns and connects all components, which run on one reactor in the thread that calls run().
 class Gateway {
 public:
     // Throws Poco::Exception where an address cannot be used.
     explicit Gateway(runtime::NodeSettings settings);
     ~Gateway();
-    // Runs until it is stopped. `on_turn` is called once in each turn of the reactor, at least ten times a
-    // second.
+    // Runs until stop() has finished. `on_turn` is called in each iteration of the reactor, at least ten
+    // times a second.
     void run(std::function<void()> on_turn);
-    // Finishes the requests that were accepted, then ends run().
+    // Starts a graceful shutdown: finishes the accepted requests, then ends run(). Returns immediately.
     void stop();
-    // Takes over the seed addresses; all other settings need a restart.
+    // Applies new seed addresses; all other settings need a restart.
     void apply_settings(const runtime::NodeSettings& settings);
     // All counters as "name=value" pairs, for the log.
     std::string counters_text() const;
-    // All metrics, for GET /metrics at the readiness address and at the metrics port.
+    // All metrics in the Prometheus text format, served at the readiness and the metrics address.
     std::string metrics_text() const;
 
 private:
@@ -72,10 +72,10 @@
     std::unique_ptr<ApiServer> readiness_server_, metrics_server_;
     Timers::Id tick_timer_ = 0;
     TimePoint next_peer_update_{};
-    TimePoint next_tick_at_{};      // of tick_timer_
-    TimePoint stopping_since_{};    // zero: not ordered to stop
+    TimePoint next_tick_at_{};      // when tick_timer_ expires
+    TimePoint stopping_since_{};    // zero: not stopping
     bool was_ready_ = false, had_lease_ = false;
-    std::size_t known_gateway_count_ = 0;    // at the last update of the peers
+    std::size_t known_gateway_count_ = 0;    // at the last update of the quota peers
 };
 
 }    // namespace shaletray::gateway
--- a/src/gateway/gateway_settings.cpp
+++ b/src/gateway/gateway_settings.cpp
@@ -5,11 +5,11 @@
 namespace shaletray::gateway {
 namespace {
 
-// Files outside the data directory, and the reactor's own.
+// Descriptors for other files and for the reactor.
 constexpr std::size_t kReservedDescriptors = 260;
-// A gateway with fewer could not serve at all.
+// Used even where fewer descriptors are available, since a gateway cannot serve with fewer sockets.
 constexpr std::size_t kMinSockets = 64;
-// The rest is for servers.
+// The remaining sockets are for servers.
 constexpr double kClientSocketShare = 0.65;
 
 std::size_t fraction_of(std::size_t count, double fraction) {
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -1,4 +1,4 @@
-// The settings of a gateway's parts, from the settings of its node.
+// Derives the settings of a gateway's components from the settings of its node.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace shaletray::gateway {
 
-// The zones of the system, in the order of their numbers.
+// All zones of the system, in the order of their numbers.
 std::vector<std::string> zone_names(const runtime::NodeSettings& settings);
 
-// Sockets that the process may open to clients and servers together.
+// Maximum number of sockets to clients and servers together.
 std::size_t max_sockets(const runtime::NodeSettings& settings);
-// The part of them that is for clients.
+// Maximum number of sockets to clients.
 std::size_t max_client_sockets(const runtime::NodeSettings& settings);
 
 quota::Settings balancer_settings_of(const runtime::NodeSettings& settings, const std::string& address,
                                      std::uint64_t incarnation);
-// `zone`: the number of this node's zone.
+// `zone`: number of this node's zone.
 DispatcherSettings dispatcher_settings_of(const runtime::NodeSettings& settings, int zone,
                                           std::uint64_t seed);
 
--- a/src/gateway/http_mapping/headers.h
+++ b/src/gateway/http_mapping/headers.h
@@ -1,4 +1,4 @@
-// The headers of the system's messages, and how headers are passed on from one connection to another.
+// Names of the system's HTTP headers, and functions that copy headers from one connection to another.
 #pragma once
 
 #include <algorithm>
@@ -23,25 +23,26 @@
 inline constexpr std::string_view kConnectionHeader = "Connection";
 inline constexpr std::string_view kContentLengthHeader = "Content-Length";
 
-// The answer where a server's own is missing or must not be passed on.
+// Sent where a server's response is missing or must not be forwarded.
 inline constexpr int kBadGatewayStatus = 502;
 
-// A server does not run a request that names another instance, or a shard key that it does not hold.
+// A server responds with this status to a request that names another instance or a shard key that it does not
+// hold; it does not execute such a request.
 inline constexpr int kMisdirectedStatus = 421;
 
-// Headers of one connection only, and those that the sender on the next connection writes itself.
+// Hop-by-hop headers, and Content-Length, which the sender on the next connection writes itself.
 inline constexpr std::string_view kHopByHopHeaders[] = {
     "Connection", "Keep-Alive",        "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",          "Content-Length"};
 
-// Compares without regard to case.
+// Whether `names` contains the name, ignoring case.
 template <class Names>
 bool contains_name(std::string_view name, const Names& names) {
     return std::any_of(std::begin(names), std::end(names),
                        [&](std::string_view candidate) { return http::equals_ignore_case(candidate, name); });
 }
 
-// Whether a comma-separated list has the name.
+// Whether a comma-separated list contains the name, ignoring case.
 inline bool list_contains(std::string_view list, std::string_view name) {
     while (!list.empty()) {
         const std::size_t end = std::min(list.find(','), list.size());
@@ -51,7 +52,7 @@
     return false;
 }
 
-// Appends the message's headers to `text`, but for those of one connection and those that `drop` names.
+// Appends the message's headers to `text`, except hop-by-hop headers and those for which `drop` returns true.
 template <class Drop>
 void copy_headers(const http::Parser& parser, const http::Buffer& buffer, std::string& text, Drop drop) {
     const auto named_in_connection = [&](std::string_view name) {
--- a/src/gateway/http_mapping/request_mapper.cpp
+++ b/src/gateway/http_mapping/request_mapper.cpp
@@ -17,21 +17,21 @@
 constexpr double kMaxDeadlineMs = 3.6e6;    // an hour
 constexpr std::size_t kTypicalHeadSize = 512;
 
-// The key of an Authorization header; empty where it has another scheme.
+// Returns the API key of an Authorization header; empty where it has another scheme.
 std::string_view api_key_of(std::string_view authorization) {
     constexpr std::string_view kScheme = "Bearer ";
     if (!http::equals_ignore_case(authorization.substr(0, kScheme.size()), kScheme)) return {};
     return http::trim(authorization.substr(kScheme.size()));
 }
 
-// A rejection after which the client's connection stays open.
+// Creates a rejection after which the client's connection stays open.
 ImmediateRejection reject(int status, std::string_view reason) {
     ImmediateRejection rejection{status, reason};
     rejection.keep_alive = true;
     return rejection;
 }
 
-// Headers that are removed, or replaced by the gateway's own.
+// Whether the header is removed, or replaced by the gateway's own.
 bool is_replaced_header(std::string_view name) {
     return contains_name(
         name, std::initializer_list<std::string_view>{kAuthorizationHeader, kTenantHeader,
@@ -50,7 +50,7 @@
     }
 }
 
-// The request as it goes to a server, but for the headers that UpstreamCodec adds for each attempt.
+// Writes the request for the server, without the headers that UpstreamCodec adds for each attempt.
 void write_payload(const http::Parser& parser, const http::Buffer& buffer,
                    const configuration::Tenant* tenant, Payload& payload) {
     std::string& head = payload.head;
@@ -97,7 +97,7 @@
 std::variant<MappedRequest, ImmediateRejection> RequestMapper::map_request(const http::Parser& parser,
                                                                            const http::Buffer& buffer,
                                                                            TimePoint) {
-    // A header that is there twice could mean one thing here and another to the server.
+    // The gateway and the server could interpret a duplicate header differently.
     for (const std::string_view name :
          {kHostHeader, kAttemptIdHeader, kDeadlineHeader, kAuthorizationHeader, kShardKeyHeader}) {
         if (parser.header_count(buffer, name) > 1)
@@ -105,7 +105,7 @@
     }
     const std::string_view method = parser.method(buffer);
     const std::string_view target = parser.target(buffer);
-    // Their answers are framed in another way than all others; no route needs them.
+    // Responses to these methods are framed differently from all others, and no route needs them.
     if (method == "HEAD" || method == "CONNECT")
         return ImmediateRejection{501, "this method is not passed on"};
     if (!configuration_index_) return reject(503, "no configuration is known here yet");
@@ -161,7 +161,7 @@
                                 : configuration::Limits{}.idle_timeout;
 }
 
-// Either status promises that the request has not been executed and never will be.
+// Both status codes promise that the request has not been executed and never will be.
 GatewayAnswer RequestMapper::rejection_answer(RejectionReason reason, Duration retry_after) const {
     const double seconds = std::chrono::duration<double>(std::max(retry_after, Duration(1ms))).count();
     return {reason == RejectionReason::Quota ? 429 : 503, fmt::format("Retry-After: {:.3f}\r\n", seconds)};
--- a/src/gateway/http_mapping/request_mapper.h
+++ b/src/gateway/http_mapping/request_mapper.h
@@ -1,5 +1,5 @@
-// What clients' requests mean: routes, API keys, request ids and deadlines. Pure; the configuration is handed
-// in.
+// Interprets clients' requests: routes, API keys, request ids and deadlines. Does no I/O; the caller passes
+// the configuration.
 #pragma once
 
 #include <memory>
@@ -18,15 +18,16 @@
 
 namespace shaletray::http_mapping {
 
-// Where a request goes, by the configuration in force when it arrived. Travels as IncomingRequest::context.
+// Route and tenant of a request, by the configuration in force when it arrived. Passed as
+// IncomingRequest::context.
 struct RouteMatch {
     // Keeps the route and the tenant alive.
     std::shared_ptr<const configuration::ConfigurationIndex> configuration_index;
     const configuration::Route* route = nullptr;
-    const configuration::Tenant* tenant = nullptr;    // null: a public route, or no keys are required
-    std::optional<ownership::Key> shard_key{};        // set where the route may need it
+    const configuration::Tenant* tenant = nullptr;    // null: a public route, or no API keys are required
+    std::optional<ownership::Key> shard_key{};        // set where a service of the route is sharded
 
-    // The tenant's priority where it has one, otherwise the route's.
+    // The tenant's priority if it has one, otherwise the route's.
     int priority() const {
         return tenant != nullptr && tenant->priority ? *tenant->priority : route->priority;
     }
@@ -35,7 +36,7 @@
 // Maps clients' requests to routes and tenants. Not thread-safe.
 class RequestMapper final : public RequestMapping {
 public:
-    // Takes effect for all requests that are read from now on.
+    // Takes effect for all requests that are mapped after the call.
     void set_configuration(std::shared_ptr<const configuration::ConfigurationIndex> index);
     const std::shared_ptr<const configuration::ConfigurationIndex>& configuration_index() const {
         return configuration_index_;
@@ -58,11 +59,11 @@
     configuration::ServiceNames sharded_services_;
 };
 
-// A shard key, from 0 to 65535; nothing where it is malformed.
+// Parses a shard key, from 0 to 65535. Returns nothing where it is malformed.
 std::optional<ownership::Key> parse_shard_key(std::string_view text);
 
-// A number of milliseconds, with decimals or without. Nothing where it is malformed, negative or above an
-// hour.
+// Parses a number of milliseconds, with or without decimals. Returns nothing where it is malformed, negative
+// or above an hour.
 std::optional<Duration> parse_deadline(std::string_view text);
 
 }    // namespace shaletray::http_mapping
--- a/src/gateway/http_mapping/upstream_codec.cpp
+++ b/src/gateway/http_mapping/upstream_codec.cpp
@@ -12,10 +12,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kAddedHeadSize = 128;            // at most, of the headers that are added
-constexpr unsigned kMaxIdleTimeoutSeconds = 86'400;    // a day; a server that states more is not believed
+constexpr std::size_t kAddedHeadSize = 128;            // upper bound for the headers that are added
+constexpr unsigned kMaxIdleTimeoutSeconds = 86'400;    // one day; larger values from servers are ignored
 
-// To a client, these say that its request has not been executed and never will be.
+// Whether the status tells a client that its request has not been executed and never will be.
 bool promises_not_executed(int status) {
     return status == 408 || status == kMisdirectedStatus || status == 429 || status == 503;
 }
@@ -42,18 +42,19 @@
     return fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\n\r\n", target ? target->health_check : "/", address);
 }
 
-// Only the server's own statement proves that a request was never executed.
+// Only an explicit statement of the server (421 or X-Not-Executed) proves that a request was not executed.
 Outcome UpstreamCodec::outcome_of(const ExchangeContext&, const http::Parser& parser,
                                   const http::Buffer& buffer) const {
     const int status = parser.status_code();
     if (status >= 200 && status < 300) return Outcome::Ok;
     if (status == kMisdirectedStatus || parser.header_count(buffer, kNotExecutedHeader) > 0)
         return Outcome::Full;
-    // A server's own 4xx is an answer like any other.
+    // Other 4xx responses are valid results of the server.
     return status >= 500 || promises_not_executed(status) ? Outcome::Error : Outcome::Ok;
 }
 
-// A server that is another instance than the one named says so by its id.
+// Reports a 421 response, with the reason: a server that is another instance than the request named states
+// its own id.
 void UpstreamCodec::on_response(const ExchangeContext& request, const http::Parser& parser,
                                 const http::Buffer& buffer) const {
     if (!on_misdirected_ || request.is_health_check || parser.status_code() != kMisdirectedStatus) return;
@@ -72,7 +73,7 @@
         return instance.empty() || (target && instance == target->id) ? AnswerMatch::Match
                                                                       : AnswerMatch::Mismatch;
     }
-    // Without the id, or with two, it could be another request's answer; so could a failure.
+    // Without the id, or with two, the response could belong to another request, also a failure response.
     const std::string_view id = parser.header(buffer, kAttemptIdHeader);
     if (id.empty() || parser.header_count(buffer, kAttemptIdHeader) > 1) return AnswerMatch::Mismatch;
     if (id != request.request_id) return AnswerMatch::EarlierRequest;
@@ -86,7 +87,7 @@
 Payload UpstreamCodec::answer_of(const http::Parser& parser, const http::Buffer& buffer,
                                  bool with_body) const {
     Payload response;
-    // A status that promises that nothing was executed must not reach a client unless the server stated it.
+    // A status that promises non-execution must not reach a client unless the server stated it explicitly.
     if (promises_not_executed(parser.status_code())) {
         response.status_code = kBadGatewayStatus;
         return response;
--- a/src/gateway/http_mapping/upstream_codec.h
+++ b/src/gateway/http_mapping/upstream_codec.h
@@ -1,4 +1,4 @@
-// How requests are written to the servers, and what their answers mean. Pure.
+// Writes requests to the servers and interprets their responses. Does no I/O.
 #pragma once
 
 #include <functional>
@@ -12,24 +12,24 @@
 
 namespace shaletray::http_mapping {
 
-// Why a server answered 421 (Misdirected Request).
+// Why a server responded with status 421 (Misdirected Request).
 enum class MisdirectionReason {
-    OtherInstance,    // it is not the instance that the request named: the list of servers is old
-    KeyNotHeld,       // it is, and does not hold the request's shard key
+    OtherInstance,    // the request named another instance: the gateway's list of servers is outdated
+    KeyNotHeld,       // it is the named instance, but does not hold the request's shard key
 };
 
-// Writes requests and health checks to the servers of all services, and reads their answers. Stateless, but
-// for the lookup of hosts.
+// Writes requests and health checks to the servers of all services, and interprets their responses. Stateless
+// except for the lookup of hosts.
 class UpstreamCodec final : public UpstreamProtocol {
 public:
-    // What has to be known of a host.
+    // The data of a host that requests to it need.
     struct Target {
-        std::string id;              // of the instance, as the server states it
+        std::string id;              // instance id, as the server announces it
         std::string health_check;    // path
     };
     using MisdirectionObserver = std::function<void(HostId, MisdirectionReason)>;
-    // `target_of` returns nothing for a host that isn't known any more. `on_misdirected` is called once for
-    // each 421 of a server.
+    // `target_of` returns nothing for an unknown host. `on_misdirected` is called once for each response with
+    // status 421.
     explicit UpstreamCodec(std::function<std::optional<Target>(HostId)> target_of,
                            MisdirectionObserver on_misdirected = {})
         : target_of_(std::move(target_of)), on_misdirected_(std::move(on_misdirected)) {}
--- a/src/gateway/http_mapping/upstream_hosts.cpp
+++ b/src/gateway/http_mapping/upstream_hosts.cpp
@@ -9,15 +9,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kSlowStartFactor = 0.5;    // of the capacity of a server that has just started
-// Of a service's servers. Where heartbeats of more than these stop, it is their way that broke, not the
-// servers.
+constexpr double kSlowStartFactor = 0.5;    // applied to the capacity of a server in slow start
+// Fraction of a service's servers. If the heartbeats of more servers stop, a network fault is more likely
+// than a failure of the servers.
 constexpr double kMaxExpiredFraction = 0.5;
-constexpr Duration kRemovedHostRetention = 60s;    // answers may still come from a removed server
+constexpr Duration kRemovedHostRetention = 60s;    // responses from a removed server may still arrive
 
 }    // namespace
 
-// The same number at all gateways and in all incarnations, unless two ids have the same hash here.
+// Returns the host number of an instance id. All gateways and incarnations use the same number, except where
+// the hashes of two ids collide.
 HostId UpstreamHosts::number_for(const std::string& id) {
     if (const auto it = numbers_.find(id); it != numbers_.end()) return it->second;
     std::uint64_t hash = XXH64(id.data(), id.size(), 0);
@@ -48,36 +49,36 @@
 std::set<std::string> UpstreamHosts::update_changed(const Servers& servers,
                                                     const std::vector<std::string>& ids, TimePoint now) {
     std::set<std::string> changed;
-    std::set<std::string> concerned;    // services whose counts of states may have changed
+    std::set<std::string> affected;    // services whose counts by state may have changed
     for (const std::string& id : ids) {
-        if (const std::string* const former = service_of_id(id)) concerned.insert(*former);
+        if (const std::string* const former = service_of_id(id)) affected.insert(*former);
         const auto server = servers.find(id);
         if (server == servers.end()) {
             remove_server(id, now, changed);
             continue;
         }
-        concerned.insert(server->second.service);
-        take_server(id, server->second, now, changed);
+        affected.insert(server->second.service);
+        apply_server(id, server->second, now, changed);
     }
-    judge_losses(concerned, now, changed);
+    update_loss_plausibility(affected, now, changed);
     return changed;
 }
 
-// Null where the server was not known.
+// Null where the server is unknown.
 const std::string* UpstreamHosts::service_of_id(const std::string& id) const {
     const auto number = numbers_.find(id);
     return number == numbers_.end() ? nullptr : service_of(number->second);
 }
 
-void UpstreamHosts::take_server(const std::string& id, const registry::Server& server, TimePoint now,
-                                std::set<std::string>& changed) {
+void UpstreamHosts::apply_server(const std::string& id, const registry::Server& server, TimePoint now,
+                                 std::set<std::string>& changed) {
     const HostId number = number_for(id);
     const auto [it, is_new] = hosts_.try_emplace(number);
     HostRecord& record = it->second;
     const int zone = zone_number(server.zone);
     const bool moved = !is_new && (record.service != server.service ||
                                    record.host.address != server.address || record.entry.zone != zone);
-    leave_service(number, record);
+    remove_from_service(number, record);
     if (!is_new && record.service != server.service) changed.insert(record.service);
     record.id = id;
     record.service = server.service;
@@ -87,7 +88,7 @@
     record.registered = true;
     record.capacity = server.capacity;
     record.slow_start_until = server.last_called_at + server.slow_start_left;
-    join_service(number, record);
+    add_to_service(number, record);
     if (record.slow_start_until > now) slow_start_ends_.emplace(record.slow_start_until, number);
     if (refresh_entry(number, record, now) || is_new || moved) changed.insert(record.service);
 }
@@ -97,21 +98,21 @@
     if (number == numbers_.end()) return;
     HostRecord& record = hosts_.at(number->second);
     if (!record.registered) return;
-    leave_service(number->second, record);
+    remove_from_service(number->second, record);
     record.registered = false;
-    join_service(number->second, record);
+    add_to_service(number->second, record);
     if (refresh_entry(number->second, record, now)) changed.insert(record.service);
     removals_.emplace(std::max(now, record.unhealthy_since) + kRemovedHostRetention, number->second);
 }
 
-void UpstreamHosts::leave_service(HostId number, const HostRecord& record) {
+void UpstreamHosts::remove_from_service(HostId number, const HostRecord& record) {
     const auto it = services_.find(record.service);
     if (it == services_.end() || it->second.all.erase(number) == 0) return;
     it->second.expired.erase(number);
     if (record.registered && record.state == registry::State::InService) --it->second.serving;
 }
 
-void UpstreamHosts::join_service(HostId number, const HostRecord& record) {
+void UpstreamHosts::add_to_service(HostId number, const HostRecord& record) {
     ServiceHosts& service = services_[record.service];
     service.all.insert(number);
     if (!record.registered) return;
@@ -119,14 +120,15 @@
     if (record.state == registry::State::Expired) service.expired.insert(number);
 }
 
-// Where the judgement of a service's expired servers turns, they are all looked at again.
-void UpstreamHosts::judge_losses(const std::set<std::string>& services, TimePoint now,
-                                 std::set<std::string>& changed) {
+// Recomputes whether the expired servers of these services are treated as failed. Where that changes,
+// refreshes all expired servers of the service.
+void UpstreamHosts::update_loss_plausibility(const std::set<std::string>& services, TimePoint now,
+                                             std::set<std::string>& changed) {
     for (const std::string& name : services) {
         ServiceHosts& service = services_[name];
         const auto expired = static_cast<double>(service.expired.size());
-        const double known = expired + static_cast<double>(service.serving);
-        const bool loss_plausible = expired <= kMaxExpiredFraction * known;
+        const double total = expired + static_cast<double>(service.serving);
+        const bool loss_plausible = expired <= kMaxExpiredFraction * total;
         if (loss_plausible == service.loss_plausible) continue;
         service.loss_plausible = loss_plausible;
         for (const HostId number : service.expired)
@@ -153,7 +155,7 @@
     return entry;
 }
 
-// True where the decision module has to be told.
+// Returns true where the entry for the decision module changed.
 bool UpstreamHosts::refresh_entry(HostId number, HostRecord& record, TimePoint now) {
     const decision::HostEntry entry = entry_of(number, record, now);
     const bool unchanged = record.entry.host == entry.host && record.entry.state == entry.state &&
@@ -183,11 +185,11 @@
     return changed;
 }
 
-// Unless the server has come back since.
+// Forgets a removed server, unless it has been registered again since.
 void UpstreamHosts::forget_host(HostId number) {
     const auto it = hosts_.find(number);
     if (it == hosts_.end() || it->second.registered) return;
-    leave_service(number, it->second);
+    remove_from_service(number, it->second);
     numbers_.erase(it->second.id);
     hosts_.erase(it);
 }
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,5 +1,5 @@
-// The program `gateway`: accepts clients and forwards their requests. Its settings file is named by
-// SHALETRAY_BOOT or --settings.
+// The program `gateway`: accepts clients and forwards their requests. SHALETRAY_BOOT or --settings names its
+// settings file.
 #include <Poco/Exception.h>
 
 #include <cstdio>
--- a/src/gateway/quota_lease.cpp
+++ b/src/gateway/quota_lease.cpp
@@ -9,26 +9,29 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kContactTimeout = 4s;
-// Between two announcements of another divisor in a large cluster: when hundreds start together, each learns
-// of the others within seconds, and telling every step would make up most of what the membership sends.
+// Minimum interval between two announcements of a changed divisor in a large cluster: when hundreds of
+// gateways start together, each discovers the others within seconds, and announcing every step would make up
+// most of the membership's traffic.
 constexpr Duration kAnnouncementInterval = 2s;
-constexpr Duration kMaxUpdateGap = 1s;       // without an update: this process did not run
-constexpr Duration kPropagationTime = 2s;    // in which most gateways hear what one of them has heard
-constexpr Duration kReconnectGrace =
-    5s;    // in which the others come to count a gateway that is connected again
+// A longer gap between updates means that this process was suspended.
+constexpr Duration kMaxUpdateGap = 1s;
+// Time in which membership changes that one gateway receives reach most others.
+constexpr Duration kPropagationTime = 2s;
+// Time in which the others count a gateway again after it has reconnected.
+constexpr Duration kReconnectGrace = 5s;
 
-// Whether messages went in both directions of late.
+// Whether messages passed in both directions within kContactTimeout.
 bool is_in_contact(const membership::Membership& cluster, const membership::Member& member, TimePoint now) {
     if (member.state != membership::State::Alive) return false;
     if (!cluster.contacts_every_member())
-        return true;    // heard_fraction and acknowledged_fraction stand for all
+        return true;    // estimated by heard_fraction and acknowledged_fraction instead
     return member.last_heard != TimePoint{} && now - member.last_heard <= kContactTimeout &&
            member.last_acknowledged != TimePoint{} && now - member.last_acknowledged <= kContactTimeout;
 }
 
 }    // namespace
 
-// The others in the order in which they were discovered, and how many of the first ones are in contact.
+// The peers in order of discovery, and the number in contact among each number of the first ones.
 struct QuotaLease::ContactHistory {
     explicit ContactHistory(const std::map<std::string, Peer>& peers) {
         for (const auto& [address, peer] : peers) by_discovery.push_back(&peer);
@@ -37,32 +40,35 @@
         for (const Peer* peer : by_discovery)
             contact_counts.push_back(contact_counts.back() + (peer->in_contact ? 1 : 0));
     }
-    // How many others were known when the peer was last heard.
-    std::size_t known_before(const Peer& peer) const {
+    // Number of other gateways that were known before the peer became silent.
+    std::size_t known_before_silence(const Peer& peer) const {
         const auto end = std::upper_bound(
-            by_discovery.begin(), by_discovery.end(), peer.last_heard + kPropagationTime,
+            by_discovery.begin(), by_discovery.end(), peer.last_alive_at + kPropagationTime,
             [](TimePoint time, const Peer* candidate) { return time < candidate->discovered_at; });
         return static_cast<std::size_t>(end - by_discovery.begin());
     }
-    // How many gateways there were then, as far as this gateway or the peer knew.
-    std::size_t gateways_then(const Peer& peer) const {
-        return std::max<std::size_t>(known_before(peer) + 1, peer.quota_divisor);
+    // Number of gateways at that time, including this one, as far as this gateway or the peer knew.
+    std::size_t gateways_before_silence(const Peer& peer) const {
+        return std::max<std::size_t>(known_before_silence(peer) + 1, peer.quota_divisor);
+    }
+    // Number of these gateways that are in contact now, including this one.
+    std::size_t contacts_before_silence(const Peer& peer) const {
+        return contact_counts[known_before_silence(peer)];
     }
-    // How many of them are in contact now, this gateway included.
-    std::size_t contacts_then(const Peer& peer) const { return contact_counts[known_before(peer)]; }
     std::size_t contacts() const { return contact_counts.back(); }
 
     std::vector<const Peer*> by_discovery;
-    std::vector<std::size_t> contact_counts{1};    // of the first so many others, this gateway included
+    // contact_counts[i]: gateways in contact among this one and the first i peers.
+    std::vector<std::size_t> contact_counts{1};
 };
 
 quota::PeerSet QuotaLease::update(const membership::Membership& cluster,
                                   const std::vector<std::string>& confirmed_controllers, TimePoint now) {
-    forget_silence_after_gap(now);
+    reset_drop_timers_after_gap(now);
     contact_sampled_ = !cluster.contacts_every_member();
     const bool quorum = is_quorum_in_contact(cluster, confirmed_controllers, now);
     update_peers(cluster, now);
-    drop_unheard_peers(quorum, now);
+    drop_silent_peers(quorum, now);
     remember_divisor(now);
 
     quota::PeerSet peer_set;
@@ -84,7 +90,7 @@
     return peer_set;
 }
 
-// Those of the ring, and the silent ones whose lease may not have ended.
+// The gateways of the ring, and silent ones whose lease may still be valid.
 std::vector<std::string> QuotaLease::addresses_of_possible_gateways(
     const std::vector<std::string>& ring) const {
     std::vector<std::string> addresses = ring;
@@ -94,16 +100,16 @@
     return addresses;
 }
 
-// A process that did not run has heard nobody, which says nothing about the others.
-void QuotaLease::forget_silence_after_gap(TimePoint now) {
+// After this process was suspended, the lack of messages says nothing about the other gateways.
+void QuotaLease::reset_drop_timers_after_gap(TimePoint now) {
     if (now - last_update_ > kMaxUpdateGap) {
-        for (auto& [address, peer] : peers_) peer.unheard_since = TimePoint{};
-        unknown_unheard_since_ = TimePoint{};
+        for (auto& [address, peer] : peers_) peer.droppable_since = TimePoint{};
+        unknown_droppable_since_ = TimePoint{};
     }
     last_update_ = now;
 }
 
-// Whether one of the confirmed controllers is in contact. Notes whether one of them agrees on the members.
+// Whether one of the confirmed controllers is in contact. Also records whether one agrees on the members.
 bool QuotaLease::is_quorum_in_contact(const membership::Membership& cluster,
                                       const std::vector<std::string>& confirmed_controllers, TimePoint now) {
     bool quorum = false;
@@ -122,7 +128,8 @@
     while (now - recent_divisors_.front().recorded_at > kPropagationTime) recent_divisors_.pop_front();
 }
 
-// The start and the end of a lease are announced at once, and so is every change where all are contacted.
+// The start and the end of a lease are announced immediately. Other changes are announced immediately only
+// where every member is contacted.
 void QuotaLease::update_announcement(TimePoint now) {
     const std::uint32_t current = held_ ? divisor_ : 0;
     if (current == announced_divisor_) return;
@@ -142,7 +149,7 @@
         return;
     }
     if (reconnected_at_ == TimePoint{}) reconnected_at_ = now;
-    // In a cluster so large that contact is sampled, some members always differ.
+    // In a cluster so large that contact is sampled, views of the members always differ a little.
     membership_agreed_ = membership_agreed_ || !cluster.contacts_every_member();
     const bool counted =
         (membership_agreed_ && is_counted(cluster, contacts)) || now - reconnected_at_ >= kReconnectGrace;
@@ -151,7 +158,7 @@
     ever_held_ = ever_held_ || held_;
 }
 
-// Gateways in contact, this one included.
+// Number of gateways in contact, including this one.
 std::size_t QuotaLease::contact_count() const {
     std::size_t contacts = 1;
     for (const auto& [address, peer] : peers_) contacts += peer.in_contact ? 1 : 0;
@@ -173,21 +180,22 @@
             continue;
         }
         if (it == peers_.end()) {
-            // It was dropped before; or this is a newcomer that was told of it, and never heard it.
+            // A dead member without a peer was dropped before, except where this gateway is a newcomer that
+            // knows it only from others: a newcomer has to count it.
             if (member.state == membership::State::Dead && (ever_held_ || member.last_heard != TimePoint{}))
                 continue;
             it = peers_.emplace(address, Peer{}).first;
-            it->second.discovered_at = it->second.last_heard = now;
+            it->second.discovered_at = it->second.last_alive_at = now;
         }
         Peer& peer = it->second;
         update_peer(peer, member);
         if (!cluster.contacts_every_member() && member.state == membership::State::Alive)
-            peer.last_heard = now;
+            peer.last_alive_at = now;
         peer.in_contact = majority_reachable && is_in_contact(cluster, member, now);
     }
 }
 
-// Takes over what the membership knows of it. Where its lease or its incarnation ended, the gateways that
+// Updates the peer from the membership. Where the peer's lease or incarnation has ended, the gateways that
 // only it knew stay counted.
 void QuotaLease::update_peer(Peer& peer, const membership::Member& member) {
     if (peer.incarnation != member.info.incarnation) {
@@ -198,10 +206,11 @@
     peer.quota_divisor = member.info.quota_divisor;
     peer.dead = member.state == membership::State::Dead;
     peer.indirect_only = peer.indirect_only && member.last_heard == TimePoint{};
-    peer.last_heard = std::max(peer.last_heard, member.last_heard);
+    peer.last_alive_at = std::max(peer.last_alive_at, member.last_heard);
 }
 
-// Gateways that the peer knew of, by its divisor, and this one did not of late stay counted.
+// Keeps counting the gateways that the peer knew of, according to its divisor, beyond those that this gateway
+// knew recently.
 void QuotaLease::retain_unknown_peers(const Peer& peer) {
     std::uint32_t largest_divisor = std::max(divisor_, possible_gateway_count());
     for (const DivisorRecord& record : recent_divisors_)
@@ -214,12 +223,12 @@
            std::all_of(peers_.begin(), peers_.end(), [](const auto& item) { return item.second.in_contact; });
 }
 
-// Sets divisor_ and majority_in_contact_ by the peers that are left.
-void QuotaLease::drop_unheard_peers(bool quorum, TimePoint now) {
+// Drops the peers that were silent for long enough, and computes divisor_ and majority_in_contact_.
+void QuotaLease::drop_silent_peers(bool quorum, TimePoint now) {
     divisor_ = possible_gateway_count();
     if (all_in_contact()) {
         majority_in_contact_ = true;
-        for (auto& [address, peer] : peers_) peer.unheard_since = TimePoint{};
+        for (auto& [address, peer] : peers_) peer.droppable_since = TimePoint{};
         return;
     }
     const ContactHistory history(peers_);
@@ -227,17 +236,18 @@
     std::vector<std::string> dropped;
     for (auto& [address, peer] : peers_) {
         if (peer.in_contact) {
-            peer.unheard_since = TimePoint{};
+            peer.droppable_since = TimePoint{};
             continue;
         }
-        const bool majority_then = 2 * history.contacts_then(peer) > history.gateways_then(peer);
-        majority_in_contact_ = majority_in_contact_ && majority_then;
+        const bool majority_before_silence =
+            2 * history.contacts_before_silence(peer) > history.gateways_before_silence(peer);
+        majority_in_contact_ = majority_in_contact_ && majority_before_silence;
         if (!peer.indirect_only) raise_divisor_for(peer, history);
         if (!may_drop(peer, history, quorum, now)) {
-            peer.unheard_since = TimePoint{};
-        } else if (peer.unheard_since == TimePoint{}) {
-            peer.unheard_since = now;
-        } else if (now - peer.unheard_since >= kDropTimeout) {
+            peer.droppable_since = TimePoint{};
+        } else if (peer.droppable_since == TimePoint{}) {
+            peer.droppable_since = now;
+        } else if (now - peer.droppable_since >= kDropTimeout) {
             dropped.push_back(address);
         }
     }
@@ -249,45 +259,49 @@
     drop_unknown_peers(history.contacts(), quorum, now);
 }
 
-// Whether, at this moment, nothing speaks against dropping a peer that is not in contact.
+// Whether the conditions for dropping a peer that is not in contact hold at this moment.
 bool QuotaLease::may_drop(const Peer& peer, const ContactHistory& history, bool quorum, TimePoint now) const {
     return quorum && (ever_held_ || !peer.indirect_only) &&
-           2 * history.contacts_then(peer) >= history.gateways_then(peer) &&
-           now - peer.last_heard > kContactTimeout;
+           2 * history.contacts_before_silence(peer) >= history.gateways_before_silence(peer) &&
+           now - peer.last_alive_at > kContactTimeout;
 }
 
-// Leaves the silent peer its share: the gateways in contact divide what was their part when it was last
-// heard.
+// Reserves the silent peer's share: the gateways in contact divide only the part of the quota that they had
+// before the peer became silent.
 void QuotaLease::raise_divisor_for(const Peer& peer, const ContactHistory& history) {
-    const std::size_t gateways_then = history.gateways_then(peer);
-    const std::size_t contacts_then = history.contacts_then(peer);
-    std::size_t divisor = (gateways_then * history.contacts() + contacts_then - 1) / contacts_then;    // up
-    // Where contact is sampled it says nothing about shares: a gateway that knew of fewer than the silent one
-    // leaves them to those that knew of as many and announce their divisors.
-    if (contact_sampled_ && history.known_before(peer) + 1 < gateways_then) divisor = gateways_then;
+    const std::size_t gateways_before_silence = history.gateways_before_silence(peer);
+    const std::size_t contacts_before_silence = history.contacts_before_silence(peer);
+    std::size_t divisor = (gateways_before_silence * history.contacts() + contacts_before_silence - 1) /
+                          contacts_before_silence;    // rounded up
+    // Sampled contact says nothing about shares. A gateway that knew fewer gateways than the silent one
+    // divides by that one's count only; gateways that knew as many reserve the share, and announce their
+    // divisors.
+    if (contact_sampled_ && history.known_before_silence(peer) + 1 < gateways_before_silence)
+        divisor = gateways_before_silence;
     divisor_ = std::max(divisor_, static_cast<std::uint32_t>(divisor));
 }
 
 void QuotaLease::drop_unknown_peers(std::size_t contacts, bool quorum, TimePoint now) {
-    // Estimates from samples compound over many restarts: never so many that those in contact could not drop
-    // them.
+    // Errors of estimates from samples add up over many restarts, so unknown peers are limited to a number
+    // that the gateways in contact can drop.
     if (contact_sampled_) {
         const std::size_t droppable = 2 * contacts - std::min(2 * contacts, peers_.size() + 1);
         unknown_peers_ = std::min(unknown_peers_, droppable);
     }
     if (unknown_peers_ == 0 || !quorum || 2 * contacts < peers_.size() + 1 + unknown_peers_) {
-        unknown_unheard_since_ = TimePoint{};
-    } else if (unknown_unheard_since_ == TimePoint{}) {
-        unknown_unheard_since_ = now;
-    } else if (now - unknown_unheard_since_ >= kDropTimeout) {
+        unknown_droppable_since_ = TimePoint{};
+    } else if (unknown_droppable_since_ == TimePoint{}) {
+        unknown_droppable_since_ = now;
+    } else if (now - unknown_droppable_since_ >= kDropTimeout) {
         unknown_peers_ = 0;
-        unknown_unheard_since_ = TimePoint{};
+        unknown_droppable_since_ = TimePoint{};
     }
 }
 
-// For a newcomer: whether no gateway holds a lease that may not count this one, or those that hold one do,
-// and so count the others. Gateways that are there and hold none, as the controllers announce, start only
-// after they have heard of this one.
+// Whether a newcomer may start a lease. Where gateways in contact hold a lease, their divisors cover all
+// others, so it may start at once. Otherwise no gateway may hold a lease without counting this one. That is
+// so if each peer is in contact, or is not dead and announced to hold no lease (it starts only after it has
+// discovered this gateway), or sent nothing in kUnknownPeerTimeout since it was discovered.
 bool QuotaLease::may_start(TimePoint now) {
     const auto holds_lease = [](const auto& item) {
         return item.second.in_contact && item.second.quota_divisor > 0;
@@ -304,8 +318,8 @@
     });
 }
 
-// Whether the gateways in contact that hold a lease divide by at least as many as are in contact here: all of
-// them, or, in a cluster too large to contact each member, nearly all.
+// Whether the divisor of each gateway in contact that holds a lease is at least the number of gateways in
+// contact here. In a cluster too large to contact each member, nearly all of them suffice.
 bool QuotaLease::is_counted(const membership::Membership& cluster, std::size_t contacts) const {
     const double min_divisor = static_cast<double>(contacts) * (cluster.contacts_every_member() ? 1.0 : 0.9);
     std::size_t smaller_divisors = 0;
--- a/src/gateway/request_dispatcher.cpp
+++ b/src/gateway/request_dispatcher.cpp
@@ -10,28 +10,29 @@
 
 using namespace std::chrono_literals;
 
-// A request waits for units for this fraction of its latency target at most, so that a rejection comes early.
+// A request waits for quota units for at most this fraction of its latency target, so that a rejection is
+// sent early.
 constexpr double kMaxWaitFraction = 0.2;
 constexpr Duration kMaxQuotaWait = 250ms;
-// and for this fraction of the client's time budget.
-constexpr int kTimeBudgetParts = 3;
-// The advice where servers have no capacity: spread, so that rejected clients don't come back together.
+// The wait is also limited to the client's time budget divided by this number.
+constexpr int kTimeBudgetDivisor = 3;
+// Retry-After where servers have no capacity: randomised, so that rejected clients don't retry together.
 constexpr Duration kMinRetryDelay = 40ms;
-constexpr Duration kRetryDelaySpread = 120ms;
+constexpr Duration kRetryDelayJitter = 120ms;
 
 Duration max_quota_wait(const configuration::Route& route, Duration time_budget) {
     const auto latency_target = static_cast<double>(class_settings_of(route).aim.count());
-    const Duration target_part(static_cast<std::int64_t>(latency_target * kMaxWaitFraction));
-    return std::min({kMaxQuotaWait, target_part, time_budget / kTimeBudgetParts});
+    const Duration latency_limit(static_cast<std::int64_t>(latency_target * kMaxWaitFraction));
+    return std::min({kMaxQuotaWait, latency_limit, time_budget / kTimeBudgetDivisor});
 }
 
 }    // namespace
 
 // ---- the engine's outcomes ----
 
-void RequestDispatcher::PendingRequest::on_answer(Payload&& answer) {
+void RequestDispatcher::PendingRequest::on_answer(Payload&& response) {
     ++dispatcher.statistics_.served;
-    dispatcher.retire_request(*this).on_answer(std::move(answer));
+    dispatcher.retire_request(*this).on_answer(std::move(response));
 }
 
 void RequestDispatcher::PendingRequest::on_rejected(Duration, RejectionReason reason) {
@@ -44,9 +45,9 @@
     dispatcher.retire_request(*this).on_rejected(delay, reason);
 }
 
-void RequestDispatcher::PendingRequest::on_failed(FailureReason reason, Payload&& answer) {
+void RequestDispatcher::PendingRequest::on_failed(FailureReason reason, Payload&& response) {
     ++dispatcher.statistics_.failed;
-    dispatcher.retire_request(*this).on_failed(reason, std::move(answer));
+    dispatcher.retire_request(*this).on_failed(reason, std::move(response));
 }
 
 // ---- requests ----
@@ -83,7 +84,7 @@
     return ticket;
 }
 
-// Decides by the quota of the request's tenant.
+// Forwards, queues or rejects a request by the quota of its tenant.
 void RequestDispatcher::admit(PendingRequest& pending) {
     const Duration max_wait = max_quota_wait(*pending.route_match().route, pending.incoming.time_budget);
     Duration retry_after{0};
@@ -135,7 +136,7 @@
     balancer_->adjust_queued(pending.tenant_name, -1);
 }
 
-// Forwards a queued request if there is a unit for it now; otherwise it stays queued.
+// Forwards a queued request if a quota unit is available now; otherwise it stays queued.
 bool RequestDispatcher::retry_admission(PendingRequest& pending) {
     const TimePoint now = reactor_.clock().now();
     balancer_->adjust_queued(pending.tenant_name, -1);
@@ -166,7 +167,7 @@
         pipelines_.pipeline_for(configuration::ConfigurationIndex::pick_service(route, random_()));
     const auto class_entry = pipeline.class_by_route.find(route.name);
     if (class_entry == pipeline.class_by_route.end()) {
-        // A new configuration has moved the route to another service while the request was queued.
+        // A new configuration moved the route to another service while the request was queued.
         pending.on_rejected(Duration(0), RejectionReason::Capacity);
         return;
     }
@@ -191,20 +192,20 @@
     pending.pipeline = &pipeline;
     const std::uint64_t ticket = pending.ticket;
     const RequestId request_id = pipeline.engine.submit(pending, std::move(incoming));
-    // The engine may have answered already, and `pending` be gone.
+    // The engine may already have responded, in which case `pending` is invalid.
     if (const auto found = pending_.find(ticket); found != pending_.end())
         found->second->request_id = request_id;
 }
 
-// While a row is not settled, its previous owner may still hold the key, and nobody else may.
+// Until a row is settled, only its previous owner may still hold the key.
 std::optional<HostId> RequestDispatcher::owner_of(const std::string& service, ownership::Key key) const {
     const ownership::Assignment* const row = owners_.find(service, key);
     if (row == nullptr) return std::nullopt;
     return hosts_.serving_host(row->settled ? row->owner : row->previous_owner);
 }
 
-// A rejected request was not executed: it goes to the server that owns its key now, if that is another one
-// than it was sent to. Once, so that a request costs its service one more arrival at most.
+// Sends a rejected request, which was not executed, to the server that owns its key now, if that differs from
+// the one that rejected it. Done once a request, so that it costs its service at most one more attempt.
 bool RequestDispatcher::send_to_new_owner(PendingRequest& pending) {
     if (!pending.copy || is_abandoning_) return false;
     IncomingRequest incoming = std::move(*pending.copy);
@@ -231,8 +232,8 @@
     retire_request(pending);
 }
 
-// Ends the request's entry and returns its client, to which the caller still owes a call. The request itself
-// is destroyed later, since this may run inside one of its methods.
+// Removes the request's entry and returns its client, which the caller must call if the request was not
+// cancelled. The request is destroyed later, since this may run inside one of its methods.
 DownstreamConnection& RequestDispatcher::retire_request(PendingRequest& pending) {
     struct RetiredRequest : RetiredObject {
         explicit RetiredRequest(std::unique_ptr<PendingRequest> retired) : request(std::move(retired)) {}
@@ -274,14 +275,14 @@
         remove_from_queue(*found->second);
         reject_over_quota(*found->second, AdmissionOutcome::RejectedAfterWait, found->second->retry_after);
     }
-    is_abandoning_ = true;    // what is rejected now is answered now
+    is_abandoning_ = true;    // rejected requests are not sent to new owners now
     pipelines_.abandon_all_requests();
     is_abandoning_ = false;
 }
 
 Duration RequestDispatcher::random_retry_delay() {
-    const auto spread = static_cast<std::uint64_t>(kRetryDelaySpread.count());
-    return kMinRetryDelay + Duration(static_cast<std::int64_t>(random_() % spread));
+    const auto jitter = static_cast<std::uint64_t>(kRetryDelayJitter.count());
+    return kMinRetryDelay + Duration(static_cast<std::int64_t>(random_() % jitter));
 }
 
 // ---- configuration ----
--- a/src/gateway/request_dispatcher.h
+++ b/src/gateway/request_dispatcher.h
@@ -1,5 +1,5 @@
-// The way of a request from its client's connection: to the quota of its tenant, then to the engine of the
-// service that the configuration routes it to.
+// Dispatches requests: admits each by the quota of its tenant, then submits it to the engine of the service
+// that the configuration routes it to.
 #pragma once
 
 #include <deque>
@@ -25,15 +25,15 @@
 
 struct DispatcherSettings {
     std::uint64_t seed = 0;
-    std::size_t max_queued = 2000;    // requests that wait for units of quota
+    std::size_t max_queued = 2000;    // requests that wait for quota units
     PipelineSettings pipelines;
 };
 
-// Owns the requests under way. Runs on the reactor's thread; what it is given by reference has to outlive it.
-// Each submitted request gets exactly one call of its client, unless it is cancelled before.
+// Owns the pending requests. Runs on the reactor's thread. Objects passed by reference must outlive it.
+// Calls the client of each submitted request exactly once, unless the request is cancelled before.
 class RequestDispatcher final : public RequestHandler {
 public:
-    // `on_quota_due` is called when the quota balancer has to be ticked before its next deadline.
+    // `on_quota_due` is called when the quota balancer needs a tick before its next deadline.
     RequestDispatcher(const DispatcherSettings& settings, Reactor& reactor, Timers& timers,
                       Counters& counters, http_mapping::UpstreamHosts& hosts,
                       const ownership::OwnerMap& owners, quota::QuotaBalancer& balancer,
@@ -43,19 +43,19 @@
     std::uint64_t submit(DownstreamConnection& client, IncomingRequest&& incoming) override;
     void cancel(std::uint64_t ticket) override;
 
-    // Takes effect for new requests; those under way go on by the configuration under which they arrived.
+    // Takes effect for new requests; pending ones keep the configuration under which they arrived.
     void set_configuration(std::shared_ptr<const configuration::ConfigurationIndex> configuration_index);
-    // The endpoint lists of these services have changed.
+    // To be called when the endpoint lists of these services have changed.
     void on_servers_changed(const std::set<std::string>& services);
-    // The number of gateways that share the retry budget and the servers.
+    // Sets the number of gateways that share the retry budget and the servers.
     void set_gateway_count(std::uint32_t count);
-    // Replaces the balancer by one that has no units yet.
+    // Replaces the balancer by one without units, and registers the queued requests there.
     void set_quota_balancer(quota::QuotaBalancer& balancer);
-    // Units arrived for these tenants.
+    // To be called when quota units have arrived for these tenants.
     void on_units_available(const std::vector<std::string>& tenants);
-    // Of the requests with shard keys since the last call.
+    // Returns samples of the shard keys of requests since the last call.
     std::vector<ownership::KeySamples> take_key_samples() { return key_sampler_.take(); }
-    // Answers every request that has no answer yet.
+    // Ends every pending request by a response to its client.
     void abandon_all();
 
     const ServicePipelines& pipelines() const { return pipelines_; }
@@ -67,8 +67,8 @@
         std::uint64_t rejected_capacity = 0;
         std::uint64_t served = 0;
         std::uint64_t failed = 0;
-        std::uint64_t without_owner = 0;        // rejected, since no server that serves holds their shard key
-        std::uint64_t sent_to_new_owner = 0;    // after the former one had let the key go
+        std::uint64_t without_owner = 0;        // rejected, since no server in service owns the shard key
+        std::uint64_t sent_to_new_owner = 0;    // after the former owner had released the key
     };
     const Statistics& statistics() const { return statistics_; }
     const AdmissionStatistics& admissions() const { return admissions_; }
@@ -83,7 +83,7 @@
     void reject_over_quota(PendingRequest& pending, AdmissionOutcome outcome, Duration retry_after);
     void forward_request(PendingRequest& pending);
     void submit_to(ServicePipeline& pipeline, PendingRequest& pending, IncomingRequest&& incoming);
-    // The server that may run requests with this key; none: nobody may now.
+    // Returns the server that may execute requests with this key, or none where no server may at the moment.
     std::optional<HostId> owner_of(const std::string& service, ownership::Key key) const;
     bool send_to_new_owner(PendingRequest& pending);
     DownstreamConnection& retire_request(PendingRequest& pending);
@@ -99,7 +99,7 @@
     ownership::KeySampler key_sampler_;
     ServicePipelines pipelines_;
     std::unordered_map<std::uint64_t, std::unique_ptr<PendingRequest>> pending_;    // by ticket
-    // Tickets of the requests that wait for units, by tenant, the oldest first.
+    // Tickets of the requests that wait for quota units, by tenant, oldest first.
     std::unordered_map<std::string, std::deque<std::uint64_t>> queued_;
     std::size_t queued_count_ = 0;
     std::uint64_t last_ticket_ = 0;
--- a/src/gateway/service_pipelines.cpp
+++ b/src/gateway/service_pipelines.cpp
@@ -7,21 +7,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kDialTimeout = 1s;
-constexpr Duration kServerIdleTimeout = 5s;    // of kept connections, where a server states nothing
-// The parts of the retry budget that are used: each gateway measures it on windows of its own.
+constexpr Duration kConnectTimeout = 1s;
+constexpr Duration kServerIdleTimeout = 5s;    // for servers that state no idle timeout
+// Fractions of the retry budget that are used; the margin is needed since the windows of the gateways differ.
 constexpr double kRetryRatioFraction = 0.8;
 constexpr double kRetrySlackFraction = 0.35;
-// Execution alone may take a good part of the latency target: load is shed only where queues take the time.
+// Load is shed only where queueing takes the time; execution alone may take much of the latency target.
 constexpr double kLatencyGoalFraction = 0.85;
-constexpr double kLateAnswerValue = 0.3;    // an answer after the latency target still has some value
-constexpr int kMaxOpenRequests = 2000;      // of one service
+constexpr double kLateResponseValue = 0.3;    // a response after the latency target still has some value
+constexpr int kMaxOpenRequests = 2000;        // to one service
 constexpr Duration kMaxRetryAfter = 1s;
-constexpr double kMinOutstanding = 2.0;    // requests at a service's servers that are always permitted
+constexpr double kMinInFlight = 2.0;    // requests at a service's servers that are always allowed
 
 ServerPool::Limits pool_limits() {
     ServerPool::Limits limits;
-    limits.dial_timeout = kDialTimeout;
+    limits.dial_timeout = kConnectTimeout;
     limits.idle_timeout = kServerIdleTimeout;
     return limits;
 }
@@ -36,7 +36,7 @@
     result.repeat = idempotent ? decision::Repeat::Safe : decision::Repeat::Unsafe;
     result.aim = has_target ? std::min(route.target_latency, route.timeout) : route.timeout / 2;
     result.give_up = route.timeout;
-    result.late_share = kLateAnswerValue;
+    result.late_share = kLateResponseValue;
     result.max_attempts = route.max_attempts;
     return result;
 }
@@ -92,7 +92,7 @@
     settings.may_probe = true;
     settings.max_retry_after = kMaxRetryAfter;
     settings.max_open = kMaxOpenRequests;
-    settings.retry_start = 0.0;    // an earlier incarnation may have spent its budget
+    settings.retry_start = 0.0;    // an earlier incarnation may have used up its budget
     settings.retry_refunds = true;
     settings.classes.emplace_back();
     return settings;
@@ -108,7 +108,7 @@
     return created;
 }
 
-// One class of requests for each route to the service.
+// Sets one class of requests for each route to the service.
 void ServicePipelines::set_classes(ServicePipeline& pipeline) const {
     decision::Settings& settings = pipeline.settings;
     settings.classes.clear();
@@ -119,10 +119,10 @@
             settings.send_cap = std::max(settings.send_cap, route->max_attempts);
         }
     }
-    if (settings.classes.empty()) settings.classes.emplace_back();    // no route leads there now
+    if (settings.classes.empty()) settings.classes.emplace_back();    // no route leads to the service now
 }
 
-// Sets a service's classes and limits by the configuration, its servers and the number of gateways.
+// Sets a service's classes and limits from the configuration, its servers and the number of gateways.
 void ServicePipelines::configure(ServicePipeline& pipeline) {
     decision::Settings& settings = pipeline.settings;
     const std::vector<decision::ClassSettings> previous_classes = settings.classes;
@@ -133,7 +133,7 @@
     settings.retry_burst = std::max(1.0, slack_share);
     settings.retry_refill_per_s = slack_share / std::chrono::duration<double>(settings_.retry_window).count();
     settings.latency_goal = kLatencyGoalFraction;
-    settings.least_out = std::max(kMinOutstanding, hosts_.mean_capacity(pipeline.service));
+    settings.least_out = std::max(kMinInFlight, hosts_.mean_capacity(pipeline.service));
     settings.sharing = static_cast<int>(gateway_count_);
     const bool unchanged = previous_classes == settings.classes &&
                            previous_limits == static_cast<const decision::RequestLimits&>(settings);
@@ -159,8 +159,8 @@
         }
     }
     for (const auto& [service, routes] : routes_by_service_) pipeline_for(service);
-    // A service without routes keeps its engine, and what that has learned: its routes may come back. At rest
-    // it costs its memory and a tick each 100 ms.
+    // A service without routes keeps its engine and the engine's statistics, since its routes may return. An
+    // idle engine costs its memory and a tick each 100 ms.
     for (auto& [service, pipeline] : pipelines_) configure(*pipeline);
 }
 
