--- a/src/balancer/usage_store/database.cpp
+++ b/src/balancer/usage_store/database.cpp
@@ -13,7 +13,7 @@
 namespace shaletray::usage_store {
 namespace {
 
-constexpr int kBusyTimeoutMs = 2000;    // a reader's checkpoint or backup may hold a moment
+constexpr int kBusyTimeoutMs = 2000;    // a reader may hold the database during a checkpoint or backup
 constexpr int kPageSize = 4096;
 
 StoreError::Kind error_kind(int code) {
@@ -32,11 +32,13 @@
 
 const char* advice_for(StoreError::Kind kind) {
     switch (kind) {
-        case StoreError::Kind::Corrupt: return "; restore it from a backup, or move it away to begin anew";
-        case StoreError::Kind::Full: return "; make room, or raise the bound on its size";
-        case StoreError::Kind::ReadOnly: return "; let this user write to the file and its folder";
-        case StoreError::Kind::Unreadable: return "; the folder must be there, and this user must reach it";
-        case StoreError::Kind::InUse: return "; one process at a time writes to it";
+        case StoreError::Kind::Corrupt:
+            return "; restore it from a backup, or move it away to start with an empty one";
+        case StoreError::Kind::Full: return "; free disk space, or raise the limit on its size";
+        case StoreError::Kind::ReadOnly: return "; give this user write access to the file and its directory";
+        case StoreError::Kind::Unreadable:
+            return "; the directory must exist and this user must have access to it";
+        case StoreError::Kind::InUse: return "; only one process at a time may write to it";
         default: return "";
     }
 }
@@ -48,7 +50,7 @@
 Statement::Statement(Database& database, std::string_view sql) : database_(&database) {
     if (sqlite3_prepare_v3(database.handle_, sql.data(), static_cast<int>(sql.size()),
                            SQLITE_PREPARE_PERSISTENT, &statement_, nullptr) != SQLITE_OK)
-        database.throw_error("preparing");
+        database.throw_error("preparing a statement");
 }
 
 Statement::~Statement() { sqlite3_finalize(statement_); }
@@ -56,20 +58,20 @@
 Statement::Statement(Statement&& other) noexcept
     : database_(other.database_), statement_(std::exchange(other.statement_, nullptr)) {}
 
-void Statement::bind_value(int at, std::int64_t value) {
-    if (sqlite3_bind_int64(statement_, at, value) != SQLITE_OK) database_->throw_error("binding");
+void Statement::bind_value(int index, std::int64_t value) {
+    if (sqlite3_bind_int64(statement_, index, value) != SQLITE_OK) database_->throw_error("binding a value");
 }
 
-void Statement::bind_value(int at, std::string_view value) {
-    if (sqlite3_bind_text(statement_, at, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT) !=
-        SQLITE_OK)
-        database_->throw_error("binding");
+void Statement::bind_value(int index, std::string_view value) {
+    if (sqlite3_bind_text(statement_, index, value.data(), static_cast<int>(value.size()),
+                          SQLITE_TRANSIENT) != SQLITE_OK)
+        database_->throw_error("binding a value");
 }
 
 bool Statement::step_row() {
     const int code = sqlite3_step(statement_);
     if (code == SQLITE_ROW) return true;
-    if (code != SQLITE_DONE) database_->throw_error("running");
+    if (code != SQLITE_DONE) database_->throw_error("executing");
     return false;
 }
 
@@ -89,7 +91,7 @@
                                           static_cast<std::size_t>(sqlite3_column_bytes(statement_, column)));
 }
 
-// ---- the database ----
+// ---- database ----
 
 Database::Database(OpenSettings settings) : settings_(std::move(settings)) {
     try {
@@ -112,7 +114,7 @@
         }
         if (flock(lock_descriptor_, LOCK_EX | LOCK_NB) != 0)
             throw StoreError(StoreError::Kind::InUse,
-                             fmt::format("{}: another process has it open{}", settings_.path,
+                             fmt::format("{}: another process has opened it for writing{}", settings_.path,
                                          advice_for(StoreError::Kind::InUse)));
     }
     const int flags =
@@ -131,18 +133,19 @@
 }
 
 void Database::migrate_schema() {
-    const std::int64_t have = query_integer("PRAGMA user_version");
-    const auto want = static_cast<std::int64_t>(settings_.schema.size());
-    if (have > want)
+    const std::int64_t applied = query_integer("PRAGMA user_version");
+    const auto known = static_cast<std::int64_t>(settings_.schema.size());
+    if (applied > known)
         throw StoreError(
             StoreError::Kind::NewerSchema,
-            fmt::format("{}: its schema is version {}, and this program knows {}; use the newer program",
-                        settings_.path, have, want));
-    if (have < want && !settings_.is_writer)
+            fmt::format(
+                "{}: its schema has version {}, but this program supports up to {}; use a newer program",
+                settings_.path, applied, known));
+    if (applied < known && !settings_.is_writer)
         throw StoreError(StoreError::Kind::Other,
-                         fmt::format("{}: its schema is version {} of {}; let its writer open it first",
-                                     settings_.path, have, want));
-    for (std::int64_t i = have; i < want; ++i) {
+                         fmt::format("{}: its schema has version {} of {}; open it with its writer first",
+                                     settings_.path, applied, known));
+    for (std::int64_t i = applied; i < known; ++i) {
         run_transaction([&] {
             execute(settings_.schema[static_cast<std::size_t>(i)]);
             execute(fmt::format("PRAGMA user_version={}", i + 1).c_str());
@@ -155,16 +158,16 @@
     if (lock_descriptor_ >= 0) ::close(lock_descriptor_);
 }
 
-void Database::throw_error(const std::string& doing) const {
+void Database::throw_error(const std::string& operation) const {
     const int code = handle_ == nullptr ? SQLITE_NOMEM : sqlite3_extended_errcode(handle_);
     const StoreError::Kind kind = error_kind(code);
     throw StoreError(
-        kind, fmt::format("{}: {}: {}{}", settings_.path, doing,
+        kind, fmt::format("{}: {}: {}{}", settings_.path, operation,
                           handle_ == nullptr ? "out of memory" : sqlite3_errmsg(handle_), advice_for(kind)));
 }
 
 void Database::execute(const char* sql) {
-    if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) throw_error("running");
+    if (sqlite3_exec(handle_, sql, nullptr, nullptr, nullptr) != SQLITE_OK) throw_error("executing");
 }
 
 std::int64_t Database::query_integer(const char* sql) {
@@ -176,13 +179,13 @@
 
 std::int64_t Database::changed_rows() const { return sqlite3_changes64(handle_); }
 
-void Database::run_transaction(const std::function<void()>& what) {
+void Database::run_transaction(const std::function<void()>& body) {
     execute("BEGIN IMMEDIATE");
     try {
-        what();
+        body();
         execute("COMMIT");
     } catch (...) {
-        // An error of SQLite's own may have ended it already.
+        // SQLite rolls back on its own after some errors.
         if (sqlite3_get_autocommit(handle_) == 0)
             sqlite3_exec(handle_, "ROLLBACK", nullptr, nullptr, nullptr);
         throw;
@@ -191,39 +194,40 @@
 
 void Database::checkpoint_log() {
     if (sqlite3_wal_checkpoint_v2(handle_, nullptr, SQLITE_CHECKPOINT_FULL, nullptr, nullptr) != SQLITE_OK)
-        throw_error("settling");
+        throw_error("checkpointing");
 }
 
-void Database::backup_to(const std::string& to) {
-    const std::string making = to + ".making";
-    ::unlink(making.c_str());
+void Database::backup_to(const std::string& destination) {
+    const std::string temporary_path = destination + ".making";
+    ::unlink(temporary_path.c_str());
     sqlite3* copy = nullptr;
-    int code = sqlite3_open_v2(making.c_str(), &copy, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
+    int code =
+        sqlite3_open_v2(temporary_path.c_str(), &copy, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
     if (code == SQLITE_OK) {
-        sqlite3_backup* const work = sqlite3_backup_init(copy, "main", handle_, "main");
-        code = work == nullptr ? sqlite3_errcode(copy) : sqlite3_backup_step(work, -1);
-        if (work != nullptr) sqlite3_backup_finish(work);
+        sqlite3_backup* const backup = sqlite3_backup_init(copy, "main", handle_, "main");
+        code = backup == nullptr ? sqlite3_errcode(copy) : sqlite3_backup_step(backup, -1);
+        if (backup != nullptr) sqlite3_backup_finish(backup);
         if (code == SQLITE_DONE) code = SQLITE_OK;
     }
     const std::string text = copy == nullptr ? "out of memory" : sqlite3_errstr(code);
     sqlite3_close_v2(copy);
-    if (code == SQLITE_OK && ::rename(making.c_str(), to.c_str()) == 0) return;
-    ::unlink(making.c_str());
+    if (code == SQLITE_OK && ::rename(temporary_path.c_str(), destination.c_str()) == 0) return;
+    ::unlink(temporary_path.c_str());
     const StoreError::Kind kind = error_kind(code);
-    throw StoreError(kind, fmt::format("{}: copying: {}{}", to, text, advice_for(kind)));
+    throw StoreError(kind, fmt::format("{}: copying: {}{}", destination, text, advice_for(kind)));
 }
 
 std::vector<std::string> Database::check_integrity() {
-    std::vector<std::string> out;
+    std::vector<std::string> problems;
     try {
         Statement check(*this, "PRAGMA integrity_check(100)");
         check.for_each_row([&] {
-            if (check.text_column(0) != "ok") out.push_back(check.text_column(0));
+            if (check.text_column(0) != "ok") problems.push_back(check.text_column(0));
         });
     } catch (const StoreError& error) {
-        out.emplace_back(error.what());
+        problems.emplace_back(error.what());
     }
-    return out;
+    return problems;
 }
 
 void Database::compact() {
--- a/src/balancer/usage_store/database.h
+++ b/src/balancer/usage_store/database.h
@@ -1,5 +1,5 @@
-// RAII wrapper of SQLite: connections, prepared statements and transactions, errors that tell operators what
-// to do, migrations of the schema, and a lock that allows one writer per file. Not thread-safe.
+// RAII wrapper of SQLite: connections, prepared statements, transactions, schema migrations, errors that
+// state what an operator can do, and a lock that allows one writer per file. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 class Database;
 
-// A prepared statement, reset after each use. The database outlives it.
+// A prepared statement, reset after each use. The database must outlive it.
 class Statement {
 public:
     Statement(Database& database, std::string_view sql);
@@ -42,12 +42,12 @@
     void run(const Args&... args) {
         for_each_row([] {}, args...);
     }
-    // The same, calling `row` for each row; the column functions read the present one.
+    // As run(), but calls `row` for each row, whose columns the column functions return.
     template <class Row, class... Args>
     void for_each_row(Row row, const Args&... args) {
         const Reset reset{*this};
-        int at = 0;
-        (bind_value(++at, args), ...);
+        int index = 0;
+        (bind_value(++index, args), ...);
         while (step_row()) row();
     }
     std::int64_t integer_column(int column) const;
@@ -59,13 +59,13 @@
         Statement& target;
         ~Reset() { target.reset_statement(); }
     };
-    void bind_value(int at, std::int64_t value);
-    void bind_value(int at, std::uint64_t value) { bind_value(at, static_cast<std::int64_t>(value)); }
-    void bind_value(int at, int value) { bind_value(at, static_cast<std::int64_t>(value)); }
-    void bind_value(int at, unsigned value) { bind_value(at, static_cast<std::int64_t>(value)); }
-    void bind_value(int at, std::string_view value);
-    void bind_value(int at, const std::string& value) { bind_value(at, std::string_view(value)); }
-    void bind_value(int at, const char* value) { bind_value(at, std::string_view(value)); }
+    void bind_value(int index, std::int64_t value);
+    void bind_value(int index, std::uint64_t value) { bind_value(index, static_cast<std::int64_t>(value)); }
+    void bind_value(int index, int value) { bind_value(index, static_cast<std::int64_t>(value)); }
+    void bind_value(int index, unsigned value) { bind_value(index, static_cast<std::int64_t>(value)); }
+    void bind_value(int index, std::string_view value);
+    void bind_value(int index, const std::string& value) { bind_value(index, std::string_view(value)); }
+    void bind_value(int index, const char* value) { bind_value(index, std::string_view(value)); }
     bool step_row();
     void reset_statement() noexcept;
 
@@ -76,9 +76,9 @@
 // How to open a database.
 struct OpenSettings {
     std::string path;
-    bool is_writer = true;              // takes the lock; otherwise read-only
+    bool is_writer = true;              // takes the writer lock; otherwise the caller only reads
     std::uint64_t max_bytes = 0;        // of the file; 0: no limit
-    std::vector<const char*> schema;    // migrations in order; the file stores how many were applied
+    std::vector<const char*> schema;    // migrations in order; user_version counts those applied
 };
 
 // An open database; all functions throw StoreError.
@@ -94,12 +94,12 @@
     // The first column of the first row.
     std::int64_t query_integer(const char* sql);
     std::int64_t changed_rows() const;    // by the last statement
-    // Runs `what` atomically: an exception rolls it back.
-    void run_transaction(const std::function<void()>& what);
+    // Runs `body` in a transaction, which an exception rolls back.
+    void run_transaction(const std::function<void()>& body);
     // Syncs everything committed to disk and merges the write-ahead log into the file.
     void checkpoint_log();
     // Makes a consistent copy while the database is in use.
-    void backup_to(const std::string& to);
+    void backup_to(const std::string& destination);
     // The problems that SQLite's integrity check finds; empty if there are none.
     std::vector<std::string> check_integrity();
     void compact();
@@ -107,7 +107,7 @@
 
 private:
     friend class Statement;
-    [[noreturn]] void throw_error(const std::string& doing) const;
+    [[noreturn]] void throw_error(const std::string& operation) const;
     void open_file();
     void migrate_schema();
 
