--- a/src/balancer/usage_log/file_system.cpp
+++ b/src/balancer/usage_log/file_system.cpp
@@ -12,7 +12,9 @@
 namespace shaletray::usage_log {
 namespace {
 
-[[noreturn]] void throw_file_error(const std::string& what, int code = errno) { throw FileError(code, what); }
+[[noreturn]] void throw_file_error(const std::string& operation, int code = errno) {
+    throw FileError(code, operation);
+}
 
 class RealFileSystem : public FileSystem {
 public:
@@ -31,20 +33,20 @@
     }
     void allocate(File& file, std::size_t size) override {
         if (const int code = posix_fallocate(file.handle(), 0, static_cast<off_t>(size)); code != 0)
-            throw_file_error("making room", code);
+            throw_file_error("allocating disk blocks", code);
     }
     std::unique_ptr<Mapping> map_file(File& file, std::size_t size, bool writable) override {
-        void* const at =
+        void* const address =
             mmap(nullptr, size, writable ? PROT_READ | PROT_WRITE : PROT_READ, MAP_SHARED, file.handle(), 0);
-        if (at == MAP_FAILED) throw_file_error("mapping");
-        return std::make_unique<Mapping>(at, size);
+        if (address == MAP_FAILED) throw_file_error("mapping");
+        return std::make_unique<Mapping>(address, size);
     }
     void sync(File& file) override {
         if (fdatasync(file.handle()) != 0) throw_file_error("syncing");
     }
     void sync_directory(const std::string& path) override {
-        const auto folder = open(path, O_RDONLY | O_DIRECTORY);
-        if (fsync(folder->handle()) != 0) throw_file_error("syncing " + path);
+        const auto directory_file = open(path, O_RDONLY | O_DIRECTORY);
+        if (fsync(directory_file->handle()) != 0) throw_file_error("syncing " + path);
     }
     void rename(const std::string& from, const std::string& to) override {
         if (::rename(from.c_str(), to.c_str()) != 0) throw_file_error("renaming " + from);
@@ -53,7 +55,7 @@
         if (unlink(path.c_str()) != 0 && errno != ENOENT) throw_file_error("removing " + path);
     }
     void truncate(File& file, std::size_t size) override {
-        if (ftruncate(file.handle(), static_cast<off_t>(size)) != 0) throw_file_error("cutting");
+        if (ftruncate(file.handle(), static_cast<off_t>(size)) != 0) throw_file_error("truncating");
     }
     bool lock(File& file) override {
         if (flock(file.handle(), LOCK_EX | LOCK_NB) == 0) return true;
--- a/src/balancer/usage_log/file_system.h
+++ b/src/balancer/usage_log/file_system.h
@@ -1,5 +1,5 @@
-// The file operations of the usage log and the plan table's file, behind an interface, so that tests can make
-// each of them fail or end the process there. Errors are thrown as FileError with the operation and the path.
+// File operations of the usage log and the plan table file behind an interface, so that tests can make each
+// of them fail or kill the process. Errors are thrown as FileError.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,8 @@
 // A failed file operation, with the system's error code.
 class FileError : public std::system_error {
 public:
-    FileError(int code, const std::string& what) : std::system_error(code, std::generic_category(), what) {}
+    FileError(int code, const std::string& operation)
+        : std::system_error(code, std::generic_category(), operation) {}
 };
 
 // An open file. Destruction closes it and releases its lock.
@@ -32,7 +33,7 @@
     int handle_;
 };
 
-// A shared mapping of a file, whose content survives a kill of this process. Destruction unmaps it.
+// A shared mapping of a file. What is written to it survives a kill of this process. Destruction unmaps it.
 class Mapping {
 public:
     Mapping(void* address, std::size_t size) : address_(address), size_(size) {}
@@ -47,15 +48,14 @@
     std::size_t size_;
 };
 
-// Safe from several threads, on different files.
+// Thread-safe for operations on different files.
 class FileSystem {
 public:
     virtual ~FileSystem() = default;
     // `flags` as for open(2).
     virtual std::unique_ptr<File> open(const std::string& path, int flags) = 0;
     virtual void write(File& file, std::string_view bytes) = 0;
-    // Reserves disk blocks, so that a full disk is an error here and not a signal at a write to mapped
-    // memory.
+    // Reserves disk blocks, so that a full disk is an error here and not SIGBUS at a write to mapped memory.
     virtual void allocate(File& file, std::size_t size) = 0;
     virtual std::unique_ptr<Mapping> map_file(File& file, std::size_t size, bool writable) = 0;
     virtual void sync(File& file) = 0;
@@ -72,7 +72,7 @@
     virtual bool file_exists(const std::string& path);
 };
 
-// The operating system's files.
+// The operating system's file system.
 FileSystem& real_file_system();
 
 }    // namespace shaletray::usage_log
--- a/src/balancer/usage_log/persistent_counters.cpp
+++ b/src/balancer/usage_log/persistent_counters.cpp
@@ -15,14 +15,14 @@
 PersistentCounters::PersistentCounters(std::string path, FileSystem& file_system) {
     const bool is_new = !file_system.file_exists(path);
     file_ = file_system.open(path, O_RDWR | O_CREAT);
-    if (!file_system.lock(*file_)) throw std::runtime_error(path + ": another process has it open");
+    if (!file_system.lock(*file_)) throw std::runtime_error(path + ": another process has opened it");
     const std::size_t size = (kSlots + 1) * sizeof(Slot);
     file_system.allocate(*file_, size);
     mapping_ = file_system.map_file(*file_, size, true);
-    Slot* const head = reinterpret_cast<Slot*>(mapping_->data());
-    // A kill may have come between its making and its head: then nothing is in it.
-    if (is_new || head->key == 0) head->key = kMagic;
-    if (head->key != kMagic) throw std::runtime_error(path + " holds something else");
+    Slot* const header = reinterpret_cast<Slot*>(mapping_->data());
+    // A kill between the allocation and the header leaves a file of zeros, which holds no counters.
+    if (is_new || header->key == 0) header->key = kMagic;
+    if (header->key != kMagic) throw std::runtime_error(path + " is not a file of counters");
     for (std::size_t index = 0; index < kSlots; ++index) {
         if (slots()[index].key == 0) continue;
         initial_values_[slots()[index].key] = slots()[index].value;
@@ -36,7 +36,7 @@
 
 bool PersistentCounters::set_value(std::uint64_t key, std::int64_t value) {
     if (const auto found = slots_by_key_.find(key); found != slots_by_key_.end()) {
-        // One store each: a kill leaves the old figure or the new one.
+        // A single store: a kill leaves either the old value or the new one.
         std::atomic_ref(slots()[found->second].value).store(value, std::memory_order_relaxed);
         return true;
     }
--- a/src/balancer/usage_log/persistent_counters.h
+++ b/src/balancer/usage_log/persistent_counters.h
@@ -1,4 +1,4 @@
-// Counters by key that survive a kill of the process: they are updated in place in a mapped file. Not
+// Counters by key, updated in place in a mapped file, so that they survive a kill of the process. Not
 // thread-safe.
 #pragma once
 
@@ -11,15 +11,15 @@
 
 namespace shaletray::usage_log {
 
-// Locks its file, so that one process at a time uses it.
+// Locks its file, so that only one process at a time uses it.
 class PersistentCounters {
 public:
-    static constexpr std::size_t kSlots = 4096;    // most keys
+    static constexpr std::size_t kSlots = 4096;    // maximum number of keys
 
-    // Throws FileError, or std::runtime_error if another process has the file or it is not such a file.
+    // Throws FileError, or std::runtime_error if another process uses the file or it holds no counters.
     explicit PersistentCounters(std::string path, FileSystem& file_system = real_file_system());
 
-    // The values at the start, by key.
+    // The values read at construction, by key.
     const std::map<std::uint64_t, std::int64_t>& initial_values() const { return initial_values_; }
     // False if there is no free slot for another key.
     bool set_value(std::uint64_t key, std::int64_t value);
--- a/src/balancer/usage_log/segment.cpp
+++ b/src/balancer/usage_log/segment.cpp
@@ -12,36 +12,36 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kRetryDelay = 200ms;    // where a segment could not be made
+constexpr auto kRetryDelay = 200ms;    // after a segment could not be created
 
-std::string own_name_prefix(std::uint32_t gateway_index) { return fmt::format("use-{}-", gateway_index); }
+std::string segment_name_prefix(std::uint32_t gateway_index) { return fmt::format("use-{}-", gateway_index); }
 
 }    // namespace
 
 void WriterSettings::validate() const {
-    if (folder.empty()) throw std::invalid_argument("journal: no folder");
+    if (directory.empty()) throw std::invalid_argument("journal: the directory is missing");
     if (incarnation == 0) throw std::invalid_argument("journal: the incarnation must be above 0");
     if (slot_count < 2 || slot_count > 1u << 20)
-        throw std::invalid_argument("journal: slots must be 2 to 1048576");
+        throw std::invalid_argument("journal: the slots of a segment must be 2 to 1048576");
     if (max_segments < 2) throw std::invalid_argument("journal: most_segments must be 2 or more");
 }
 
-// Made under another name and put in place when it is whole: a reader finds whole ones only.
+// Created under a temporary name and renamed when complete, so that readers see only complete segments.
 Segment::Segment(FileSystem& file_system, const std::string& directory, const SegmentHeader& header)
     : header_(header), path_(directory + "/" + segment_name(header)) {
-    const std::string making = path_ + ".making";
+    const std::string temporary_path = path_ + ".making";
     const std::size_t size = (static_cast<std::size_t>(header.capacity) + 1) * kSlotSize;
     try {
-        file_ = file_system.open(making, O_RDWR | O_CREAT | O_EXCL);
-        if (!file_system.lock(*file_)) throw FileError(EWOULDBLOCK, "locking " + making);
+        file_ = file_system.open(temporary_path, O_RDWR | O_CREAT | O_EXCL);
+        if (!file_system.lock(*file_)) throw FileError(EWOULDBLOCK, "locking " + temporary_path);
         file_system.allocate(*file_, size);
         mapping_ = file_system.map_file(*file_, size, true);
         write_header(header, std::span<std::byte, kSlotSize>(mapping_->data(), kSlotSize));
-        file_system.rename(making, path_);
+        file_system.rename(temporary_path, path_);
     } catch (const FileError&) {
         try {
-            file_system.remove(making);
-        } catch (const FileError&) {    // left for the next start
+            file_system.remove(temporary_path);
+        } catch (const FileError&) {    // the next start removes it
         }
         throw;
     }
@@ -67,7 +67,7 @@
 bool SegmentWriter::append(UsageRecord record) {
     if (used_slots_ == usable_slots() && next_segment_) {
         current_segment_ =
-            std::move(next_segment_);    // the old one's lock ends with it: a reader knows that it is whole
+            std::move(next_segment_);    // releases the old segment's lock: no more records follow in it
         used_slots_ = 0;
         unrecorded_ = {};
     }
@@ -77,7 +77,7 @@
         ++statistics_.records;
         return true;
     }
-    // What cannot be written is added up in the segment's last slot, so that no kill loses count of it.
+    // Requests without a free slot are summed in the segment's last slot, so that a kill loses none of them.
     ++statistics_.unrecorded_requests;
     statistics_.unrecorded_units += record.unit_millionths;
     unrecorded_.kind = UsageRecord::Kind::Unrecorded;
@@ -99,13 +99,13 @@
 UsageRecorder::UsageRecorder(WriterSettings settings, FileSystem& file_system)
     : settings_(std::move(settings)), file_system_(file_system) {
     settings_.validate();
-    for (const std::string& name : file_system_.list_directory(settings_.folder)) {
-        if (name.starts_with(own_name_prefix(settings_.gateway_index)) && name.ends_with(".making"))
-            file_system_.remove(settings_.folder + "/" + name);
+    for (const std::string& name : file_system_.list_directory(settings_.directory)) {
+        if (name.starts_with(segment_name_prefix(settings_.gateway_index)) && name.ends_with(".making"))
+            file_system_.remove(settings_.directory + "/" + name);
     }
     const SegmentHeader header{settings_.gateway_index, settings_.slot_count, settings_.incarnation, 0, 1};
     writer_ = std::make_unique<SegmentWriter>(
-        settings_, std::make_unique<Segment>(file_system_, settings_.folder, header));
+        settings_, std::make_unique<Segment>(file_system_, settings_.directory, header));
     thread_ = std::thread([this] { prepare_segments(); });
     const std::lock_guard lock(mutex_);
     requested_header_ = writer_->next_segment_header();
@@ -123,7 +123,7 @@
     if (prepared_segment_) writer_->set_next_segment(std::move(prepared_segment_));
     try {
         writer_->close_segments(file_system_);
-    } catch (const FileError&) {    // an empty segment stays, which harms nobody
+    } catch (const FileError&) {    // an empty segment stays, which is harmless
     }
 }
 
@@ -147,7 +147,7 @@
     return last_error_;
 }
 
-// On its own thread.
+// Runs on its own thread.
 void UsageRecorder::prepare_segments() {
     std::unique_lock lock(mutex_);
     while (!is_stopping_) {
@@ -157,25 +157,26 @@
         }
         const SegmentHeader header = *requested_header_;
         lock.unlock();
-        std::unique_ptr<Segment> made;
-        std::string trouble;
+        std::unique_ptr<Segment> new_segment;
+        std::string error_text;
         try {
-            const auto names = file_system_.list_directory(settings_.folder);
-            const auto own = static_cast<std::uint64_t>(
+            const auto names = file_system_.list_directory(settings_.directory);
+            const auto own_segments = static_cast<std::uint64_t>(
                 std::count_if(names.begin(), names.end(), [&](const std::string& name) {
-                    return name.starts_with(own_name_prefix(settings_.gateway_index)) &&
+                    return name.starts_with(segment_name_prefix(settings_.gateway_index)) &&
                            name.ends_with(".seg");
                 }));
-            if (own >= settings_.max_segments)
-                trouble = fmt::format("{} segments wait to be read, and no more may", own);
-            else made = std::make_unique<Segment>(file_system_, settings_.folder, header);
+            if (own_segments >= settings_.max_segments)
+                error_text =
+                    fmt::format("{} segments have not been read yet, which is the limit", own_segments);
+            else new_segment = std::make_unique<Segment>(file_system_, settings_.directory, header);
         } catch (const std::exception& error) {
-            trouble = error.what();
+            error_text = error.what();
         }
         lock.lock();
-        last_error_ = trouble;
-        if (made) {
-            prepared_segment_ = std::move(made);
+        last_error_ = error_text;
+        if (new_segment) {
+            prepared_segment_ = std::move(new_segment);
             requested_header_.reset();
         } else if (!is_stopping_) {
             ++failures_;
@@ -188,22 +189,23 @@
                         std::uint32_t max_slots,
                         const std::function<void(const SegmentHeader&, const UsageRecord&)>& on_record) {
     const auto file = file_system.open(path, O_RDONLY);
-    // Asked before anything is read: what is read after its writer let go is all there will be.
-    const bool whole = file_system.lock(*file);
-    Slot first;
-    if (::pread(file->handle(), first.data(), kSlotSize, 0) != static_cast<ssize_t>(kSlotSize))
-        throw std::runtime_error(path + " is cut short");
-    const auto header = read_header(first);
-    if (!header || header->capacity < 2) throw std::runtime_error(path + " is no segment of use records");
+    // Locked before reading: if the writer has released its lock, what is read is complete.
+    const bool is_closed = file_system.lock(*file);
+    Slot header_slot;
+    if (::pread(file->handle(), header_slot.data(), kSlotSize, 0) != static_cast<ssize_t>(kSlotSize))
+        throw std::runtime_error(path + " is shorter than a segment");
+    const auto header = read_header(header_slot);
+    if (!header || header->capacity < 2)
+        throw std::runtime_error(path + " is not a segment of usage records");
     const std::size_t size = (static_cast<std::size_t>(header->capacity) + 1) * kSlotSize;
     if (::lseek(file->handle(), 0, SEEK_END) < static_cast<off_t>(size))
-        throw std::runtime_error(path + " is cut short");
-    const auto map = file_system.map_file(*file, size, false);
+        throw std::runtime_error(path + " is shorter than a segment");
+    const auto mapping = file_system.map_file(*file, size, false);
     const auto slot = [&](std::uint32_t index) {
-        return std::span<const std::byte, kSlotSize>(map->data() + (index + std::size_t{1}) * kSlotSize,
+        return std::span<const std::byte, kSlotSize>(mapping->data() + (index + std::size_t{1}) * kSlotSize,
                                                      kSlotSize);
     };
-    const std::uint32_t usable = header->capacity - 1;
+    const std::uint32_t usable_count = header->capacity - 1;
     ReadResult result;
     if (first_slot >= header->capacity) {
         result.next_slot = header->capacity;
@@ -211,36 +213,36 @@
         return result;
     }
     result.next_slot = first_slot;
-    std::uint32_t given = 0;
+    std::uint32_t delivered = 0;
     UsageRecord usage_record;
-    const auto good = [&](std::uint32_t index) {
+    const auto holds_record = [&](std::uint32_t index) {
         return read_record(slot(index), header->incarnation, usage_record) == SlotState::Record &&
                usage_record.sequence == header->first_sequence + index;
     };
-    while (result.next_slot < usable && given < max_slots) {
-        if (good(result.next_slot)) {
+    while (result.next_slot < usable_count && delivered < max_slots) {
+        if (holds_record(result.next_slot)) {
             on_record(*header, usage_record);
-            ++given;
+            ++delivered;
             ++result.next_slot;
             continue;
         }
-        const SlotState found = read_record(slot(result.next_slot), header->incarnation, usage_record);
-        if (!whole) return result;    // it may be about to be written
-        // With anything behind it, it was written once and is spoilt now; without, it is where the writer
-        // ended.
-        bool more = false;
-        for (std::uint32_t i = result.next_slot + 1; i < usable && !more; ++i) more = good(i);
-        if (!more) {
-            result.is_torn = found == SlotState::Torn;
-            result.next_slot = usable;
+        const SlotState slot_state = read_record(slot(result.next_slot), header->incarnation, usage_record);
+        if (!is_closed) return result;    // the writer may be about to write it
+        // If a record follows, this slot was written and is damaged; otherwise the writer stopped here.
+        bool records_follow = false;
+        for (std::uint32_t i = result.next_slot + 1; i < usable_count && !records_follow; ++i)
+            records_follow = holds_record(i);
+        if (!records_follow) {
+            result.is_torn = slot_state == SlotState::Torn;
+            result.next_slot = usable_count;
             break;
         }
         ++result.damaged_slots;
         ++result.next_slot;
     }
-    if (result.next_slot == usable && whole && given < max_slots) {
-        if (good(usable)) on_record(*header, usage_record);
-        else if (read_record(slot(usable), header->incarnation, usage_record) == SlotState::Torn)
+    if (result.next_slot == usable_count && is_closed && delivered < max_slots) {
+        if (holds_record(usable_count)) on_record(*header, usage_record);
+        else if (read_record(slot(usable_count), header->incarnation, usage_record) == SlotState::Torn)
             ++result.damaged_slots;
         result.next_slot = header->capacity;
         result.is_ended = true;
--- a/src/balancer/usage_log/segment.h
+++ b/src/balancer/usage_log/segment.h
@@ -1,7 +1,7 @@
 // Segments of the usage log: files with a fixed number of slots, mapped into memory while they are written,
-// so that their records survive a kill of the gateway. A lock that the writer holds tells readers whether
-// more records may follow. There is one writer per gateway and any number of readers; a segment is written by
-// one incarnation only.
+// so that their records survive a kill of the gateway. More records may follow while the writer holds the
+// lock of a segment. There is one writer per gateway and any number of readers; only one incarnation writes a
+// segment.
 #pragma once
 
 #include <condition_variable>
@@ -15,19 +15,19 @@
 
 namespace shaletray::usage_log {
 
-// What identifies a writer, and the sizes of its segments.
+// Identity of a writer, and the sizes of its segments.
 struct WriterSettings {
-    std::string folder;
+    std::string directory;
     std::uint32_t gateway_index = 0;
     std::uint64_t incarnation = 1;
-    std::uint32_t slot_count = 8192;      // of a segment; the last one counts requests without a record
-    std::uint64_t max_segments = 2048;    // of this gateway that are not read yet: bounds the disk space
+    std::uint32_t slot_count = 8192;      // per segment; the last one counts requests without a record
+    std::uint64_t max_segments = 2048;    // of this gateway not read yet; bounds the disk space
 
     // Throws std::invalid_argument with the reason.
     void validate() const;
 };
 
-// Totals since the start; failures count segments that could not be created.
+// Totals since the start. `failures`: segments that could not be created.
 struct WriterStatistics {
     std::uint64_t records = 0, unrecorded_requests = 0, segments = 0, failures = 0;
     std::int64_t unrecorded_units = 0;    // in millionths
@@ -36,7 +36,7 @@
 // A segment that is being written. Destruction releases its lock.
 class Segment {
 public:
-    // Creates and locks the file. Throws FileError, and leaves nothing behind then.
+    // Creates and locks the file. On an error it removes the file and throws FileError.
     Segment(FileSystem& file_system, const std::string& directory, const SegmentHeader& header);
     std::span<std::byte, kSlotSize> slot(std::size_t index) const {
         return std::span<std::byte, kSlotSize>(mapping_->data() + (index + 1) * kSlotSize, kSlotSize);
@@ -52,8 +52,8 @@
     std::unique_ptr<Mapping> mapping_;
 };
 
-// Writes records while it has free slots, and counts those without one. Single-threaded: the next segment is
-// prepared elsewhere and passed to it.
+// Writes records while there are free slots, and counts requests without one. Single-threaded: the caller
+// prepares the next segment and passes it in.
 class SegmentWriter {
 public:
     SegmentWriter(WriterSettings settings, std::unique_ptr<Segment> first_segment);
@@ -65,7 +65,7 @@
     void set_next_segment(std::unique_ptr<Segment> next_segment);
     std::uint64_t last_sequence() const { return last_sequence_; }
     const WriterStatistics& statistics() const { return statistics_; }
-    // Ends writing; a prepared segment without records is removed.
+    // Ends writing and removes segments without records.
     void close_segments(FileSystem& file_system);
 
 private:
@@ -90,7 +90,7 @@
     UsageRecorder(const UsageRecorder&) = delete;
     UsageRecorder& operator=(const UsageRecorder&) = delete;
 
-    // As SegmentWriter::append.
+    // See SegmentWriter::append.
     bool append(const UsageRecord& record);
     const WriterStatistics& statistics() const { return writer_->statistics(); }
     // Why the last segment could not be created; empty if it could.
@@ -116,10 +116,10 @@
 
 // How far a segment was read.
 struct ReadResult {
-    std::uint32_t next_slot = 0;        // where to continue
+    std::uint32_t next_slot = 0;        // first slot to read next time
     bool is_ended = false;              // no further records will follow
-    std::uint32_t damaged_slots = 0;    // written slots that are not readable any more
-    bool is_torn = false;    // the writer was killed while writing a record; its request was not sent
+    std::uint32_t damaged_slots = 0;    // slots that were written and are unreadable now
+    bool is_torn = false;    // the writer was killed while writing a record, whose request was not sent
 };
 // Passes at most `max_slots` records, from `first_slot` on, to `on_record`. Throws FileError, or
 // std::runtime_error if the file is not a segment.
--- a/src/balancer/usage_log/usage_record.cpp
+++ b/src/balancer/usage_log/usage_record.cpp
@@ -16,44 +16,46 @@
 constexpr std::uint64_t kMagic = 0x3165737579617274;    // "trayuse1"
 constexpr std::size_t kChecksummedSize = kSlotSize - 8;
 
-// The figures of a slot one behind the other, without gaps, whatever the compiler would put between them.
+// Writes the fields of a slot one after another, without padding.
 class SlotWriter {
 public:
-    explicit SlotWriter(std::byte* at) : offset_(at) {}
+    explicit SlotWriter(std::byte* start) : position_(start) {}
     template <class T>
     void append(T value) {
-        std::memcpy(offset_, &value, sizeof value);
-        offset_ += sizeof value;
+        std::memcpy(position_, &value, sizeof value);
+        position_ += sizeof value;
     }
 
 private:
-    std::byte* offset_;
+    std::byte* position_;
 };
+// Reads fields as SlotWriter writes them.
 class SlotReader {
 public:
-    explicit SlotReader(const std::byte* at) : offset_(at) {}
+    explicit SlotReader(const std::byte* start) : position_(start) {}
     template <class T>
-    T get() {
+    T read() {
         T value;
-        std::memcpy(&value, offset_, sizeof value);
-        offset_ += sizeof value;
+        std::memcpy(&value, position_, sizeof value);
+        position_ += sizeof value;
         return value;
     }
 
 private:
-    const std::byte* offset_;
+    const std::byte* position_;
 };
 
-void checksum(std::span<std::byte, kSlotSize> slot, const Slot& bytes, std::uint64_t seed) {
-    const std::uint64_t check = XXH64(bytes.data(), kChecksummedSize, seed);
-    // The check comes last: who reads along, or after a kill, sees a whole slot or a torn one.
+// Copies `bytes` to the slot and adds the checksum.
+void write_checksummed(std::span<std::byte, kSlotSize> slot, const Slot& bytes, std::uint64_t seed) {
+    const std::uint64_t checksum_value = XXH64(bytes.data(), kChecksummedSize, seed);
+    // The checksum is written last, so that a concurrent reader, or one after a kill, detects a torn slot.
     std::memcpy(slot.data(), bytes.data(), kChecksummedSize);
     std::atomic_signal_fence(std::memory_order_release);
-    std::memcpy(slot.data() + kChecksummedSize, &check, sizeof check);
+    std::memcpy(slot.data() + kChecksummedSize, &checksum_value, sizeof checksum_value);
 }
 
 bool has_valid_checksum(std::span<const std::byte, kSlotSize> slot, std::uint64_t seed) {
-    return SlotReader(slot.data() + kChecksummedSize).get<std::uint64_t>() ==
+    return SlotReader(slot.data() + kChecksummedSize).read<std::uint64_t>() ==
            XXH64(slot.data(), kChecksummedSize, seed);
 }
 
@@ -64,64 +66,64 @@
 void write_record(const UsageRecord& record, std::uint64_t incarnation,
                   std::span<std::byte, kSlotSize> slot) {
     Slot bytes{};
-    SlotWriter c(bytes.data());
-    c.append(record.sequence);
-    c.append(static_cast<std::int64_t>(record.admitted_at.time_since_epoch().count()));
-    c.append(static_cast<std::uint64_t>(record.customer));
-    c.append(record.unit_millionths);
-    c.append(record.plan_version);
-    c.append(record.record_count);
-    c.append(record.plan_index);
-    c.append(record.class_index);
-    c.append(static_cast<std::uint16_t>(record.kind));
-    c.append(std::uint16_t{0});
-    c.append(record.reservation_version);
-    checksum(slot, bytes, incarnation);
+    SlotWriter writer(bytes.data());
+    writer.append(record.sequence);
+    writer.append(static_cast<std::int64_t>(record.admitted_at.time_since_epoch().count()));
+    writer.append(static_cast<std::uint64_t>(record.customer));
+    writer.append(record.unit_millionths);
+    writer.append(record.plan_version);
+    writer.append(record.record_count);
+    writer.append(record.plan_index);
+    writer.append(record.class_index);
+    writer.append(static_cast<std::uint16_t>(record.kind));
+    writer.append(std::uint16_t{0});
+    writer.append(record.reservation_version);
+    write_checksummed(slot, bytes, incarnation);
 }
 
 SlotState read_record(std::span<const std::byte, kSlotSize> slot, std::uint64_t incarnation,
                       UsageRecord& record) {
-    Slot copy;    // a writer may be at it
-    std::memcpy(copy.data(), slot.data(), kSlotSize);
-    SlotReader r(copy.data());
-    record.sequence = r.get<std::uint64_t>();
-    record.admitted_at = TimePoint(decision::Duration(r.get<std::int64_t>()));
-    record.customer = CustomerId{r.get<std::uint64_t>()};
-    record.unit_millionths = r.get<std::int64_t>();
-    record.plan_version = r.get<std::uint32_t>();
-    record.record_count = r.get<std::uint32_t>();
-    record.plan_index = r.get<std::uint16_t>();
-    record.class_index = r.get<std::uint16_t>();
-    const auto kind = r.get<std::uint16_t>();
-    r.get<std::uint16_t>();
-    record.reservation_version = r.get<std::uint64_t>();
+    Slot slot_copy;    // a writer may be changing the slot
+    std::memcpy(slot_copy.data(), slot.data(), kSlotSize);
+    SlotReader reader(slot_copy.data());
+    record.sequence = reader.read<std::uint64_t>();
+    record.admitted_at = TimePoint(decision::Duration(reader.read<std::int64_t>()));
+    record.customer = CustomerId{reader.read<std::uint64_t>()};
+    record.unit_millionths = reader.read<std::int64_t>();
+    record.plan_version = reader.read<std::uint32_t>();
+    record.record_count = reader.read<std::uint32_t>();
+    record.plan_index = reader.read<std::uint16_t>();
+    record.class_index = reader.read<std::uint16_t>();
+    const auto kind = reader.read<std::uint16_t>();
+    reader.read<std::uint16_t>();
+    record.reservation_version = reader.read<std::uint64_t>();
     record.kind = static_cast<UsageRecord::Kind>(kind);
-    if (copy == Slot{}) return SlotState::Empty;
-    if (!has_valid_checksum(copy, incarnation) || kind > 1) return SlotState::Torn;
+    if (slot_copy == Slot{}) return SlotState::Empty;
+    if (!has_valid_checksum(slot_copy, incarnation) || kind > 1) return SlotState::Torn;
     return SlotState::Record;
 }
 
 void write_header(const SegmentHeader& header, std::span<std::byte, kSlotSize> slot) {
     Slot bytes{};
-    SlotWriter c(bytes.data());
-    c.append(kMagic);
-    c.append(header.gateway_index);
-    c.append(header.capacity);
-    c.append(header.incarnation);
-    c.append(header.segment_number);
-    c.append(header.first_sequence);
-    checksum(slot, bytes, kMagic);
+    SlotWriter writer(bytes.data());
+    writer.append(kMagic);
+    writer.append(header.gateway_index);
+    writer.append(header.capacity);
+    writer.append(header.incarnation);
+    writer.append(header.segment_number);
+    writer.append(header.first_sequence);
+    write_checksummed(slot, bytes, kMagic);
 }
 
 std::optional<SegmentHeader> read_header(std::span<const std::byte, kSlotSize> slot) {
-    SlotReader r(slot.data());
-    if (r.get<std::uint64_t>() != kMagic || !has_valid_checksum(slot, kMagic)) return std::nullopt;
+    SlotReader reader(slot.data());
+    if (reader.read<std::uint64_t>() != kMagic || !has_valid_checksum(slot, kMagic)) return std::nullopt;
     SegmentHeader header;
-    header.gateway_index = r.get<std::uint32_t>();
-    header.capacity = r.get<std::uint32_t>();
-    header.incarnation = r.get<std::uint64_t>();
-    header.segment_number = r.get<std::uint64_t>();
-    header.first_sequence = r.get<std::uint64_t>();
+    header.gateway_index = reader.read<std::uint32_t>();
+    header.capacity = reader.read<std::uint32_t>();
+    header.incarnation = reader.read<std::uint64_t>();
+    header.segment_number = reader.read<std::uint64_t>();
+    header.first_sequence = reader.read<std::uint64_t>();
     return header;
 }
 
@@ -131,19 +133,19 @@
 }
 
 std::optional<SegmentName> read_segment_name(std::string_view name) {
-    SegmentName out;
-    const auto take = [&](std::string_view before, auto& value, int base) {
-        if (!name.starts_with(before)) return false;
-        name.remove_prefix(before.size());
+    SegmentName result;
+    const auto parse_number = [&](std::string_view prefix, auto& value, int base) {
+        if (!name.starts_with(prefix)) return false;
+        name.remove_prefix(prefix.size());
         const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), value, base);
         if (error != std::errc{}) return false;
         name.remove_prefix(static_cast<std::size_t>(end - name.data()));
         return true;
     };
-    if (!take("use-", out.gateway_index, 10) || !take("-", out.incarnation, 16) ||
-        !take("-", out.segment_number, 10) || name != ".seg")
+    if (!parse_number("use-", result.gateway_index, 10) || !parse_number("-", result.incarnation, 16) ||
+        !parse_number("-", result.segment_number, 10) || name != ".seg")
         return std::nullopt;
-    return out;
+    return result;
 }
 
 }    // namespace shaletray::usage_log
--- a/src/balancer/usage_log/usage_record.h
+++ b/src/balancer/usage_log/usage_record.h
@@ -1,5 +1,5 @@
-// The record of one admitted request, which is written before its first attempt is sent: a slot of 64 bytes
-// in a segment. Pure. The format is little-endian, like all supported machines.
+// The record of one admitted request, written before its first attempt is sent, as a slot of 64 bytes in a
+// segment. Pure functions. The format is little-endian, like all supported machines.
 #pragma once
 
 #include <array>
@@ -17,24 +17,24 @@
 using decision::CustomerId;
 using decision::TimePoint;
 
-// A request, or a number of requests that could not be recorded.
+// One request, or the sum of requests that could not be recorded.
 struct UsageRecord {
-    // Unrecorded: `record_count` requests with `unit_millionths` in total could not be written.
+    // Unrecorded: `record_count` requests that use `unit_millionths` in total could not be written.
     enum class Kind : std::uint16_t { Request, Unrecorded };
     std::uint64_t sequence = 0;    // from 1 in each incarnation of a gateway
     TimePoint admitted_at{};
     CustomerId customer{};
-    std::int64_t unit_millionths = 0;    // of a unit, so that sums are exact
+    std::int64_t unit_millionths = 0;    // an integer, so that sums are exact
     std::uint32_t plan_version = 0, record_count = 1;
-    std::uint16_t plan_index = 0, class_index = 0;    // the platform's indexes
+    std::uint16_t plan_index = 0, class_index = 0;    // indexes into the platform's lists
     Kind kind = Kind::Request;
-    std::uint64_t reservation_version = 0;    // its version in the plan table; 0: none
+    std::uint64_t reservation_version = 0;    // in the plan table; 0: no reservation
     bool operator==(const UsageRecord&) const = default;
 };
 constexpr double kMillionths = 1e6;
 std::int64_t to_millionths(double units);
 
-// Bytes of a record or header.
+// Bytes per record or header.
 constexpr std::size_t kSlotSize = 64;
 using Slot = std::array<std::byte, kSlotSize>;
 
