--- a/src/balancer/shared_counter/resp.cpp
+++ b/src/balancer/shared_counter/resp.cpp
@@ -12,46 +12,54 @@
     void operator()(redisReply* reply) const { freeReplyObject(reply); }
 };
 
-std::string reply_text(const redisReply& r) {
-    return r.str == nullptr ? std::string() : std::string(r.str, r.len);
+std::string reply_text(const redisReply& raw_reply) {
+    return raw_reply.str == nullptr ? std::string() : std::string(raw_reply.str, raw_reply.len);
 }
 
-RespReply convert_reply(const redisReply& r) {
-    RespReply out;
-    switch (r.type) {
-        case REDIS_REPLY_STRING: out.kind = RespReply::Kind::Text, out.text = reply_text(r); break;
-        case REDIS_REPLY_STATUS: out.kind = RespReply::Kind::Status, out.text = reply_text(r); break;
-        case REDIS_REPLY_ERROR: out.kind = RespReply::Kind::Error, out.text = reply_text(r); break;
-        case REDIS_REPLY_INTEGER: out.kind = RespReply::Kind::Integer, out.integer = r.integer; break;
+RespReply convert_reply(const redisReply& raw_reply) {
+    RespReply converted;
+    switch (raw_reply.type) {
+        case REDIS_REPLY_STRING:
+            converted.kind = RespReply::Kind::Text, converted.text = reply_text(raw_reply);
+            break;
+        case REDIS_REPLY_STATUS:
+            converted.kind = RespReply::Kind::Status, converted.text = reply_text(raw_reply);
+            break;
+        case REDIS_REPLY_ERROR:
+            converted.kind = RespReply::Kind::Error, converted.text = reply_text(raw_reply);
+            break;
+        case REDIS_REPLY_INTEGER:
+            converted.kind = RespReply::Kind::Integer, converted.integer = raw_reply.integer;
+            break;
         case REDIS_REPLY_ARRAY:
-            out.kind = RespReply::Kind::List;
-            for (std::size_t index = 0; index < r.elements; ++index)
-                out.items.push_back(convert_reply(*r.element[index]));
+            converted.kind = RespReply::Kind::List;
+            for (std::size_t index = 0; index < raw_reply.elements; ++index)
+                converted.items.push_back(convert_reply(*raw_reply.element[index]));
             break;
         default: break;
     }
-    return out;
+    return converted;
 }
 
 }    // namespace
 
-std::string serialize_command(const std::vector<std::string>& words) {
+std::string serialize_command(const std::vector<std::string>& arguments) {
     std::vector<const char*> texts;
     std::vector<std::size_t> lengths;
-    for (const std::string& word : words) {
-        texts.push_back(word.data());
-        lengths.push_back(word.size());
+    for (const std::string& argument : arguments) {
+        texts.push_back(argument.data());
+        lengths.push_back(argument.size());
     }
     char* bytes = nullptr;
     const int length =
-        redisFormatCommandArgv(&bytes, static_cast<int>(words.size()), texts.data(), lengths.data());
+        redisFormatCommandArgv(&bytes, static_cast<int>(arguments.size()), texts.data(), lengths.data());
     if (length < 0) throw std::bad_alloc();
     const std::string result(bytes, static_cast<std::size_t>(length));
     redisFreeCommand(bytes);
     return result;
 }
 
-void RespReader::Free::operator()(redisReader* reader) const { redisReaderFree(reader); }
+void RespReader::ReaderDeleter::operator()(redisReader* reader) const { redisReaderFree(reader); }
 
 RespReader::RespReader() : reader_(redisReaderCreate()) {
     if (!reader_) throw std::bad_alloc();
@@ -59,7 +67,7 @@
 
 void RespReader::feed(std::string_view bytes) {
     pending_bytes_ += bytes.size();
-    if (pending_bytes_ > kMaxReplySize) throw RespProtocolError("a reply longer than any that is asked for");
+    if (pending_bytes_ > kMaxReplySize) throw RespProtocolError("a reply exceeds the maximum size");
     if (redisReaderFeed(reader_.get(), bytes.data(), bytes.size()) != REDIS_OK)
         throw RespProtocolError(reader_->errstr);
 }
--- a/src/balancer/shared_counter/resp.h
+++ b/src/balancer/shared_counter/resp.h
@@ -1,5 +1,5 @@
-// The Redis protocol, RESP2, by hiredis: serializes commands and parses replies. Independent of sockets:
-// hiredis's own asynchronous connection is not used, since it would own a socket that the reactor has to own.
+// The Redis protocol RESP2, by hiredis: serializes commands and parses replies. Independent of sockets, as
+// hiredis's asynchronous connection would own the socket, which the reactor has to own.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +23,19 @@
     std::vector<RespReply> items;    // List
 };
 
-// The bytes are not RESP: nothing after them can be parsed.
+// Thrown for bytes that are not RESP, after which nothing can be parsed.
 class RespProtocolError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
 // A command as an array of bulk strings.
-std::string serialize_command(const std::vector<std::string>& words);
+std::string serialize_command(const std::vector<std::string>& arguments);
 
-// Parses replies (or, for a server, commands, which are lists) from a stream of bytes.
+// Parses replies from a stream of bytes, or in a server commands, which are lists.
 class RespReader {
 public:
-    // Bounds the memory that a peer can make us use; no legitimate reply is longer.
+    // Bytes. Bounds the memory that a peer can cause to be used; no legitimate reply is longer.
     static constexpr std::size_t kMaxReplySize = 16 * 1024 * 1024;
 
     RespReader();
@@ -44,10 +44,10 @@
     std::optional<RespReply> next_reply();
 
 private:
-    struct Free {
+    struct ReaderDeleter {
         void operator()(redisReader* reader) const;
     };
-    std::unique_ptr<redisReader, Free> reader_;
+    std::unique_ptr<redisReader, ReaderDeleter> reader_;
     std::size_t pending_bytes_ = 0;    // bytes since the last complete reply
 };
 
--- a/src/balancer/shared_counter/shared_counter_client.cpp
+++ b/src/balancer/shared_counter/shared_counter_client.cpp
@@ -7,10 +7,10 @@
 
 using namespace std::chrono_literals;
 
-// What is due soon after each other is done together; and where nothing is due, it is looked at this often.
+// Bounds of the time between two exchanges: work due within the minimum is done together.
 constexpr Duration kMinWait = 5ms, kMaxWait = 250ms;
-// Leases that end are settled before each request anyway; this is for those that are held. Within the margin
-// by which a holder ends before its giver.
+// Maximum delay of the update after a lease has ended. Ended leases are settled before each request anyway;
+// this is for leases that are held. Less than the margin by which a holder's lease ends before its grantor's.
 constexpr Duration kMaxLeaseUpdateDelay = 25ms;
 
 }    // namespace
@@ -37,34 +37,38 @@
     schedule_next();
 }
 
-// Carries out what its session wants.
-void SharedCounterClient::process_session(Connection& c) {
+// Performs the session's requests: closing, connecting and sending, and logs its events.
+void SharedCounterClient::process_session(Connection& connection) {
     const TimePoint now = reactor_.clock().now();
-    if (const auto reason = c.session.close_reason()) return on_connection_lost(c, *reason);
-    if (c.session.wants_connection(now)) {
-        c.session.on_dialling(now);
-        c.stream = std::make_unique<Stream>(reactor_, c);
-        if (!c.stream->connect(c.session.address())) return on_connection_lost(c, "it cannot be reached");
+    if (const auto reason = connection.session.close_reason()) return on_connection_lost(connection, *reason);
+    if (connection.session.wants_connection(now)) {
+        connection.session.on_dialling(now);
+        connection.stream = std::make_unique<Stream>(reactor_, connection);
+        if (!connection.stream->connect(connection.session.address()))
+            return on_connection_lost(connection, "the connection failed");
     }
-    if (std::string bytes = c.session.take_output(); !bytes.empty() && c.stream) {
-        if (!c.stream->write_bytes(std::move(bytes))) return on_connection_lost(c, "the connection broke");
+    if (std::string bytes = connection.session.take_output(); !bytes.empty() && connection.stream) {
+        if (!connection.stream->write_bytes(std::move(bytes)))
+            return on_connection_lost(connection, "writing to the connection failed");
     }
-    if (const auto field = c.session.take_malformed_field(); field && c.malformed_log_limiter.try_acquire())
+    if (const auto field = connection.session.take_malformed_field();
+        field && connection.malformed_log_limiter.try_acquire())
         log(LogLevel::Warning, Event::SharedCounterMalformedRow,
-            {log_field("address", c.session.address()), log_field("field", *field)});
-    if (c.session.is_up() && !c.connect_logged) {
-        c.connect_logged = true;
-        log(LogLevel::Info, Event::SharedCounterConnected, {log_field("address", c.session.address())});
+            {log_field("address", connection.session.address()), log_field("field", *field)});
+    if (connection.session.is_up() && !connection.connect_logged) {
+        connection.connect_logged = true;
+        log(LogLevel::Info, Event::SharedCounterConnected,
+            {log_field("address", connection.session.address())});
     }
 }
 
-void SharedCounterClient::on_connection_lost(Connection& c, const std::string& reason) {
-    c.session.on_disconnected(reactor_.clock().now());
-    if (c.stream) destroy_stream_later(reactor_, std::move(c.stream));
-    if (c.log_limiter.try_acquire())
+void SharedCounterClient::on_connection_lost(Connection& connection, const std::string& reason) {
+    connection.session.on_disconnected(reactor_.clock().now());
+    if (connection.stream) destroy_stream_later(reactor_, std::move(connection.stream));
+    if (connection.log_limiter.try_acquire())
         log(LogLevel::Warning, Event::SharedCounterDisconnected,
-            {log_field("address", c.session.address()), log_field("why", reason)});
-    c.connect_logged = false;
+            {log_field("address", connection.session.address()), log_field("why", reason)});
+    connection.connect_logged = false;
 }
 
 void SharedCounterClient::schedule_next() {
--- a/src/balancer/shared_counter/shared_counter_client.h
+++ b/src/balancer/shared_counter/shared_counter_client.h
@@ -1,5 +1,5 @@
-// Runs the shared counter: connects to each store, drives its session, and passes time to the quota state
-// table. Only for the reactor's thread.
+// Client of the shared counter: connects to each store, drives its session, and updates the quota state table
+// as time passes. Only for the reactor's thread.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace shaletray::shared_counter {
 
-// All references outlive it.
+// All references must outlive it.
 class SharedCounterClient {
 public:
     SharedCounterClient(StoreExchangeSettings settings, QuotaStateTable& quota_state_table, Engine& engine,
@@ -22,7 +22,7 @@
     SharedCounterClient(const SharedCounterClient&) = delete;
     SharedCounterClient& operator=(const SharedCounterClient&) = delete;
 
-    // Further fields to exchange with the stores; before start().
+    // Sets further fields to exchange with the stores. Call it before start().
     void set_field_exchange(plans::FieldExchange& field_exchange) {
         exchange_.set_field_exchange(field_exchange);
     }
--- a/src/balancer/shared_counter/store_exchange.cpp
+++ b/src/balancer/shared_counter/store_exchange.cpp
@@ -7,12 +7,12 @@
 
 using namespace std::chrono_literals;
 
-// When the first store comes back rows travel at once for a few exchanges, so that all have them within a
-// second. Not at each return of one that comes and goes.
+// When the first store is reachable again, a few exchanges follow each other quickly, so that all gateways
+// have the rows within a second. The cooldown prevents this at each return of an unstable store.
 constexpr int kMaxImmediateExchanges = 8;
-constexpr Duration kImmediateRefillDelay = 5s;
+constexpr Duration kImmediateExchangeCooldown = 5s;
 constexpr Duration kImmediateExchangeInterval = 120ms;
-constexpr int kActiveStandbyIntervals = 1;    // of the standby's interval
+constexpr int kActiveStandbyIntervals = 1;    // in standby intervals
 
 }    // namespace
 
@@ -29,9 +29,9 @@
 }
 
 void StoreExchange::tick(TimePoint now) {
-    const bool none_before = statistics_.stores_up == 0;
+    const bool all_were_down = statistics_.stores_up == 0;
     statistics_.stores_up = 0;
-    Store* first = nullptr;    // the first in order that answers in time, or that answers at all
+    Store* preferred = nullptr;    // the first one that replies in time, else the first one that is up
     for (Store& store : stores_) {
         StoreSession& session = *store.session;
         session.tick(now);
@@ -39,38 +39,39 @@
         if (up && !store.was_up) store.next_due = now;
         store.was_up = up;
         statistics_.stores_up += up;
-        if (session.take_row_surprise())
+        if (session.take_overdue_row_received())
             store.active_until = now + kActiveStandbyIntervals * settings_.standby_interval;
-        if (up && (first == nullptr || (!first->session->is_responsive(now) && session.is_responsive(now))))
-            first = &store;
+        if (up &&
+            (preferred == nullptr || (!preferred->session->is_responsive(now) && session.is_responsive(now))))
+            preferred = &store;
     }
-    if (first == nullptr) return;
-    if (none_before &&
-        (immediate_allowed_at_ == TimePoint{} || now - immediate_allowed_at_ >= kImmediateRefillDelay)) {
-        immediate_exchanges_ = kMaxImmediateExchanges;
-        immediate_allowed_at_ = now;
+    if (preferred == nullptr) return;
+    if (all_were_down &&
+        (last_immediate_start_ == TimePoint{} || now - last_immediate_start_ >= kImmediateExchangeCooldown)) {
+        immediate_exchanges_left_ = kMaxImmediateExchanges;
+        last_immediate_start_ = now;
     }
-    // Rows are written once and go to all that are asked often; the others get what is in force in their
-    // turn.
+    // Due rows go once to all stores in active use. Standby stores get the rows in force at their own
+    // interval.
     std::vector<Store*> active;
     for (Store& store : stores_) {
-        const bool often = &store == first || now < store.active_until;
-        if (store.was_up && often && now >= store.next_due && store.session->has_call_capacity())
+        const bool is_active = &store == preferred || now < store.active_until;
+        if (store.was_up && is_active && now >= store.next_due && store.session->has_call_capacity())
             active.push_back(&store);
     }
     if (!active.empty()) {
         const auto rows = quota_state_table_.rows_due(now, settings_.max_rows_per_call);
-        const auto wanted = quota_state_table_.rows_to_read(now, settings_.max_rows_per_call);
-        const bool hurry = immediate_exchanges_ > 0;
-        immediate_exchanges_ -= hurry;
+        const auto requested_rows = quota_state_table_.rows_to_read(now, settings_.max_rows_per_call);
+        const bool immediate = immediate_exchanges_left_ > 0;
+        immediate_exchanges_left_ -= immediate;
         for (Store* store : active) {
-            store->session->exchange_rows(rows, wanted, now);
-            store->next_due = now + (hurry ? kImmediateExchangeInterval : settings_.interval);
+            store->session->exchange_rows(rows, requested_rows, now);
+            store->next_due = now + (immediate ? kImmediateExchangeInterval : settings_.interval);
         }
     }
     for (Store& store : stores_) {
         if (!store.was_up || now < store.next_due || !store.session->has_call_capacity()) continue;
-        if (&store == first || now < store.active_until) continue;
+        if (&store == preferred || now < store.active_until) continue;
         store.session->exchange_rows(quota_state_table_.rows_in_force(settings_.max_rows_per_call),
                                      quota_state_table_.rows_to_read(now, settings_.max_rows_per_call, true),
                                      now);
@@ -80,12 +81,12 @@
 
 std::optional<TimePoint> StoreExchange::next_deadline() const {
     std::optional<TimePoint> next;
-    const auto at = [&](std::optional<TimePoint> when) {
-        if (when && (!next || *when < *next)) next = when;
+    const auto consider = [&](std::optional<TimePoint> deadline) {
+        if (deadline && (!next || *deadline < *next)) next = deadline;
     };
     for (const Store& store : stores_) {
-        at(store.session->next_deadline());
-        if (store.session->is_up() && store.session->has_call_capacity()) at(store.next_due);
+        consider(store.session->next_deadline());
+        if (store.session->is_up() && store.session->has_call_capacity()) consider(store.next_due);
     }
     return next;
 }
--- a/src/balancer/shared_counter/store_exchange.h
+++ b/src/balancer/shared_counter/store_exchange.h
@@ -1,5 +1,5 @@
-// Schedules the exchange of one quota state table with several stores: all get every row, and the preferred
-// reachable one is read most often. Pure, like its sessions.
+// Schedules the exchange of one quota state table with several stores: each gets every row, and the preferred
+// reachable one is read most often. Independent of sockets and clocks, like its sessions.
 #pragma once
 
 #include <memory>
@@ -10,11 +10,11 @@
 
 namespace shaletray::shared_counter {
 
-// The stores and how often they are used.
+// The stores and the intervals at which they are used.
 struct StoreExchangeSettings {
     std::vector<StoreSessionSettings> stores;                   // in order of preference
-    Duration interval{500'000}, standby_interval{5'000'000};    // of the active store; of the others
-    std::size_t max_rows_per_call = 1024;                       // the rest follows in later calls
+    Duration interval{500'000}, standby_interval{5'000'000};    // of the preferred store; of the others
+    std::size_t max_rows_per_call = 1024;                       // further rows follow in later calls
     std::uint64_t random_seed = 1;
 };
 
@@ -37,8 +37,7 @@
     struct Store {
         std::unique_ptr<StoreSession> session;
         TimePoint next_due{};
-        TimePoint
-            active_until{};    // used as often as the active one, since some gateway is heard only there
+        TimePoint active_until{};    // until then as the preferred one, as a gateway is reachable only here
         bool was_up = false;
     };
 
@@ -46,8 +45,8 @@
     QuotaStateTable& quota_state_table_;
     SharedCounterStatistics& statistics_;
     std::vector<Store> stores_;
-    int immediate_exchanges_ = 0;    // exchanges that may follow without a pause
-    TimePoint immediate_allowed_at_{};
+    int immediate_exchanges_left_ = 0;    // exchanges that may still follow without a pause
+    TimePoint last_immediate_start_{};
 };
 
 }    // namespace shaletray::shared_counter
