--- a/src/balancer/usage_log/segment.h
+++ b/src/balancer/usage_log/segment.h
@@ -65,7 +65,7 @@
     void set_next_segment(std::unique_ptr<Segment> next_segment);
     std::uint64_t last_sequence() const { return last_sequence_; }
     const WriterStatistics& statistics() const { return statistics_; }
-    // Ends writing and removes segments without records.
+    // Ends writing. Removes the prepared segment, which has no records.
     void close_segments(FileSystem& file_system);
 
 private:
