--- a/src/balancer/usage/shaletray_usage.cpp
+++ b/src/balancer/usage/shaletray_usage.cpp
@@ -218,7 +218,7 @@
     };
     UsageTotals stored;
     for (const auto& [writer, sums] : collector_.stored_totals()) {
-        fmt::print("stored   gateway {} incarnation {:016x}: {}\n", writer.first, writer.second,
+        fmt::print("stored   gateway {} life {:016x}: {}\n", writer.first, writer.second,
                    format_totals(sums));
         stored = add(stored, sums);
     }
