--- a/src/balancer/settings/operator_settings.cpp
+++ b/src/balancer/settings/operator_settings.cpp
@@ -12,132 +12,136 @@
 
 using Kind = Value::Kind;
 
-StoreSettings read_store(const Record& r, const std::string& path) {
-    StoreSettings s{r.text_at("address"), r.text_at("username"), r.text_at("password"),
-                    r.integer_at<int>("database")};
-    const auto wrong = [&](const std::string& name, const std::string& text) {
-        throw_problem(r.value_at(name)->position, path + "." + name, text);
+StoreSettings read_store(const Record& record, const std::string& path) {
+    StoreSettings store{record.text_at("address"), record.text_at("username"), record.text_at("password"),
+                        record.integer_at<int>("database")};
+    const auto reject = [&](const std::string& name, const std::string& message) {
+        throw_problem(record.value_at(name)->position, path + "." + name, message);
     };
-    const int port = std::stoi(s.address.substr(s.address.rfind(':') + 1));
+    const int port = std::stoi(store.address.substr(store.address.rfind(':') + 1));
     if (port < 1 || port > 65535)
-        wrong("address", fmt::format("expected a port of 1 to 65535, found {}", port));
-    if (r.has("password_file")) {
-        if (r.has("password")) wrong("password_file", "expected this or password, found both");
-        s.password = read_file(r.text_at("password_file"));
-        while (!s.password.empty() && (s.password.back() == '\n' || s.password.back() == '\r'))
-            s.password.pop_back();
-        if (s.password.empty()) wrong("password_file", "expected a password in that file, found nothing");
+        reject("address", fmt::format("expected a port of 1 to 65535, found {}", port));
+    if (record.has("password_file")) {
+        if (record.has("password")) reject("password_file", "expected this or password, found both");
+        store.password = read_file(record.text_at("password_file"));
+        while (!store.password.empty() && (store.password.back() == '\n' || store.password.back() == '\r'))
+            store.password.pop_back();
+        if (store.password.empty())
+            reject("password_file", "expected a password in that file, found nothing");
     }
-    if (!s.username.empty() && s.password.empty())
-        wrong("username", "expected a password with it, found none");
-    return s;
+    if (!store.username.empty() && store.password.empty())
+        reject("username", "expected a password with it, found none");
+    return store;
 }
 
-CounterSettings read_counter(const Record& r) {
-    CounterSettings c;
-    const auto& stores = r.value_at("stores")->items;
+CounterSettings read_counter(const Record& record) {
+    CounterSettings counter;
+    const auto& stores = record.value_at("stores")->items;
     for (std::size_t i = 0; i < stores.size(); ++i)
-        c.stores.push_back(read_store(Record(stores[i]), fmt::format("counter.stores[{}]", i)));
-    c.key_prefix = r.text_at("prefix");
-    c.lease_duration = r.duration_at("lease");
-    c.isolation_timeout = r.duration_at("alone_after");
-    c.demand_window = r.duration_at("demand_window");
-    c.interval = r.duration_at("every");
-    c.standby_interval = r.duration_at("standby_every");
-    c.timeout = r.duration_at("timeout");
-    c.reserve = r.number_at("reserve");
-    c.isolated_share = r.number_at("alone_share");
-    c.max_customers = r.integer_at<std::size_t>("most_customers");
-    c.max_rows_per_call = r.integer_at<std::size_t>("most_rows");
-    // Leases that are not renewed several times in their life would come and go with each lost call.
-    if (c.lease_duration < 4 * c.interval) {
+        counter.stores.push_back(read_store(Record(stores[i]), fmt::format("counter.stores[{}]", i)));
+    counter.key_prefix = record.text_at("prefix");
+    counter.lease_duration = record.duration_at("lease");
+    counter.isolation_timeout = record.duration_at("alone_after");
+    counter.demand_window = record.duration_at("demand_window");
+    counter.interval = record.duration_at("every");
+    counter.standby_interval = record.duration_at("standby_every");
+    counter.timeout = record.duration_at("timeout");
+    counter.reserve = record.number_at("reserve");
+    counter.isolated_share = record.number_at("alone_share");
+    counter.max_customers = record.integer_at<std::size_t>("most_customers");
+    counter.max_rows_per_call = record.integer_at<std::size_t>("most_rows");
+    // Leases must be renewed several times before they expire; otherwise one lost call would expire them.
+    if (counter.lease_duration < 4 * counter.interval) {
         throw SettingsFileError(
-            {{r.value_at("lease")->position, "counter.lease",
+            {{record.value_at("lease")->position, "counter.lease",
               fmt::format("expected at least four times counter.every, found {} with every {}",
-                          r.value_at("lease")->to_text(), r.value_at("every")->to_text())}});
+                          record.value_at("lease")->to_text(), record.value_at("every")->to_text())}});
     }
-    return c;
+    return counter;
 }
 
-PlansSettings read_plans(const Record& r) {
-    PlansSettings p;
-    for (const ValuePtr& item : r.value_at("plans")->items) {
-        const Record one(item);
-        p.plans.push_back({one.text_at("plan"), one.has("like") ? one.text_at("like") : one.text_at("plan"),
-                           one.number_at("rate"), one.number_at("burst"), one.number_at("ceiling_rate"),
-                           one.number_at("ceiling_burst"), one.number_at("ceiling_slack")});
+PlansSettings read_plans(const Record& record) {
+    PlansSettings plans;
+    for (const ValuePtr& item : record.value_at("plans")->items) {
+        const Record plan_record(item);
+        plans.plans.push_back(
+            {plan_record.text_at("plan"),
+             plan_record.has("like") ? plan_record.text_at("like") : plan_record.text_at("plan"),
+             plan_record.number_at("rate"), plan_record.number_at("burst"),
+             plan_record.number_at("ceiling_rate"), plan_record.number_at("ceiling_burst"),
+             plan_record.number_at("ceiling_slack")});
     }
-    for (const ValuePtr& item : r.value_at("customers")->items)
-        p.customers.emplace_back(Record(item).text_at("customer"), Record(item).text_at("plan"));
-    p.table_path = r.text_at("book");
-    p.is_owner = r.bool_at("keeper");
-    p.table_overrides_request = r.text_at("precedence") == "book";
-    p.control_socket_path = r.text_at("control");
-    p.control_mode = std::stoi(r.text_at("control_mode"), nullptr, 8);
-    p.lead_time = r.duration_at("lead");
-    p.max_reserved_fraction = r.number_at("most_carved");
-    p.reject_damaged = r.text_at("on_damage") == "refuse";
-    return p;
+    for (const ValuePtr& item : record.value_at("customers")->items)
+        plans.customers.emplace_back(Record(item).text_at("customer"), Record(item).text_at("plan"));
+    plans.table_path = record.text_at("book");
+    plans.is_owner = record.bool_at("keeper");
+    plans.table_overrides_request = record.text_at("precedence") == "book";
+    plans.control_socket_path = record.text_at("control");
+    plans.control_mode = std::stoi(record.text_at("control_mode"), nullptr, 8);
+    plans.lead_time = record.duration_at("lead");
+    plans.max_reserved_fraction = record.number_at("most_carved");
+    plans.reject_damaged = record.text_at("on_damage") == "refuse";
+    return plans;
 }
 
-UsageSettings read_usage(const Record& r) {
-    UsageSettings u;
-    u.journal_directory = r.text_at("journal");
-    u.store_path = r.text_at("store");
-    u.export_directory = r.text_at("files");
-    u.export_format = r.text_at("form");
-    u.endpoint = r.text_at("endpoint");
-    u.segment_records = r.integer_at<std::uint32_t>("segment_rows");
-    u.max_segments = r.integer_at<std::uint64_t>("most_segments");
-    u.reject_on_failure = r.text_at("on_trouble") == "refuse";
-    u.max_store_bytes = r.size_at("most_store");
-    u.settling_time = r.duration_at("settle");
-    u.interval = r.duration_at("every");
-    u.max_batch_lines = r.integer_at<std::uint32_t>("lines");
-    u.retained_batches = r.integer_at<int>("keep_batches");
-    u.timeout = r.duration_at("timeout");
-    u.check_interval = r.duration_at("check_every");
-    u.plans = r.texts_at("plans");
-    u.classes = r.texts_at("classes");
-    return u;
+UsageSettings read_usage(const Record& record) {
+    UsageSettings usage;
+    usage.journal_directory = record.text_at("journal");
+    usage.store_path = record.text_at("store");
+    usage.export_directory = record.text_at("files");
+    usage.export_format = record.text_at("form");
+    usage.endpoint = record.text_at("endpoint");
+    usage.segment_records = record.integer_at<std::uint32_t>("segment_rows");
+    usage.max_segments = record.integer_at<std::uint64_t>("most_segments");
+    usage.reject_on_failure = record.text_at("on_trouble") == "refuse";
+    usage.max_store_bytes = record.size_at("most_store");
+    usage.settling_time = record.duration_at("settle");
+    usage.interval = record.duration_at("every");
+    usage.max_batch_lines = record.integer_at<std::uint32_t>("lines");
+    usage.retained_batches = record.integer_at<int>("keep_batches");
+    usage.timeout = record.duration_at("timeout");
+    usage.check_interval = record.duration_at("check_every");
+    usage.plans = record.texts_at("plans");
+    usage.classes = record.texts_at("classes");
+    return usage;
 }
 
-void write_value(const Value& v, int depth, std::string& out) {
+void write_value(const Value& value, int depth, std::string& out) {
     const std::string indent(static_cast<std::size_t>(depth), '\t');
-    if (v.kind == Kind::Record) {
+    if (value.kind == Kind::Record) {
         out += "{\n";
-        for (const std::string& name : v.field_order) {
+        for (const std::string& name : value.field_order) {
             out += indent + "\t" + name + ": ";
             if (name == "password") out += "\"...\"";
-            else write_value(*v.fields.at(name).value, depth + 1, out);
+            else write_value(*value.fields.at(name).value, depth + 1, out);
             out += "\n";
         }
         out += indent + "}";
-    } else if (v.kind == Kind::List) {
+    } else if (value.kind == Kind::List) {
         out += "[";
-        for (std::size_t i = 0; i < v.items.size(); ++i) {
+        for (std::size_t i = 0; i < value.items.size(); ++i) {
             if (i > 0) out += ", ";
-            write_value(*v.items[i], depth, out);
+            write_value(*value.items[i], depth, out);
         }
         out += "]";
     } else {
-        out += v.to_text();
+        out += value.to_text();
     }
 }
 
 }    // namespace
 
 OperatorSettings parse_operator_settings(std::string_view text, const std::string& file) {
-    const Record r(resolve_settings(text, file, kSchema, "schema.cue"));
-    OperatorSettings s;
-    if (r.has("counter")) s.counter = read_counter(Record(r.value_at("counter")));
-    if (r.has("plans")) s.plans = read_plans(Record(r.value_at("plans")));
-    if (r.has("log")) {
-        const Record log(r.value_at("log"));
-        s.log = LogSettings{log.text_at("level"), log.text_at("form") == "json"};
+    const Record record(resolve_settings(text, file, kSchema, "schema.cue"));
+    OperatorSettings settings;
+    if (record.has("counter")) settings.counter = read_counter(Record(record.value_at("counter")));
+    if (record.has("plans")) settings.plans = read_plans(Record(record.value_at("plans")));
+    if (record.has("log")) {
+        const Record log_record(record.value_at("log"));
+        settings.log = LogSettings{log_record.text_at("level"), log_record.text_at("form") == "json"};
     }
-    if (r.has("usage")) s.usage = read_usage(Record(r.value_at("usage")));
-    return s;
+    if (record.has("usage")) settings.usage = read_usage(Record(record.value_at("usage")));
+    return settings;
 }
 
 OperatorSettings load_operator_settings(const std::string& path) {
--- a/src/balancer/settings/parse.cpp
+++ b/src/balancer/settings/parse.cpp
@@ -1,4 +1,4 @@
-// The grammar, and the values that a text stands for.
+// The parser of the settings language: its PEGTL grammar, and the builder of values from the parse tree.
 #include <fmt/format.h>
 
 #include <charconv>
@@ -13,13 +13,12 @@
 
 namespace peg = tao::pegtl;
 
-// Deeper nesting than any settings need would only serve to exhaust the stack.
+// Bounds the recursion of the parser; no settings need deeper nesting.
 constexpr std::size_t kMaxDepth = 64, kMaxFileSize = 1024 * 1024;
 
 // ---- grammar ----
-// As in CUE a line's end closes a field, so an operator stands at the end of its line and not at the start of
-// the next.
-// NOLINTBEGIN(readability-identifier-naming): rules and what controls them are named as PEGTL names its own
+// As in CUE, a newline ends a field, so a binary operator must end its line rather than start the next one.
+// NOLINTBEGIN(readability-identifier-naming): rules and controls follow the naming of PEGTL
 
 struct comment : peg::seq<peg::two<'/'>, peg::until<peg::at<peg::eolf>>> {};
 struct blank : peg::star<peg::sor<peg::one<' ', '\t', '\r'>, comment>> {};
@@ -61,9 +60,9 @@
 struct optional_mark : peg::one<'?'> {};
 struct label : peg::sor<text, definition, name> {};
 struct head : peg::seq<label, blank, peg::opt<optional_mark, blank>, peg::one<':'>, space> {};
-struct no_value : peg::failure {};    // parse_tree lets only a leaf of the grammar raise its message
+struct no_value : peg::failure {};    // parse_tree raises messages only for leaf rules
 struct field_value : peg::sor<either, no_value> {};
-struct field : peg::seq<peg::plus<head>, field_value> {};    // several heads: a: b: 3 is a: {b: 3}
+struct field : peg::seq<peg::plus<head>, field_value> {};    // several heads: a: b: 3 means a: {b: 3}
 struct field_end : peg::sor<peg::seq<blank, peg::one<','>, space>, peg::seq<blank, peg::one<'\n'>, space>> {};
 struct fields : peg::seq<space, peg::opt<peg::list<field, field_end>, peg::opt<field_end>>, space> {};
 struct record_end : peg::one<'}'> {};
@@ -114,7 +113,7 @@
     explicit Builder(const std::string& file) : file_name_(file) {}
 
     ValuePtr build_file(const Node& root) {
-        // The text is a record with or without its braces.
+        // The file is a record whose braces are optional.
         const Node* top = root.children.front().get();
         if (top->children.size() == 1 && top->children[0]->is_type<record>()) top = top->children[0].get();
         return build_record(*top, root.children.front()->begin(), true);
@@ -146,7 +145,7 @@
         if (node.is_type<bound>()) return build_bound(node);
         if (node.is_type<both>()) return build_conjunction(node);
         if (node.is_type<either>()) return build_alternatives(node);
-        throw_syntax_error(node.begin(), "not understood");
+        throw_syntax_error(node.begin(), "unsupported syntax");
     }
     std::string unescape_text(const Node& node) const {
         const std::string_view raw = node.string_view().substr(1, node.string_view().size() - 2);
@@ -162,7 +161,7 @@
                 unsigned code = 0;
                 std::from_chars(raw.data() + i + 1, raw.data() + i + 5, code, 16);
                 if (code == 0 || (code >= 0xd800 && code < 0xe000))
-                    throw_syntax_error(node.begin(), "a text may not hold this character by its number");
+                    throw_syntax_error(node.begin(), "this character may not be written as an escape");
                 append_utf8(out, code);
                 i += 4;
             } else if (const std::size_t at = kFrom.find(c); at != std::string_view::npos) {
@@ -190,19 +189,19 @@
         for (const char c : node.string_view())
             if (c != '_' && c != '+') plain += c;
         auto value = make_value(node.begin(), Value::Kind::Number);
-        double times = 1.0;
+        double factor = 1.0;
         const std::size_t unit = plain.find_first_of("KMGT");
         if (unit != std::string::npos) {
             const double base = plain.back() == 'i' ? 1024.0 : 1000.0;
-            times = std::pow(base, 1.0 + static_cast<double>(std::string_view("KMGT").find(plain[unit])));
+            factor = std::pow(base, 1.0 + static_cast<double>(std::string_view("KMGT").find(plain[unit])));
             plain.resize(unit);
         }
         value->is_integer = plain.find_first_of(".eE") == std::string::npos;
         const auto [end, error] =
             std::from_chars(plain.data(), plain.data() + plain.size(), value->number_value);
-        value->number_value *= times;
+        value->number_value *= factor;
         if (error != std::errc{} || end != plain.data() + plain.size() || !std::isfinite(value->number_value))
-            throw_syntax_error(node.begin(), "a number that is too large");
+            throw_syntax_error(node.begin(), "the number is too large");
         return value;
     }
     ValuePtr build_name(const Node& node) const {
@@ -222,7 +221,7 @@
         const auto type = kTypes.find(word);
         if (type == kTypes.end())
             throw_syntax_error(node.begin(),
-                               fmt::format("{} is no type and no value; a text stands in quotes", word));
+                               fmt::format("{} is neither a type nor a value; texts must be quoted", word));
         auto value = make_value(node.begin(), Value::Kind::Type);
         value->type_mask = type->second;
         return value;
@@ -254,7 +253,7 @@
         }
         if (heads.size() > kMaxDepth) throw_syntax_error(node.begin(), "nested too deeply");
         ValuePtr value = build_value(*node.children.back());
-        for (; heads.size() > 1; heads.pop_back()) {    // a: b: 3, from the inside
+        for (; heads.size() > 1; heads.pop_back()) {    // a: b: 3, from the innermost out
             auto inner = make_value(heads.back().first->begin(), Value::Kind::Record);
             add_named(*inner, *heads.back().first, heads.back().second, value, false);
             value = inner;
@@ -264,23 +263,24 @@
     void add_named(Value& into, const Node& label_node, bool optional, const ValuePtr& value, bool top) {
         const Node* const key = &label_node;
         if (key->is_type<definition>()) {
-            if (!top) throw_syntax_error(key->begin(), "a definition stands at the top of the file");
+            if (!top)
+                throw_syntax_error(key->begin(), "definitions are only allowed at the top level of the file");
             auto closed = std::make_shared<Value>(*value);
             closed->is_closed = closed->kind == Value::Kind::Record;
             if (!definitions_.emplace(std::string(key->string_view()), closed).second)
                 throw_syntax_error(key->begin(), fmt::format("{} is defined twice", key->string_view()));
             return;
         }
-        const std::string called =
+        const std::string field_name =
             key->is_type<text>() ? unescape_text(*key) : std::string(key->string_view());
-        const auto [it, is_new] = into.fields.try_emplace(called, Value::Field{value, optional});
+        const auto [it, is_new] = into.fields.try_emplace(field_name, Value::Field{value, optional});
         if (is_new) {
-            into.field_order.push_back(called);
+            into.field_order.push_back(field_name);
             return;
         }
-        // The same field twice holds both, as in CUE.
+        // As in CUE, a repeated field must satisfy both values.
         std::vector<Problem> problems;
-        it->second.value = unify(it->second.value, value, called, problems);
+        it->second.value = unify(it->second.value, value, field_name, problems);
         it->second.is_optional = it->second.is_optional && optional;
         if (!problems.empty()) throw SettingsFileError(std::move(problems));
     }
@@ -303,15 +303,15 @@
             {">=", Value::Op::MoreEqual}, {"!=", Value::Op::Not},       {"=~", Value::Op::Match},
             {"!~", Value::Op::NoMatch}};
         const Value::Op op = kOps.at(node.children[0]->string_view());
-        const ValuePtr to = build_value(*node.children[1]);
+        const ValuePtr limit = build_value(*node.children[1]);
         auto value = make_value(node.begin(), Value::Kind::Type);
         const bool match = op == Value::Op::Match || op == Value::Op::NoMatch;
-        if (to->kind == Value::Kind::Text) value->type_mask = Value::kText;
-        else if (to->kind == Value::Kind::Number && !match) value->type_mask = Value::kInt | Value::kFloat;
-        else if (op == Value::Op::Not && to->kind == Value::Kind::Null) value->type_mask = ~Value::kNull;
-        else throw_syntax_error(node.begin(), "this cannot be compared with");
-        // Sizes may be written as numbers or as texts: what a text is compared with may be either.
-        value->bounds.push_back({op, to});
+        if (limit->kind == Value::Kind::Text) value->type_mask = Value::kText;
+        else if (limit->kind == Value::Kind::Number && !match) value->type_mask = Value::kInt | Value::kFloat;
+        else if (op == Value::Op::Not && limit->kind == Value::Kind::Null) value->type_mask = ~Value::kNull;
+        else throw_syntax_error(node.begin(), "this value cannot be a limit of this comparison");
+        // Sizes may be numbers or texts, so a text limit also applies to numbers.
+        value->bounds.push_back({op, limit});
         return value;
     }
     ValuePtr build_conjunction(const Node& node) {
@@ -339,15 +339,15 @@
 
 void check_nesting_depth(std::string_view text, const std::string& file) {
     std::size_t depth = 0, line = 1;
-    bool quoted = false;
+    bool is_quoted = false;
     for (std::size_t i = 0; i < text.size(); ++i) {
         const char c = text[i];
         line += c == '\n';
-        if (quoted) {
+        if (is_quoted) {
             if (c == '\\') ++i;
-            else quoted = c != '"' && c != '\n';
+            else is_quoted = c != '"' && c != '\n';
         } else if (c == '"') {
-            quoted = true;
+            is_quoted = true;
         } else if (text.substr(i, 2) == "//") {
             while (i + 1 < text.size() && text[i + 1] != '\n') ++i;
         } else if (c == '{' || c == '[' || c == '(') {
@@ -361,8 +361,7 @@
 }    // namespace
 
 ValuePtr parse(std::string_view source, const std::string& file) {
-    if (source.size() > kMaxFileSize)
-        throw_problem({file, 0, 0}, "", "longer than 1 MiB, which no settings are");
+    if (source.size() > kMaxFileSize) throw_problem({file, 0, 0}, "", "longer than 1 MiB");
     check_nesting_depth(source, file);
     peg::memory_input in(source.data(), source.data() + source.size(), file);
     try {
--- a/src/balancer/settings/record.cpp
+++ b/src/balancer/settings/record.cpp
@@ -7,14 +7,14 @@
 
 ValuePtr resolve_settings(std::string_view text, const std::string& file, const char* schema_text,
                           const char* schema_name) {
-    auto closed = std::make_shared<Value>(*parse(schema_text, schema_name));
-    closed->is_closed = true;
-    const ValuePtr schema = closed;
+    auto closed_schema = std::make_shared<Value>(*parse(schema_text, schema_name));
+    closed_schema->is_closed = true;
+    const ValuePtr schema = closed_schema;
     std::vector<Problem> problems;
-    const ValuePtr both = unify(schema, parse(text, file), "", problems);
-    ValuePtr out = resolve_value(both, "", problems);
-    for (Problem& p : problems) {    // a field that the file leaves out has its place in the schema only
-        if (p.position.file != file) p.position = {file, 0, 0};
+    const ValuePtr unified = unify(schema, parse(text, file), "", problems);
+    ValuePtr out = resolve_value(unified, "", problems);
+    for (Problem& problem : problems) {    // a field that the file omits has a position only in the schema
+        if (problem.position.file != file) problem.position = {file, 0, 0};
     }
     if (!problems.empty()) throw SettingsFileError(std::move(problems));
     return out;
--- a/src/balancer/settings/schema.cue
+++ b/src/balancer/settings/schema.cue
@@ -1,8 +1,8 @@
-// What the operator's own file may say. It is unified with that file: what stands behind a * holds where the file
-// is silent.
+// The schema of the operator's settings file, which is unified with it. A * marks the default of a field that
+// the file omits.
 
 #Store: {
-	// Numeric, with a port: a name would have to be looked up, which holds everything up.
+	// Numeric, with a port: resolving a host name would block the gateway.
 	address: string & =~"^([0-9]{1,3}(\\.[0-9]{1,3}){3}|\\[[0-9a-fA-F:]+\\]):[0-9]{1,5}$"
 	username?: string & !=""
 	password?: string & !=""
@@ -73,7 +73,7 @@
 	classes: *[] | [...string]
 }
 
-// Taken again at SIGHUP.
+// Applied again at SIGHUP.
 #Log: {
 	level?: "error" | "warning" | "info" | "debug"
 	form: *"keyvalue" | "json"
--- a/src/balancer/settings/value.cpp
+++ b/src/balancer/settings/value.cpp
@@ -61,16 +61,16 @@
                                                              {Value::kList, "list"}};
     std::string out;
     int left = v.type_mask;
-    for (const auto& [types, called] : kTypes) {
+    for (const auto& [types, name] : kTypes) {
         if ((left & types) != types) continue;
         if (!out.empty()) out += " or ";
-        out += called;
+        out += name;
         left &= ~types;
     }
     return out;
 }
 
-// What a text or number stands for where it is compared: its figure, by the unit.
+// The number that a value is compared by: a number itself, or a text with units in the given unit.
 std::optional<double> measure_text(const Value& v, Value::Unit unit) {
     if (v.kind == Kind::Number) return v.number_value;
     if (v.kind != Kind::Text) return std::nullopt;
@@ -80,7 +80,7 @@
 }
 
 bool matches_pattern(const std::string& text, const std::string& pattern) {
-    // std::regex recurses over the text: one that is longer than any that is meant would exhaust the stack.
+    // std::regex recurses over the text: a very long text would exhaust the stack.
     if (text.size() > 4096) return false;
     try {
         return std::regex_search(text, std::regex(pattern, std::regex::ECMAScript));
@@ -90,15 +90,15 @@
 }
 
 bool satisfies_bound(const Value& v, const Value::Bound& bound, Value::Unit unit) {
-    const Value& to = *bound.limit;
+    const Value& limit = *bound.limit;
     if (bound.op == Op::Match || bound.op == Op::NoMatch)
         return v.kind == Kind::Text &&
-               matches_pattern(v.text_value, to.text_value) == (bound.op == Op::Match);
-    if (bound.op == Op::Not && !measure_text(v, unit)) return !values_equal(v, to);
+               matches_pattern(v.text_value, limit.text_value) == (bound.op == Op::Match);
+    if (bound.op == Op::Not && !measure_text(v, unit)) return !values_equal(v, limit);
     int order = 0;
-    const std::optional<double> a = measure_text(v, unit), b = measure_text(to, unit);
+    const std::optional<double> a = measure_text(v, unit), b = measure_text(limit, unit);
     if (a && b) order = *a < *b ? -1 : *a > *b ? 1 : 0;
-    else if (v.kind == Kind::Text && to.kind == Kind::Text) order = v.text_value.compare(to.text_value);
+    else if (v.kind == Kind::Text && limit.kind == Kind::Text) order = v.text_value.compare(limit.text_value);
     else return false;
     switch (bound.op) {
         case Op::Less: return order < 0;
@@ -110,7 +110,7 @@
 }
 
 Problem conflict_problem(const Value& expected, const Value& found, const std::string& path) {
-    // The file is unified into the schema: the later of the two is what stands there.
+    // The file is unified into the schema, so the second value is the one found in the file.
     return {found.position, path, fmt::format("expected {}, found {}", expected.to_text(), found.to_text())};
 }
 
@@ -124,19 +124,20 @@
     out->is_closed = a.is_closed || b.is_closed;
     if (b.position.line > 0) out->position = b.position;
     for (const std::string& name : b.field_order) {
-        const Value::Field& theirs = b.fields.at(name);
+        const Value::Field& other_field = b.fields.at(name);
         const auto it = out->fields.find(name);
         if (it != out->fields.end()) {
-            it->second.value = unify(it->second.value, theirs.value, join_path(path, name), problems);
-            it->second.is_optional = it->second.is_optional && theirs.is_optional;
+            it->second.value = unify(it->second.value, other_field.value, join_path(path, name), problems);
+            it->second.is_optional = it->second.is_optional && other_field.is_optional;
         } else if (a.is_closed) {
-            std::string known;
+            std::string known_fields;
             for (const std::string& n : a.field_order)
-                known += fmt::format("{}{}", known.empty() ? "" : ", ", n);
-            problems.push_back({theirs.value->position, join_path(path, name),
-                                fmt::format("no such field; there are {}", known.empty() ? "none" : known)});
+                known_fields += fmt::format("{}{}", known_fields.empty() ? "" : ", ", n);
+            problems.push_back(
+                {other_field.value->position, join_path(path, name),
+                 fmt::format("no such field; there are {}", known_fields.empty() ? "none" : known_fields)});
         } else {
-            out->fields.emplace(name, theirs);
+            out->fields.emplace(name, other_field);
             out->field_order.push_back(name);
         }
     }
@@ -178,9 +179,9 @@
     std::vector<Problem> best;
     const auto add = [&](const ValuePtr& x, const ValuePtr& y, bool is_default) {
         std::vector<Problem> own;
-        const ValuePtr made = choice_first ? unify(x, y, path, own) : unify(y, x, path, own);
-        if (own.empty()) out->alternatives.push_back({made, is_default});
-        // What is closest to fitting says most: the one whose problem lies deepest.
+        const ValuePtr unified = choice_first ? unify(x, y, path, own) : unify(y, x, path, own);
+        if (own.empty()) out->alternatives.push_back({unified, is_default});
+        // Reports the alternative that comes closest to matching: the one whose problem is nested deepest.
         else if (best.empty() || own.front().path.size() > best.front().path.size()) best = own;
     };
     const bool marked = std::any_of(choice->alternatives.begin(), choice->alternatives.end(),
@@ -190,10 +191,11 @@
             add(x.value, other, x.is_default);
             continue;
         }
-        const bool also = std::any_of(other->alternatives.begin(), other->alternatives.end(),
-                                      [](const auto& alt) { return alt.is_default; });
+        const bool other_marked = std::any_of(other->alternatives.begin(), other->alternatives.end(),
+                                              [](const auto& alt) { return alt.is_default; });
         for (const Value::Alternative& y : other->alternatives)
-            add(x.value, y.value, (x.is_default || !marked) && (y.is_default || !also) && (marked || also));
+            add(x.value, y.value,
+                (x.is_default || !marked) && (y.is_default || !other_marked) && (marked || other_marked));
     }
     if (out->alternatives.size() > kMaxAlternatives) {
         problems.push_back({other->position, path, "too many alternatives"});
@@ -221,7 +223,7 @@
     if (other->kind == Kind::Type) {
         auto out = std::make_shared<Value>(*type);
         out->type_mask &= other->type_mask;
-        // A bound is written against a text; what has a unit may be a number too.
+        // The bounds of a type with a unit are texts, but its values may be numbers too.
         if (type->unit != Value::Unit::None || other->unit != Value::Unit::None)
             out->type_mask = type->unit != Value::Unit::None ? type->type_mask : other->type_mask;
         if (type->unit != Value::Unit::None && other->unit != Value::Unit::None && type->unit != other->unit)
@@ -232,14 +234,14 @@
         if (!type_first) out->position = type->position;
         return out;
     }
-    const int is = type_mask_of(*other);
-    // A whole number is a number wherever a float is meant.
-    const bool fits =
-        (is & type->type_mask) != 0 || (is == Value::kInt && (type->type_mask & Value::kFloat) != 0);
+    const int own_type = type_mask_of(*other);
+    // An integer is accepted where a float is expected.
+    const bool fits = (own_type & type->type_mask) != 0 ||
+                      (own_type == Value::kInt && (type->type_mask & Value::kFloat) != 0);
     if (!fits) return fail();
     if (type->unit != Value::Unit::None) {
-        const auto figure = measure_text(*other, type->unit);
-        if (!figure || *figure < 0.0) return fail();
+        const auto magnitude = measure_text(*other, type->unit);
+        if (!magnitude || *magnitude < 0.0) return fail();
     }
     for (const Value::Bound& bound : type->bounds) {
         if (!satisfies_bound(*other, bound, type->unit)) return fail();
@@ -249,7 +251,7 @@
 
 std::optional<double> parse_with_units(std::string_view text,
                                        const std::vector<std::pair<std::string_view, double>>& units,
-                                       bool many, double bare) {
+                                       bool allow_several, double default_unit) {
     double sum = 0.0;
     if (text.empty()) return std::nullopt;
     while (!text.empty()) {
@@ -264,14 +266,14 @@
         if (unit != units.end()) {
             text.remove_prefix(unit->first.size());
             sum += value * unit->second;
-        } else if (text.empty() && bare > 0.0) {
-            sum += value * bare;
+        } else if (text.empty() && default_unit > 0.0) {
+            sum += value * default_unit;
         } else {
             return std::nullopt;
         }
-        if (!many && !text.empty()) return std::nullopt;
+        if (!allow_several && !text.empty()) return std::nullopt;
     }
-    // What no clock and no memory counts to would only overflow later.
+    // Larger values would overflow in later conversions.
     return sum <= 9e15 ? std::optional(sum) : std::nullopt;
 }
 
@@ -293,9 +295,9 @@
       }()),
       problems_(std::move(problems)) {}
 
-void throw_problem(SourcePosition place, std::string path, std::string text) {
+void throw_problem(SourcePosition position, std::string path, std::string text) {
     std::vector<Problem> problems;
-    problems.push_back({std::move(place), std::move(path), std::move(text)});
+    problems.push_back({std::move(position), std::move(path), std::move(text)});
     throw SettingsFileError(std::move(problems));
 }
 
@@ -360,7 +362,7 @@
             auto out = std::make_shared<Value>(*value);
             std::erase_if(out->field_order, [&](const std::string& name) {
                 Value::Field& f = out->fields.at(name);
-                // A field that may be left out, and was, is not there.
+                // An optional field that the file omits is removed.
                 if (!f.is_optional) return false;
                 out->fields.erase(name);
                 return true;
--- a/tests/balancer/settings/settings_test.cpp
+++ b/tests/balancer/settings/settings_test.cpp
@@ -1,4 +1,5 @@
-// The settings' language and the operator's file: what is read, and what each mistake is told as.
+// Tests of the settings language and the operator's settings file: accepted values, defaults and error
+// messages.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -11,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-// The file unified into the schema: what it comes to, or all that is wrong.
-std::string outcome(const std::string& schema, const std::string& file) {
+// Unifies the file with the schema. Returns the resulting fields, or all problems.
+std::string resolve_to_text(const std::string& schema, const std::string& file) {
     std::string all;
     try {
         std::vector<Problem> problems;
@@ -34,7 +35,9 @@
 
 class Language : public testing::TestWithParam<Case> {};
 
-TEST_P(Language, ComesTo) { EXPECT_EQ(outcome(GetParam().schema, GetParam().file), GetParam().out); }
+TEST_P(Language, ResolvesTo) {
+    EXPECT_EQ(resolve_to_text(GetParam().schema, GetParam().file), GetParam().out);
+}
 
 INSTANTIATE_TEST_SUITE_P(
     Cases, Language,
@@ -70,8 +73,8 @@
         Case{"a: int", "a: 3\na: 4", "f:2:4: a: expected 3, found 4"}, Case{"a: (1 | 2) & >1", "", "a=2 "},
         Case{"a: _", "a: {\"b c\": \"\\u00e9\\n\"}", "a=a record "},
         Case{"a: string & !=\"\"", "a: \"\"", "f:1:4: a: expected string !=\"\", found \"\"; "},
-        Case{"", "a: 1e999", "f:1:4: a number that is too large"},
-        Case{"", "a: foo", "f:1:4: foo is no type and no value; a text stands in quotes"},
+        Case{"", "a: 1e999", "f:1:4: the number is too large"},
+        Case{"", "a: foo", "f:1:4: foo is neither a type nor a value; texts must be quoted"},
         Case{"", "a: #B", "f:1:4: #B is not defined above"},
         Case{"", "a: \"x", "f:1:6: expected the closing \" of a text on its own line"},
         Case{"", "a: [1, 2", "f:1:9: expected ] or , and a further item"},
@@ -79,16 +82,16 @@
         Case{"", "a: ", "f:1:4: expected a value after the colon"},
         Case{"", "a = 3", "f:1:1: expected fields as in name: value"}));
 
-TEST(Language, RefusesDepthAndLengthThatWouldExhaustIt) {
+TEST(Language, RejectsExcessiveDepthAndLength) {
     for (const char c : {'{', '[', '('}) {
         std::string deep = "a: ";
         deep.append(100000, c);
-        EXPECT_NE(outcome("", deep).find("nested too deeply"), std::string::npos);
+        EXPECT_NE(resolve_to_text("", deep).find("nested too deeply"), std::string::npos);
     }
     std::string chain;
     for (int i = 0; i < 100000; ++i) chain += "a: ";
-    EXPECT_NE(outcome("", chain + "1").find("nested too deeply"), std::string::npos);
-    EXPECT_NE(outcome("", std::string(2000000, ' ')).find("longer than"), std::string::npos);
+    EXPECT_NE(resolve_to_text("", chain + "1").find("nested too deeply"), std::string::npos);
+    EXPECT_NE(resolve_to_text("", std::string(2000000, ' ')).find("longer than"), std::string::npos);
 }
 
 TEST(Language, ReadsUnits) {
@@ -102,35 +105,35 @@
     for (const char* bad : {"", "KiB", "1 KiB", "-1", "1KiB2KiB"}) EXPECT_FALSE(parse_size(bad)) << bad;
 }
 
-// Whatever stands in a file, it is read or refused, and nothing else happens.
-TEST(Language, SurvivesAnyText) {
+// Mutates a valid text: each variant must be accepted or rejected with SettingsFileError, without a crash.
+TEST(Language, AcceptsOrRejectsAnyText) {
     const std::string seed =
         "// c\n#S: {address: string & =~\"^a\", n?: *3 | int & >=2}\na: [#S, ...#S] & _\nb: (1 | \"x\") & "
         "!=null, c: 4Ki\n"
         "d: \"q\\u00e9\\\\\", e: f: {\"g\": [1, 2.5e3, null, true,]}\n";
-    const std::string parts = "{}[]()|&*?:,.\"\\#<>=!~\n 09aK_-/";
+    const std::string characters = "{}[]()|&*?:,.\"\\#<>=!~\n 09aK_-/";
     std::mt19937_64 random(11);
-    int good = 0;
+    int valid_count = 0;
     for (int i = 0; i < 30000; ++i) {
         std::string text = seed;
         for (std::uint64_t k = random() % 6 + 1; k > 0; --k) {
             const std::size_t at = random() % text.size();
             if (random() % 3 == 0) text.erase(at, random() % 8);
-            else if (random() % 2 == 0) text.insert(at, 1, parts[random() % parts.size()]);
+            else if (random() % 2 == 0) text.insert(at, 1, characters[random() % characters.size()]);
             else text[at] = static_cast<char>(random());
             if (text.empty()) text = " ";
         }
         try {
             std::vector<Problem> problems;
             resolve_value(unify(parse(seed, "s"), parse(text, "f"), "", problems), "", problems);
-            ++good;
+            ++valid_count;
         } catch (const SettingsFileError&) {
         }
     }
-    EXPECT_GT(good, 100);
+    EXPECT_GT(valid_count, 100);
 }
 
-TEST(OperatorFile, IsReadWithItsDefaults) {
+TEST(OperatorFile, AppliesDefaults) {
     const OperatorSettings s = parse_operator_settings(
         "counter: {\n\tstores: [{address: \"127.0.0.1:6379\", password: \"s\"}, {address: \"[::1]:6380\", "
         "database: 2}]\n"
@@ -148,7 +151,7 @@
         std::string::npos);
 }
 
-TEST(OperatorFile, TellsAllThatIsWrong) {
+TEST(OperatorFile, ReportsAllProblems) {
     try {
         parse_operator_settings(
             "counter: {\n  stores: [{address: \"redis:6379\"}]\n  lease: \"10ms\"\n  shards: 3\n}\n",
