--- a/src/balancer/platform/discovery_watch.cpp
+++ b/src/balancer/platform/discovery_watch.cpp
@@ -8,8 +8,8 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kInitialBackoff = 50ms, kMaxBackoff = 1s;
-// An empty line comes every two seconds. Without one the connection may be gone without a word, and what
-// would have come on it counts as told six seconds later all the same.
+// Discovery sends an empty line every two seconds. Without one the connection may be broken unnoticed, while
+// list changes count as received six seconds after they were sent, whether or not they arrived.
 constexpr Duration kReceiveTimeout = 3s;
 constexpr std::size_t kMaxLineLength = 8 * 1024 * 1024;
 
@@ -32,7 +32,7 @@
     reactor_.cancel_timer(timeout_timer_);
 }
 
-// From the list that the gateway had before its start, which may be old.
+// The configured list dates from before the start and may be outdated.
 void DiscoveryWatch::start() {
     engine_.on_host_list(
         hosts_.apply_list(config_.known_hosts, decision::ListKind::Cached, reactor_.clock().now()));
@@ -56,9 +56,9 @@
 
 void DiscoveryWatch::set_address(const std::string& address) {
     if (address == address_) return;
-    read_available();    // what the old one has told counts as told
+    read_available();    // what the old address has sent still counts
     address_ = address;
-    // Another discovery need not count its revisions as the last one did: from 0 on it tells all it has.
+    // Another discovery service may count revisions differently; from 0 on it sends its full list.
     revision_ = 0;
     backoff_ = Duration(0);
     connect();
@@ -76,7 +76,7 @@
     if (parser_.status_code() != 200) return on_connection_lost("refused");
     process_lines();
     if (status == http::ParseStatus::Complete && stream_ && stream_->is_open())
-        on_connection_lost("it ended");
+        on_connection_lost("closed by discovery");
 }
 
 void DiscoveryWatch::process_lines() {
@@ -123,7 +123,8 @@
     stream_->close();
     reactor_.cancel_timer(timeout_timer_);
     if (config_.settings.ask_for_list) {
-        engine_.on_host_list({decision::ListKind::Failed, {}});    // the module says when to ask again
+        engine_.on_host_list(
+            {decision::ListKind::Failed, {}});    // the decision module decides when to reconnect
         return;
     }
     backoff_ = std::clamp(backoff_ * 2, kInitialBackoff, kMaxBackoff);
@@ -133,7 +134,7 @@
 
 void DiscoveryWatch::check_timeout() {
     const TimePoint timeout_at = last_received_at_ + kReceiveTimeout;
-    if (reactor_.clock().now() >= timeout_at) return on_connection_lost("silence");
+    if (reactor_.clock().now() >= timeout_at) return on_connection_lost("receive timeout");
     timeout_timer_ = reactor_.schedule_at(timeout_at, [this] { check_timeout(); });
 }
 
--- a/src/balancer/platform/discovery_watch.h
+++ b/src/balancer/platform/discovery_watch.h
@@ -29,7 +29,7 @@
 
 private:
     void on_input() override;
-    void on_disconnected() override { on_connection_lost("it ended"); }
+    void on_disconnected() override { on_connection_lost("closed by discovery"); }
     void connect();
     void process_lines();
     void process_line(std::string_view line);
--- a/src/balancer/platform/gateway_config.cpp
+++ b/src/balancer/platform/gateway_config.cpp
@@ -17,13 +17,13 @@
 
 using Json = nlohmann::json;
 
-std::string text_field(const Json& object, const char* name, bool must) {
+std::string text_field(const Json& object, const char* name, bool is_required) {
     const auto it = object.find(name);
     if (it == object.end() || it->is_null()) {
-        if (must) throw ConfigError(fmt::format("field {}: missing", name));
+        if (is_required) throw ConfigError(fmt::format("field {}: missing", name));
         return {};
     }
-    if (!it->is_string()) throw ConfigError(fmt::format("field {}: not text", name));
+    if (!it->is_string()) throw ConfigError(fmt::format("field {}: not a string", name));
     return it->get<std::string>();
 }
 
@@ -33,7 +33,7 @@
     if (it == object.end() || it->is_null()) return texts;
     if (!it->is_array()) throw ConfigError(fmt::format("field {}: not a list", name));
     for (const Json& item : *it) {
-        if (!item.is_string()) throw ConfigError(fmt::format("field {}: not a list of texts", name));
+        if (!item.is_string()) throw ConfigError(fmt::format("field {}: not a list of strings", name));
         texts.push_back(item.get<std::string>());
     }
     return texts;
@@ -53,7 +53,8 @@
     return it->get<double>();
 }
 
-// The list of servers is data, and its entries' fields are checked where it is read.
+// Paths of all fields below `object`. "known" is not descended into: the entries of the server list are
+// checked when they are parsed.
 std::set<std::string> field_names(const Json& object, const std::string& within) {
     std::set<std::string> fields;
     for (const auto& [name, value] : object.items()) {
@@ -78,11 +79,11 @@
     std::uint64_t seed = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
     if (error != std::errc{} || end != text.data() + text.size())
-        throw ConfigError("field seed: not a number in hex digits");
+        throw ConfigError("field seed: not a hexadecimal number");
     return seed;
 }
 
-// A name would be looked up at every new watch, and all clients would wait for that.
+// A host name would be resolved at each reconnect, which would block all clients.
 void check_discovery(const GatewayConfig& config) {
     if (!is_numeric_address(config.discovery_address))
         throw ConfigError("field discovery: not a numeric address with a port");
@@ -108,7 +109,7 @@
     for (const decision::ClassSettings& c : config.settings.classes) {
         if (c.name.empty()) throw ConfigError("field settings.classes.name: missing or empty");
         if (!names.insert(c.name).second)
-            throw ConfigError(fmt::format("field settings.classes.name: {} twice", c.name));
+            throw ConfigError(fmt::format("field settings.classes.name: {} is defined twice", c.name));
         if (c.give_up <= Duration(0))
             throw ConfigError(fmt::format("field settings.classes.hardLimit of {}: must be above 0", c.name));
     }
@@ -179,7 +180,7 @@
 GatewayConfig config_from_file() {
     const char* const path = std::getenv("EDGE_CONFIG");
     if (path == nullptr || *path == '\0')
-        throw ConfigError("EDGE_CONFIG is not set: it names the configuration");
+        throw ConfigError("EDGE_CONFIG is not set: it must name the configuration file");
     std::ifstream file(path, std::ios::binary);
     if (!file) throw ConfigError(fmt::format("{}: cannot be read", path));
     const std::string text(std::istreambuf_iterator<char>(file), {});
--- a/src/balancer/platform/host_directory.cpp
+++ b/src/balancer/platform/host_directory.cpp
@@ -17,11 +17,11 @@
 
 int index_of(const std::vector<std::string>& names, const std::string& name) {
     const auto it = std::find(names.begin(), names.end(), name);
-    // A name the settings do not hold is like no place of ours.
+    // A name that the settings lack gets an index that matches none of them.
     return it == names.end() ? static_cast<int>(names.size()) : static_cast<int>(it - names.begin());
 }
 
-bool parse_member(const Json& json, const LocationNames& places, HostMember& member) {
+bool parse_member(const Json& json, const LocationNames& locations, HostMember& member) {
     if (!json.is_object()) return false;
     const auto text = [&](const char* name, std::string& value) {
         const auto it = json.find(name);
@@ -37,21 +37,21 @@
     else return false;
     if (!text("host_port", member.address) && member.entry.state != HostState::Gone) return false;
     if (!member.address.empty() && !is_numeric_address(member.address)) return false;
-    if (text("locality", zone)) member.entry.zone = index_of(places.zones, zone);
-    if (text("flavor", kind)) member.entry.kind = index_of(places.kinds, kind);
+    if (text("locality", zone)) member.entry.zone = index_of(locations.zones, zone);
+    if (text("flavor", kind)) member.entry.kind = index_of(locations.kinds, kind);
     const auto number = [&](const char* name, double fallback) {
         const auto it = json.find(name);
         return it != json.end() && it->is_number() ? it->get<double>() : fallback;
     };
     member.entry.cell = static_cast<int>(std::clamp(number("cell", 0), 0.0, 1e9));
     member.entry.rating = number("size", 1.0);
-    // 0 means long ago, and stays 0.
+    // 0 means an unknown start long ago, and stays 0.
     const double since = std::clamp(number("up_since_ms", 0), 0.0, 9e12);
     member.entry.born = TimePoint(Duration(static_cast<std::int64_t>(since) * 1000));
     return true;
 }
 
-// FNV-1a: the same number at every gateway and after every start.
+// FNV-1a: the result is the same on all gateways and after each restart.
 std::uint32_t hash_text(std::string_view text) {
     std::uint32_t hash = 2166136261U;
     for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
@@ -60,7 +60,7 @@
 
 }    // namespace
 
-// A name would have to be looked up, and the whole gateway would wait for that.
+// Host names are rejected: resolving them would block the whole gateway.
 bool is_numeric_address(std::string_view text) {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos) return false;
@@ -69,13 +69,13 @@
     const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
     if (error != std::errc{} || end != port.data() + port.size() || number < 1 || number > 65535)
         return false;
-    const bool six = host.starts_with('[') && host.ends_with(']');
-    if (six) host = host.substr(1, host.size() - 2);
+    const bool is_ipv6 = host.starts_with('[') && host.ends_with(']');
+    if (is_ipv6) host = host.substr(1, host.size() - 2);
     in6_addr parsed{};
-    return inet_pton(six ? AF_INET6 : AF_INET, std::string(host).c_str(), &parsed) == 1;
+    return inet_pton(is_ipv6 ? AF_INET6 : AF_INET, std::string(host).c_str(), &parsed) == 1;
 }
 
-bool parse_member_list(std::string_view text, const LocationNames& places, HostMemberList& list,
+bool parse_member_list(std::string_view text, const LocationNames& locations, HostMemberList& list,
                        std::string& error) {
     const Json json = Json::parse(text, nullptr, false);
     const auto members = json.is_object() ? json.find("members") : json.end();
@@ -94,16 +94,17 @@
     list.complete = complete->get<bool>();
     for (const Json& item : *members) {
         HostMember member;
-        if (parse_member(item, places, member)) list.members.push_back(std::move(member));
+        if (parse_member(item, locations, member)) list.members.push_back(std::move(member));
         else ++list.skipped;
     }
-    // Numbers are given in this order, so that gateways agree however their lists are sorted.
+    // Host ids are assigned in this order, so that gateways agree however their lists are sorted.
     std::sort(list.members.begin(), list.members.end(),
               [](const HostMember& a, const HostMember& b) { return a.id < b.id; });
     return true;
 }
 
-// Two ids with the same hash must not become one server: the later one's is hashed again until it is free.
+// Two discovery ids with the same hash must not share a host id: the later one is rehashed until an id is
+// free.
 HostId HostDirectory::host_id_for(const std::string& id) {
     if (const auto it = host_ids_.find(id); it != host_ids_.end()) return it->second;
     HostId number{hash_text(id)};
@@ -144,7 +145,7 @@
     decision::HostEntry entry = host.listed_entry;
     if (entry.state == HostState::Healthy && ejected_since_.contains(host.id))
         entry.state = HostState::Draining;
-    // A list repeats that a server drains: its grace runs from when that was told first.
+    // Lists repeat that a server drains: its grace period starts with the first such list.
     if (entry.state == HostState::Healthy) host.unavailable_since = TimePoint{};
     else if (host.unavailable_since == TimePoint{}) host.unavailable_since = now;
     host.state = entry.state;
@@ -155,23 +156,23 @@
     const auto number = host_ids_.find(id);
     if (number == host_ids_.end() && !ejected_since_.contains(id)) return std::nullopt;
     ejected_since_.emplace(id, now);
-    decision::HostList told{ListKind::Delta, {}};
-    if (number != host_ids_.end()) told.hosts.push_back(resolve_state(hosts_.at(number->second), now));
-    return told;
+    decision::HostList change{ListKind::Delta, {}};
+    if (number != host_ids_.end()) change.hosts.push_back(resolve_state(hosts_.at(number->second), now));
+    return change;
 }
 
 std::optional<decision::HostList> HostDirectory::reinstate_host(const std::string& id, TimePoint now) {
     const auto number = host_ids_.find(id);
-    const auto out = ejected_since_.find(id);
-    if (number == host_ids_.end() && out == ejected_since_.end()) return std::nullopt;
-    decision::HostList told{ListKind::Delta, {}};
-    if (out == ejected_since_.end()) return told;
-    const TimePoint since = out->second;
-    ejected_since_.erase(out);
-    if (number == host_ids_.end()) return told;
-    told.hosts.push_back(resolve_state(hosts_.at(number->second), now));
-    if (told.hosts.back().born < since) told.hosts.back().born = now;
-    return told;
+    const auto ejection = ejected_since_.find(id);
+    if (number == host_ids_.end() && ejection == ejected_since_.end()) return std::nullopt;
+    decision::HostList change{ListKind::Delta, {}};
+    if (ejection == ejected_since_.end()) return change;
+    const TimePoint since = ejection->second;
+    ejected_since_.erase(ejection);
+    if (number == host_ids_.end()) return change;
+    change.hosts.push_back(resolve_state(hosts_.at(number->second), now));
+    if (change.hosts.back().born < since) change.hosts.back().born = now;
+    return change;
 }
 
 std::vector<EjectedHost> HostDirectory::ejected_hosts() const {
@@ -180,8 +181,8 @@
     return all;
 }
 
-void HostDirectory::restore_ejected(const std::vector<EjectedHost>& out) {
-    for (const EjectedHost& o : out) ejected_since_.emplace(o.id, o.ejected_at);
+void HostDirectory::restore_ejected(const std::vector<EjectedHost>& ejected) {
+    for (const EjectedHost& host : ejected) ejected_since_.emplace(host.id, host.ejected_at);
 }
 
 std::size_t HostDirectory::listed_count() const {
@@ -204,7 +205,7 @@
 bool HostDirectory::may_send_to(HostId host, TimePoint now) const {
     const Host* const known = find_host(host);
     if (known == nullptr) return false;
-    // Half of the grace, so that a byte that leaves late is still in time.
+    // Only half of the grace period, so that a delayed byte still arrives within it.
     return known->state == HostState::Healthy || now - known->unavailable_since < drain_grace_ / 2;
 }
 
--- a/src/balancer/platform/host_directory.h
+++ b/src/balancer/platform/host_directory.h
@@ -35,11 +35,11 @@
     std::vector<HostMember> members;
 };
 
-// Whether the text is like "10.1.0.18:3000" or "[::1]:3000".
+// Whether the text is a numeric address with a port, like "10.1.0.18:3000" or "[::1]:3000".
 bool is_numeric_address(std::string_view text);
 
 // False, with the reason in `error`, if the text is not a list. Malformed entries are skipped.
-bool parse_member_list(std::string_view text, const LocationNames& places, HostMemberList& list,
+bool parse_member_list(std::string_view text, const LocationNames& locations, HostMemberList& list,
                        std::string& error);
 
 // A server that an operator ejected.
@@ -74,9 +74,9 @@
     std::optional<decision::HostList> eject_host(const std::string& id, TimePoint now);
     std::optional<decision::HostList> reinstate_host(const std::string& id, TimePoint now);
     std::vector<EjectedHost> ejected_hosts() const;
-    void restore_ejected(const std::vector<EjectedHost>& out);    // before any list
-    std::size_t ejected_count() const;                            // listed servers only
-    std::size_t listed_count() const;                             // without removed ones
+    void restore_ejected(const std::vector<EjectedHost>& ejected);    // before any list
+    std::size_t ejected_count() const;                                // listed servers only
+    std::size_t listed_count() const;                                 // without removed ones
 
 private:
     decision::HostId host_id_for(const std::string& id);
--- a/src/balancer/platform/messages.cpp
+++ b/src/balancer/platform/messages.cpp
@@ -18,14 +18,14 @@
 
 constexpr double kMaxReportedLoad = 1e6;
 constexpr int kServedStatus = 200, kRejectedStatus = 429, kFailedStatus = 502;
-// Of what clients send.
+// Limits of client requests.
 constexpr std::size_t kMaxHeadSize = 16 * 1024, kMaxHeaders = 100, kMaxBodySize = 64 * 1024 * 1024;
-// From connecting, or from a request's first byte, until its head is whole: two seconds, and some for the
-// way.
+// From connecting, or from a request's first byte, until its head is complete: two seconds, plus network
+// delay.
 constexpr Duration kRequestHeadTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kIdleAfterFirstRequest =
-    std::chrono::seconds(2);    // a client that asked one thing and nothing since
-constexpr Duration kKeepAliveTimeout = std::chrono::seconds(60);    // one that has asked more
+    std::chrono::seconds(2);                                        // after the first request of a connection
+constexpr Duration kKeepAliveTimeout = std::chrono::seconds(60);    // after further requests
 constexpr std::uint64_t kCustomerIdLimit = 1ULL << 33;
 constexpr std::size_t kMaxIdLength = 256;
 constexpr std::size_t kMaxReservationLength = 64;
@@ -36,29 +36,29 @@
     return error == std::errc{} && end == text.data() + text.size() && !text.empty();
 }
 
-// Calls `take` with each name=value of a list; false where one has no '='.
-template <class Take>
-bool for_each_pair(std::string_view text, char separator, Take take) {
+// Calls `handle_pair` with each name=value of a list; false if an item has no '='.
+template <class Handler>
+bool for_each_pair(std::string_view text, char separator, Handler handle_pair) {
     while (!text.empty()) {
         const std::size_t end = std::min(text.find(separator), text.size());
         const std::string_view item = http::trim(text.substr(0, end));
         text.remove_prefix(std::min(end + 1, text.size()));
         const std::size_t equals = item.find('=');
         if (equals == std::string_view::npos) return false;
-        take(http::trim(item.substr(0, equals)), http::trim(item.substr(equals + 1)));
+        handle_pair(http::trim(item.substr(0, equals)), http::trim(item.substr(equals + 1)));
     }
     return true;
 }
 
 bool parse_customer(std::string_view cookie, decision::CustomerId& customer) {
     std::string_view value;
-    int named = 0;
-    for_each_pair(cookie, ';', [&](std::string_view name, std::string_view v) {
+    int occurrences = 0;
+    for_each_pair(cookie, ';', [&](std::string_view name, std::string_view pair_value) {
         if (name != "customer") return;
-        value = v;
-        ++named;
+        value = pair_value;
+        ++occurrences;
     });
-    if (named != 1) return false;
+    if (occurrences != 1) return false;
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number, 16);
     if (value.size() != 16 || error != std::errc{} || end != value.data() + value.size()) return false;
@@ -67,19 +67,20 @@
     return true;
 }
 
-// What no request can draw, or no set be, is refused here: in the module it would move a customer's store.
-bool parse_terms(std::string_view text, const decision::Settings& settings, IncomingRequest& arrival) {
-    int units = 0, spread = 0, first = 0;    // how often each was given; once is right
-    constexpr int kUnread = 2;
+// Rejects units that no quota allows and impossible gateway sets: in the decision module these would assign
+// the customer's quota to other gateways.
+bool parse_terms(std::string_view text, const decision::Settings& settings, IncomingRequest& request) {
+    int units = 0, spread = 0, first = 0;    // occurrences of each; must be 1
+    constexpr int kMalformed = 2;
     const bool pairs = for_each_pair(text, ',', [&](std::string_view name, std::string_view value) {
-        if (name == "units") units += parse_number(value, arrival.units) ? 1 : kUnread;
-        else if (name == "spread") spread += parse_number(value, arrival.gateway_set_size) ? 1 : kUnread;
-        else if (name == "first") first += parse_number(value, arrival.first_gateway_index) ? 1 : kUnread;
+        if (name == "units") units += parse_number(value, request.units) ? 1 : kMalformed;
+        else if (name == "spread") spread += parse_number(value, request.gateway_set_size) ? 1 : kMalformed;
+        else if (name == "first") first += parse_number(value, request.first_gateway_index) ? 1 : kMalformed;
     });
-    return pairs && units == 1 && spread == 1 && first == 1 && arrival.units > 0.0 &&
-           arrival.units <= std::max(1.0, settings.most_units) && arrival.gateway_set_size >= 1 &&
-           arrival.gateway_set_size <= settings.gateways && arrival.first_gateway_index >= 0 &&
-           arrival.first_gateway_index < settings.gateways;
+    return pairs && units == 1 && spread == 1 && first == 1 && request.units > 0.0 &&
+           request.units <= std::max(1.0, settings.most_units) && request.gateway_set_size >= 1 &&
+           request.gateway_set_size <= settings.gateways && request.first_gateway_index >= 0 &&
+           request.first_gateway_index < settings.gateways;
 }
 
 template <class Items>
@@ -114,7 +115,7 @@
     LoadReport report;
     for_each_pair(text, ',', [&](std::string_view name, std::string_view value) {
         double number = 0.0;
-        // Nothing measured is below zero or beyond all measure: such a figure is no figure.
+        // Negative and implausibly large values are ignored like malformed ones.
         if (!parse_number(value, number) || !(number >= 0.0 && number <= kMaxReportedLoad)) return;
         const auto known = kNames.find(name);
         report.emplace(known == kNames.end() ? name : known->second, number);
@@ -130,19 +131,19 @@
 std::variant<IncomingRequest, ImmediateRejection> read_request(const http::Parser& parser,
                                                                const http::Buffer& buffer,
                                                                const GatewayConfig& config) {
-    IncomingRequest arrival;
+    IncomingRequest request;
     const std::string_view method = parser.method(buffer), target = parser.target(buffer);
-    const int place = index_of(config.settings.classes, first_segment(target));
-    if (place < 0) return ImmediateRejection{404, "unknown class of requests"};
-    const auto at = static_cast<std::size_t>(place);
-    const auto& cls = config.settings.classes[at];
-    arrival.class_index = config.engine_class_indexes[at];
-    // The class fixes the method; another one would promise something else about being repeated.
+    const int class_position = index_of(config.settings.classes, first_segment(target));
+    if (class_position < 0) return ImmediateRejection{404, "unknown class of requests"};
+    const auto class_index = static_cast<std::size_t>(class_position);
+    const auto& cls = config.settings.classes[class_index];
+    request.class_index = config.engine_class_indexes[class_index];
+    // The class determines the method: another method would imply other guarantees about repetition.
     const bool safe = cls.repeat == decision::Repeat::Safe;
     if (method != (safe ? "GET" : "POST")) return ImmediateRejection{405, "this class takes another method"};
-    arrival.is_streaming = config.streams_by_class[at];
+    request.is_streaming = config.streams_by_class[class_index];
 
-    // Given twice, another reader might go by the other one.
+    // Rejects duplicates: the server might use the other value.
     for (const std::string_view name : {kRequestIdHeader, kIdempotencyKeyHeader, kPlanHeader, kTermsHeader,
                                         kTimeLeftHeader, kCookieHeader, kHostHeader}) {
         if (parser.header_count(buffer, name) > 1)
@@ -155,28 +156,28 @@
     if (safe && !parser.body(buffer).empty()) return ImmediateRejection{400, "this class takes no body"};
     if (cls.repeat == decision::Repeat::Keyed && key.empty())
         return ImmediateRejection{400, "no idempotency key"};
-    arrival.plan_index = index_of(config.settings.plans, parser.header(buffer, kPlanHeader));
-    if (arrival.plan_index < 0) return ImmediateRejection{400, "unknown plan"};
-    if (!parse_customer(parser.header(buffer, kCookieHeader), arrival.customer))
+    request.plan_index = index_of(config.settings.plans, parser.header(buffer, kPlanHeader));
+    if (request.plan_index < 0) return ImmediateRejection{400, "unknown plan"};
+    if (!parse_customer(parser.header(buffer, kCookieHeader), request.customer))
         return ImmediateRejection{400, "no customer, or a malformed one"};
-    if (!parse_terms(parser.header(buffer, kTermsHeader), config.settings, arrival))
+    if (!parse_terms(parser.header(buffer, kTermsHeader), config.settings, request))
         return ImmediateRejection{400, "malformed call terms"};
     if (config.reservations_enabled) {
         if (parser.header_count(buffer, kReservationHeader) > 1)
             return ImmediateRejection{400, "a header that may come once came twice"};
-        arrival.reservation_id = parser.header(buffer, kReservationHeader);
-        if (arrival.reservation_id.size() > kMaxReservationLength)
+        request.reservation_id = parser.header(buffer, kReservationHeader);
+        if (request.reservation_id.size() > kMaxReservationLength)
             return ImmediateRejection{400, "too long a reservation"};
     }
-    arrival.time_budget = cls.give_up;
+    request.time_budget = cls.give_up;
     if (const std::string_view left = parser.header(buffer, kTimeLeftHeader);
-        !left.empty() && !parse_time_left(left, arrival.time_budget)) {
+        !left.empty() && !parse_time_left(left, request.time_budget)) {
         return ImmediateRejection{400, "malformed time left"};
     }
-    // No client waits longer than its class says; a stop counts on that.
-    if (cls.give_up > Duration(0)) arrival.time_budget = std::min(arrival.time_budget, cls.give_up);
+    // Bounded by the deadline of the class, which bounds the duration of a shutdown.
+    if (cls.give_up > Duration(0)) request.time_budget = std::min(request.time_budget, cls.give_up);
 
-    std::string& head = arrival.payload.head;
+    std::string& head = request.payload.head;
     head.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
     const auto add = [&](std::string_view name, std::string_view value) {
         if (!value.empty()) head.append(name).append(": ").append(value).append("\r\n");
@@ -185,12 +186,12 @@
     add(kRequestIdHeader, id);
     add(kIdempotencyKeyHeader, key);
     add(kContentTypeHeader, parser.header(buffer, kContentTypeHeader));
-    if (safe) return arrival;
-    if (parser.is_complete()) arrival.payload.body = parser.body(buffer);
+    if (safe) return request;
+    if (parser.is_complete()) request.payload.body = parser.body(buffer);
     if (const auto length = parser.content_length(); parser.is_complete() || length)
-        add("Content-Length", std::to_string(length.value_or(arrival.payload.body.size())));
+        add("Content-Length", std::to_string(length.value_or(request.payload.body.size())));
     else add("Transfer-Encoding", "chunked");
-    return arrival;
+    return request;
 }
 
 std::string_view correlation_id(const http::Parser& parser, const http::Buffer& buffer) {
@@ -216,7 +217,7 @@
 Outcome outcome_of(const http::Parser& parser, const http::Buffer& buffer) {
     const int status = parser.status_code();
     if (status == 200) return Outcome::Ok;
-    // Only the server's own word proves that it never ran.
+    // Only this header of the server proves that the request was not executed.
     if ((status == 503 || status == 504) && parser.header(buffer, kUnprocessedHeader) == "1")
         return Outcome::Full;
     return Outcome::Error;
@@ -227,12 +228,13 @@
 }
 
 double settled_units_of(const http::Parser& parser, const http::Buffer& buffer) {
-    const std::size_t given = parser.header_count(buffer, kCostUnitsHeader);
-    if (given == 0) return kUnitsUnreported;
+    const std::size_t header_count = parser.header_count(buffer, kCostUnitsHeader);
+    if (header_count == 0) return kUnitsUnreported;
     double units = 0.0;
-    // Given twice, either might be the true one. How many units may be told is the engine's to judge.
-    const bool read = given == 1 && parse_number(http::trim(parser.header(buffer, kCostUnitsHeader)), units);
-    return read && units > 0.0 ? units : kUnitsMalformed;
+    // With several headers the right one is unknown. The engine checks the range of the units.
+    const bool is_parsed =
+        header_count == 1 && parse_number(http::trim(parser.header(buffer, kCostUnitsHeader)), units);
+    return is_parsed && units > 0.0 ? units : kUnitsMalformed;
 }
 
 Payload answer_of(const http::Parser& parser, const http::Buffer& buffer, bool with_body) {
@@ -249,7 +251,7 @@
     return fmt::format("Retry-After: {:.3f}\r\n", std::chrono::duration<double>(wait).count());
 }
 
-// ---- as the parts on sockets ask for it ----
+// ---- interfaces of the data plane ----
 
 bool PlatformRequestMapping::is_readiness_check(const http::Parser& parser,
                                                 const http::Buffer& buffer) const {
@@ -264,17 +266,17 @@
                          std::string(correlation_id(parser, buffer))};
 }
 
-ImmediateRejection PlatformRequestMapping::map_parse_error(http::ParseError fault) const {
-    if (fault == http::ParseError::BodyTooLarge) return {413, "body over 64 MiB"};
-    return rejection_for(fault);
+ImmediateRejection PlatformRequestMapping::map_parse_error(http::ParseError error) const {
+    if (error == http::ParseError::BodyTooLarge) return {413, "body over 64 MiB"};
+    return rejection_for(error);
 }
 
 http::Limits PlatformRequestMapping::parser_limits() const {
     return {kMaxHeadSize, kMaxBodySize, kMaxHeaders};
 }
 Duration PlatformRequestMapping::header_timeout() const { return kRequestHeadTimeout; }
-Duration PlatformRequestMapping::idle_timeout(std::uint64_t asked) const {
-    return asked == 1 ? kIdleAfterFirstRequest : kKeepAliveTimeout;
+Duration PlatformRequestMapping::idle_timeout(std::uint64_t request_count) const {
+    return request_count == 1 ? kIdleAfterFirstRequest : kKeepAliveTimeout;
 }
 GatewayAnswer PlatformRequestMapping::rejection_answer(RejectionReason, Duration wait) const {
     return {kRejectedStatus, format_retry_after(wait)};
--- a/src/balancer/platform/messages.h
+++ b/src/balancer/platform/messages.h
@@ -53,12 +53,12 @@
     std::variant<MappedRequest, ImmediateRejection> map_request(const http::Parser& parser,
                                                                 const http::Buffer& buffer,
                                                                 TimePoint now) override;
-    ImmediateRejection map_parse_error(http::ParseError fault) const override;
+    ImmediateRejection map_parse_error(http::ParseError error) const override;
     http::Limits parser_limits() const override;
     Duration header_timeout() const override;
-    Duration idle_timeout(std::uint64_t asked) const override;
-    GatewayAnswer rejection_answer(RejectionReason why, Duration wait) const override;
-    GatewayAnswer failure_answer(FailureReason why) const override;
+    Duration idle_timeout(std::uint64_t request_count) const override;
+    GatewayAnswer rejection_answer(RejectionReason reason, Duration wait) const override;
+    GatewayAnswer failure_answer(FailureReason reason) const override;
 
 private:
     const GatewayConfig& config_;
@@ -69,9 +69,9 @@
 public:
     std::string write_request(const Payload& request, HostId host, Duration left) const override;
     std::string write_health_check(HostId host, std::string_view address) const override;
-    Outcome outcome_of(const ExchangeContext& asked, const http::Parser& parser,
+    Outcome outcome_of(const ExchangeContext& exchange, const http::Parser& parser,
                        const http::Buffer& buffer) const override;
-    bool is_forwardable(const ExchangeContext& asked, const http::Parser& parser,
+    bool is_forwardable(const ExchangeContext& exchange, const http::Parser& parser,
                         const http::Buffer& buffer) const override;
     LoadReport load_report_of(const http::Parser& parser, const http::Buffer& buffer) const override;
     Payload answer_of(const http::Parser& parser, const http::Buffer& buffer, bool with_body) const override;
--- a/src/balancer/platform/peer_socket.cpp
+++ b/src/balancer/platform/peer_socket.cpp
@@ -8,8 +8,7 @@
 namespace shaletray {
 namespace {
 
-constexpr int kMaxDatagramsPerEvent =
-    64;    // of mail in one go, so that a flood does not keep clients waiting
+constexpr int kMaxDatagramsPerEvent = 64;    // so that a flood of datagrams does not delay clients
 
 }    // namespace
 
@@ -45,7 +44,7 @@
     const auto number = static_cast<std::int32_t>(recipient);
     const bool is_known =
         number < 0 ? has_broadcast_address_ : static_cast<std::size_t>(number) < peers_.size();
-    // Mail may be lost in any case: what cannot be sent now is not kept.
+    // Datagrams may be lost anyway: one that cannot be sent now is dropped.
     if (!is_open_ || !is_known || bytes.size() > kMaxDatagramSize) {
         ++counters_.peer_send_failed;
         return;
@@ -61,14 +60,14 @@
 }
 
 void PeerSocket::on_readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-    std::array<std::uint8_t, kMaxDatagramSize + 1> bytes{};    // one more shows what is too long
+    std::array<std::uint8_t, kMaxDatagramSize + 1> bytes{};    // one more, to detect oversized datagrams
     for (int count = 0; count < kMaxDatagramsPerEvent; ++count) {
         Poco::Net::SocketAddress from;
         int length = -1;
         try {
             length = socket_.receiveFrom(bytes.data(), static_cast<int>(bytes.size()), from);
         } catch (const Poco::Exception&) {
-            continue;    // what an earlier datagram met on its way; the next call reads on
+            continue;    // the error of an earlier datagram; the next call continues
         }
         if (length < 0) break;
         const auto found = peer_ids_.find(from);
--- a/tests/balancer/platform/platform_test.cpp
+++ b/tests/balancer/platform/platform_test.cpp
@@ -1,4 +1,4 @@
-// What this platform's configuration, lists and headers mean, by tables of cases.
+// Tests of parsing the platform's configuration, server lists and HTTP headers, with tables of cases.
 #include <gtest/gtest.h>
 
 #include "balancer/platform/gateway_config.h"
@@ -14,20 +14,20 @@
 using test::config_text;
 using test::member;
 
-const GatewayConfig& site() {
+const GatewayConfig& test_config() {
     static const GatewayConfig kConfig = parse_config(config_text("127.0.0.1:1"));
     return kConfig;
 }
 
 // The status that the request is rejected with, or 0.
-int status_of(const std::string& start, const std::string& headers, IncomingRequest* arrival = nullptr) {
+int status_of(const std::string& start, const std::string& headers, IncomingRequest* request = nullptr) {
     http::Parser parser(http::Parser::Kind::Request);
     http::Buffer buffer;
     buffer.append(start + " HTTP/1.1\r\n" + headers + "\r\nab");
     if (parser.parse(buffer) != http::ParseStatus::Complete) return -1;
-    auto read = read_request(parser, buffer, site());
+    auto read = read_request(parser, buffer, test_config());
     if (const auto* rejection = std::get_if<ImmediateRejection>(&read)) return rejection->status_code;
-    if (arrival != nullptr) *arrival = std::get<IncomingRequest>(std::move(read));
+    if (request != nullptr) *request = std::get<IncomingRequest>(std::move(read));
     return 0;
 }
 
@@ -35,7 +35,7 @@
                   kCookie = "Cookie: a=b; customer=00000000b4d65521\r\n",
                   kTerms = "X-Call-Terms: units=2,spread=1,first=0\r\n", kLeft = "X-Time-Left: 480m\r\n";
 
-TEST(Requests, AreReadOrRejected) {
+TEST(Requests, AreParsedOrRejected) {
     const std::string all = kId + kPlan + kCookie + kTerms + kLeft;
     const struct {
         std::string start, headers;
@@ -81,36 +81,36 @@
         EXPECT_EQ(status_of(c.start, c.headers), c.status) << c.start << "\n" << c.headers;
 }
 
-TEST(Requests, PassOnWhatTheServerNeeds) {
-    IncomingRequest arrival;
-    ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &arrival), 0);
-    EXPECT_EQ(arrival.customer, decision::CustomerId{0xb4d65521});
-    EXPECT_EQ(arrival.plan_index, 1);
-    EXPECT_EQ(arrival.units, 2.0);
-    EXPECT_EQ(arrival.time_budget, 480ms);
-    ASSERT_EQ(status_of("GET /read", kId + kPlan + kCookie + kTerms + "X-Time-Left: 9000m\r\n", &arrival), 0);
-    EXPECT_EQ(arrival.time_budget, 2000ms);    // what its class waits at most
-    ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &arrival), 0);
-    EXPECT_EQ(write_request(arrival.payload, 100us),
+TEST(Requests, CarryWhatTheServerNeeds) {
+    IncomingRequest request;
+    ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &request), 0);
+    EXPECT_EQ(request.customer, decision::CustomerId{0xb4d65521});
+    EXPECT_EQ(request.plan_index, 1);
+    EXPECT_EQ(request.units, 2.0);
+    EXPECT_EQ(request.time_budget, 480ms);
+    ASSERT_EQ(status_of("GET /read", kId + kPlan + kCookie + kTerms + "X-Time-Left: 9000m\r\n", &request), 0);
+    EXPECT_EQ(request.time_budget, 2000ms);    // the limit of its class
+    ASSERT_EQ(status_of("GET /read/x?y=1", kId + kPlan + kCookie + kTerms + kLeft, &request), 0);
+    EXPECT_EQ(write_request(request.payload, 100us),
               "GET /read/x?y=1 HTTP/1.1\r\nX-Correlation-Id: 9b\r\nX-Time-Left: 100u\r\n\r\n");
 }
 
-TEST(Texts, TimeLeft) {
+TEST(Parsing, TimeLeft) {
     const struct {
         const char* text;
-        bool good;
-        Duration left;
+        bool is_valid;
+        Duration time_left;
     } cases[] = {{"480m", true, 480ms}, {"15u", true, 15us}, {"1.5m", true, 1500us}, {"0m", true, 0us},
                  {"", false, {}},       {"480", false, {}},  {"m", false, {}},       {"-1m", false, {}},
                  {"1s", false, {}},     {"nanm", false, {}}, {"1e30m", false, {}},   {"4 m", false, {}}};
     for (const auto& c : cases) {
-        Duration left{0};
-        EXPECT_EQ(parse_time_left(c.text, left), c.good) << c.text;
-        EXPECT_EQ(left, c.left) << c.text;    // what is no time leaves it alone
+        Duration time_left{0};
+        EXPECT_EQ(parse_time_left(c.text, time_left), c.is_valid) << c.text;
+        EXPECT_EQ(time_left, c.time_left) << c.text;    // invalid texts leave the value unchanged
     }
 }
 
-TEST(Texts, LoadReport) {
+TEST(Parsing, LoadReport) {
     EXPECT_EQ(parse_load("inflight=7, util=0.61,latency_ms=14.5,new=1"),
               (LoadReport{{"outstanding", 7}, {"utilization", 0.61}, {"recent_ms", 14.5}, {"new", 1}}));
     EXPECT_EQ(parse_load("inflight=x,util=nan,queue=2"), (LoadReport{{"backlog", 2}}));
@@ -118,7 +118,7 @@
     EXPECT_EQ(parse_load("inflight=-3,util=1e300,queue=2"), (LoadReport{{"backlog", 2}}));
 }
 
-TEST(Answers, OutcomesFollowTheProtocolsTable) {
+TEST(Answers, StatusAndHeadersDetermineTheOutcome) {
     const struct {
         const char *status, *headers;
         Outcome outcome;
@@ -141,7 +141,7 @@
     EXPECT_EQ(format_retry_after(0ms), "");
 }
 
-TEST(Answers, TrueUnitsAreReadOrTheGuessStands) {
+TEST(Answers, ReportedUnitsAreParsedOrMalformed) {
     const std::pair<const char*, double> cases[] = {
         {"", kUnitsUnreported},
         {"X-Cost-Units: 3\r\n", 3.0},
@@ -159,8 +159,8 @@
     }
 }
 
-TEST(Configuration, FaultsAreNamed) {
-    const std::string good = config_text("127.0.0.1:1");
+TEST(Configuration, ErrorsNameTheField) {
+    const std::string valid_text = config_text("127.0.0.1:1");
     const struct {
         std::string from, to, expected;
     } cases[] = {{"{", "[", "not a JSON object"},
@@ -173,7 +173,7 @@
                  {"[\"127.0.0.1:9\"]", "[\"a\",\"b\"]", "peers"},
                  {"\"members\":[]", "\"members\":1", "known"}};
     for (const auto& c : cases) {
-        std::string text = good;
+        std::string text = valid_text;
         text.replace(text.find(c.from), c.from.size(), c.to);
         try {
             parse_config(text);
@@ -182,7 +182,7 @@
             EXPECT_NE(std::string(error.what()).find(c.expected), std::string::npos) << error.what();
         }
     }
-    EXPECT_EQ(parse_config(good).seed, 0x8c1fU);
+    EXPECT_EQ(parse_config(valid_text).seed, 0x8c1fU);
 }
 
 HostMemberList list_of(const std::string& members, bool complete = true) {
@@ -190,11 +190,11 @@
     std::string error;
     const std::string text = std::string(R"({"revision":4,"complete":)") + (complete ? "true" : "false") +
                              R"(,"members":[)" + members + "]}";
-    EXPECT_TRUE(parse_member_list(text, site().locations, list, error)) << error;
+    EXPECT_TRUE(parse_member_list(text, test_config().locations, list, error)) << error;
     return list;
 }
 
-TEST(Lists, AreReadAndWhatCannotBeIsSkipped) {
+TEST(Lists, AreParsedAndMalformedEntriesAreSkipped) {
     const HostMemberList list = list_of(member("a", "127.0.0.1:1", "in_service", 1234) + R"(,{"id":"b"},7,)" +
                                         member("c", "name:1") + "," + member("d", "127.0.0.1:0"));
     ASSERT_EQ(list.members.size(), 1U);
@@ -203,16 +203,17 @@
     EXPECT_EQ(list.members[0].entry.zone, 1);
     EXPECT_EQ(list.members[0].entry.kind, 1);
     EXPECT_EQ(list_of(member("a", "127.0.0.1:1")).members[0].entry.born, TimePoint{});
-    HostMemberList unread;
+    HostMemberList ignored;
     std::string error;
     for (const char* bad : {"", "x", "[]", "{}", R"({"revision":1,"complete":true})",
                             R"({"revision":"1","complete":true,"members":[]})"}) {
-        EXPECT_FALSE(parse_member_list(bad, site().locations, unread, error)) << bad;
+        EXPECT_FALSE(parse_member_list(bad, test_config().locations, ignored, error)) << bad;
     }
 }
 
-TEST(Lists, NumbersAreTheSameEverywhereAndNeverShared) {
-    // These two hash alike; the order in a list must not decide who gets which number.
+TEST(Lists, HostIdsAgreeOnAllGatewaysAndAreUnique) {
+    // These two ids have the same hash; the order of a list must not determine which server gets which host
+    // id.
     const std::string one = member("costarring", "127.0.0.1:1"), other = member("liquid", "[::1]:2");
     HostDirectory a(250ms), b(250ms);
     const auto x = a.apply_list(list_of(one + "," + other), ListKind::Full, {});
@@ -223,21 +224,22 @@
         EXPECT_EQ(a.find_host(x.hosts[i].host)->id, b.find_host(x.hosts[i].host)->id);
 }
 
-TEST(Lists, NoFirstByteGoesToADrainedOrRemovedServerAfterTheGrace) {
+TEST(Lists, DrainedOrRemovedServersGetNothingAfterTheGracePeriod) {
     HostDirectory hosts(250ms);
     const TimePoint start(100s);
     const HostId a =
         hosts.apply_list(list_of(member("a", "127.0.0.1:1")), ListKind::Full, start).hosts[0].host;
     EXPECT_TRUE(hosts.may_send_to(a, start + 9s));
-    const HostMemberList drains = list_of(member("a", "127.0.0.1:1", "terminating"), false);
-    hosts.apply_list(drains, ListKind::Delta, start + 1s);
+    const HostMemberList draining_list = list_of(member("a", "127.0.0.1:1", "terminating"), false);
+    hosts.apply_list(draining_list, ListKind::Delta, start + 1s);
     EXPECT_TRUE(hosts.may_send_to(a, start + 1s + 50ms));
-    hosts.apply_list(drains, ListKind::Delta,
-                     start + 1s + 200ms);    // told again: the grace does not begin anew
+    hosts.apply_list(draining_list, ListKind::Delta,
+                     start + 1s + 200ms);    // listed again: the grace period does not restart
     EXPECT_FALSE(hosts.may_send_to(a, start + 1s + 240ms));
     hosts.apply_list(list_of(member("a", "127.0.0.1:1")), ListKind::Full, start + 2s);
     EXPECT_TRUE(hosts.may_send_to(a, start + 9s));
-    hosts.apply_list(list_of(""), ListKind::Full, start + 10s);    // a complete list removes what it lacks
+    hosts.apply_list(list_of(""), ListKind::Full,
+                     start + 10s);    // a full list removes servers that it lacks
     EXPECT_FALSE(hosts.may_send_to(a, start + 10s));
     EXPECT_EQ(hosts.size(), 0U);
 }
