--- a/src/balancer/command/completion.cpp
+++ b/src/balancer/command/completion.cpp
@@ -7,21 +7,21 @@
 namespace shaletray::command {
 
 std::vector<std::string> completion_candidates(const CLI::App& app, const std::vector<std::string>& words) {
-    const CLI::App* at = &app;
+    const CLI::App* current = &app;
     for (const std::string& word : words) {
-        // Options and their values choose no sub-command.
-        for (const CLI::App* sub : at->get_subcommands([](const CLI::App*) { return true; }))
+        // Options and their values select no sub-command.
+        for (const CLI::App* sub : current->get_subcommands([](const CLI::App*) { return true; }))
             if (sub->get_name() == word) {
-                at = sub;
+                current = sub;
                 break;
             }
     }
-    std::vector<std::string> out;
-    for (const CLI::App* sub : at->get_subcommands([](const CLI::App*) { return true; }))
-        out.push_back(sub->get_name());
-    for (const CLI::Option* option : at->get_options())
-        for (const std::string& name : option->get_lnames()) out.push_back("--" + name);
-    return out;
+    std::vector<std::string> candidates;
+    for (const CLI::App* sub : current->get_subcommands([](const CLI::App*) { return true; }))
+        candidates.push_back(sub->get_name());
+    for (const CLI::Option* option : current->get_options())
+        for (const std::string& name : option->get_lnames()) candidates.push_back("--" + name);
+    return candidates;
 }
 
 bool run_completion(const CLI::App& app, int argc, char** argv) {
--- a/src/balancer/control_socket/control_server.cpp
+++ b/src/balancer/control_socket/control_server.cpp
@@ -9,13 +9,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxConnections = 8;    // descriptors are for clients
+constexpr std::size_t kMaxConnections = 8;    // most descriptors are kept for clients
 constexpr Duration kIdleTimeout = 10s;
 
 class CommandProtocol : public LineProtocol {
 public:
-    CommandProtocol(PlanCommandHandler& office, const Clock& clock, std::uint64_t& asked)
-        : command_handler_(office), clock_(clock), commands_received_(asked) {}
+    CommandProtocol(PlanCommandHandler& command_handler, const Clock& clock, std::uint64_t& commands_received)
+        : command_handler_(command_handler), clock_(clock), commands_received_(commands_received) {}
     NextStep process_input(http::Buffer& in, std::string& out) override {
         while (true) {
             const std::string_view bytes = in.unread();
@@ -39,8 +39,8 @@
 
 }    // namespace
 
-ControlServer::ControlServer(PlanCommandHandler office, Reactor& reactor, std::string path, int mode)
-    : command_handler_(std::move(office)), path_(std::move(path)) {
+ControlServer::ControlServer(PlanCommandHandler command_handler, Reactor& reactor, std::string path, int mode)
+    : command_handler_(std::move(command_handler)), path_(std::move(path)) {
     const Clock& clock = reactor.clock();
     line_server_ = std::make_unique<LineProtocolServer>(
         reactor, listen_at(path_, mode, static_cast<int>(kMaxConnections)),
--- a/src/balancer/control_socket/control_server.h
+++ b/src/balancer/control_socket/control_server.h
@@ -15,7 +15,7 @@
 public:
     // Replaces a socket that a dead process left behind. Throws std::runtime_error if another process listens
     // there, and Poco::Exception if the path cannot be used.
-    ControlServer(PlanCommandHandler office, Reactor& reactor, std::string path, int mode);
+    ControlServer(PlanCommandHandler command_handler, Reactor& reactor, std::string path, int mode);
     ~ControlServer();
     ControlServer(const ControlServer&) = delete;
     ControlServer& operator=(const ControlServer&) = delete;
--- a/src/balancer/control_socket/plan_command_handler.cpp
+++ b/src/balancer/control_socket/plan_command_handler.cpp
@@ -14,30 +14,31 @@
     return {{"ok", false}, {"why", why}, {"text", text}};
 }
 
-Json terms_to_json(const plans::EffectivePlan& f) {
-    return {{"plan", f.plan_name},
-            {"version", f.terms_version},
-            {"assigned", f.assignment_version},
-            {"rate", f.terms.rate},
-            {"burst", f.terms.burst},
-            {"ceiling_rate", f.terms.ceiling_rate},
-            {"ceiling_burst", f.terms.ceiling_burst}};
+Json terms_to_json(const plans::EffectivePlan& plan_terms) {
+    return {{"plan", plan_terms.plan_name},
+            {"version", plan_terms.terms_version},
+            {"assigned", plan_terms.assignment_version},
+            {"rate", plan_terms.terms.rate},
+            {"burst", plan_terms.terms.burst},
+            {"ceiling_rate", plan_terms.terms.ceiling_rate},
+            {"ceiling_burst", plan_terms.terms.ceiling_burst}};
 }
 
-Json reservation_to_json(const plans::Reservation& r, const plans::PlanService& desk, TimePoint now) {
-    const auto redeemed = desk.redeemed_units().find(r.version);
-    return {{"id", r.definition.reservation_id},
-            {"version", r.version},
-            {"customer", plans::format_customer(r.definition.customer)},
-            {"units", r.definition.units},
-            {"carved", r.reserved_units(now)},
-            {"redeemed_here", redeemed == desk.redeemed_units().end() ? 0.0 : redeemed->second},
-            {"from", plans::format_time(r.definition.starts_at)},
-            {"until", plans::format_time(r.ends_at)},
-            {"state", now >= r.ends_at     ? "over"
-                      : r.is_open(now)     ? "open"
-                      : now >= r.starts_at ? "carving"
-                                           : "ahead"}};
+Json reservation_to_json(const plans::Reservation& reservation, const plans::PlanService& plan_service,
+                         TimePoint now) {
+    const auto redeemed = plan_service.redeemed_units().find(reservation.version);
+    return {{"id", reservation.definition.reservation_id},
+            {"version", reservation.version},
+            {"customer", plans::format_customer(reservation.definition.customer)},
+            {"units", reservation.definition.units},
+            {"carved", reservation.reserved_units(now)},
+            {"redeemed_here", redeemed == plan_service.redeemed_units().end() ? 0.0 : redeemed->second},
+            {"from", plans::format_time(reservation.definition.starts_at)},
+            {"until", plans::format_time(reservation.ends_at)},
+            {"state", now >= reservation.ends_at     ? "over"
+                      : reservation.is_open(now)     ? "open"
+                      : now >= reservation.starts_at ? "carving"
+                                                     : "ahead"}};
 }
 
 std::string text_field(const Json& json, const char* name) {
@@ -63,123 +64,127 @@
     return it->get<std::uint64_t>();
 }
 
-Json list_plans(const PlanTable& book, TimePoint at) {
+Json list_plans(const PlanTable& plan_table, TimePoint at) {
     Json plans = Json::array();
-    for (const std::string& name : book.plan_names()) {
-        const auto f = book.plan_terms(name, at);
-        if (!f) {
+    for (const std::string& name : plan_table.plan_names()) {
+        const auto plan_terms = plan_table.plan_terms(name, at);
+        if (!plan_terms) {
             plans.push_back({{"plan", name}, {"state", "not yet"}});
             continue;
         }
-        Json one = terms_to_json(*f);
-        one["plan"] = name;
-        one["customers"] = book.customer_count(name, at);
-        one["newest"] = book.subject_version("plan:" + name);
-        plans.push_back(one);
+        Json entry = terms_to_json(*plan_terms);
+        entry["plan"] = name;
+        entry["customers"] = plan_table.customer_count(name, at);
+        entry["newest"] = plan_table.subject_version("plan:" + name);
+        plans.push_back(entry);
     }
-    return {{"ok", true}, {"version", book.version()}, {"at", plans::format_time(at)}, {"plans", plans}};
+    return {
+        {"ok", true}, {"version", plan_table.version()}, {"at", plans::format_time(at)}, {"plans", plans}};
 }
 
-Json show_subject(const Json& asked, const plans::PlanService& desk, TimePoint now) {
-    const PlanTable& book = desk.plan_table();
-    const TimePoint at = time_field(asked, now);
-    if (const std::string id = text_field(asked, "reservation"); !id.empty()) {
-        const plans::Reservation* r = book.find_reservation(id);
-        if (r == nullptr) return failure_reply("unknown", "there is no reservation \"" + id + "\"");
-        return {{"ok", true}, {"reservation", reservation_to_json(*r, desk, at)}};
+Json show_subject(const Json& command, const plans::PlanService& plan_service, TimePoint now) {
+    const PlanTable& plan_table = plan_service.plan_table();
+    const TimePoint at = time_field(command, now);
+    if (const std::string id = text_field(command, "reservation"); !id.empty()) {
+        const plans::Reservation* reservation = plan_table.find_reservation(id);
+        if (reservation == nullptr) return failure_reply("unknown", "there is no reservation \"" + id + "\"");
+        return {{"ok", true}, {"reservation", reservation_to_json(*reservation, plan_service, at)}};
     }
-    if (const std::string plan = text_field(asked, "plan"); !plan.empty()) {
-        const auto f = book.plan_terms(plan, at);
-        if (!f) return failure_reply("unknown", "there is no plan \"" + plan + "\" at that time");
-        Json one = terms_to_json(*f);
-        one["newest"] = book.subject_version("plan:" + plan);
-        return {{"ok", true}, {"at", plans::format_time(at)}, {"plan", one}};
+    if (const std::string plan = text_field(command, "plan"); !plan.empty()) {
+        const auto plan_terms = plan_table.plan_terms(plan, at);
+        if (!plan_terms) return failure_reply("unknown", "there is no plan \"" + plan + "\" at that time");
+        Json entry = terms_to_json(*plan_terms);
+        entry["newest"] = plan_table.subject_version("plan:" + plan);
+        return {{"ok", true}, {"at", plans::format_time(at)}, {"plan", entry}};
     }
-    const auto customer = plans::parse_customer(text_field(asked, "customer"));
+    const auto customer = plans::parse_customer(text_field(command, "customer"));
     if (!customer)
         return failure_reply("wrong",
                              "expected a plan, a reservation or a customer of sixteen hexadecimal digits");
-    const std::string assigned = book.assigned_plan_name(*customer, at);
+    const std::string assigned = plan_table.assigned_plan_name(*customer, at);
     Json reservations = Json::array();
-    for (const plans::Reservation* r : book.customer_reservations(*customer))
-        reservations.push_back(reservation_to_json(*r, desk, at));
+    for (const plans::Reservation* reservation : plan_table.customer_reservations(*customer))
+        reservations.push_back(reservation_to_json(*reservation, plan_service, at));
     Json out = {{"ok", true},
                 {"at", plans::format_time(at)},
                 {"customer", plans::format_customer(*customer)},
                 {"assigned", assigned},
-                {"newest", book.subject_version("customer:" + plans::format_customer(*customer))},
-                {"carved", book.reserved_rate(*customer, at)},
+                {"newest", plan_table.subject_version("customer:" + plans::format_customer(*customer))},
+                {"carved", plan_table.reserved_rate(*customer, at)},
                 {"reservations", reservations}};
     if (!assigned.empty())
-        if (const auto f = book.plan_terms(assigned, at)) out["terms"] = terms_to_json(*f);
+        if (const auto plan_terms = plan_table.plan_terms(assigned, at))
+            out["terms"] = terms_to_json(*plan_terms);
     return out;
 }
 
-Json change_history(const Json& asked, const PlanTable& book) {
-    const std::string subject = text_field(asked, "subject");
-    const std::uint64_t after = integer_field(asked, "after", 0);
-    const std::uint64_t most = std::min<std::uint64_t>(integer_field(asked, "most", 100), kMaxListedEntries);
+Json change_history(const Json& command, const PlanTable& plan_table) {
+    const std::string subject = text_field(command, "subject");
+    const std::uint64_t after = integer_field(command, "after", 0);
+    const std::uint64_t max_entries =
+        std::min<std::uint64_t>(integer_field(command, "most", 100), kMaxListedEntries);
     Json changes = Json::array();
-    for (std::uint64_t v = after + 1; v <= book.version() && changes.size() < most; ++v) {
-        const plans::PlanChange& c = book.change_log()[v - 1];
-        if (!subject.empty() && plans::subject_of(c.body) != subject) continue;
-        changes.push_back(Json::parse(plans::serialize_change(c)));
+    for (std::uint64_t v = after + 1; v <= plan_table.version() && changes.size() < max_entries; ++v) {
+        const plans::PlanChange& change = plan_table.change_log()[v - 1];
+        if (!subject.empty() && plans::subject_of(change.body) != subject) continue;
+        changes.push_back(Json::parse(plans::serialize_change(change)));
     }
-    return {{"ok", true}, {"version", book.version()}, {"changes", changes}};
+    return {{"ok", true}, {"version", plan_table.version()}, {"changes", changes}};
 }
 
-Json propose_change(Json asked, const plans::PlanService& desk, bool keeper,
-                    const PlanCommandHandler::ChangeMaker& make, TimePoint now) {
-    if (!keeper)
+Json propose_change(Json command, const plans::PlanService& plan_service, bool is_owner,
+                    const PlanCommandHandler::ChangeCommitter& commit_change, TimePoint now) {
+    if (!is_owner)
         return failure_reply("not the keeper",
-                             "this gateway follows the book; changes are made at its keeper");
-    asked.erase("do");
-    const PlanTable& book = desk.plan_table();
-    plans::ChangeProposal p = plans::parse_proposal(asked.dump());
-    const auto outcome = book.validate_proposal(p, now);
-    if (const auto* no = std::get_if<plans::ChangeRejection>(&outcome)) {
-        Json out = failure_reply(plans::reason_name(no->reason), no->text);
-        if (no->latest_version > 0) out["newest"] = no->latest_version;
-        if (!no->latest_author.empty()) out["newest_by"] = no->latest_author;
-        if (no->max_acceptable) out["fits"] = *no->max_acceptable;
+                             "this gateway does not own the plan table; propose changes at the owner");
+    command.erase("do");
+    const PlanTable& plan_table = plan_service.plan_table();
+    plans::ChangeProposal proposal = plans::parse_proposal(command.dump());
+    const auto outcome = plan_table.validate_proposal(proposal, now);
+    if (const auto* rejection = std::get_if<plans::ChangeRejection>(&outcome)) {
+        Json out = failure_reply(plans::reason_name(rejection->reason), rejection->text);
+        if (rejection->latest_version > 0) out["newest"] = rejection->latest_version;
+        if (!rejection->latest_author.empty()) out["newest_by"] = rejection->latest_author;
+        if (rejection->max_acceptable) out["fits"] = *rejection->max_acceptable;
         return out;
     }
     const auto& change = std::get<plans::PlanChange>(outcome);
-    const bool again = change.version <= book.version();    // the same request once more
-    if (!again) make(change);
+    const bool is_repeated = change.version <= plan_table.version();    // a retry of an earlier request
+    if (!is_repeated) commit_change(change);
     return {{"ok", true},
-            {"again", again},
+            {"again", is_repeated},
             {"version", change.version},
             {"at", plans::format_time(change.effective_at)},
-            {"moved", p.effective_at.has_value() && *p.effective_at < change.effective_at}};
+            {"moved", proposal.effective_at.has_value() && *proposal.effective_at < change.effective_at}};
 }
 
 }    // namespace
 
-PlanCommandHandler::PlanCommandHandler(const plans::PlanService& desk, bool keeper, ChangeMaker make)
-    : plan_service_(desk), is_owner_(keeper), make_change_(std::move(make)) {}
+PlanCommandHandler::PlanCommandHandler(const plans::PlanService& plan_service, bool is_owner,
+                                       ChangeCommitter commit_change)
+    : plan_service_(plan_service), is_owner_(is_owner), commit_change_(std::move(commit_change)) {}
 
 std::string PlanCommandHandler::handle_line(std::string_view line, TimePoint now) {
     try {
-        const Json asked = Json::parse(line, nullptr, false);
-        if (!asked.is_object())
+        const Json command = Json::parse(line, nullptr, false);
+        if (!command.is_object())
             return failure_reply("wrong", "expected one object of JSON on the line").dump();
-        const std::string what = text_field(asked, "do");
-        if (what == "list") return list_plans(plan_service_.plan_table(), time_field(asked, now)).dump();
-        if (what == "show") return show_subject(asked, plan_service_, now).dump();
-        if (what == "history") return change_history(asked, plan_service_.plan_table()).dump();
-        if (what == "propose")
-            return propose_change(asked, plan_service_, is_owner_, make_change_, now).dump();
-        if (what == "status") {
-            const plans::PlanServiceStatistics s = plan_service_.statistics(now);
+        const std::string action = text_field(command, "do");
+        if (action == "list") return list_plans(plan_service_.plan_table(), time_field(command, now)).dump();
+        if (action == "show") return show_subject(command, plan_service_, now).dump();
+        if (action == "history") return change_history(command, plan_service_.plan_table()).dump();
+        if (action == "propose")
+            return propose_change(command, plan_service_, is_owner_, commit_change_, now).dump();
+        if (action == "status") {
+            const plans::PlanServiceStatistics statistics = plan_service_.statistics(now);
             return Json{{"ok", true},
                         {"version", plan_service_.plan_table().version()},
                         {"chain", fmt::format("{:016x}", plan_service_.plan_table().chain_hash())},
                         {"keeper", is_owner_},
-                        {"late", s.late_changes},
-                        {"latest_us", s.max_lateness.count()},
-                        {"behind_us", s.max_delay.count()},
-                        {"open_reservations", s.open_reservations}}
+                        {"late", statistics.late_changes},
+                        {"latest_us", statistics.max_lateness.count()},
+                        {"behind_us", statistics.max_delay.count()},
+                        {"open_reservations", statistics.open_reservations}}
                 .dump();
         }
         return failure_reply("wrong", "do: expected list, show, history, propose or status").dump();
--- a/src/balancer/control_socket/plans_command.cpp
+++ b/src/balancer/control_socket/plans_command.cpp
@@ -30,209 +30,223 @@
     std::uint64_t after_version = 0, max_entries = 100;
 };
 
-std::string socket_path(const CommandOptions& line) {
-    if (!line.socket_path.empty()) return line.socket_path;
-    std::string file = line.settings_path;
+std::string socket_path(const CommandOptions& options) {
+    if (!options.socket_path.empty()) return options.socket_path;
+    std::string file = options.settings_path;
     if (const char* named = std::getenv("SHALETRAY_SETTINGS"); file.empty() && named != nullptr) file = named;
     if (!file.empty()) {
-        const auto s = settings::load_operator_settings(file);
-        if (s.plans && !s.plans->control_socket_path.empty()) return s.plans->control_socket_path;
+        const auto settings = settings::load_operator_settings(file);
+        if (settings.plans && !settings.plans->control_socket_path.empty())
+            return settings.plans->control_socket_path;
     }
     throw std::runtime_error(
-        "name the gateway's control socket by --socket, or an operator's file with plans.control");
+        "no control socket: name it with --socket, or a settings file that sets plans.control");
 }
 
-Json send_command(const std::string& path, const Json& what) {
+Json send_command(const std::string& path, const Json& command) {
     try {
         Poco::Net::StreamSocket socket;
         socket.connect(Poco::Net::SocketAddress(Poco::Net::SocketAddress::UNIX_LOCAL, path),
                        Poco::Timespan(3, 0));
         socket.setReceiveTimeout(Poco::Timespan(5, 0));
-        const std::string line = what.dump() + "\n";
+        const std::string line = command.dump() + "\n";
         for (std::size_t sent = 0; sent < line.size();)
             sent += static_cast<std::size_t>(
                 socket.sendBytes(line.data() + sent, static_cast<int>(line.size() - sent)));
-        std::string answer;
+        std::string reply;
         char chunk[65536];
-        while (answer.find('\n') == std::string::npos) {
-            const int n = socket.receiveBytes(chunk, sizeof chunk);
-            if (n <= 0) throw std::runtime_error(path + ": the gateway ended the connection");
-            answer.append(chunk, static_cast<std::size_t>(n));
-            if (answer.size() > kMaxReplySize) throw std::runtime_error(path + ": an answer without an end");
+        while (reply.find('\n') == std::string::npos) {
+            const int received = socket.receiveBytes(chunk, sizeof chunk);
+            if (received <= 0) throw std::runtime_error(path + ": the gateway closed the connection");
+            reply.append(chunk, static_cast<std::size_t>(received));
+            if (reply.size() > kMaxReplySize)
+                throw std::runtime_error(path + ": the reply is longer than 64 MiB");
         }
-        const Json json = Json::parse(answer, nullptr, false);
-        if (!json.is_object()) throw std::runtime_error(path + ": what answers is no gateway");
+        const Json json = Json::parse(reply, nullptr, false);
+        if (!json.is_object()) throw std::runtime_error(path + ": the reply is not a JSON object");
         return json;
     } catch (const Poco::Exception& error) {
         throw std::runtime_error(fmt::format("{}: {}", path, error.displayText()));
     }
 }
 
-// What the subject's newest version is, for a change that names none: what stands there as this is asked.
+// The latest version of the change's subject, for a change without --against; 0 if there is none.
 std::uint64_t latest_version(const std::string& path, const Json& change) {
     const std::string kind = change["kind"];
     std::string subject;
     if (kind == "define" || kind == "withdraw") subject = "plan:" + change["plan"].get<std::string>();
     else if (kind == "assign") subject = "customer:" + change["customer"].get<std::string>();
     else subject = "reservation:" + change["id"].get<std::string>();
-    std::uint64_t newest = 0, after = 0;
+    std::uint64_t latest = 0, after = 0;
     for (;;) {
         const Json page =
             send_command(path, {{"do", "history"}, {"subject", subject}, {"after", after}, {"most", 1000}});
-        if (!page.value("ok", false)) return newest;
-        for (const Json& c : page["changes"]) newest = after = c["version"];
-        if (page["changes"].size() < 1000) return newest;
+        if (!page.value("ok", false)) return latest;
+        for (const Json& entry : page["changes"]) latest = after = entry["version"];
+        if (page["changes"].size() < 1000) return latest;
     }
 }
 
-int print_reply(const CommandOptions& line, const Json& answer) {
-    if (!answer.value("ok", false)) {
-        fmt::print(stderr, "{}: {}\n", answer.value("why", "failed"), answer.value("text", ""));
-        if (line.print_json) fmt::print("{}\n", answer.dump(2));
+int print_reply(const CommandOptions& options, const Json& reply) {
+    if (!reply.value("ok", false)) {
+        fmt::print(stderr, "{}: {}\n", reply.value("why", "failed"), reply.value("text", ""));
+        if (options.print_json) fmt::print("{}\n", reply.dump(2));
         return EXIT_FAILURE;
     }
-    if (line.print_json || !(answer.contains("plans") || answer.contains("changes"))) {
-        fmt::print("{}\n", answer.dump(line.print_json ? -1 : 2));
+    if (options.print_json || !(reply.contains("plans") || reply.contains("changes"))) {
+        fmt::print("{}\n", reply.dump(options.print_json ? -1 : 2));
         return EXIT_SUCCESS;
     }
-    if (answer.contains("plans")) {
-        fmt::print("book version {}, at {}\n", answer["version"].dump(), answer["at"].get<std::string>());
+    if (reply.contains("plans")) {
+        fmt::print("plan table version {}, at {}\n", reply["version"].dump(), reply["at"].get<std::string>());
         fmt::print("{:<20} {:>8} {:>10} {:>10} {:>10} {:>10} {:>9}\n", "plan", "version", "rate", "burst",
-                   "ceiling", "its burst", "customers");
-        for (const Json& p : answer["plans"]) {
-            fmt::print("{:<20} {:>8} {:>10} {:>10} {:>10} {:>10} {:>9}\n", p.value("plan", "?"),
-                       p.value("version", 0), p.value("rate", 0.0), p.value("burst", 0.0),
-                       p.value("ceiling_rate", 0.0), p.value("ceiling_burst", 0.0), p.value("customers", 0));
+                   "ceiling", "max burst", "customers");
+        for (const Json& plan : reply["plans"]) {
+            fmt::print("{:<20} {:>8} {:>10} {:>10} {:>10} {:>10} {:>9}\n", plan.value("plan", "?"),
+                       plan.value("version", 0), plan.value("rate", 0.0), plan.value("burst", 0.0),
+                       plan.value("ceiling_rate", 0.0), plan.value("ceiling_burst", 0.0),
+                       plan.value("customers", 0));
         }
     } else {
-        for (const Json& c : answer["changes"]) fmt::print("{}\n", c.dump());
+        for (const Json& change : reply["changes"]) fmt::print("{}\n", change.dump());
     }
     return EXIT_SUCCESS;
 }
 
-int send_proposal(const CommandOptions& line, Json change) {
-    const std::string path = socket_path(line);
+int send_proposal(const CommandOptions& options, Json change) {
+    const std::string path = socket_path(options);
     change["do"] = "propose";
     const char* const user = std::getenv("USER");
-    change["author"] = !line.author.empty() ? line.author
-                       : user != nullptr    ? user
-                                            : fmt::format("uid {}", getuid());
-    if (!line.note.empty()) change["note"] = line.note;
-    if (!line.request_key.empty()) change["request"] = line.request_key;
-    if (!line.effective_at.empty()) change["at"] = line.effective_at;
-    change["against"] = line.expected_version ? *line.expected_version : latest_version(path, change);
-    return print_reply(line, send_command(path, change));
+    change["author"] = !options.author.empty() ? options.author
+                       : user != nullptr       ? user
+                                               : fmt::format("uid {}", getuid());
+    if (!options.note.empty()) change["note"] = options.note;
+    if (!options.request_key.empty()) change["request"] = options.request_key;
+    if (!options.effective_at.empty()) change["at"] = options.effective_at;
+    change["against"] = options.expected_version ? *options.expected_version : latest_version(path, change);
+    return print_reply(options, send_command(path, change));
 }
 
 }    // namespace
 
 void add_plans_command(CLI::App& app, std::function<int()>& run) {
-    const auto line = std::make_shared<CommandOptions>();
-    CommandOptions& l = *line;
-    CLI::App* const plans = app.add_subcommand("plans", "Plans, customers and reservations, in service");
+    const auto shared_options = std::make_shared<CommandOptions>();
+    CommandOptions& options = *shared_options;
+    CLI::App* const plans =
+        app.add_subcommand("plans", "Plans, customers and reservations of a running gateway");
     plans->require_subcommand(1);
-    plans->add_option("--socket", l.socket_path, "The gateway's control socket");
-    plans->add_option("--settings", l.settings_path,
-                      "The operator's file that names it; SHALETRAY_SETTINGS else");
-    plans->add_flag("--json", l.print_json, "Print the answer as it came");
-    const auto command = [&](const char* name, const char* what, auto what_runs) {
-        CLI::App* const sub = plans->add_subcommand(name, what);
-        sub->callback([&run, line, what_runs] { run = [line, what_runs] { return what_runs(*line); }; });
-        return sub;
+    plans->add_option("--socket", options.socket_path, "The gateway's control socket");
+    plans->add_option("--settings", options.settings_path,
+                      "The settings file that names the socket; default: SHALETRAY_SETTINGS");
+    plans->add_flag("--json", options.print_json, "Print the reply as JSON");
+    const auto command = [&](const char* name, const char* description, auto run_command) {
+        CLI::App* const subcommand = plans->add_subcommand(name, description);
+        subcommand->callback([&run, shared_options, run_command] {
+            run = [shared_options, run_command] { return run_command(*shared_options); };
+        });
+        return subcommand;
     };
-    const auto changing = [&](CLI::App* sub) {
-        sub->add_option("--at", l.effective_at,
-                        "When it takes effect, such as 2026-12-01T08:00:00Z; else as soon as it can");
-        sub->add_option("--against", l.expected_version,
-                        "The version that was looked at; else the newest as this is run");
-        sub->add_option("--author", l.author, "Who makes it; the user else");
-        sub->add_option("--note", l.note, "Why");
-        sub->add_option("--request", l.request_key,
-                        "A name for this, so that it is made once however often it is run");
+    const auto add_change_options = [&](CLI::App* subcommand) {
+        subcommand->add_option(
+            "--at", options.effective_at,
+            "When it takes effect, such as 2026-12-01T08:00:00Z; default: as soon as possible");
+        subcommand->add_option("--against", options.expected_version,
+                               "The version that the change is based on; default: the latest");
+        subcommand->add_option("--author", options.author, "The author; default: the current user");
+        subcommand->add_option("--note", options.note, "The reason");
+        subcommand->add_option("--request", options.request_key,
+                               "An idempotency key: repeated proposals with this key are applied once");
     };
-    CLI::App* sub = command("list", "All plans", [](const CommandOptions& of) {
-        Json what = {{"do", "list"}};
-        if (!of.effective_at.empty()) what["at"] = of.effective_at;
-        return print_reply(of, send_command(socket_path(of), what));
+    CLI::App* subcommand = command("list", "All plans", [](const CommandOptions& parsed) {
+        Json command_json = {{"do", "list"}};
+        if (!parsed.effective_at.empty()) command_json["at"] = parsed.effective_at;
+        return print_reply(parsed, send_command(socket_path(parsed), command_json));
     });
-    sub->add_option("--at", l.effective_at, "As they are at that time");
-    sub = command("show", "One plan, customer or reservation", [](const CommandOptions& of) {
-        Json what = {{"do", "show"}};
-        if (!of.plan_name.empty()) what["plan"] = of.plan_name;
-        if (!of.customer.empty()) what["customer"] = of.customer;
-        if (!of.reservation_id.empty()) what["reservation"] = of.reservation_id;
-        if (!of.effective_at.empty()) what["at"] = of.effective_at;
-        return print_reply(of, send_command(socket_path(of), what));
+    subcommand->add_option("--at", options.effective_at, "The plans at that time");
+    subcommand = command("show", "One plan, customer or reservation", [](const CommandOptions& parsed) {
+        Json command_json = {{"do", "show"}};
+        if (!parsed.plan_name.empty()) command_json["plan"] = parsed.plan_name;
+        if (!parsed.customer.empty()) command_json["customer"] = parsed.customer;
+        if (!parsed.reservation_id.empty()) command_json["reservation"] = parsed.reservation_id;
+        if (!parsed.effective_at.empty()) command_json["at"] = parsed.effective_at;
+        return print_reply(parsed, send_command(socket_path(parsed), command_json));
     });
-    sub->add_option("--plan", l.plan_name);
-    sub->add_option("--customer", l.customer, "Sixteen hexadecimal digits");
-    sub->add_option("--reservation", l.reservation_id);
-    sub->add_option("--at", l.effective_at, "As it is at that time");
-    sub = command("history", "All changes, or those of one subject", [](const CommandOptions& of) {
-        return print_reply(of, send_command(socket_path(of), {{"do", "history"},
-                                                              {"subject", of.subject},
-                                                              {"after", of.after_version},
-                                                              {"most", of.max_entries}}));
+    subcommand->add_option("--plan", options.plan_name);
+    subcommand->add_option("--customer", options.customer, "Sixteen hexadecimal digits");
+    subcommand->add_option("--reservation", options.reservation_id);
+    subcommand->add_option("--at", options.effective_at, "The state at that time");
+    subcommand = command("history", "All changes, or those of one subject", [](const CommandOptions& parsed) {
+        return print_reply(parsed, send_command(socket_path(parsed), {{"do", "history"},
+                                                                      {"subject", parsed.subject},
+                                                                      {"after", parsed.after_version},
+                                                                      {"most", parsed.max_entries}}));
     });
-    sub->add_option("--subject", l.subject, "plan:NAME, customer:DIGITS or reservation:ID");
-    sub->add_option("--after", l.after_version, "Versions above this one");
-    sub->add_option("--most", l.max_entries)->check(CLI::Range(1, 1000));
-    command("status", "How far the gateway is", [](const CommandOptions& of) {
-        return print_reply(of, send_command(socket_path(of), {{"do", "status"}}));
+    subcommand->add_option("--subject", options.subject, "plan:NAME, customer:DIGITS or reservation:ID");
+    subcommand->add_option("--after", options.after_version, "Versions above this one");
+    subcommand->add_option("--most", options.max_entries)->check(CLI::Range(1, 1000));
+    command("status", "The gateway's table version and statistics", [](const CommandOptions& parsed) {
+        return print_reply(parsed, send_command(socket_path(parsed), {{"do", "status"}}));
     });
-    sub = command("change", "A plan's figures, or a new plan", [](const CommandOptions& of) {
-        return send_proposal(of, {{"kind", "define"},
-                                  {"plan", of.plan_name},
-                                  {"like", of.base_plan.empty() ? of.plan_name : of.base_plan},
-                                  {"rate", of.rate},
-                                  {"burst", of.burst},
-                                  {"ceiling_rate", of.rate_limit},
-                                  {"ceiling_burst", of.rate_limit_burst},
-                                  {"ceiling_slack", of.rate_limit_slack}});
+    subcommand =
+        command("change", "Change a plan's terms, or define a new plan", [](const CommandOptions& parsed) {
+            return send_proposal(parsed,
+                                 {{"kind", "define"},
+                                  {"plan", parsed.plan_name},
+                                  {"like", parsed.base_plan.empty() ? parsed.plan_name : parsed.base_plan},
+                                  {"rate", parsed.rate},
+                                  {"burst", parsed.burst},
+                                  {"ceiling_rate", parsed.rate_limit},
+                                  {"ceiling_burst", parsed.rate_limit_burst},
+                                  {"ceiling_slack", parsed.rate_limit_slack}});
+        });
+    subcommand->add_option("plan", options.plan_name)->required();
+    subcommand->add_option("--like", options.base_plan,
+                           "The platform plan that supplies all other terms; default: the plan itself");
+    subcommand->add_option("--rate", options.rate, "Units per second")->required();
+    subcommand->add_option("--burst", options.burst, "Units")->required();
+    subcommand->add_option("--ceiling-rate", options.rate_limit);
+    subcommand->add_option("--ceiling-burst", options.rate_limit_burst);
+    subcommand->add_option("--ceiling-slack", options.rate_limit_slack);
+    add_change_options(subcommand);
+    subcommand =
+        command("withdraw", "Withdraw a plan: it gets no new customers", [](const CommandOptions& parsed) {
+            return send_proposal(
+                parsed, {{"kind", "withdraw"}, {"plan", parsed.plan_name}, {"successor", parsed.successor}});
+        });
+    subcommand->add_option("plan", options.plan_name)->required();
+    subcommand->add_option("--successor", options.successor,
+                           "The plan whose terms its customers get; default: they keep their terms");
+    add_change_options(subcommand);
+    subcommand = command("assign", "Assign a customer to a plan", [](const CommandOptions& parsed) {
+        return send_proposal(parsed,
+                             {{"kind", "assign"}, {"customer", parsed.customer}, {"plan", parsed.plan_name}});
     });
-    sub->add_option("plan", l.plan_name)->required();
-    sub->add_option("--like", l.base_plan, "The platform's plan that gives all else; the plan itself else");
-    sub->add_option("--rate", l.rate, "Units a second")->required();
-    sub->add_option("--burst", l.burst, "Units")->required();
-    sub->add_option("--ceiling-rate", l.rate_limit);
-    sub->add_option("--ceiling-burst", l.rate_limit_burst);
-    sub->add_option("--ceiling-slack", l.rate_limit_slack);
-    changing(sub);
-    sub = command("withdraw", "A plan: no new customers", [](const CommandOptions& of) {
-        return send_proposal(of, {{"kind", "withdraw"}, {"plan", of.plan_name}, {"successor", of.successor}});
+    subcommand->add_option("customer", options.customer, "Sixteen hexadecimal digits")->required();
+    subcommand->add_option("plan", options.plan_name,
+                           "Without a plan: back to the plan that its requests name");
+    add_change_options(subcommand);
+    subcommand = command("reserve", "Reserve units for a planned batch", [](const CommandOptions& parsed) {
+        return send_proposal(parsed, {{"kind", "reserve"},
+                                      {"id", parsed.reservation_id},
+                                      {"customer", parsed.customer},
+                                      {"units", parsed.units},
+                                      {"from", parsed.starts_at},
+                                      {"until", parsed.ends_at},
+                                      {"plan", parsed.plan_name}});
     });
-    sub->add_option("plan", l.plan_name)->required();
-    sub->add_option("--successor", l.successor,
-                    "The plan whose terms its customers get; else they keep theirs");
-    changing(sub);
-    sub = command("assign", "A customer to a plan", [](const CommandOptions& of) {
-        return send_proposal(of, {{"kind", "assign"}, {"customer", of.customer}, {"plan", of.plan_name}});
+    subcommand->add_option("id", options.reservation_id, "The id that its requests carry")->required();
+    subcommand->add_option("customer", options.customer, "Sixteen hexadecimal digits")->required();
+    subcommand->add_option("--units", options.units)->required();
+    subcommand->add_option("--from", options.starts_at)->required();
+    subcommand->add_option("--until", options.ends_at)->required();
+    subcommand->add_option("--plan", options.plan_name,
+                           "The plan that it is taken from, if the plan table assigns the customer none");
+    add_change_options(subcommand);
+    subcommand = command("release", "Release a reservation before its end", [](const CommandOptions& parsed) {
+        return send_proposal(parsed, {{"kind", "release"}, {"id", parsed.reservation_id}});
     });
-    sub->add_option("customer", l.customer, "Sixteen hexadecimal digits")->required();
-    sub->add_option("plan", l.plan_name, "None: back to what its requests say");
-    changing(sub);
-    sub = command("reserve", "Units ahead for a known batch", [](const CommandOptions& of) {
-        return send_proposal(of, {{"kind", "reserve"},
-                                  {"id", of.reservation_id},
-                                  {"customer", of.customer},
-                                  {"units", of.units},
-                                  {"from", of.starts_at},
-                                  {"until", of.ends_at},
-                                  {"plan", of.plan_name}});
-    });
-    sub->add_option("id", l.reservation_id, "Carried by its requests")->required();
-    sub->add_option("customer", l.customer, "Sixteen hexadecimal digits")->required();
-    sub->add_option("--units", l.units)->required();
-    sub->add_option("--from", l.starts_at)->required();
-    sub->add_option("--until", l.ends_at)->required();
-    sub->add_option("--plan", l.plan_name,
-                    "What it is carved from, where the book assigns the customer none");
-    changing(sub);
-    sub = command("release", "A reservation, before its end", [](const CommandOptions& of) {
-        return send_proposal(of, {{"kind", "release"}, {"id", of.reservation_id}});
-    });
-    sub->add_option("id", l.reservation_id)->required();
-    changing(sub);
+    subcommand->add_option("id", options.reservation_id)->required();
+    add_change_options(subcommand);
 }
 
 }    // namespace shaletray::control_socket
--- a/tests/balancer/command/command_test.cpp
+++ b/tests/balancer/command/command_test.cpp
@@ -1,4 +1,4 @@
-// Completion asks the program itself; the manual page has to keep up with it.
+// Tests of shell completion, and that the manual page covers all sub-commands.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -11,26 +11,27 @@
 namespace shaletray::command {
 namespace {
 
-TEST(Completion, GivesWhatMayFollowTheWordsSoFar) {
+TEST(Completion, ListsWhatMayFollowTheWordsSoFar) {
     CLI::App app;
     CLI::App* const lab = app.add_subcommand("lab");
     CLI::App* const run = lab->add_subcommand("run");
     std::string out;
     run->add_option("--out", out);
     run->add_option("scenario", out);
-    const auto has = [&](const std::vector<std::string>& words, const std::string& wanted) {
-        const std::vector<std::string> all = completion_candidates(app, words);
-        return std::find(all.begin(), all.end(), wanted) != all.end();
+    const auto is_candidate = [&](const std::vector<std::string>& words, const std::string& expected) {
+        const std::vector<std::string> candidates = completion_candidates(app, words);
+        return std::find(candidates.begin(), candidates.end(), expected) != candidates.end();
     };
-    EXPECT_TRUE(has({}, "lab"));
-    EXPECT_FALSE(has({}, "run"));
-    EXPECT_TRUE(has({"lab"}, "run"));
-    EXPECT_TRUE(has({"lab", "run", "x.cue"}, "--out"));
-    EXPECT_FALSE(has({"lab", "run"}, "scenario")) << "a file's place, which the shell fills";
-    EXPECT_FALSE(has({"nonsense"}, "--out"));
+    EXPECT_TRUE(is_candidate({}, "lab"));
+    EXPECT_FALSE(is_candidate({}, "run"));
+    EXPECT_TRUE(is_candidate({"lab"}, "run"));
+    EXPECT_TRUE(is_candidate({"lab", "run", "x.cue"}, "--out"));
+    EXPECT_FALSE(is_candidate({"lab", "run"}, "scenario"))
+        << "positional arguments are completed by the shell";
+    EXPECT_FALSE(is_candidate({"nonsense"}, "--out"));
 }
 
-TEST(Completion, TheManualPageNamesEachCommandOfTheProgram) {
+TEST(Completion, ManualPageNamesEachSubCommand) {
     std::ifstream in(MAN_PAGE);
     const std::string page(std::istreambuf_iterator<char>(in), {});
     const std::unique_ptr<FILE, int (*)(FILE*)> pipe(popen(SHALETRAY " __complete", "r"), pclose);
