--- a/src/balancer/handover/handover_server.cpp
+++ b/src/balancer/handover/handover_server.cpp
@@ -18,12 +18,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxPathLength = 100;    // the system takes 107 bytes
+constexpr std::size_t kMaxPathLength = 100;    // sun_path holds at most 107 bytes
 constexpr std::size_t kMaxConnections = 2;
 constexpr Duration kReadTimeout = 3s;
-constexpr Duration kMaxHandoverTime = 2s;    // for the predecessor's answers, in all
-// Between the old listener's end and the state: requests on connections it has just taken are still served by
-// it.
+constexpr Duration kMaxHandoverTime = 2s;    // for all replies of the predecessor together
+// Delay between the release and the request for the state, in which the predecessor still receives requests
+// on the connections that it has just accepted.
 constexpr Duration kSettlingTime = 20ms;
 constexpr std::size_t kMaxStateSize = 64 * 1024 * 1024;
 constexpr std::string_view kReleaseCommand = "release\n", kReleasedReply = "released\n",
@@ -34,37 +34,38 @@
 std::string socket_path_for(const std::string& listen) {
     const char* const folder = std::getenv("TMPDIR");
     if (folder == nullptr || *folder == '\0' || listen.ends_with(":0")) return {};
-    std::string place = fmt::format("{}/shaletray-{}", folder, listen);
-    return place.size() > kMaxPathLength ? std::string() : place;
+    std::string path = fmt::format("{}/shaletray-{}", folder, listen);
+    return path.size() > kMaxPathLength ? std::string() : path;
 }
 
-std::string request_predecessor_state(const std::string& place) {
-    if (place.empty() || ::access(place.c_str(), F_OK) != 0) return {};
+std::string request_predecessor_state(const std::string& path) {
+    if (path.empty() || ::access(path.c_str(), F_OK) != 0) return {};
     try {
         Poco::Net::StreamSocket socket;
-        socket.connect(unix_address(place), Poco::Timespan(0, 500'000));
-        const auto end = std::chrono::steady_clock::now() + kMaxHandoverTime;
-        std::string heard;
-        // False where the other side ended. Throws where it takes too long.
-        const auto hear = [&] {
-            const auto left = std::chrono::duration_cast<Duration>(end - std::chrono::steady_clock::now());
+        socket.connect(unix_address(path), Poco::Timespan(0, 500'000));
+        const auto deadline = std::chrono::steady_clock::now() + kMaxHandoverTime;
+        std::string received;
+        // False at the end of the stream, or if the reply is too long. Throws on timeout.
+        const auto receive = [&] {
+            const auto remaining =
+                std::chrono::duration_cast<Duration>(deadline - std::chrono::steady_clock::now());
             socket.setReceiveTimeout(
-                Poco::Timespan(0, static_cast<int>(std::max<Duration>(left, 1ms).count())));
+                Poco::Timespan(0, static_cast<int>(std::max<Duration>(remaining, 1ms).count())));
             char bytes[16 * 1024];
-            const int n = socket.receiveBytes(bytes, sizeof bytes);
-            if (n > 0) heard.append(bytes, static_cast<std::size_t>(n));
-            return n > 0 && heard.size() <= kMaxStateSize;
+            const int count = socket.receiveBytes(bytes, sizeof bytes);
+            if (count > 0) received.append(bytes, static_cast<std::size_t>(count));
+            return count > 0 && received.size() <= kMaxStateSize;
         };
         socket.sendBytes(kReleaseCommand.data(), static_cast<int>(kReleaseCommand.size()));
-        while (!heard.ends_with('\n') && hear()) {
+        while (!received.ends_with('\n') && receive()) {
         }
-        if (heard != kReleasedReply) return {};
-        heard.clear();
+        if (received != kReleasedReply) return {};
+        received.clear();
         std::this_thread::sleep_for(kSettlingTime);
         socket.sendBytes(kStateCommand.data(), static_cast<int>(kStateCommand.size()));
-        while (hear()) {
+        while (receive()) {
         }
-        return heard;
+        return received;
     } catch (const Poco::Exception& error) {
         log(LogLevel::Info, Event::HandoverUnavailable, {log_field("why", error.displayText())});
         return {};
@@ -73,7 +74,7 @@
 
 class HandoverServer::HandoverProtocol : public LineProtocol {
 public:
-    explicit HandoverProtocol(HandoverServer& of) : server_(of) {}
+    explicit HandoverProtocol(HandoverServer& server) : server_(server) {}
     ~HandoverProtocol() override {
         if (!release_requested_ || server_.state_sent_) return;
         server_.is_released_ = false;
@@ -93,8 +94,8 @@
                 out += server_.export_state_();
                 return NextStep::Close;
             } else {
-                const bool begun = kReleaseCommand.starts_with(bytes) || kStateCommand.starts_with(bytes);
-                return begun ? NextStep::ReadMore : NextStep::Close;
+                const bool is_prefix = kReleaseCommand.starts_with(bytes) || kStateCommand.starts_with(bytes);
+                return is_prefix ? NextStep::ReadMore : NextStep::Close;
             }
         }
     }
@@ -104,13 +105,14 @@
     bool release_requested_ = false;    // by this one
 };
 
-HandoverServer::HandoverServer(Reactor& reactor, std::string place, std::function<void()> release,
-                               std::function<std::string()> state, std::function<void()> resume)
-    : socket_path_(std::move(place)),
-      release_listeners_(std::move(release)),
-      export_state_(std::move(state)),
-      resume_service_(std::move(resume)) {
-    ::unlink(socket_path_.c_str());    // the predecessor's, which was asked before this
+HandoverServer::HandoverServer(Reactor& reactor, std::string path, std::function<void()> release_listeners,
+                               std::function<std::string()> export_state,
+                               std::function<void()> resume_service)
+    : socket_path_(std::move(path)),
+      release_listeners_(std::move(release_listeners)),
+      export_state_(std::move(export_state)),
+      resume_service_(std::move(resume_service)) {
+    ::unlink(socket_path_.c_str());    // the predecessor's socket, which has been used by now
     line_server_ = std::make_unique<LineProtocolServer>(
         reactor, listen_at(socket_path_, 0600, static_cast<int>(kMaxConnections)),
         LineProtocolServer::Limits{kMaxConnections, kReadTimeout, true},
@@ -118,8 +120,8 @@
 }
 
 HandoverServer::~HandoverServer() {
-    if (!is_released_) ::unlink(socket_path_.c_str());    // else it is the successor's by now
-    state_sent_ = true;                                   // nobody is served any more
+    if (!is_released_) ::unlink(socket_path_.c_str());    // otherwise the successor has replaced it
+    state_sent_ = true;                                   // prevents a call of resume_service_
 }
 
 }    // namespace shaletray::handover
--- a/src/balancer/handover/handover_server.h
+++ b/src/balancer/handover/handover_server.h
@@ -11,21 +11,22 @@
 
 namespace shaletray::handover {
 
-// The socket's path; empty if there can be none: TMPDIR is not set, the port is 0, or the path is too long.
+// The socket's path; empty if it cannot be used: TMPDIR is not set, the port is 0, or the path is too long.
 std::string socket_path_for(const std::string& listen_address);
 
 // Requests the state of the running process and blocks for at most two seconds in total. Empty if there is
 // none or it does not reply. To be called after listening on the clients' address, so that no client is
 // refused meanwhile.
-std::string request_predecessor_state(const std::string& place);
+std::string request_predecessor_state(const std::string& path);
 
 // Serves one successor. Only for the reactor's thread.
 class HandoverServer {
 public:
-    // `release` stops accepting clients; `state` returns the state and ends the service; `resume` undoes
-    // `release` if the successor disconnects before it requested the state. Throws like listen_at.
-    HandoverServer(Reactor& reactor, std::string place, std::function<void()> release,
-                   std::function<std::string()> state, std::function<void()> resume);
+    // `release_listeners` stops accepting clients; `export_state` returns the state and ends the service;
+    // `resume_service` undoes `release_listeners` if the successor disconnects before it requested the state.
+    // Throws like listen_at.
+    HandoverServer(Reactor& reactor, std::string path, std::function<void()> release_listeners,
+                   std::function<std::string()> export_state, std::function<void()> resume_service);
     ~HandoverServer();
     HandoverServer(const HandoverServer&) = delete;
     HandoverServer& operator=(const HandoverServer&) = delete;
--- a/src/balancer/handover/handover_state.cpp
+++ b/src/balancer/handover/handover_state.cpp
@@ -15,48 +15,48 @@
     Number value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size())
-        throw std::invalid_argument("a handover with a field that is no number");
+        throw std::invalid_argument("malformed handover: expected a number");
     return value;
 }
 
-// Up to `end`, which is consumed.
+// Returns the text before the first `end`, and removes both from `text`.
 std::string_view split_at(std::string_view& text, char end) {
-    const std::size_t at = text.find(end);
-    if (at == std::string_view::npos) throw std::invalid_argument("a handover that was cut off");
-    const std::string_view found = text.substr(0, at);
-    text.remove_prefix(at + 1);
+    const std::size_t position = text.find(end);
+    if (position == std::string_view::npos) throw std::invalid_argument("truncated handover");
+    const std::string_view found = text.substr(0, position);
+    text.remove_prefix(position + 1);
     return found;
 }
 
 }    // namespace
 
-std::string serialize_state(const HandoverState& h) {
-    std::string body = fmt::format("draining {}\n", h.is_draining ? 1 : 0);
-    for (const EjectedHost& o : h.ejected_hosts)
-        body += fmt::format("out {} {}\n", o.ejected_at.time_since_epoch().count(), o.id);
-    body += "state\n" + h.module_state;
+std::string serialize_state(const HandoverState& state) {
+    std::string body = fmt::format("draining {}\n", state.is_draining ? 1 : 0);
+    for (const EjectedHost& host : state.ejected_hosts)
+        body += fmt::format("out {} {}\n", host.ejected_at.time_since_epoch().count(), host.id);
+    body += "state\n" + state.module_state;
     return fmt::format("{} {} {}\n{}", kFormatName, kFormatVersion, body.size(), body);
 }
 
 HandoverState parse_state(std::string_view text) {
-    if (split_at(text, ' ') != kFormatName) throw std::invalid_argument("no handover");
+    if (split_at(text, ' ') != kFormatName) throw std::invalid_argument("not a handover");
     if (const int version = parse_number<int>(split_at(text, ' ')); version != kFormatVersion)
-        throw std::invalid_argument(fmt::format("a handover of version {}", version));
+        throw std::invalid_argument(fmt::format("unsupported handover version {}", version));
     if (parse_number<std::size_t>(split_at(text, '\n')) != text.size())
-        throw std::invalid_argument("a handover that was cut off");
-    HandoverState h;
+        throw std::invalid_argument("truncated handover");
+    HandoverState state;
     while (true) {
         std::string_view line = split_at(text, '\n');
         if (line == "state") break;
         const std::string_view word = split_at(line, ' ');
-        if (word == "draining") h.is_draining = line == "1";
+        if (word == "draining") state.is_draining = line == "1";
         else if (word == "out") {
-            const TimePoint since(Duration(parse_number<std::int64_t>(split_at(line, ' '))));
-            h.ejected_hosts.push_back({std::string(line), since});
+            const TimePoint ejected_at(Duration(parse_number<std::int64_t>(split_at(line, ' '))));
+            state.ejected_hosts.push_back({std::string(line), ejected_at});
         }
     }
-    h.module_state = text;
-    return h;
+    state.module_state = text;
+    return state;
 }
 
 }    // namespace shaletray::handover
--- a/src/balancer/handover/handover_state.h
+++ b/src/balancer/handover/handover_state.h
@@ -12,14 +12,14 @@
 
 constexpr int kFormatVersion = 1;
 
-// What the successor must know to continue the service.
+// What the successor needs to continue the service.
 struct HandoverState {
     bool is_draining = false;
     std::vector<EjectedHost> ejected_hosts;    // ejected by operators
     std::string module_state;                  // text of the decision module, Engine::export_state
 };
 
-std::string serialize_state(const HandoverState& handover);
+std::string serialize_state(const HandoverState& state);
 // Throws std::invalid_argument with the reason.
 HandoverState parse_state(std::string_view text);
 
--- a/src/balancer/operations/router.cpp
+++ b/src/balancer/operations/router.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t kMaxIdLength = 256;
 
-// An id as discovery has it: printable, without blanks within. A line's end behind it is the caller's tool's.
+// Parses a discovery id: printable, without inner blanks. Trailing newlines, which command-line tools append,
+// are ignored.
 bool parse_server_id(std::string_view body, std::string& id) {
     while (!body.empty() && (body.back() == '\n' || body.back() == '\r')) body.remove_suffix(1);
     id = http::trim(body);
@@ -19,28 +20,28 @@
            std::all_of(id.begin(), id.end(), [](char c) { return c > 0x20 && c != 0x7f; });
 }
 
-AdminReply handle_server_call(AdminOperations& operations, std::string_view body, bool out) {
+AdminReply handle_server_call(AdminOperations& operations, std::string_view body, bool is_ejection) {
     std::string id;
     if (!parse_server_id(body, id)) return {400, "the body must be a server's id\n"};
-    if (!(out ? operations.eject_server(id) : operations.reinstate_server(id)))
+    if (!(is_ejection ? operations.eject_server(id) : operations.reinstate_server(id)))
         return {404, fmt::format("no server {} is known\n", id)};
-    return {200, fmt::format("server {} is {}\n", id, out ? "out" : "back")};
+    return {200, fmt::format("server {} is {}\n", id, is_ejection ? "out" : "back")};
 }
 
-AdminReply handle_drain_call(AdminOperations& operations, bool wanted) {
-    operations.set_draining(wanted);
-    return {200, wanted ? "draining\n" : "serving\n"};
+AdminReply handle_drain_call(AdminOperations& operations, bool is_draining) {
+    operations.set_draining(is_draining);
+    return {200, is_draining ? "draining\n" : "serving\n"};
 }
 
 }    // namespace
 
 AdminReply answer_call(AdminOperations& operations, std::string_view method, std::string_view target,
                        std::string_view body) {
-    struct Known {
+    struct Route {
         std::string_view path, method;
         AdminReply (*serve)(AdminOperations&, std::string_view);
     };
-    static constexpr Known kCalls[] = {
+    static constexpr Route kRoutes[] = {
         {"/ops/readiness", "GET",
          [](AdminOperations& o, std::string_view) {
              return o.is_ready() ? AdminReply{200, "ready\n"} : AdminReply{503, "not ready\n"};
@@ -59,12 +60,12 @@
          [](AdminOperations& o, std::string_view) { return handle_drain_call(o, false); }},
     };
     const std::string_view path = target.substr(0, target.find('?'));
-    for (const Known& call : kCalls) {
-        if (call.path != path) continue;
-        if (call.method != method)
-            return {405, fmt::format("{} takes {}\n", path, call.method), "text/plain; charset=utf-8",
-                    call.method};
-        return call.serve(operations, body);
+    for (const Route& route : kRoutes) {
+        if (route.path != path) continue;
+        if (route.method != method)
+            return {405, fmt::format("{} takes {}\n", path, route.method), "text/plain; charset=utf-8",
+                    route.method};
+        return route.serve(operations, body);
     }
     return {404, "no such call\n"};
 }
--- a/src/balancer/operations/router.h
+++ b/src/balancer/operations/router.h
@@ -1,5 +1,5 @@
-// The admin API of a running gateway on its second address: routes and replies. Pure, and the only place with
-// the paths; AdminOperations carries the calls out.
+// The admin API of a running gateway on its admin address: routes and replies. Pure; AdminOperations carries
+// the calls out.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace shaletray::operations {
 
-// What the admin API can do; implemented by the service and called on the reactor's thread.
+// Operations of the admin API; implemented by the service and called on the reactor's thread.
 class AdminOperations {
 public:
     virtual ~AdminOperations() = default;
@@ -20,7 +20,7 @@
     // False if the server is unknown. Both are idempotent.
     virtual bool eject_server(const std::string& server) = 0;
     virtual bool reinstate_server(const std::string& server) = 0;
-    virtual void set_draining(bool wanted) = 0;
+    virtual void set_draining(bool is_draining) = 0;
 };
 
 // The response to an admin call.
--- a/src/balancer/service/gateway_service.cpp
+++ b/src/balancer/service/gateway_service.cpp
@@ -14,26 +14,26 @@
 
 constexpr std::size_t kReservedDescriptors =
     32;                                          // listener, discovery, peers, epoll, standard streams, spare
-constexpr double kClientSocketFraction = 0.7;    // of the others
-constexpr Duration kAcceptAfterStop = 700ms;     // after the order to stop, for clients that do not know yet
-// The process is ended by force the longest deadline, counted as 3 s where it is longer, plus 0.7 s after
-// that.
+constexpr double kClientSocketFraction = 0.7;    // of the remaining descriptors
+constexpr Duration kAcceptAfterStop = 700ms;     // after a stop request, for clients that have not noticed it
+// The process is killed after a stop request plus the longest deadline (at most 3 s) plus 0.7 s.
 constexpr Duration kMaxShutdownGrace = 3s, kShutdownMargin = 100ms;
-constexpr int kLeasesPerEpoch = 16;    // leases for which the store keeps rows in one hash
+constexpr int kLeasesPerEpoch = 16;    // lease durations whose rows share one hash in the store
 constexpr Duration kMinCheckInterval = 25ms,
-                   kMaxCheckInterval = 250ms;    // at what changes in the ledger and the book
-constexpr Duration kMaxPlanSyncWait = 1s;        // for the board, at a start
-// Of the second address. With the listener they fit into what is kept back.
+                   kMaxCheckInterval = 250ms;    // of changes due in the quota and plan tables
+constexpr Duration kMaxPlanSyncWait = 1s;        // for the shared counter, after a start
+// Connections to the admin address. With the listener they fit into kReservedDescriptors.
 constexpr std::size_t kAdminConnections = 16;
 constexpr int kAdminBacklog = 64;
-constexpr Duration kAdminCallTimeout = 5s;      // for a whole call
-constexpr double kIdleTimeoutFraction = 0.6;    // of the time after which servers close a connection
+constexpr Duration kAdminCallTimeout = 5s;      // for a complete call
+constexpr double kIdleTimeoutFraction = 0.6;    // of the idle time after which servers close a connection
 
-std::size_t socket_share(const GatewayConfig& config, double share) {
-    return static_cast<std::size_t>(static_cast<double>(config.max_sockets - kReservedDescriptors) * share);
+std::size_t socket_count(const GatewayConfig& config, double fraction) {
+    return static_cast<std::size_t>(static_cast<double>(config.max_sockets - kReservedDescriptors) *
+                                    fraction);
 }
 
-// Where a counter carries the shares, or plans change in service, the ring of datagrams does not.
+// With a shared counter or plans that change at runtime, gateways do not exchange quota by datagrams.
 GatewayConfig without_peers(GatewayConfig config, const settings::OperatorSettings& settings) {
     config.reservations_enabled = settings.plans.has_value();
     if (!settings.counter && !settings.plans) return config;
@@ -45,52 +45,52 @@
 }
 
 limits::QuotaTableSettings quota_table_settings(const settings::OperatorSettings& settings,
-                                                const decision::Settings& s, TimePoint now) {
-    limits::QuotaTableSettings l;
-    l.own_index = s.me;
-    l.gateway_count = s.gateways;
-    l.plans = s.plans;
-    l.max_request_units = s.most_units;
+                                                const decision::Settings& module_settings, TimePoint now) {
+    limits::QuotaTableSettings table;
+    table.own_index = module_settings.me;
+    table.gateway_count = module_settings.gateways;
+    table.plans = module_settings.plans;
+    table.max_request_units = module_settings.most_units;
     // Microseconds of Unix time: larger at each start, unless the machine's clock was set back.
-    l.incarnation = static_cast<std::uint64_t>(std::max<std::int64_t>(1, now.time_since_epoch().count()));
+    table.incarnation = static_cast<std::uint64_t>(std::max<std::int64_t>(1, now.time_since_epoch().count()));
     if (!settings.counter) {
-        // Nobody is ever heard: each gateway has its even part, and stands in for none.
-        l.isolated_quota_share = 0.0;
-        l.reserve_fraction = 0.0;
-        return l;
+        // No peer ever announces itself: each gateway has an equal share and takes over no other's.
+        table.isolated_quota_share = 0.0;
+        table.reserve_fraction = 0.0;
+        return table;
     }
-    const settings::CounterSettings& c = *settings.counter;
-    l.lease_duration = c.lease_duration;
-    l.reserve_fraction = c.reserve;
-    l.isolated_quota_share = c.isolated_share;
-    l.isolation_timeout = c.isolation_timeout;
-    l.demand_window = c.demand_window;
-    l.max_customers = c.max_customers;
-    return l;
+    const settings::CounterSettings& counter = *settings.counter;
+    table.lease_duration = counter.lease_duration;
+    table.reserve_fraction = counter.reserve;
+    table.isolated_quota_share = counter.isolated_share;
+    table.isolation_timeout = counter.isolation_timeout;
+    table.demand_window = counter.demand_window;
+    table.max_customers = counter.max_customers;
+    return table;
 }
 
-shared_counter::StoreExchangeSettings store_exchange_settings(const settings::CounterSettings& c,
-                                                              const decision::Settings& s,
+shared_counter::StoreExchangeSettings store_exchange_settings(const settings::CounterSettings& counter,
+                                                              const decision::Settings& module_settings,
                                                               std::uint64_t seed) {
-    shared_counter::StoreExchangeSettings e;
-    for (const settings::StoreSettings& store : c.stores) {
-        shared_counter::StoreSessionSettings one;
-        one.address = store.address;
-        one.username = store.username;
-        one.password = store.password;
-        one.database = store.database;
-        one.key_prefix = c.key_prefix;
-        one.own_index = s.me;
-        one.gateway_count = s.gateways;
-        one.timeout = c.timeout;
-        one.epoch_duration = kLeasesPerEpoch * c.lease_duration;
-        e.stores.push_back(one);
+    shared_counter::StoreExchangeSettings exchange;
+    for (const settings::StoreSettings& store : counter.stores) {
+        shared_counter::StoreSessionSettings session;
+        session.address = store.address;
+        session.username = store.username;
+        session.password = store.password;
+        session.database = store.database;
+        session.key_prefix = counter.key_prefix;
+        session.own_index = module_settings.me;
+        session.gateway_count = module_settings.gateways;
+        session.timeout = counter.timeout;
+        session.epoch_duration = kLeasesPerEpoch * counter.lease_duration;
+        exchange.stores.push_back(session);
     }
-    e.interval = c.interval;
-    e.standby_interval = c.standby_interval;
-    e.max_rows_per_call = c.max_rows_per_call;
-    e.random_seed = seed ^ static_cast<std::uint64_t>(s.me);
-    return e;
+    exchange.interval = counter.interval;
+    exchange.standby_interval = counter.standby_interval;
+    exchange.max_rows_per_call = counter.max_rows_per_call;
+    exchange.random_seed = seed ^ static_cast<std::uint64_t>(module_settings.me);
+    return exchange;
 }
 
 }    // namespace
@@ -106,12 +106,12 @@
       engine_(config_.settings, config_.seed, clock_, timers_, counters_) {
     const Duration idle(static_cast<std::int64_t>(
         static_cast<double>(config_.connection_idle_timeout.count()) * kIdleTimeoutFraction));
-    // A process that serves here now lets go once this one listens, so that nobody is turned away in between.
+    // A predecessor stops accepting only after this process listens, so that no client is refused in between.
     const Poco::Net::ServerSocket socket = ClientListener::listen(config_.listen_address);
-    const std::string place = handover::socket_path_for(config_.listen_address);
-    const std::string inherited = handover::request_predecessor_state(place);
+    const std::string handover_path = handover::socket_path_for(config_.listen_address);
+    const std::string predecessor_state = handover::request_predecessor_state(handover_path);
     connection_budget_ =
-        std::make_unique<ConnectionBudget>(socket_share(config_, 1.0 - kClientSocketFraction));
+        std::make_unique<ConnectionBudget>(socket_count(config_, 1.0 - kClientSocketFraction));
     server_pool_ =
         std::make_unique<ServerPool>(engine_, hosts_, upstream_protocol_, *connection_budget_, counters_,
                                      reactor_, ServerPool::Limits{config_.dial_timeout, idle});
@@ -142,7 +142,7 @@
     if (settings.plans) start_plans(*settings.plans);
     client_listener_ = std::make_unique<ClientListener>(
         request_handler_, request_mapping_, ClientCapacity{config_.max_sockets, config_.max_memory_mb},
-        counters_, reactor_, socket, socket_share(config_, kClientSocketFraction),
+        counters_, reactor_, socket, socket_count(config_, kClientSocketFraction),
         [this] { return is_list_received(); });
     if (!config_.admin_address.empty()) {
         Poco::Net::ServerSocket admin;
@@ -153,39 +153,40 @@
             reactor_, admin, LineProtocolServer::Limits{kAdminConnections, kAdminCallTimeout, false},
             [&self] { return std::make_unique<operations::AdminProtocol>(self); });
     }
-    if (!inherited.empty()) import_state(inherited);
-    if (place.empty()) return;
+    if (!predecessor_state.empty()) import_state(predecessor_state);
+    if (handover_path.empty()) return;
     try {
         handover_server_ = std::make_unique<handover::HandoverServer>(
-            reactor_, place, [this] { release_listeners(); }, [this] { return export_state(); },
+            reactor_, handover_path, [this] { release_listeners(); }, [this] { return export_state(); },
             [this] { resume_service(); });
     } catch (const std::exception& error) {
         log(LogLevel::Info, Event::HandoverUnavailable, {log_field("why", error.what())});
     }
 }
 
-// ---- a new process of the same gateway ----
+// ---- handover between processes of the same gateway ----
 
 void GatewayService::import_state(const std::string& text) {
     try {
-        const handover::HandoverState h = handover::parse_state(text);
-        hosts_.restore_ejected(h.ejected_hosts);
-        if (h.is_draining) client_listener_->set_draining(true);
-        if (!engine_.import_state(h.module_state)) return;    // which was logged
+        const handover::HandoverState state = handover::parse_state(text);
+        hosts_.restore_ejected(state.ejected_hosts);
+        if (state.is_draining) client_listener_->set_draining(true);
+        if (!engine_.import_state(state.module_state)) return;    // the engine logged the reason
         log(LogLevel::Info, Event::HandoverImported,
-            {log_field("bytes", text.size()), log_field("out", h.ejected_hosts.size())});
+            {log_field("bytes", text.size()), log_field("out", state.ejected_hosts.size())});
     } catch (const std::invalid_argument& error) {
         log(LogLevel::Warning, Event::HandoverMalformed, {log_field("why", error.what())});
     }
 }
 
-// The successor listens by now: what waits here is taken, and all that come later are its clients.
+// The successor is already listening: connections queued here are still accepted, later ones are the
+// successor's.
 void GatewayService::release_listeners() {
     client_listener_->stop_accepting();
     start_shutdown();
 }
 
-// The successor is gone, and nothing was handed over: this process is the gateway again.
+// The successor disconnected before the handover: this process serves again.
 void GatewayService::resume_service() {
     if (stop_logged_) return;
     try {
@@ -194,37 +195,36 @@
         log(LogLevel::Warning, Event::HandoverUnavailable,
             {log_field("why", "the successor ended before it took over")});
     } catch (const Poco::Exception& error) {
-        // It ends in order then, as it would have.
+        // The shutdown that release_listeners() started goes on.
         log(LogLevel::Error, Event::HandoverUnavailable, {log_field("why", error.displayText())});
     }
 }
 
-// Whatever two processes must not both hold is given up here: shares, the peers' address, the operators'
-// path.
+// Releases what two processes must not hold at once: quota shares, the peer address and the control socket.
 std::string GatewayService::export_state() {
-    handover::HandoverState h;
-    h.is_draining = client_listener_->is_draining();
-    h.ejected_hosts = hosts_.ejected_hosts();
+    handover::HandoverState state;
+    state.is_draining = client_listener_->is_draining();
+    state.ejected_hosts = hosts_.ejected_hosts();
     reactor_.cancel_timer(changes_timer_);
     shared_counter_.reset();
     control_server_.reset();
     peer_socket_->close();
-    h.module_state = engine_.export_state();
-    std::string text = handover::serialize_state(h);
+    state.module_state = engine_.export_state();
+    std::string text = handover::serialize_state(state);
     log(LogLevel::Info, Event::HandoverExported, {log_field("bytes", text.size())});
     return text;
 }
 
 GatewayService::~GatewayService() { reactor_.cancel_timer(changes_timer_); }
 
-// A gateway that was away may hold an old plan book: it waits a moment for the board, and then serves by what
-// it has.
+// After downtime the plan table may be outdated: the gateway waits up to kMaxPlanSyncWait for replication,
+// then serves with the table that it has.
 bool GatewayService::is_list_received() const {
     return list_received_ && (!change_replicator_ || change_replicator_->is_current() ||
                               clock_.now() - started_at_ >= kMaxPlanSyncWait);
 }
 
-// ---- what operators ask over the second address ----
+// ---- admin API ----
 
 bool GatewayService::is_ready() const {
     return is_list_received() && stopping_since_ == TimePoint{} && !client_listener_->is_draining();
@@ -237,57 +237,61 @@
 }
 
 bool GatewayService::eject_server(const std::string& server) {
-    if (!tell(hosts_.eject_host(server, clock_.now()))) return false;
+    if (!forward_host_list(hosts_.eject_host(server, clock_.now()))) return false;
     log(LogLevel::Info, Event::ServerEjected, {log_field("server", server)});
     return true;
 }
 
 bool GatewayService::reinstate_server(const std::string& server) {
-    if (!tell(hosts_.reinstate_host(server, clock_.now()))) return false;
+    if (!forward_host_list(hosts_.reinstate_host(server, clock_.now()))) return false;
     log(LogLevel::Info, Event::ServerReinstated, {log_field("server", server)});
     return true;
 }
 
-bool GatewayService::tell(std::optional<decision::HostList>&& change) {
+bool GatewayService::forward_host_list(std::optional<decision::HostList>&& change) {
     if (!change) return false;
     if (!change->hosts.empty()) engine_.on_host_list(std::move(*change));
     return true;
 }
 
-void GatewayService::set_draining(bool wanted) {
-    if (wanted == client_listener_->is_draining()) return;
-    client_listener_->set_draining(wanted);
-    log(LogLevel::Info, wanted ? Event::DrainStarted : Event::DrainEnded);
+void GatewayService::set_draining(bool is_draining) {
+    if (is_draining == client_listener_->is_draining()) return;
+    client_listener_->set_draining(is_draining);
+    log(LogLevel::Info, is_draining ? Event::DrainStarted : Event::DrainEnded);
 }
 
-// ---- plans that change in service ----
-
-void GatewayService::start_plans(const settings::PlansSettings& s) {
-    plans::PlanTableSettings b;
-    b.platform_plans = config_.settings.plans;
-    b.table_overrides_request = s.table_overrides_request;
-    b.lead_time = s.lead_time;
-    b.max_reserved_fraction = s.max_reserved_fraction;
-    plans::PlanTable book(b);
-    plan_table_file_ = std::make_unique<PlanTableFile>(s.table_path, book, !s.reject_damaged);
-    const PlanTableFile::Loaded& loaded = plan_table_file_->load_result();
-    if (loaded.is_torn) log(LogLevel::Warning, Event::PlanTableTruncated, {log_field("book", s.table_path)});
+// ---- plans that change at runtime ----
+
+void GatewayService::start_plans(const settings::PlansSettings& settings) {
+    plans::PlanTableSettings table_settings;
+    table_settings.platform_plans = config_.settings.plans;
+    table_settings.table_overrides_request = settings.table_overrides_request;
+    table_settings.lead_time = settings.lead_time;
+    table_settings.max_reserved_fraction = settings.max_reserved_fraction;
+    plans::PlanTable plan_table(table_settings);
+    plan_table_file_ =
+        std::make_unique<PlanTableFile>(settings.table_path, plan_table, !settings.reject_damaged);
+    const PlanTableFile::LoadResult& loaded = plan_table_file_->load_result();
+    if (loaded.is_torn)
+        log(LogLevel::Warning, Event::PlanTableTruncated, {log_field("book", settings.table_path)});
     if (!loaded.damage_reason.empty())
         log(LogLevel::Error, Event::PlanTableDamaged,
-            {log_field("book", s.table_path), log_field("version", loaded.change_count),
+            {log_field("book", settings.table_path), log_field("version", loaded.change_count),
              log_field("why", loaded.damage_reason)});
     log(LogLevel::Info, Event::PlanTableLoaded,
-        {log_field("book", s.table_path), log_field("version", loaded.change_count)});
+        {log_field("book", settings.table_path), log_field("version", loaded.change_count)});
     persistent_counters_ =
-        std::make_unique<usage_log::PersistentCounters>(fmt::format("{}.redeemed", s.table_path));
+        std::make_unique<usage_log::PersistentCounters>(fmt::format("{}.redeemed", settings.table_path));
     std::map<std::uint64_t, double> redeemed;
     for (const auto& [version, units] : persistent_counters_->initial_values()) {
-        const plans::Reservation* r = book.find_reservation(book.reservation_name(version));
-        if (r == nullptr || r->ends_at <= clock_.now()) persistent_counters_->remove_key(version);
+        const plans::Reservation* reservation =
+            plan_table.find_reservation(plan_table.reservation_name(version));
+        if (reservation == nullptr || reservation->ends_at <= clock_.now())
+            persistent_counters_->remove_key(version);
         else redeemed[version] = static_cast<double>(units) / usage_log::kMillionths;
     }
-    plan_service_ = std::make_unique<plans::PlanService>(std::move(book), *quota_state_table_, clock_.now(),
-                                                         std::move(redeemed));
+    plan_service_ = std::make_unique<plans::PlanService>(std::move(plan_table), *quota_state_table_,
+                                                         clock_.now(), std::move(redeemed));
     engine_.set_plan_service(*plan_service_);
     plan_service_->set_redemption_handler([this](std::uint64_t version, double units) {
         if (!persistent_counters_->set_value(version, usage_log::to_millionths(units)) &&
@@ -296,56 +300,57 @@
     });
     if (shared_counter_) {
         change_replicator_ = std::make_unique<plans::ChangeReplicator>(
-            config_.settings.me, config_.settings.gateways, s.is_owner, plan_service_->plan_table(),
-            [this](const plans::PlanChange& c) { commit_change(c); });
+            config_.settings.me, config_.settings.gateways, settings.is_owner, plan_service_->plan_table(),
+            [this](const plans::PlanChange& change) { commit_change(change); });
         shared_counter_->set_field_exchange(*change_replicator_);
     }
-    if (!s.control_socket_path.empty()) {
-        control_socket::PlanCommandHandler office(*plan_service_, s.is_owner,
-                                                  [this](const plans::PlanChange& c) { commit_change(c); });
+    if (!settings.control_socket_path.empty()) {
+        control_socket::PlanCommandHandler command_handler(
+            *plan_service_, settings.is_owner,
+            [this](const plans::PlanChange& change) { commit_change(change); });
         control_server_ = std::make_unique<control_socket::ControlServer>(
-            std::move(office), reactor_, s.control_socket_path, s.control_mode);
+            std::move(command_handler), reactor_, settings.control_socket_path, settings.control_mode);
     }
-    is_owner_ = s.is_owner;
-    commit_configured_plans(s);
+    is_owner_ = settings.is_owner;
+    commit_configured_plans(settings);
     apply_due_changes();
 }
 
-// What the operator's file says, it says at each start and reload; what it leaves out is as the book has it.
-std::size_t GatewayService::commit_configured_plans(const settings::PlansSettings& s) {
+// The settings file is applied at each start and reload; the plan table keeps what the file does not mention.
+std::size_t GatewayService::commit_configured_plans(const settings::PlansSettings& settings) {
     if (!is_owner_) return 0;
-    std::vector<plans::ChangeBody> wanted;
-    for (const settings::PlanTerms& p : s.plans)
-        wanted.push_back(
-            plans::DefinePlan{p.plan_name,
-                              p.base_plan,
-                              {p.rate, p.burst, p.rate_limit, p.rate_limit_burst, p.rate_limit_slack}});
-    for (const auto& [customer, plan] : s.customers)
-        wanted.push_back(plans::AssignPlan{plans::parse_customer(customer).value(), plan});
-    std::size_t made = 0;
-    for (const plans::ChangeBody& body : wanted) {
+    std::vector<plans::ChangeBody> desired;
+    for (const settings::PlanTerms& terms : settings.plans)
+        desired.push_back(plans::DefinePlan{
+            terms.plan_name,
+            terms.base_plan,
+            {terms.rate, terms.burst, terms.rate_limit, terms.rate_limit_burst, terms.rate_limit_slack}});
+    for (const auto& [customer, plan] : settings.customers)
+        desired.push_back(plans::AssignPlan{plans::parse_customer(customer).value(), plan});
+    std::size_t change_count = 0;
+    for (const plans::ChangeBody& body : desired) {
         if (plan_service_->plan_table().matches_latest(body)) continue;
-        plans::ChangeProposal p;
-        p.body = body;
-        p.expected_version = plan_service_->plan_table().subject_version(plans::subject_of(body));
-        p.author = "the operator's file";
-        const auto outcome = plan_service_->plan_table().validate_proposal(p, clock_.now());
-        if (const auto* no = std::get_if<plans::ChangeRejection>(&outcome)) {
+        plans::ChangeProposal proposal;
+        proposal.body = body;
+        proposal.expected_version = plan_service_->plan_table().subject_version(plans::subject_of(body));
+        proposal.author = "the operator's file";
+        const auto outcome = plan_service_->plan_table().validate_proposal(proposal, clock_.now());
+        if (const auto* rejection = std::get_if<plans::ChangeRejection>(&outcome)) {
             log(LogLevel::Error, Event::PlanChangeRejected,
-                {log_field("subject", plans::subject_of(body)), log_field("why", no->text)});
+                {log_field("subject", plans::subject_of(body)), log_field("why", rejection->text)});
             continue;
         }
         commit_change(std::get<plans::PlanChange>(outcome));
-        ++made;
+        ++change_count;
     }
-    return made;
+    return change_count;
 }
 
 std::size_t GatewayService::apply_reload(const settings::OperatorSettings& changed) {
     return plan_service_ && changed.plans ? commit_configured_plans(*changed.plans) : 0;
 }
 
-// An entry of the book, made here or heard of: kept first, then it counts.
+// Applies a change that was made here or replicated: it is persisted before it takes effect.
 void GatewayService::commit_change(const plans::PlanChange& change) {
     plans::PlanTable::validate_next(plan_service_->plan_table(), change);
     plan_table_file_->append_change(change);
@@ -356,7 +361,7 @@
     apply_due_changes();
 }
 
-// Acts on what takes effect by now, and comes again when more does.
+// Applies changes that are due, and schedules itself for the next one.
 void GatewayService::apply_due_changes() {
     reactor_.cancel_timer(changes_timer_);
     engine_.refresh_allowances();
@@ -368,30 +373,30 @@
     changes_timer_ = reactor_.schedule_at(std::max(due, now), [this] { apply_due_changes(); });
 }
 
-UsageLogRecorder::UsageLogRecorder(const settings::UsageSettings& s, int gateway_index, TimePoint now)
-    : recorder_({s.journal_directory, static_cast<std::uint32_t>(gateway_index),
+UsageLogRecorder::UsageLogRecorder(const settings::UsageSettings& settings, int gateway_index, TimePoint now)
+    : recorder_({settings.journal_directory, static_cast<std::uint32_t>(gateway_index),
                  static_cast<std::uint64_t>(std::max<std::int64_t>(1, now.time_since_epoch().count())),
-                 s.segment_records, s.max_segments}) {}
-
-void UsageLogRecorder::record_admission(const AdmittedRequest& a) {
-    usage_log::UsageRecord use;
-    use.admitted_at = a.admitted_at;
-    use.customer = a.customer;
-    use.unit_millionths = usage_log::to_millionths(a.units);
-    use.plan_version = static_cast<std::uint32_t>(a.plan_version);
-    use.plan_index = static_cast<std::uint16_t>(a.plan_index);
-    use.class_index = static_cast<std::uint16_t>(a.class_index);
-    use.reservation_version = a.reservation_version;
-    if (!recorder_.append(use) && log_limiter_.try_acquire())
+                 settings.segment_records, settings.max_segments}) {}
+
+void UsageLogRecorder::record_admission(const AdmittedRequest& admission) {
+    usage_log::UsageRecord record;
+    record.admitted_at = admission.admitted_at;
+    record.customer = admission.customer;
+    record.unit_millionths = usage_log::to_millionths(admission.units);
+    record.plan_version = static_cast<std::uint32_t>(admission.plan_version);
+    record.plan_index = static_cast<std::uint16_t>(admission.plan_index);
+    record.class_index = static_cast<std::uint16_t>(admission.class_index);
+    record.reservation_version = admission.reservation_version;
+    if (!recorder_.append(record) && log_limiter_.try_acquire())
         log(LogLevel::Error, Event::UsageRecordsLost, {log_field("why", recorder_.last_error())});
 }
 
-void GatewayService::run(std::function<void()> look) {
-    reactor_.set_pre_poll_task([this, look = std::move(look)](bool sockets) {
-        // Discovery may be among them, and then comes before all others. A turn without sockets has nothing
-        // of it.
+void GatewayService::run(std::function<void()> on_iteration) {
+    reactor_.set_pre_poll_task([this, on_iteration = std::move(on_iteration)](bool sockets) {
+        // Discovery is read before all other sockets, so that a new list applies to everything that follows.
+        // An iteration without socket events has no input from it.
         if (sockets) discovery_watch_->read_available();
-        look();
+        on_iteration();
         check_shutdown();
     });
     discovery_watch_->start();
@@ -413,9 +418,9 @@
 
 bool GatewayService::apply_reload(const GatewayConfig& changed) {
     check_reloadable(changed, config_);
-    const bool terms = apply_plan_terms(changed);
+    const bool terms_changed = apply_plan_terms(changed);
     config_.present_fields = changed.present_fields;
-    if (changed.discovery_address == config_.discovery_address) return terms;
+    if (changed.discovery_address == config_.discovery_address) return terms_changed;
     log(LogLevel::Info, Event::DiscoveryAddressChanged,
         {log_field("from", config_.discovery_address), log_field("to", changed.discovery_address)});
     config_.discovery_address = changed.discovery_address;
@@ -424,60 +429,65 @@
     return true;
 }
 
-// Requests under way keep their class, whatever the file says of it now.
+// Requests in progress keep their class, even if the new file changes or removes it.
 bool GatewayService::apply_plan_terms(const GatewayConfig& changed) {
-    decision::Settings& now = config_.settings;
+    decision::Settings& current = config_.settings;
     const decision::Settings& next = changed.settings;
-    decision::RequestLimits& limits = now;
-    if (now.classes == next.classes && limits == next && config_.streams_by_class == changed.streams_by_class)
+    decision::RequestLimits& limits = current;
+    if (current.classes == next.classes && limits == next &&
+        config_.streams_by_class == changed.streams_by_class)
         return false;
     config_.engine_class_indexes = engine_.apply_settings(next);
     config_.streams_by_class = changed.streams_by_class;
-    now.classes = next.classes;
+    current.classes = next.classes;
     limits = next;
-    std::string names;
-    for (const decision::ClassSettings& c : now.classes) names += (names.empty() ? "" : ",") + c.name;
+    std::string class_names;
+    for (const decision::ClassSettings& cls : current.classes)
+        class_names += (class_names.empty() ? "" : ",") + cls.name;
     log(LogLevel::Info, Event::PlanTermsChanged,
-        {log_field("classes", names), log_field("attempts", now.send_cap)});
+        {log_field("classes", class_names), log_field("attempts", current.send_cap)});
     return true;
 }
 
 std::string GatewayService::counters_text() const {
     std::string out = counters_.to_text();
     if (usage_log_recorder_) {
-        const usage_log::WriterStatistics& u = usage_log_recorder_->statistics();
-        out += fmt::format("use: recorded={} unrecorded={} segments={}\n", u.records, u.unrecorded_requests,
-                           u.segments);
+        const usage_log::WriterStatistics& usage = usage_log_recorder_->statistics();
+        out += fmt::format("use: recorded={} unrecorded={} segments={}\n", usage.records,
+                           usage.unrecorded_requests, usage.segments);
     }
     if (plan_service_) {
-        const plans::PlanServiceStatistics d = plan_service_->statistics(clock_.now());
+        const plans::PlanServiceStatistics plan_statistics = plan_service_->statistics(clock_.now());
         out += fmt::format(
             "plans: version={} changes={} late={} latest_us={} behind_us={} reservations_open={} redeemed={} "
             "not_redeemed={} asked={}\n",
-            plan_service_->plan_table().version(), d.applied_changes, d.late_changes, d.max_lateness.count(),
-            d.max_delay.count(), d.open_reservations, d.redemptions, d.failed_redemptions,
-            control_server_ ? control_server_->commands_received() : 0);
+            plan_service_->plan_table().version(), plan_statistics.applied_changes,
+            plan_statistics.late_changes, plan_statistics.max_lateness.count(),
+            plan_statistics.max_delay.count(), plan_statistics.open_reservations, plan_statistics.redemptions,
+            plan_statistics.failed_redemptions, control_server_ ? control_server_->commands_received() : 0);
     }
     if (change_replicator_) {
-        const plans::ReplicationStatistics p = change_replicator_->statistics();
-        out += fmt::format("spread: put={} heard={} foreign={} bad_values={} behind={}\n", p.entries_written,
-                           p.entries_received, p.foreign_entries, p.bad_values, p.gateways_behind);
+        const plans::ReplicationStatistics replication = change_replicator_->statistics();
+        out += fmt::format("spread: put={} heard={} foreign={} bad_values={} behind={}\n",
+                           replication.entries_written, replication.entries_received,
+                           replication.foreign_entries, replication.bad_values, replication.gateways_behind);
     }
     if (!shared_counter_) return out;
-    const shared_counter::SharedCounterStatistics& c = shared_counter_->statistics();
-    const limits::QuotaTableStatistics l = quota_state_table_->statistics(clock_.now());
+    const shared_counter::SharedCounterStatistics& counter = shared_counter_->statistics();
+    const limits::QuotaTableStatistics quota = quota_state_table_->statistics(clock_.now());
     out += fmt::format(
         "counter: up={} of={} calls={} rows_written={} rows_read={} late={} errors={} bad_values={} "
         "connects={} "
         "lost={} replaced={}\n",
-        c.stores_up, c.stores, c.calls, c.rows_written, c.rows_read, c.late_answers, c.error_answers,
-        c.bad_values, c.connects, c.connections_lost, c.stores_replaced);
+        counter.stores_up, counter.stores, counter.calls, counter.rows_written, counter.rows_read,
+        counter.late_answers, counter.error_answers, counter.bad_values, counter.connects,
+        counter.connections_lost, counter.stores_replaced);
     out += fmt::format(
         "ledger: customers={} live={} alone={} untracked={} rows_heard={} rows_ignored={} leases_ended={} "
         "reclaimed={} acknowledged={} lives_seen={} news={}\n",
-        l.tracked_customers, l.exchanging_customers, l.isolated_customers, l.untracked_customers,
-        l.rows_received, l.rows_ignored, l.leases_expired, l.leases_reclaimed, l.leases_acknowledged,
-        l.peer_restarts, l.announcements_received);
+        quota.tracked_customers, quota.exchanging_customers, quota.isolated_customers,
+        quota.untracked_customers, quota.rows_received, quota.rows_ignored, quota.leases_expired,
+        quota.leases_reclaimed, quota.leases_acknowledged, quota.peer_restarts, quota.announcements_received);
     return out;
 }
 
@@ -485,10 +495,10 @@
     if (stopping_since_ == TimePoint{}) return;
     const Duration stopping = clock_.now() - stopping_since_;
     if (stopping >= kAcceptAfterStop) client_listener_->stop_accepting();
-    const Duration longest =
+    const Duration shutdown_limit =
         std::min(config_.max_deadline(), kMaxShutdownGrace) + kAcceptAfterStop - kShutdownMargin;
-    if (stopping >= longest) engine_.abandon_all_requests();
-    if ((stopping >= kAcceptAfterStop && client_listener_->client_count() == 0) || stopping >= longest)
+    if (stopping >= shutdown_limit) engine_.abandon_all_requests();
+    if ((stopping >= kAcceptAfterStop && client_listener_->client_count() == 0) || stopping >= shutdown_limit)
         reactor_.stop();
 }
 
--- a/src/balancer/service/gateway_service.h
+++ b/src/balancer/service/gateway_service.h
@@ -1,5 +1,5 @@
 // The stand-alone gateway: owns and connects all its parts, and runs the reactor. Everything happens on the
-// thread that calls run(), apart from the threads that wait for disks.
+// thread that calls run(), apart from the threads that sync files.
 #pragma once
 
 #include <memory>
@@ -47,16 +47,17 @@
     explicit GatewayService(GatewayConfig config, settings::OperatorSettings settings = {});
     ~GatewayService() override;
 
-    // Serves until stopped. `look` runs once per event loop iteration, and at least ten times a second.
-    void run(std::function<void()> look);
+    // Serves until stopped. `on_iteration` runs once per event loop iteration, and at least ten times a
+    // second.
+    void run(std::function<void()> on_iteration);
     // Graceful shutdown: accepted requests are answered, then run() returns.
     void request_stop();
     // Applies what may change at runtime: discovery's address, the classes and the limits of requests. False
     // if nothing differs. Throws ConfigError or decision::BadSettings, and changes nothing, if the file is
     // incomplete or invalid.
     bool apply_reload(const GatewayConfig& changed);
-    // Applies the plans of the operator's file if this gateway owns the plan table; everything else in it
-    // needs a restart. Returns the number of changes.
+    // Applies the plans of the operator's file if this gateway owns the plan table; its other settings need a
+    // restart. Returns the number of changes.
     std::size_t apply_reload(const settings::OperatorSettings& changed);
     void record_reload_accepted() { ++counters_.configurations_loaded; }
     void record_reload_failed() { ++counters_.reloads_failed; }
@@ -76,13 +77,14 @@
     std::string metrics_text() const override;
     bool eject_server(const std::string& server) override;
     bool reinstate_server(const std::string& server) override;
-    void set_draining(bool wanted) override;
+    void set_draining(bool is_draining) override;
     void import_state(const std::string& text);
     void release_listeners();
     void resume_service();
     std::string export_state();
     bool apply_plan_terms(const GatewayConfig& changed);
-    bool tell(std::optional<decision::HostList>&& change);
+    // Passes a change of the server list to the engine. False if there is none.
+    bool forward_host_list(std::optional<decision::HostList>&& change);
     void start_shutdown();
     void check_shutdown();
     void start_plans(const settings::PlansSettings& settings);
@@ -121,7 +123,7 @@
     bool list_received_ = false;
     TimePoint started_at_ = clock_.now();
     TimePoint stopping_since_{};
-    bool stop_logged_ = false;    // by request_stop, not only because of a successor
+    bool stop_logged_ = false;    // by request_stop, not only by a handover
 };
 
 }    // namespace shaletray
--- a/src/balancer/service/plan_table_file.h
+++ b/src/balancer/service/plan_table_file.h
@@ -1,5 +1,5 @@
 // Persists the plan table: an append-only file with one line of JSON per change, written before the change
-// takes effect. Used on the reactor's thread; a thread of its own syncs the file.
+// takes effect. Used on the reactor's thread; a background thread syncs the file.
 #pragma once
 
 #include <condition_variable>
@@ -17,25 +17,25 @@
 class PlanTableFile {
 public:
     // The result of reading the file.
-    struct Loaded {
+    struct LoadResult {
         std::size_t change_count = 0;
-        bool is_torn = false;    // the last line was truncated by a kill: it had no effect and was removed
-        std::string damage_reason;    // why the rest is not readable, if damaged files are served
+        bool is_torn = false;         // a kill truncated the last line: it had no effect and was removed
+        std::string damage_reason;    // why the rest cannot be read, if damaged files are served
     };
 
-    // Reads the file into the table `book`; a missing file is empty. Throws std::runtime_error if another
-    // process has it open, if it cannot be read or written, and, unless `serve_damaged`, if a line is
-    // damaged.
-    PlanTableFile(std::string path, plans::PlanTable& book, bool serve_damaged,
+    // Reads the file into `table`; a missing file is empty. Throws std::runtime_error if another process has
+    // it open, if it cannot be read or written, and, unless `serve_damaged`, if a line is damaged.
+    PlanTableFile(std::string path, plans::PlanTable& table, bool serve_damaged,
                   usage_log::FileSystem& files = usage_log::real_file_system());
     ~PlanTableFile();
     PlanTableFile(const PlanTableFile&) = delete;
     PlanTableFile& operator=(const PlanTableFile&) = delete;
 
-    // When this returns, the line survives a kill of the process; after the next sync, a crash of the
-    // machine. Throws std::runtime_error, and leaves nothing of the line behind.
+    // Appends a line. It survives a kill of the process from the return of this function on, and a crash of
+    // the machine from the next sync on. Throws std::runtime_error, and leaves no part of the line, if that
+    // fails.
     void append_change(const plans::PlanChange& change);
-    const Loaded& load_result() const { return load_result_; }
+    const LoadResult& load_result() const { return load_result_; }
 
 private:
     void run_sync();
@@ -44,7 +44,7 @@
     usage_log::FileSystem& file_system_;
     std::unique_ptr<usage_log::File> file_;
     std::size_t size_ = 0;
-    Loaded load_result_;
+    LoadResult load_result_;
     std::mutex mutex_;
     std::condition_variable wake_condition_;
     bool has_unsynced_ = false, is_stopping_ = false;
--- a/tests/balancer/service/gateway_rig.h
+++ b/tests/balancer/service/gateway_fixture.h
@@ -1,4 +1,5 @@
-// A whole gateway on real sockets, against servers and a discovery made of POCO's HTTP server.
+// Fixture for tests of a whole gateway on real sockets, with stub servers and a stub of the discovery service
+// that use POCO's HTTP server.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -35,33 +36,33 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-using Handle = std::function<void(HTTPServerRequest&, HTTPServerResponse&)>;
+using RequestFunction = std::function<void(HTTPServerRequest&, HTTPServerResponse&)>;
 
-struct Handler : Poco::Net::HTTPRequestHandler {
-    explicit Handler(Handle handle) : handle_(std::move(handle)) {}
+struct FunctionHandler : Poco::Net::HTTPRequestHandler {
+    explicit FunctionHandler(RequestFunction function) : function_(std::move(function)) {}
     void handleRequest(HTTPServerRequest& request, HTTPServerResponse& response) override {
-        handle_(request, response);
+        function_(request, response);
     }
 
 private:
-    Handle handle_;
+    RequestFunction function_;
 };
 
-struct Factory : Poco::Net::HTTPRequestHandlerFactory {
-    explicit Factory(Handle handle) : handle_(std::move(handle)) {}
+struct FunctionHandlerFactory : Poco::Net::HTTPRequestHandlerFactory {
+    explicit FunctionHandlerFactory(RequestFunction function) : function_(std::move(function)) {}
     Poco::Net::HTTPRequestHandler* createRequestHandler(const HTTPServerRequest&) override {
-        return new Handler(handle_);    // the server owns it
+        return new FunctionHandler(function_);    // the server owns it
     }
 
 private:
-    Handle handle_;
+    RequestFunction function_;
 };
 
 class HttpStub {
 public:
-    explicit HttpStub(const Handle& handle)
+    explicit HttpStub(const RequestFunction& function)
         : socket_(Poco::Net::SocketAddress("127.0.0.1", 0)),
-          server_(new Factory(handle), socket_, new Poco::Net::HTTPServerParams) {
+          server_(new FunctionHandlerFactory(function), socket_, new Poco::Net::HTTPServerParams) {
         server_.start();
     }
     ~HttpStub() { server_.stopAll(true); }
@@ -73,15 +74,15 @@
     Poco::Net::HTTPServer server_;
 };
 
-// A server that answers with the request's id and body, or does as it is told.
-struct Server {
+// A server that answers with the request's id and body, or misbehaves according to its mode.
+struct StubServer {
     enum class Mode { Answer, Reset, Hang, Slow };
-    explicit Server(Mode how = Mode::Answer) : mode(how) {}
+    explicit StubServer(Mode initial_mode = Mode::Answer) : mode(initial_mode) {}
 
     Mode mode;
     std::atomic<int> requests{0};
-    std::atomic<bool> over{false};
-    std::atomic<int> cost{0};    // the true units that its answers tell; 0: none
+    std::atomic<bool> is_stopping{false};
+    std::atomic<int> reported_units{0};    // actual units that its responses report; 0: not reported
     HttpStub stub{[this](HTTPServerRequest& request, HTTPServerResponse& response) {
         std::string body;
         Poco::StreamCopier::copyToString(request.stream(), body);
@@ -92,14 +93,14 @@
             real.detachSocket().close();
             return;
         }
-        while (mode == Mode::Hang && !over) std::this_thread::sleep_for(5ms);
+        while (mode == Mode::Hang && !is_stopping) std::this_thread::sleep_for(5ms);
         if (mode == Mode::Slow) std::this_thread::sleep_for(300ms);
         const std::string answer = request.get("X-Correlation-Id") + ":" + body;
         response.setContentLength(static_cast<int>(answer.size()));
-        if (cost > 0) response.set("X-Cost-Units", std::to_string(cost));
+        if (reported_units > 0) response.set("X-Cost-Units", std::to_string(reported_units));
         response.send() << answer;
     }};
-    ~Server() { over = true; }
+    ~StubServer() { is_stopping = true; }
 };
 
 // Answers each request with the same bytes, whatever they are, and leaves the connection open.
@@ -109,7 +110,7 @@
         thread_ = std::thread([this] { serve(); });
     }
     ~RawServer() {
-        over_ = true;
+        is_stopping_ = true;
         thread_.join();
     }
     std::string address() const { return socket_.address().toString(); }
@@ -118,7 +119,7 @@
 private:
     void serve() {
         std::vector<Poco::Net::StreamSocket> open;
-        while (!over_) {
+        while (!is_stopping_) {
             if (socket_.poll(Poco::Timespan(0, 1000), Poco::Net::Socket::SELECT_READ))
                 open.push_back(socket_.acceptConnection());
             for (Poco::Net::StreamSocket& client : open) {
@@ -129,7 +130,7 @@
                     ++requests;
                     client.sendBytes(answer_.data(), static_cast<int>(answer_.size()));
                 } catch (const Poco::Exception&) {
-                    // The gateway ended it, as it may.
+                    // The gateway may close the connection at any time.
                 }
             }
         }
@@ -137,34 +138,34 @@
 
     std::string answer_;
     Poco::Net::ServerSocket socket_{Poco::Net::SocketAddress("127.0.0.1", 0)};
-    std::atomic<bool> over_{false};
+    std::atomic<bool> is_stopping_{false};
     std::thread thread_;
 };
 
-// Gives its list once, then each line that is told, and an empty one now and then.
-class Discovery {
+// Sends its full list, then each announced change, and an empty line as keep-alive every 50 ms.
+class DiscoveryStub {
 public:
-    explicit Discovery(const std::string& members) { tell(members, true); }
-    ~Discovery() {
+    explicit DiscoveryStub(const std::string& members) { announce(members, true); }
+    ~DiscoveryStub() {
         const std::lock_guard lock(mutex_);
-        over_ = true;
+        is_stopping_ = true;
         changed_.notify_all();
     }
     std::string address() const { return stub_.address(); }
-    // Ends the watch that is open, once there is one.
-    void hang_up() {
+    // Closes the open watch, after waiting for one to open.
+    void close_watch() {
         std::unique_lock lock(mutex_);
-        changed_.wait_for(lock, 10s, [&] { return written_ > 0; });
-        ++hung_up_;
+        changed_.wait_for(lock, 10s, [&] { return written_lines_ > 0; });
+        ++closed_watches_;
         changed_.notify_all();
     }
     // Returns once the line is written.
-    void tell(const std::string& members, bool complete = false) {
+    void announce(const std::string& members, bool complete = false) {
         std::unique_lock lock(mutex_);
         lines_.push_back(R"({"revision":)" + std::to_string(lines_.size() + 2) + R"(,"complete":)" +
                          (complete ? "true" : "false") + R"(,"members":[)" + members + "]}\n");
         changed_.notify_all();
-        if (!complete) changed_.wait_for(lock, 10s, [&] { return written_ == lines_.size(); });
+        if (!complete) changed_.wait_for(lock, 10s, [&] { return written_lines_ == lines_.size(); });
     }
 
 private:
@@ -172,12 +173,14 @@
         response.setChunkedTransferEncoding(true);
         std::ostream& out = response.send();
         std::unique_lock lock(mutex_);
-        const int mine = hung_up_;
-        for (std::size_t next = 0; !over_ && mine == hung_up_ && out.good();) {
+        const int own_watch = closed_watches_;
+        for (std::size_t next = 0; !is_stopping_ && own_watch == closed_watches_ && out.good();) {
             while (next < lines_.size()) out << lines_[next++] << std::flush;
-            written_ = next;
+            written_lines_ = next;
             changed_.notify_all();
-            changed_.wait_for(lock, 50ms, [&] { return over_ || mine != hung_up_ || next < lines_.size(); });
+            changed_.wait_for(lock, 50ms, [&] {
+                return is_stopping_ || own_watch != closed_watches_ || next < lines_.size();
+            });
             out << "\n" << std::flush;
         }
     }
@@ -185,9 +188,9 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::vector<std::string> lines_;
-    std::size_t written_ = 0;
-    bool over_ = false;
-    int hung_up_ = 0;
+    std::size_t written_lines_ = 0;
+    bool is_stopping_ = false;
+    int closed_watches_ = 0;
     HttpStub stub_{[this](HTTPServerRequest&, HTTPServerResponse& response) { watch(response); }};
 };
 
@@ -198,22 +201,22 @@
     explicit Gateway(GatewayConfig config) : service_(std::move(config)) {
         thread_ = std::thread([this] {
             service_.run([this] {
-                ++turns;
+                ++iterations;
                 if (stop_) service_.request_stop();
             });
-            ended_ = true;
+            is_stopped_ = true;
         });
     }
-    ~Gateway() { end(); }
+    ~Gateway() { stop_and_join(); }
     void stop() { stop_ = true; }
-    bool ended(std::chrono::milliseconds within) const {
-        for (const auto end = std::chrono::steady_clock::now() + within;
-             !ended_ && std::chrono::steady_clock::now() < end;)
+    bool wait_until_stopped(std::chrono::milliseconds timeout) const {
+        for (const auto deadline = std::chrono::steady_clock::now() + timeout;
+             !is_stopped_ && std::chrono::steady_clock::now() < deadline;)
             std::this_thread::sleep_for(1ms);
-        return ended_;
+        return is_stopped_;
     }
-    // Ends it; its counters may be read then.
-    const Counters& end() {
+    // Stops the gateway and waits for its thread; the counters may be read afterwards.
+    const Counters& stop_and_join() {
         stop();
         if (thread_.joinable()) thread_.join();
         return service_.counters();
@@ -222,11 +225,11 @@
     std::string admin_address() const { return service_.admin_address(); }
     std::string peer_address() const { return service_.peer_address(); }
 
-    std::atomic<long> turns{0};
+    std::atomic<long> iterations{0};
 
 private:
     GatewayService service_;
-    std::atomic<bool> stop_{false}, ended_{false};
+    std::atomic<bool> stop_{false}, is_stopped_{false};
     std::thread thread_;
 };
 
@@ -243,17 +246,17 @@
         session_.setKeepAlive(true);
         session_.setTimeout(Poco::Timespan(20, 0));
     }
-    Answer ask(const std::string& path, const std::string& plan = "open", const std::string& left = "1500m",
-               const std::string& body = "") {
-        const bool reads = path.starts_with("/read") || path.starts_with("/health");
-        HTTPRequest request(reads ? "GET" : "POST", path, HTTPRequest::HTTP_1_1);
-        request.set("X-Correlation-Id", fmt::format("id-{}", ++asked_));
+    Answer send_request(const std::string& path, const std::string& plan = "open",
+                        const std::string& time_left = "1500m", const std::string& body = "") {
+        const bool is_read = path.starts_with("/read") || path.starts_with("/health");
+        HTTPRequest request(is_read ? "GET" : "POST", path, HTTPRequest::HTTP_1_1);
+        request.set("X-Correlation-Id", fmt::format("id-{}", ++request_count_));
         request.set("X-Tier", plan);
         request.set("Cookie", "customer=00000000b4d65521");
         request.set("X-Call-Terms", "units=2,spread=1,first=0");
-        request.set("X-Time-Left", left);
-        if (path.starts_with("/submit")) request.set("Idempotency-Key", fmt::format("k{}", asked_));
-        if (!reads) request.setContentLength(static_cast<int>(body.size()));
+        request.set("X-Time-Left", time_left);
+        if (path.starts_with("/submit")) request.set("Idempotency-Key", fmt::format("k{}", request_count_));
+        if (!is_read) request.setContentLength(static_cast<int>(body.size()));
         session_.sendRequest(request) << body;
         Poco::Net::HTTPResponse response;
         Answer answer;
@@ -266,23 +269,25 @@
 
 private:
     Poco::Net::HTTPClientSession session_;
-    int asked_ = 0;
+    int request_count_ = 0;
 };
 
-// A client of few words: sends a text, and reads until the gateway ends the connection.
-class Talk {
+// A connection that sends raw text and reads until the gateway closes it.
+class RawConnection {
 public:
-    Talk(const Gateway& gateway, const std::string& text) : Talk(gateway.address(), text) {}
-    Talk(const std::string& address, const std::string& text) : socket_(Poco::Net::SocketAddress(address)) {
+    RawConnection(const Gateway& gateway, const std::string& text) : RawConnection(gateway.address(), text) {}
+    RawConnection(const std::string& address, const std::string& text)
+        : socket_(Poco::Net::SocketAddress(address)) {
         socket_.setReceiveTimeout(Poco::Timespan(30, 0));
-        if (!text.empty()) say(text);
+        if (!text.empty()) send(text);
     }
-    void say(const std::string& text) { socket_.sendBytes(text.data(), static_cast<int>(text.size())); }
-    std::string rest() const {
+    void send(const std::string& text) { socket_.sendBytes(text.data(), static_cast<int>(text.size())); }
+    std::string read_to_end() const {
         std::string answer;
         char bytes[512];
-        Poco::Net::StreamSocket socket = socket_;    // a handle of the same
-        for (int n; (n = socket.receiveBytes(bytes, sizeof bytes)) > 0;) answer.append(bytes, bytes + n);
+        Poco::Net::StreamSocket socket = socket_;    // shares the connection
+        for (int count; (count = socket.receiveBytes(bytes, sizeof bytes)) > 0;)
+            answer.append(bytes, bytes + count);
         return answer;
     }
 
@@ -290,7 +295,7 @@
     Poco::Net::StreamSocket socket_;
 };
 
-inline std::string two(const Server& a, const Server& b) {
+inline std::string member_entries(const StubServer& a, const StubServer& b) {
     return member("a", a.stub.address()) + "," + member("b", b.stub.address());
 }
 
--- a/tests/balancer/service/gateway_script.h
+++ b/tests/balancer/service/gateway_script.h
@@ -1,4 +1,4 @@
-// Drives one Gateway with scripted events and keeps what it did.
+// Drives one decision::Gateway with scripted events and records its actions.
 #pragma once
 
 #include <algorithm>
@@ -50,7 +50,7 @@
 constexpr int kSafe = 0, kKeyed = 1, kUnsafe = 2;
 constexpr int kPlain = 0, kCeiling = 1, kOpen = 2;
 
-// Quotas out of the way.
+// Settings in which the quota of `plan` never limits.
 inline Settings wide_open(int plan = kPlain) {
     Settings s = small_site();
     s.plans[static_cast<std::size_t>(plan)].rate = 1e6;
@@ -70,15 +70,15 @@
     Gateway& gateway() { return gateway_; }
     void feed(const Event& event) { gateway_.handle(now, event, actions); }
     void clear() {
-        take_timers();
+        collect_timers();
         actions.clear();
     }
 
-    // Time passes; timers fire as they were asked for.
+    // Advances the time by `span` and fires the timers that are due meanwhile.
     void pass(Duration span) {
         const TimePoint until = now + span;
         while (true) {
-            take_timers();
+            collect_timers();
             const auto next = std::min_element(timers_.begin(), timers_.end());
             if (next == timers_.end() || *next > until) break;
             now = std::max(now, *next);
@@ -153,7 +153,8 @@
         const std::vector<T> found = all<T>();
         return found.empty() ? std::nullopt : std::optional<T>(found.back());
     }
-    // Asks until the store gives no more; returns the units sent on. Each is answered at once.
+    // Sends requests until the quota is exhausted, and answers each at once. Returns the units that were
+    // sent.
     double drain(std::uint64_t customer, int plan = kPlain, double units = 1.0, int tries = 500,
                  int width = 3) {
         double sent = 0.0;
@@ -162,7 +163,7 @@
             const RequestId id = ask(kSafe, units, customer, plan, 300ms, width);
             const auto send = last<Send>();
             if (!send) {
-                feed(RequestAborted{id});    // not held on
+                feed(RequestAborted{id});    // do not leave it queued
                 break;
             }
             sent += units;
@@ -172,7 +173,7 @@
     }
 
 private:
-    void take_timers() {
+    void collect_timers() {
         for (const Action& action : actions) {
             if (const auto* t = std::get_if<SetTimer>(&action)) timers_.push_back(t->at);
         }
