--- a/src/balancer/settings/value.h
+++ b/src/balancer/settings/value.h
@@ -39,7 +39,7 @@
 };
 
 // Throws SettingsFileError with this one problem.
-[[noreturn]] void throw_problem(SourcePosition place, std::string path, std::string text);
+[[noreturn]] void throw_problem(SourcePosition position, std::string path, std::string text);
 
 struct Value;
 using ValuePtr = std::shared_ptr<const Value>;
