--- a/src/simulator/board.h
+++ b/src/simulator/board.h
@@ -1,5 +1,5 @@
-// What a shared counter does with the commands of the exchange; answers at once. Pure: fed with the bytes of
-// RESP, gives back bytes.
+// A model of the shared counter's store, with the commands that the store exchange sends. Takes parsed RESP
+// commands and returns RESP replies; does no I/O.
 #pragma once
 
 #include <fmt/format.h>
--- a/src/simulator/clients.cpp
+++ b/src/simulator/clients.cpp
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 using decision::CustomerId;
 
-constexpr Duration kFavouriteDuration = 10s;    // for which a front prefers a gateway
-constexpr Duration kMinRetryDelay = 20ms;       // the least that a client waits before it asks again
+constexpr Duration kFavouriteDuration = 10s;    // how long a frontend prefers a gateway
+constexpr Duration kMinRetryDelay = 20ms;       // minimum delay of a client's retry
 
 }    // namespace
 
@@ -28,37 +28,39 @@
 double latency_quantile_ms(const FineLatencyHistogram& h, double q) { return quantile_in(h, q); }
 
 std::vector<double> customer_activity(const Scenario& s) {
-    const std::uint64_t each = s.customer_count / static_cast<std::uint64_t>(s.frontend_count);
+    const std::uint64_t customers_per_frontend =
+        s.customer_count / static_cast<std::uint64_t>(s.frontend_count);
     std::vector<double> shares;
     double sum = 0.0;
-    shares.reserve(each);
-    for (std::uint64_t rank = 0; rank < each; ++rank)
+    shares.reserve(customers_per_frontend);
+    for (std::uint64_t rank = 0; rank < customers_per_frontend; ++rank)
         shares.push_back(sum += std::pow(static_cast<double>(rank + 1), -s.zipf_exponent));
     return shares;
 }
 
-Clients::Clients(const Scenario& scenario, int me, const std::vector<double>& shares, TimePoint start,
-                 Duration slack, FrontendEnvironment& world)
+Clients::Clients(const Scenario& scenario, int frontend_index, const std::vector<double>& shares,
+                 TimePoint start, Duration slack, FrontendEnvironment& environment)
     : settings_(scenario),
-      frontend_index_(me),
+      frontend_index_(frontend_index),
       cumulative_shares_(shares),
       started_at_(start),
-      answer_slack_(slack),
-      environment_(world),
-      random_(mix_hash(scenario.seed, static_cast<std::uint64_t>(me) + 9'000'000)),
+      response_slack_(slack),
+      environment_(environment),
+      random_(mix_hash(scenario.seed, static_cast<std::uint64_t>(frontend_index) + 9'000'000)),
       live_gateways_(static_cast<std::size_t>(scenario.gateway_count)),
       latency_histogram_(make_latency_histogram()) {
     std::iota(live_gateways_.begin(), live_gateways_.end(), 0);
     const auto seconds = static_cast<std::size_t>(std::ceil(secs(scenario.duration))) + 4;
-    for (auto* by :
+    for (auto* series :
          {&statistics.served_by_second, &statistics.rejected_by_second, &statistics.failed_by_second})
-        by->resize(seconds);
+        series->resize(seconds);
     statistics.latency_by_second.resize(seconds, make_coarse_histogram());
 }
 
 std::string Clients::describe_request(std::uint64_t number, const Request& r, const std::string& what) const {
     return fmt::format(
-        "request {:x} of customer {:x} ({}), first asked at {:.6f}, try {} sent at {:.6f} to gateway {}: {}",
+        "request {:x} of customer {:x} ({}), first sent at {:.6f}, attempt {} sent at {:.6f} to gateway {}: "
+        "{}",
         number, static_cast<std::uint64_t>(r.customer),
         simulated_classes()[static_cast<std::size_t>(r.class_index)].name,
         secs(r.first_sent_at - started_at_), r.attempt_count, secs(r.last_sent_at - started_at_),
@@ -72,12 +74,12 @@
                               gateway_index);
 }
 
-void Clients::on_wakeup(std::uint64_t what) {
-    const std::uint64_t number = what >> 2;
-    if ((what & 3) == NewRequest) return start_request();
+void Clients::on_wakeup(std::uint64_t wakeup) {
+    const std::uint64_t number = wakeup >> 2;
+    if ((wakeup & 3) == NewRequest) return start_request();
     const auto it = open_requests_.find(number);
     if (it == open_requests_.end()) return;
-    if ((what & 3) == Retry) return send_attempt(number, it->second);
+    if ((wakeup & 3) == Retry) return send_attempt(number, it->second);
     if (!it->second.is_in_flight) return;
     it->second.is_abandoned = true;
     environment_.abandon_request(number, it->second.gateway_index);
@@ -87,7 +89,7 @@
 
 void Clients::start_request() {
     const TimePoint now = environment_.current_time();
-    // On and off: while on, three times as much.
+    // Bursts: the rate is three times as high while `on`.
     const double mean =
         settings_.request_rate / settings_.frontend_count / (1.0 + 2.0 * settings_.burst_fraction);
     const bool on =
@@ -105,8 +107,8 @@
     r.customer = CustomerId{rank * static_cast<std::uint64_t>(settings_.frontend_count) +
                             static_cast<std::uint64_t>(frontend_index_)};
     seen_customers_.insert(rank);
-    const double which = draw_fraction();
-    r.class_index = which < 0.6 ? ClaimRead : which < 0.85 ? Approve : ClaimSubmit;
+    const double class_draw = draw_fraction();
+    r.class_index = class_draw < 0.6 ? ClaimRead : class_draw < 0.85 ? Approve : ClaimSubmit;
     r.units = settings_.request_units * (draw_fraction() < 0.5 ? 1.0 : 2.0);
     r.first_sent_at = now;
     ++statistics.requests;
@@ -115,7 +117,8 @@
     send_attempt(number, r);
 }
 
-// One of the customer's set: the front spreads each customer's requests over those alone.
+// Picks a gateway of the customer's set. A frontend sends customers_per_frontend customer's requests to that
+// set only.
 int Clients::pick_gateway(const Request& r) {
     const TimePoint now = environment_.current_time();
     if (now >= favourite_until_) {
@@ -129,7 +132,7 @@
             std::binary_search(live_gateways_.begin(), live_gateways_.end(), g))
             alive.push_back(g);
     const bool to_favourite = draw_fraction() < settings_.favourite_fraction;
-    // With none that it knows of, a front tries any of them.
+    // If no gateway of the set is known to run, any of the set is tried.
     if (alive.empty())
         return (first + static_cast<int>(random_() % static_cast<std::uint64_t>(width))) %
                settings_.gateway_count;
@@ -157,10 +160,10 @@
 void Clients::on_answer(std::uint64_t request, RequestEnd end, Duration retry_after) {
     const auto it = open_requests_.find(request);
     if (it == open_requests_.end() || !it->second.is_in_flight) {
-        // Only who left may still be answered; anything else is a second answer.
+        // Only abandoned requests may still get a response; any other is a duplicate.
         if (!abandoned_requests_.contains(request))
             record_rule_check(statistics.rules["one answer"], false,
-                              [&] { return fmt::format("request {:x} was answered twice", request); });
+                              [&] { return fmt::format("request {:x} got a second response", request); });
         return;
     }
     Request& r = it->second;
@@ -168,11 +171,11 @@
     const TimePoint now = environment_.current_time();
     const Duration late = now - (r.first_sent_at + settings_.request_timeout) - 4 * settings_.network_delay;
     record_rule_check(statistics.rules["one answer"], true, [] { return std::string(); });
-    record_rule_check(statistics.rules["in time"], late <= answer_slack_, [&] {
-        return describe_request(request, r, fmt::format("answered {:.3f} s late", secs(late)));
+    record_rule_check(statistics.rules["in time"], late <= response_slack_, [&] {
+        return describe_request(request, r, fmt::format("response was {:.3f} s late", secs(late)));
     });
     const auto second = static_cast<std::size_t>(std::max(0.0, secs(now - started_at_)));
-    const auto at = [&](auto& by) -> auto& { return by[std::min(second, by.size() - 1)]; };
+    const auto at = [&](auto& series) -> auto& { return series[std::min(second, series.size() - 1)]; };
     if (end == RequestEnd::Served) {
         ++statistics.served;
         ++at(statistics.served_by_second);
@@ -184,9 +187,9 @@
         return finish_request(it, 0);
     }
     statistics.rejected_attempts += end == RequestEnd::Rejected;
-    const bool again = end == RequestEnd::Rejected || r.class_index == ClaimRead;
+    const bool may_retry = end == RequestEnd::Rejected || r.class_index == ClaimRead;
     const Duration wait = std::max<Duration>(retry_after, kMinRetryDelay) + from_secs(0.05 * draw_fraction());
-    if (again && r.attempt_count < settings_.max_attempts &&
+    if (may_retry && r.attempt_count < settings_.max_attempts &&
         now + wait < r.first_sent_at + settings_.request_timeout)
         return environment_.schedule_wakeup(now + wait, request << 2 | Retry);
     ++(end == RequestEnd::Rejected ? statistics.rejected : statistics.failed);
@@ -194,10 +197,11 @@
     finish_request(it, end == RequestEnd::Rejected ? 1 : 2);
 }
 
-void Clients::finish_request(std::unordered_map<std::uint64_t, Request>::iterator it, std::uint64_t how) {
-    statistics.digest =
-        mix_hash(statistics.digest ^ it->first,
-                 how + static_cast<std::uint64_t>((environment_.current_time() - started_at_).count()) * 4);
+void Clients::finish_request(std::unordered_map<std::uint64_t, Request>::iterator it,
+                             std::uint64_t end_code) {
+    statistics.digest = mix_hash(
+        statistics.digest ^ it->first,
+        end_code + static_cast<std::uint64_t>((environment_.current_time() - started_at_).count()) * 4);
     if (it->second.is_abandoned) abandoned_requests_.insert(it->first);
     open_requests_.erase(it);
 }
@@ -208,12 +212,12 @@
     std::sort(numbers.begin(), numbers.end());
     for (const std::uint64_t number : numbers) {
         const Request& r = open_requests_.at(number);
-        if (!r.is_in_flight) {    // between two tries as the day ended
+        if (!r.is_in_flight) {    // waiting for a retry when the run ended
             ++statistics.rejected;
             continue;
         }
         record_rule_check(statistics.rules["one answer"], false,
-                          [&] { return describe_request(number, r, "was never answered"); });
+                          [&] { return describe_request(number, r, "got no response"); });
     }
 }
 
--- a/src/simulator/clients.h
+++ b/src/simulator/clients.h
@@ -1,5 +1,5 @@
-// The clients of one front: whose requests come when, through which gateway, and what clients do with a
-// refusal, a failure or their patience at its end. The same in virtual time and on sockets. Pure.
+// The clients behind one frontend. Generates their requests, picks the gateway of each attempt, and handles
+// rejections, failures, retries and timeouts. Used in virtual time and on sockets; does no I/O.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -14,7 +14,7 @@
 
 namespace shaletray::testbed {
 
-// What a latency in milliseconds is kept in: bins of equal ratio, 0.7% wide.
+// Latency in milliseconds, in logarithmic bins 0.7% wide.
 using FineLatencyHistogram = decltype(boost::histogram::make_histogram(
     boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(2000, 0.1, 1e5)));
 FineLatencyHistogram make_latency_histogram();
@@ -23,8 +23,8 @@
 enum class RequestEnd : std::uint8_t { Served, Rejected, Failed };
 
 struct ClientRequest {
-    std::uint64_t request_number = 0;    // of the front; the same over its tries
-    int attempt_number = 0;              // of its client, from 1
+    std::uint64_t request_number = 0;    // unique; the same for all attempts
+    int attempt_number = 0;              // counts the client's attempts from 1
     decision::CustomerId customer{};
     int class_index = 0, plan_index = 0;
     double units = 1.0;
@@ -36,30 +36,30 @@
 public:
     virtual ~FrontendEnvironment() = default;
     virtual TimePoint current_time() const = 0;
-    // Calls Clients::woken with `what` then.
-    virtual void schedule_wakeup(TimePoint at, std::uint64_t what) = 0;
-    virtual void send_request(const ClientRequest& asked) = 0;
+    // Calls Clients::on_wakeup with that value at that time.
+    virtual void schedule_wakeup(TimePoint at, std::uint64_t wakeup) = 0;
+    virtual void send_request(const ClientRequest& request) = 0;
     virtual void abandon_request(std::uint64_t request, int gateway_index) = 0;
 };
 
-// How customers are drawn: Zipf over those of one front, added up.
+// Returns the cumulative Zipf weights of the customers of one frontend.
 std::vector<double> customer_activity(const Scenario& s);
 
 class Clients {
 public:
-    // `slack`: how much later than a client's patience an answer may still be written, without the way to the
-    // client and back. `shares` is activity()'s and outlives this.
-    Clients(const Scenario& scenario, int me, const std::vector<double>& shares, TimePoint start,
-            Duration slack, FrontendEnvironment& world);
+    // `slack`: how long after a client's timeout a response may still be sent, without the network delay.
+    // `shares` is the result of customer_activity() and must outlive this object.
+    Clients(const Scenario& scenario, int frontend_index, const std::vector<double>& shares, TimePoint start,
+            Duration slack, FrontendEnvironment& environment);
 
     void start_arrivals() {
         environment_.schedule_wakeup(started_at_ + Duration(1000 + frontend_index_), NewRequest);
     }
-    void on_wakeup(std::uint64_t what);
+    void on_wakeup(std::uint64_t wakeup);
     void on_answer(std::uint64_t request, RequestEnd end, Duration retry_after);
-    // The front notices, late, that a gateway ended, or is back.
+    // The frontend detects, with a delay, that a gateway has stopped or is running again.
     void on_gateway_state(int gateway_index, bool is_alive);
-    // Once all is over: what was never answered.
+    // Accounts for unanswered requests after the run.
     void finish_run();
 
     RunStatistics statistics;
@@ -80,20 +80,20 @@
     void start_request();
     int pick_gateway(const Request& r);
     void send_attempt(std::uint64_t number, Request& r);
-    void finish_request(std::unordered_map<std::uint64_t, Request>::iterator it, std::uint64_t how);
+    void finish_request(std::unordered_map<std::uint64_t, Request>::iterator it, std::uint64_t end_code);
 
     const Scenario& settings_;
     int frontend_index_;
     const std::vector<double>& cumulative_shares_;
     TimePoint started_at_;
-    Duration answer_slack_;
+    Duration response_slack_;
     FrontendEnvironment& environment_;
     std::mt19937_64 random_;
     std::unordered_map<std::uint64_t, Request> open_requests_;
     std::set<std::uint64_t> abandoned_requests_, seen_customers_;
     std::vector<int> live_gateways_;
     std::uint64_t last_request_ = 0;
-    std::uint64_t favourite_draw_ = 0;    // which of each set, for a while
+    std::uint64_t favourite_draw_ = 0;    // selects the favourite gateway of each set until favourite_until_
     TimePoint favourite_until_{};
     FineLatencyHistogram latency_histogram_;
 };
--- a/src/simulator/kernel.h
+++ b/src/simulator/kernel.h
@@ -1,8 +1,8 @@
-// Events in virtual time over many entities and several threads, with a result that does not depend on how
-// many. Conservative windows: nothing that one entity sends reaches another sooner than the lookahead, so
-// within a window of that length entities cannot influence each other (Nicol, "The cost of conservative
-// synchronization in parallel discrete event simulations", JACM 1993). Each entity takes its events in the
-// order (time, sender, number).
+// A parallel discrete event simulation kernel. Entities exchange messages in virtual time on several threads;
+// the result does not depend on the number of threads. Synchronization is conservative: no message reaches
+// another entity sooner than the lookahead, so entities cannot influence each other within a window of that
+// length (Nicol, "The cost of conservative synchronization in parallel discrete event simulations", JACM
+// 1993). Each entity handles its events in the order (time, sender, number).
 #pragma once
 
 #include <algorithm>
@@ -26,9 +26,10 @@
 using decision::TimePoint;
 using EntityId = std::uint32_t;
 
-// A generator of its own for each entity: what one draws changes nothing for another.
-inline std::uint64_t mix_hash(std::uint64_t seed, std::uint64_t what) {
-    std::uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (what + 1);    // SplitMix64
+// Mixes two numbers (SplitMix64), for digests and for the seeds of separate random generators, so that the
+// draws of one entity do not affect another.
+inline std::uint64_t mix_hash(std::uint64_t seed, std::uint64_t value) {
+    std::uint64_t z = seed + 0x9e3779b97f4a7c15ULL * (value + 1);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
@@ -37,21 +38,21 @@
 template <class Message>
 class Kernel {
 public:
-    // What an entity may do while it handles an event.
+    // The operations available to an entity while it handles an event.
     class Context {
     public:
         TimePoint current_time() const { return current_time_; }
         EntityId own_id() const { return own_id_; }
-        EntityId sender_id() const { return sender_id_; }    // who sent the event
-        // To another entity, after the lookahead or more. Throws std::logic_error where it is sooner: the
-        // order of events would depend on threads.
+        EntityId sender_id() const { return sender_id_; }    // of the event
+        // Sends to another entity. Throws std::logic_error if the delay is shorter than the lookahead, as the
+        // order of events would then depend on the threads.
         void send_message(EntityId to, Duration delay, Message message) {
             if (to != own_id_ && delay < kernel_.lookahead_)
-                throw std::logic_error("sooner than the lookahead");
+                throw std::logic_error("the delay of a message is shorter than the lookahead");
             kernel_.post_event(shard_, {current_time_ + delay, own_id_, kernel_.event_numbers_[own_id_]++, to,
                                         std::move(message)});
         }
-        // To itself, at any time from now on.
+        // Schedules a message to the entity itself; a time in the past means now.
         void schedule_self(TimePoint at, Message message) {
             kernel_.post_event(shard_, {std::max(at, current_time_), own_id_,
                                         kernel_.event_numbers_[own_id_]++, own_id_, std::move(message)});
@@ -84,12 +85,12 @@
     }
     Entity& entity_at(EntityId id) { return *entities_[id]; }
     std::size_t entity_count() const { return entities_.size(); }
-    // Before the run: something that happens to an entity.
+    // Schedules a message to an entity before the run.
     void schedule_message(EntityId to, TimePoint at, Message message) {
         push_event(shards_[shard_index_of(to)], {at, to, event_numbers_[to]++, to, std::move(message)});
     }
 
-    // All events before `end`. Errors of a handler come out here.
+    // Handles all events before `end`. Rethrows the first exception of a handler.
     void run_until(TimePoint end) {
         if (shards_.size() == 1) return run_single_threaded(end);
         std::exception_ptr error;
@@ -99,13 +100,13 @@
         const auto complete = [&]() noexcept {
             for (Shard& to : shards_) {
                 for (Shard& from : shards_) {
-                    auto& box = from.outgoing_events[static_cast<std::size_t>(&to - shards_.data())];
-                    for (Event& event : box) push_event(to, std::move(event));
-                    box.clear();
+                    auto& events = from.outgoing_events[static_cast<std::size_t>(&to - shards_.data())];
+                    for (Event& event : events) push_event(to, std::move(event));
+                    events.clear();
                 }
             }
             window = earliest_event();
-            stop = failed;    // all leave at the same window
+            stop = failed;    // all threads stop after the same window
         };
         std::barrier barrier(static_cast<std::ptrdiff_t>(shards_.size()), complete);
         std::vector<std::thread> threads;
@@ -138,14 +139,14 @@
         EntityId recipient;
         Message message;
     };
-    // What is ordered. The messages themselves stay where they are: moving them through the heap costs more
-    // than all the rest of it.
+    // An entry of the event heap. Messages stay in their slots, as moving them through the heap would cost
+    // more than all other work of the kernel.
     struct Key {
         TimePoint due_at;
         std::uint64_t number;
         EntityId sender, recipient;
         std::uint32_t slot;
-        bool operator<(const Key& other) const {    // the earliest on top
+        bool operator<(const Key& other) const {    // the earliest event is on top
             if (due_at != other.due_at) return due_at > other.due_at;
             if (sender != other.sender) return sender > other.sender;
             return number > other.number;
@@ -206,7 +207,7 @@
     std::vector<Shard> shards_;
     std::vector<std::unique_ptr<Entity>> entities_;
     std::vector<std::uint64_t>
-        event_numbers_;    // of events that an entity sent; touched by its own shard only
+        event_numbers_;    // next event number of each sender; accessed by the sender's shard only
 };
 
 }    // namespace shaletray::testbed
--- a/src/simulator/load.cpp
+++ b/src/simulator/load.cpp
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 namespace bh = boost::histogram;
 
-constexpr Duration kAnswerGracePeriod = 3s;    // for the last answers
-constexpr double kMaxLagMs = 5.0;              // of the tool's own lag at p99: beyond it, it ran late
+constexpr Duration kResponseGracePeriod = 3s;    // for the last responses
+constexpr double kMaxLagMs = 5.0;    // p99 of the scheduling lag; above it the results are unreliable
 constexpr std::size_t kMaxWaitingRequests = 1'000'000;
 
 double to_milliseconds(Duration d) { return std::max(1e-3, 1e3 * secs(d)); }
@@ -51,8 +51,7 @@
     OnOffArrivals(double rate, Duration period, std::uint64_t seed)
         : gap_distribution_(4.0 * rate), random_(seed), period_(std::max(1e-3, secs(period))) {}
     std::optional<Duration> next_arrival() override {
-        elapsed_on_time_ +=
-            gap_distribution_(random_);    // time while it is on, of which each period has a quarter
+        elapsed_on_time_ += gap_distribution_(random_);    // time in on-phases, a quarter of each period
         const double quarter = period_ / 4.0;
         return from_secs(std::floor(elapsed_on_time_ / quarter) * period_ +
                          std::fmod(elapsed_on_time_, quarter));
@@ -142,7 +141,7 @@
         if (!stream.write_bytes(bytes)) generator.on_request_ended(*this, 0, false);
     }
     void on_input() override {
-        if (!is_busy) return generator.on_request_ended(*this, 0, false);    // nobody asked
+        if (!is_busy) return generator.on_request_ended(*this, 0, false);    // unsolicited bytes
         const http::ParseStatus status = parser.parse(stream.input_buffer());
         if (status == http::ParseStatus::Incomplete) return;
         if (status == http::ParseStatus::Malformed) return generator.on_request_ended(*this, 0, false);
@@ -158,7 +157,7 @@
     Stream stream;
     http::Parser parser;
     DueRequest due_request;
-    bool is_busy = false, was_reused = false;    // stood: it was open before
+    bool is_busy = false, was_reused = false;    // was_reused: the connection was open before the request
 };
 
 LoadGenerator::LoadGenerator(Reactor& reactor, LoadSettings settings, std::unique_ptr<Arrivals> arrivals,
@@ -179,17 +178,18 @@
     else start_arrivals();
 }
 
-// A few at a time: a listener's backlog is short.
+// Opens connections in small groups, as the backlog of a listening socket is short.
 void LoadGenerator::open_connections() {
-    constexpr std::size_t kAtOnce = 64;
-    for (std::size_t i = 0; i < kAtOnce && connections_.size() < settings_.max_connections; ++i) {
+    constexpr std::size_t kConnectionsPerGroup = 64;
+    for (std::size_t i = 0; i < kConnectionsPerGroup && connections_.size() < settings_.max_connections;
+         ++i) {
         connections_.push_back(std::make_unique<Connection>(*this));
-        Connection* const line = connections_.back().get();
-        if (!line->stream.connect(settings_.address)) {
+        Connection* const connection = connections_.back().get();
+        if (!connection->stream.connect(settings_.address)) {
             connections_.pop_back();
             continue;
         }
-        idle_connections_.push_back(line);
+        idle_connections_.push_back(connection);
         ++statistics_.connections_opened;
     }
     const bool all = connections_.size() >= settings_.max_connections;
@@ -201,7 +201,7 @@
 
 void LoadGenerator::start_arrivals() {
     started_at_ = reactor_.clock().now();
-    reactor_.set_busy_polling(true);    // a request that goes out a millisecond late counts as one
+    reactor_.set_busy_polling(true);    // a timer's delay of a millisecond would count as latency
     next_arrival_ = arrivals_->next_arrival();
     process_due();
 }
@@ -218,10 +218,10 @@
         timer_ = reactor_.schedule_at(started_at_ + *next_arrival_, [this] { process_due(); });
         return;
     }
-    // All are under way: a while for their answers, then what is left counts as unanswered.
+    // All requests are sent or waiting. Those still open after the grace period count as unanswered.
     if (statistics_.due_count == statistics_.sent_count && idle_connections_.size() == connections_.size())
         return finish_run();
-    const Duration end = std::max(settings_.duration, now) + kAnswerGracePeriod;
+    const Duration end = std::max(settings_.duration, now) + kResponseGracePeriod;
     timer_ = reactor_.schedule_at(started_at_ + end, [this] { finish_run(); });
     next_arrival_.reset();
 }
@@ -236,13 +236,14 @@
         idle_connections_.push_back(connections_.back().get());
         ++statistics_.connections_opened;
     }
-    Connection* const line = settings_.open_in_advance ? idle_connections_.front() : idle_connections_.back();
+    Connection* const connection =
+        settings_.open_in_advance ? idle_connections_.front() : idle_connections_.back();
     if (settings_.open_in_advance) idle_connections_.pop_front();
     else idle_connections_.pop_back();
     ++statistics_.sent_count;
     if (!due.is_resend)
         statistics_.scheduling_lag(to_milliseconds(reactor_.clock().now() - started_at_ - due.due_at));
-    line->send_request(make_request(++last_request_number_), due);
+    connection->send_request(make_request(++last_request_number_), due);
 }
 
 std::string LoadGenerator::make_request(std::uint64_t number) {
@@ -258,32 +259,32 @@
             : fmt::format("Idempotency-Key: {:x}-{:x}\r\nContent-Length: 0\r\n", settings_.seed, number));
 }
 
-void LoadGenerator::on_request_ended(Connection& line, int status, bool keep) {
-    const bool was_busy = std::exchange(line.is_busy, false);
+void LoadGenerator::on_request_ended(Connection& connection, int status, bool keep) {
+    const bool was_busy = std::exchange(connection.is_busy, false);
     if (was_busy) {
         if (status > 0) {
             ++statistics_.by_status[status];
             statistics_.latency(
-                to_milliseconds(reactor_.clock().now() - started_at_ - line.due_request.due_at));
-        } else if (line.was_reused && !line.due_request.is_resend) {
+                to_milliseconds(reactor_.clock().now() - started_at_ - connection.due_request.due_at));
+        } else if (connection.was_reused && !connection.due_request.is_resend) {
             ++statistics_.resent_count;
-            waiting_requests_.push_front({line.due_request.due_at, true});
+            waiting_requests_.push_front({connection.due_request.due_at, true});
         } else {
             ++statistics_.broken_count;
         }
     }
     if (keep) {
-        idle_connections_.push_back(&line);
+        idle_connections_.push_back(&connection);
     } else {
-        std::erase(idle_connections_, &line);
+        std::erase(idle_connections_, &connection);
         const auto it = std::find_if(connections_.begin(), connections_.end(),
-                                     [&](const auto& one) { return one.get() == &line; });
-        struct Gone : RetiredObject {    // it is on the call stack
-            explicit Gone(std::unique_ptr<Connection> of) : line(std::move(of)) {}
-            std::unique_ptr<Connection> line;
+                                     [&](const auto& one) { return one.get() == &connection; });
+        struct RetiredConnection : RetiredObject {    // the connection is on the call stack
+            explicit RetiredConnection(std::unique_ptr<Connection> of) : connection(std::move(of)) {}
+            std::unique_ptr<Connection> connection;
         };
-        line.stream.close();
-        reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+        connection.stream.close();
+        reactor_.destroy_later(std::make_unique<RetiredConnection>(std::move(*it)));
         connections_.erase(it);
     }
     if (is_finished_) return;
@@ -292,7 +293,7 @@
         waiting_requests_.pop_front();
         assign_request(due);
     } else if (!next_arrival_ && timer_ != 0 &&
-               idle_connections_.size() == connections_.size()) {    // all were due, and have ended
+               idle_connections_.size() == connections_.size()) {    // all requests were sent and have ended
         finish_run();
     }
 }
@@ -301,7 +302,7 @@
     if (std::exchange(is_finished_, true)) return;
     reactor_.cancel_timer(timer_);
     statistics_.seconds = secs(std::min(reactor_.clock().now() - started_at_, settings_.duration));
-    for (const auto& line : connections_) statistics_.unanswered_count += line->is_busy;
+    for (const auto& connection : connections_) statistics_.unanswered_count += connection->is_busy;
     statistics_.unanswered_count += waiting_requests_.size();
     on_done_();
 }
--- a/src/simulator/load.h
+++ b/src/simulator/load.h
@@ -1,6 +1,6 @@
-// The load tool: open loop over real sockets, each request due at a time that does not depend on any answer,
-// and its latency counted from then on, so that a server that stalls cannot hide what it did to those who
-// came meanwhile (coordinated omission).
+// An open-loop HTTP load generator on real sockets. Requests are due at times that do not depend on
+// responses, and latency is measured from the due time, so that the requests delayed by a stalled server are
+// not hidden (coordinated omission).
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -20,23 +20,24 @@
 
 namespace shaletray::testbed {
 
-// When requests are due, as times since the start, growing.
+// The due times of requests since the start, in ascending order.
 class Arrivals {
 public:
     virtual ~Arrivals() = default;
-    // Nothing where there are no more.
+    // Returns nothing after the last arrival.
     virtual std::optional<Duration> next_arrival() = 0;
 };
 std::unique_ptr<Arrivals> constant_arrivals(double rate);
 std::unique_ptr<Arrivals> poisson_arrivals(double rate, std::uint64_t seed);
-// Poisson at a rate that is four times as high for a quarter of each period, and nothing in the rest.
+// Poisson arrivals at four times the rate in the first quarter of each period, none in the rest.
 std::unique_ptr<Arrivals> on_off_arrivals(double rate, Duration period, std::uint64_t seed);
 struct RecordedArrivals {
     std::vector<Duration> arrival_times;
-    std::size_t out_of_order_count = 0;    // lines that went back in time; they are due at once
-    bool is_truncated = false;             // the last line has no end: it is not replayed
+    std::size_t out_of_order_count = 0;    // times before the previous line's; due at that line's time
+    bool is_truncated = false;             // the last line has no newline and is not replayed
 };
-// A whole number of microseconds a line. Throws std::runtime_error with the number of the line that is none.
+// Parses one whole number of microseconds per line. Throws std::runtime_error with the number of an invalid
+// line.
 RecordedArrivals parse_recorded_arrivals(const std::string& text);
 std::unique_ptr<Arrivals> recorded_arrivals(RecordedArrivals recorded);
 
@@ -46,15 +47,16 @@
     std::uint64_t customer_count = 1000;
     int units = 1, unit_spread = 1;
     Duration duration{10'000'000}, time_budget{2'000'000};
-    std::size_t max_connections = 1000;    // at most; requests beyond wait, and their wait counts
-    // All of them are opened before the first request is due, and used in turn: what a server has to hold.
+    std::size_t max_connections = 1000;    // further requests wait, and the wait counts as latency
+    // Opens all connections before the first request is due and uses them in turn, to load a server with
+    // them.
     bool open_in_advance = false;
     std::uint64_t seed = 1;
 };
 
 using LatencyHistogram = decltype(boost::histogram::make_histogram(
     boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(3000, 1e-3, 1e5)));
-// Within 0.4% of the truth, half a bin.
+// Returns a quantile with an error of at most 0.4%, half a bin.
 double histogram_quantile(const LatencyHistogram& h, double q);
 
 struct LoadStatistics {
@@ -62,13 +64,13 @@
     std::uint64_t due_count = 0, sent_count = 0, broken_count = 0, unanswered_count = 0,
                   connections_opened = 0;
     std::uint64_t resent_count =
-        0;    // once more on another connection, as the protocol has it, where a close crossed
+        0;    // sent again, as HTTP allows, since the server closed the reused connection at that time
     std::map<int, std::uint64_t> by_status;
-    LatencyHistogram latency;           // of whatever was answered, from when it was due
-    LatencyHistogram scheduling_lag;    // of the tool itself: from when it was due until it was handed on, a
-                                        // connection being free
+    LatencyHistogram latency;           // ms from the due time to any response
+    LatencyHistogram scheduling_lag;    // ms of the generator itself: from the due time until a free
+                                        // connection got the request
     double seconds = 0.0;
-    // The machine was too slow for what was asked: the figures are its own more than the server's.
+    // Whether this machine was too slow for the load, so that the results reflect it more than the server.
     bool ran_late() const;
 };
 
@@ -87,11 +89,11 @@
     void process_due();
     struct DueRequest {
         Duration due_at{0};
-        bool is_resend = false;    // sent once more, since a close crossed it
+        bool is_resend = false;    // sent again after the server closed an idle connection
     };
     void assign_request(DueRequest due);
     std::string make_request(std::uint64_t number);
-    void on_request_ended(Connection& line, int status, bool keep);
+    void on_request_ended(Connection& connection, int status, bool keep);
     void finish_run();
 
     Reactor& reactor_;
@@ -100,7 +102,7 @@
     std::function<void()> on_done_;
     std::mt19937_64 random_;
     std::list<std::unique_ptr<Connection>> connections_;
-    std::deque<Connection*> idle_connections_;    // the last used at the end
+    std::deque<Connection*> idle_connections_;    // the most recently used is last
     std::deque<DueRequest> waiting_requests_;
     std::optional<Duration> next_arrival_;
     TimePoint started_at_{};
--- a/src/simulator/measure.h
+++ b/src/simulator/measure.h
@@ -1,4 +1,4 @@
-// Small change of the laboratory's measurements: seconds, and quantiles of what is kept in histograms.
+// Helpers for measurements: conversion to and from seconds, and quantiles of histograms.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -14,7 +14,7 @@
     return decision::Duration(static_cast<std::int64_t>(s * 1e6));
 }
 
-// The middle of the bin in which it lies; `none` where nothing was counted.
+// Returns the centre of the bin that holds the quantile `q`, or `none` if the histogram is empty.
 template <class Histogram>
 double quantile_in(const Histogram& h, double q, double none = 0.0) {
     double all = 0.0, sum = 0.0;
--- a/src/simulator/report.cpp
+++ b/src/simulator/report.cpp
@@ -32,7 +32,7 @@
 
 double quantile_of(const CoarseHistogram& h, double q) { return quantile_in(h, q, std::nan("")); }
 
-// Of the scenario's own seconds; what follows its end is left out of the plots.
+// Number of seconds with statistics. The plots leave out those after the scenario's end.
 std::size_t scenario_seconds(const RunStatistics& f) { return f.served_by_second.size(); }
 
 template <class T>
@@ -49,7 +49,7 @@
     return std::isfinite(v) ? fmt::format("{:.6g}", v) : std::string("NaN");
 }
 
-// One plot as SVG, faults as bands on its time axis.
+// Draws one plot as SVG, with faults as bands on the time axis.
 std::string plot_svg(const RunReport& r, const std::string& label, const std::vector<PlotSeries>& lines,
                      bool logarithmic) {
     namespace fs = std::filesystem;
@@ -88,7 +88,7 @@
     try {
         status = Poco::Process::wait(Poco::Process::launch("gnuplot", {script.string()}));
     } catch (const Poco::Exception&) {
-        // told below
+        // reported below
     }
     std::ifstream in(image, std::ios::binary);
     std::string svg(std::istreambuf_iterator<char>(in), {});
@@ -103,23 +103,23 @@
 }
 
 template <class T>
-std::vector<double> to_doubles(const std::vector<T>& of, std::size_t n, double by = 1.0) {
+std::vector<double> to_doubles(const std::vector<T>& of, std::size_t n, double factor = 1.0) {
     std::vector<double> out(n);
-    for (std::size_t i = 0; i < n; ++i) out[i] = value_or_zero(of, i) * by;
+    for (std::size_t i = 0; i < n; ++i) out[i] = value_or_zero(of, i) * factor;
     return out;
 }
 
-// The quota and the ceiling of all customers that can have asked, together.
-std::pair<double, double> format_range(const Scenario& s) {
-    double quota_rate = 0.0, ceiling = 0.0;
-    bool all_ceilings = !s.plans.empty();
+// Returns the sums of all customers' quota rates and hard limit rates; the latter is 0 if a plan has none.
+std::pair<double, double> total_limit_rates(const Scenario& s) {
+    double quota_rate = 0.0, hard_limit_rate = 0.0;
+    bool all_have_hard_limit = !s.plans.empty();
     for (const auto& p : s.plans) {
         const double part = static_cast<double>(s.customer_count) / static_cast<double>(s.plans.size());
         quota_rate += p.rate * part;
-        ceiling += p.ceiling_rate * part;
-        all_ceilings = all_ceilings && p.ceiling_rate > 0.0;
+        hard_limit_rate += p.ceiling_rate * part;
+        all_have_hard_limit = all_have_hard_limit && p.ceiling_rate > 0.0;
     }
-    return {quota_rate, all_ceilings ? ceiling : 0.0};
+    return {quota_rate, all_have_hard_limit ? hard_limit_rate : 0.0};
 }
 
 }    // namespace
@@ -157,24 +157,25 @@
         const std::string range =
             fmt::format("{}{}", bound.min_value ? fmt::format(" >= {}", *bound.min_value) : "",
                         bound.max_value ? fmt::format(" <= {}", *bound.max_value) : "");
-        const char* const word = verdict == Verdict::Satisfied  ? "kept"
-                                 : verdict == Verdict::Violated ? "BROKEN"
-                                                                : "not checked: nothing called for it";
-        out.push_back({{"bound", bound.statistic_name + range}, {"verdict", word}});
+        const char* const verdict_text = verdict == Verdict::Satisfied ? "kept"
+                                         : verdict == Verdict::Violated
+                                             ? "BROKEN"
+                                             : "not checked: nothing called for it";
+        out.push_back({{"bound", bound.statistic_name + range}, {"verdict", verdict_text}});
     }
     return out;
 }
 
 Json report_to_json(const RunReport& r) {
     Json out = statistics_to_json(r.statistics);
-    bool kept = r.statistics.all_rules_hold();
+    bool all_satisfied = r.statistics.all_rules_hold();
     for (const ExpectedRange& bound : r.scenario_file.expected_ranges)
-        kept = kept && check_range(bound, r.statistics) != Verdict::Violated;
+        all_satisfied = all_satisfied && check_range(bound, r.statistics) != Verdict::Violated;
     out.update({{"scenario", r.scenario_file.scenario.name},
                 {"seed", r.scenario_file.scenario.seed},
                 {"live", r.is_live},
                 {"bounds", verdicts_to_json(r.scenario_file, r.statistics)},
-                {"kept", kept},
+                {"kept", all_satisfied},
                 {"file", r.scenario_text}});
     return out;
 }
@@ -184,7 +185,7 @@
     if (!json.is_object() || !json.contains("file") || !json["file"].is_string() || !json.contains("seed") ||
         !json["seed"].is_number_unsigned() || !json.contains("digest") || !json["digest"].is_string())
         throw std::runtime_error(
-            fmt::format("{}: no report of this laboratory: expected file, seed and digest", file));
+            fmt::format("{}: not a report of the simulator: expected file, seed and digest", file));
     ReplayedRun out;
     out.scenario_file = parse_scenario(json["file"].get<std::string>(), file);
     out.scenario_file.scenario.seed = json["seed"].get<std::uint64_t>();
@@ -196,16 +197,16 @@
 std::string report_to_csv(const RunStatistics& f) {
     std::string out = "second,served,refused,failed,p50_ms,p99_ms,work_us,wasted_us,units,messages\n";
     for (std::size_t i = 0; i < scenario_seconds(f); ++i) {
-        const bool known = i < f.latency_by_second.size();
-        const double p50 = known ? quantile_of(f.latency_by_second[i], 0.5) : std::nan("");
-        const double p99 = known ? quantile_of(f.latency_by_second[i], 0.99) : std::nan("");
-        const auto cell = [](double v) {
+        const bool has_latency = i < f.latency_by_second.size();
+        const double p50 = has_latency ? quantile_of(f.latency_by_second[i], 0.5) : std::nan("");
+        const double p99 = has_latency ? quantile_of(f.latency_by_second[i], 0.99) : std::nan("");
+        const auto format_cell = [](double v) {
             return std::isfinite(v) ? fmt::format("{:.3f}", v) : std::string();
         };
         out += fmt::format(
             "{},{},{},{},{},{},{:.0f},{:.0f},{:.3f},{:.0f}\n", i, value_or_zero(f.served_by_second, i),
-            value_or_zero(f.rejected_by_second, i), value_or_zero(f.failed_by_second, i), cell(p50),
-            cell(p99), value_or_zero(f.work_by_second, i), value_or_zero(f.wasted_work_by_second, i),
+            value_or_zero(f.rejected_by_second, i), value_or_zero(f.failed_by_second, i), format_cell(p50),
+            format_cell(p99), value_or_zero(f.work_by_second, i), value_or_zero(f.wasted_work_by_second, i),
             value_or_zero(f.admitted_units_by_second, i), value_or_zero(f.peer_messages_by_second, i));
     }
     return out;
@@ -215,34 +216,34 @@
     const RunStatistics& f = r.statistics;
     const Scenario& s = r.scenario_file.scenario;
     const auto n = static_cast<std::size_t>(std::ceil(secs(s.duration)));
-    const auto [quota_rate, ceiling] = format_range(s);
+    const auto [quota_rate, hard_limit_rate] = total_limit_rates(s);
     std::vector<PlotSeries> latency{{"p50", {}}, {"p99", {}}};
     for (std::size_t i = 0; i < n && i < f.latency_by_second.size(); ++i) {
         latency[0].values.push_back(quantile_of(f.latency_by_second[i], 0.5));
         latency[1].values.push_back(quantile_of(f.latency_by_second[i], 0.99));
     }
     std::vector<PlotSeries> units{{"let in", to_doubles(f.admitted_units_by_second, n)}};
-    double most_units = 0.0;
-    for (const double u : units[0].values) most_units = std::max(most_units, u);
-    // A line far above what is used would only press the rest down.
-    if (quota_rate > 0.0 && quota_rate < 20.0 * most_units)
+    double max_units = 0.0;
+    for (const double u : units[0].values) max_units = std::max(max_units, u);
+    // Omits lines far above the actual use, as they would flatten the others.
+    if (quota_rate > 0.0 && quota_rate < 20.0 * max_units)
         units.push_back({"quota", std::vector<double>(n, quota_rate)});
-    if (ceiling > 0.0 && ceiling < 20.0 * most_units)
-        units.push_back({"ceiling", std::vector<double>(n, ceiling)});
+    if (hard_limit_rate > 0.0 && hard_limit_rate < 20.0 * max_units)
+        units.push_back({"ceiling", std::vector<double>(n, hard_limit_rate)});
     const double cores = 1e6 * s.server_model.cores * s.server_count;
-    struct Part {
+    struct Section {
         const char* title;
         std::string svg;
     };
-    const Part parts[] = {
+    const Section sections[] = {
         {"How requests ended", plot_svg(r, "a second",
                                         {{"served", to_doubles(f.served_by_second, n)},
                                          {"refused", to_doubles(f.rejected_by_second, n)},
                                          {"failed", to_doubles(f.failed_by_second, n)}},
                                         false)},
-        {"Latency of those served", plot_svg(r, "ms", latency, true)},
+        {"Latency of served requests", plot_svg(r, "ms", latency, true)},
         {"Units against quota and ceiling", plot_svg(r, "units a second", units, false)},
-        {"The servers' load, and what of it was for nobody",
+        {"Server load, and the part of it that was wasted",
          plot_svg(r, "part of all cores",
                   {{"work", to_doubles(f.work_by_second, n, 1.0 / cores)},
                    {"waste", to_doubles(f.wasted_work_by_second, n, 1.0 / cores)}},
@@ -263,8 +264,8 @@
         "<h1>{0}, seed {1}</h1>\n<p>{2} {3}</p>\n",
         escape_html(s.name), s.seed, escape_html(r.scenario_file.description),
         r.is_live ? "On sockets, with gateways as processes." : "In virtual time.");
-    for (const Part& p : parts)
-        out += fmt::format("<h2>{}</h2>\n<div class=\"wide\">{}</div>\n", p.title, p.svg);
+    for (const Section& section : sections)
+        out += fmt::format("<h2>{}</h2>\n<div class=\"wide\">{}</div>\n", section.title, section.svg);
     out += "<h2>Figures</h2>\n<div class=\"wide\"><table>\n";
     for (const std::string& name : statistic_names())
         if (const auto value = statistic_of(f, name))
@@ -290,7 +291,7 @@
                            v["verdict"] == "BROKEN" ? " class=\"bad\"" : "", v["verdict"].get<std::string>());
     out += "</table></div>\n";
     if (!f.request_trace.empty()) {
-        out += "<h2>The course of the first request that broke a rule</h2>\n<pre>";
+        out += "<h2>Trace of the first request that broke a rule</h2>\n<pre>";
         for (const auto& [at_s, what] : f.request_trace)
             out += fmt::format("{:12.6f}  {}\n", at_s, escape_html(what));
         out += "</pre>\n";
@@ -322,7 +323,7 @@
         out.close();
         if (!out) throw std::runtime_error(fmt::format("{} cannot be written", path));
     };
-    // What needs nothing else first: without gnuplot these are still there.
+    // JSON and CSV first: they are written even if gnuplot is missing.
     write(name + ".json", report_to_json(r).dump(1) + "\n");
     write(name + ".csv", report_to_csv(r.statistics));
     write(name + ".html", report_to_html(r));
--- a/src/simulator/report.h
+++ b/src/simulator/report.h
@@ -1,5 +1,5 @@
-// What came of a run, on paper: one HTML file with its plots inside, JSON that `replay` takes, and CSV by
-// second.
+// Reports of a run: a self-contained HTML file with plots, JSON that `replay` reads, and CSV with a row for
+// each second.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,7 +11,7 @@
 
 struct RunReport {
     ScenarioFile scenario_file;    // with the seed that was run
-    std::string scenario_text;     // of the scenario's file
+    std::string scenario_text;     // text of the scenario's file
     RunStatistics statistics;
     bool is_live = false;
 };
@@ -19,8 +19,8 @@
 nlohmann::json statistics_to_json(const RunStatistics& f);
 nlohmann::json verdicts_to_json(const ScenarioFile& file, const RunStatistics& f);
 nlohmann::json report_to_json(const RunReport& r);
-// The scenario and seed that a report's JSON was made with, and its digest. Throws std::runtime_error with
-// what is wrong.
+// Reads a JSON report: the scenario, seed and digest of the run. Throws std::runtime_error if it is no valid
+// report.
 struct ReplayedRun {
     ScenarioFile scenario_file;
     std::string digest;
@@ -29,9 +29,10 @@
 ReplayedRun parse_report(const std::string& text, const std::string& file);
 
 std::string report_to_csv(const RunStatistics& f);
-// The plots are drawn by gnuplot, which must be installed. Throws std::runtime_error where it is not.
+// The plots are drawn by gnuplot. Throws std::runtime_error if it is not installed or fails.
 std::string report_to_html(const RunReport& r);
-// NAME-SEED.html, .json and .csv in that folder, which is made. The path of the first.
+// Writes NAME-SEED.html, .json and .csv to the folder, which is created if missing. Returns the path of the
+// HTML file.
 std::string write_report(const std::string& folder, const RunReport& r);
 
 }    // namespace shaletray::testbed
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -66,7 +66,7 @@
     return m;
 }
 
-double read_fraction(std::uint64_t of, std::uint64_t all) {
+double fraction_of(std::uint64_t of, std::uint64_t all) {
     return static_cast<double>(of) / static_cast<double>(all);
 }
 
@@ -117,7 +117,7 @@
                                        [&](const auto& p) { return p.name == c.text_at("plan"); });
         if (plan == s.plans.end())
             settings::throw_problem(item->position, "changes",
-                                    "expected a plan of this scenario, found none of that name");
+                                    "expected the name of a plan of this scenario, found another name");
         s.plan_changes.push_back({c.duration_at("at"), static_cast<int>(plan - s.plans.begin()),
                                   c.number_at("rate"), c.number_at("burst"), c.number_at("ceiling_rate"),
                                   c.number_at("ceiling_burst"), c.number_at("ceiling_slack")});
@@ -150,13 +150,13 @@
 
 std::optional<double> statistic_of(const RunStatistics& f, const std::string& name) {
     if (f.requests == 0) return std::nullopt;
-    if (name == "served") return read_fraction(f.served, f.requests);
-    if (name == "in_aim") return read_fraction(f.within_target, f.requests);
-    if (name == "refused") return read_fraction(f.rejected, f.requests);
-    if (name == "failed") return read_fraction(f.failed, f.requests);
-    if (name == "attempts_per_request") return read_fraction(f.attempts, f.requests);
+    if (name == "served") return fraction_of(f.served, f.requests);
+    if (name == "in_aim") return fraction_of(f.within_target, f.requests);
+    if (name == "refused") return fraction_of(f.rejected, f.requests);
+    if (name == "failed") return fraction_of(f.failed, f.requests);
+    if (name == "attempts_per_request") return fraction_of(f.attempts, f.requests);
     if (name == "wasted")
-        return f.work_us == 0 ? std::nullopt : std::optional(read_fraction(f.wasted_work_us, f.work_us));
+        return f.work_us == 0 ? std::nullopt : std::optional(fraction_of(f.wasted_work_us, f.work_us));
     if (f.served == 0) return std::nullopt;
     if (name == "p50_ms") return f.p50_ms;
     if (name == "p99_ms") return f.p99_ms;
@@ -167,9 +167,9 @@
 Verdict check_range(const ExpectedRange& bound, const RunStatistics& figures) {
     const auto value = statistic_of(figures, bound.statistic_name);
     if (!value) return Verdict::NotChecked;
-    const bool kept =
+    const bool is_within =
         (!bound.min_value || *value >= *bound.min_value) && (!bound.max_value || *value <= *bound.max_value);
-    return kept ? Verdict::Satisfied : Verdict::Violated;
+    return is_within ? Verdict::Satisfied : Verdict::Violated;
 }
 
 PairedDifference paired_difference(const std::vector<double>& a, const std::vector<double>& b) {
@@ -179,7 +179,7 @@
     for (std::size_t i = 0; i < n; ++i) set(b[i] - a[i]);
     PairedDifference d{n == 0 ? 0.0 : acc::mean(set), 0.0, n};
     if (n < 2) return d;
-    // Boost gives the variance of what is there; the sample's is n / (n - 1) of it.
+    // Boost returns the population variance; the sample variance is n / (n - 1) times that.
     const double variance =
         std::max(0.0, acc::variance(set)) * static_cast<double>(n) / static_cast<double>(n - 1);
     const double t = boost::math::quantile(boost::math::students_t(static_cast<double>(n - 1)), 0.975);
--- a/src/simulator/scenario.h
+++ b/src/simulator/scenario.h
@@ -1,5 +1,5 @@
-// Scenarios as typed records in the settings' language (docs/operate/settings.md), checked against
-// schema.cue.
+// Reads scenario files, which use the language of settings files (docs/operate/settings.md) and are validated
+// against schema.cue. Also evaluates the expected ranges of a scenario.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace shaletray::testbed {
 
+// Bounds of one statistic, inclusive.
 struct ExpectedRange {
     std::string statistic_name;
     std::optional<double> min_value, max_value;
@@ -21,19 +22,21 @@
     std::vector<ExpectedRange> expected_ranges;
 };
 
-// Throw settings::BadSettingsFile, or std::invalid_argument where the scenario contradicts itself.
+// Throw settings::SettingsFileError if the file violates the schema, and std::invalid_argument if the
+// scenario contradicts itself.
 ScenarioFile parse_scenario(std::string_view text, const std::string& file);
 ScenarioFile load_scenario(const std::string& path);
 
-// One figure by the name that bounds give it; nothing where nothing called for it.
+// Returns a statistic by its name in bounds; nothing if the run gave no value for it.
 std::optional<double> statistic_of(const RunStatistics& figures, const std::string& name);
 const std::vector<std::string>& statistic_names();
 
-// What a bound says of the figures.
+// Result of comparing a statistic with its expected range.
 enum class Verdict { Satisfied, Violated, NotChecked };
 Verdict check_range(const ExpectedRange& bound, const RunStatistics& figures);
 
-// Paired over the same seeds: the mean of b - a, and half the width of its 95% confidence interval.
+// A paired comparison over the same seeds: the mean of b - a, and half the width of its 95% confidence
+// interval.
 struct PairedDifference {
     double mean = 0.0, half_width = 0.0;
     std::size_t seed_count = 0;
--- a/src/simulator/schema.cue
+++ b/src/simulator/schema.cue
@@ -1,10 +1,10 @@
-// A scenario of the laboratory. It is unified with the scenario's file, as the operator's file is with its schema.
+// The schema of a simulator scenario, unified with the scenario's file like a settings file with its schema.
 
 #Fault: {
 	kind: "crash" | "slow" | "hang" | "errors" | "drain" | "room_lost" | "link_loss" | "heavy" | "gateway_lost" | "discovery_silent" | "mail_loss" | "store_lost"
 	at: #Duration & >="0s"
 	lasts: *"1s" | #Duration & >"0s"
-	// one server, or a share of them that is drawn for each seed
+	// one server, or a share of all servers, drawn for each seed
 	server?: int & >=0
 	share?: number & >0 & <=1
 	room?: int & >=0
@@ -13,14 +13,14 @@
 	class?: "claim-read" | "approve" | "claim-submit"
 	by: *1 | number & >0
 	part: *1 | number & >0 & <=1
-	// where these are set, the above are the least, and each seed draws its own in between
+	// if set, each seed draws a value between the field above (minimum) and this one (maximum)
 	at_to?: #Duration & >="0s"
 	lasts_to?: #Duration & >"0s"
 	by_to?: number & >0
 	part_to?: number & >0 & <=1
 }
 
-// A plan's figures from a lead after that time on.
+// New values of a plan. They take effect one lead time after `at`.
 #Change: {
 	at: #Duration & >="0s"
 	plan: string & !=""
@@ -52,7 +52,7 @@
 	cold_speed: *0.5 | number & >0 & <=1
 	cold: *"2s" | #Duration
 	cancel_stops: *true | bool
-	// work of a new connection; how old and how wrong what it says of its load is
+	// extra work of a new connection; maximum age of a load report; sigma of the logarithm of its error factor
 	connect: *"0s" | #Duration & >="0s"
 	report_late: *"0s" | #Duration & >="0s"
 	report_noise: *0 | number & >=0 & <=3
@@ -60,7 +60,7 @@
 	fall: *"1500ms" | #Duration & >"0s"
 }
 
-// A bound on a figure; a bound on a figure that nothing called for is told as not checked.
+// Bounds of a statistic. If the run gave no value for it, the bound is reported as not checked.
 #Bound: {
 	figure: "served" | "in_aim" | "refused" | "failed" | "wasted" | "attempts_per_request" | "p50_ms" | "p99_ms" | "p999_ms"
 	least?: number
--- a/src/simulator/server.cpp
+++ b/src/simulator/server.cpp
@@ -9,8 +9,8 @@
 
 namespace shaletray::testbed {
 EmulatedServer::EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start,
-                               ServerEnvironment& world)
-    : model_(scenario.server_model), random_(seed), environment_(world), started_at_(start) {
+                               ServerEnvironment& environment)
+    : model_(scenario.server_model), random_(seed), environment_(environment), started_at_(start) {
     const auto seconds = static_cast<std::size_t>(std::ceil(secs(scenario.duration))) + 4;
     statistics.work_by_second.resize(seconds);
     statistics.wasted_work_by_second.resize(seconds);
@@ -22,7 +22,7 @@
     return model_.initial_speed + (1.0 - model_.initial_speed) * std::min(1.0, age);
 }
 
-// All that is sent to it presses on it, what it turns away too.
+// All requests sent to a server count as load, rejected ones too.
 void EmulatedServer::check_warm_up_load() {
     const TimePoint now = environment_.current_time();
     if (now - up_since_ >= model_.warm_up_time) {
@@ -30,7 +30,7 @@
         offered_work_total_ = 0.0;
         return;
     }
-    // Each cold start that meets any work at all is a case of the rule.
+    // Each cold start that receives any work counts as a check of the rule.
     if (!std::exchange(was_warming_up_, true))
         record_rule_check(statistics.rules["cold servers"], true, [] { return ""; });
     const double work = model_.work_ms * 1e-3 * std::exp(model_.work_sigma * model_.work_sigma / 2.0);
@@ -44,15 +44,15 @@
         return;
     RunStatistics::Rule& rule = statistics.rules["cold servers"];
     ++rule.violation_count;
-    rule.first_violation =
-        fmt::format("a server that began at {:.6f} was pushed over at {:.6f}: {:.2f} s of work in {} s",
-                    secs(up_since_ - started_at_), secs(now - started_at_), offered_work_total_,
-                    secs(model_.overload_duration));
+    rule.first_violation = fmt::format(
+        "a server that started at {:.6f} collapsed under load at {:.6f}: {:.2f} s of work in {} s",
+        secs(up_since_ - started_at_), secs(now - started_at_), offered_work_total_,
+        secs(model_.overload_duration));
     has_collapsed_ = is_down_ = true;
     end_all_jobs(decision::Outcome::Reset);
 }
 
-void EmulatedServer::on_request(const JobId& id, int cls, bool fresh) {
+void EmulatedServer::on_request(const JobId& id, int class_index, bool new_connection) {
     if (!is_down_) check_warm_up_load();
     if (is_down_) return environment_.send_answer(id, decision::Outcome::ConnectFailed);
     if (error_probability_ > 0.0 && draw_fraction() < error_probability_)
@@ -63,8 +63,8 @@
     jobs_by_id_[id] = number;
     Job& job = jobs_[number];
     job.id = id;
-    job.class_index = cls;
-    job.new_connection = fresh;
+    job.class_index = class_index;
+    job.new_connection = new_connection;
     queue_.push_back(number);
     ++queued_count_;
     start_next_jobs();
@@ -90,7 +90,7 @@
             queue_head_ = 0;
         }
         const auto it = jobs_.find(number);
-        if (it == jobs_.end()) continue;    // called off while it waited
+        if (it == jobs_.end()) continue;    // cancelled while it was queued
         --queued_count_;
         Job& job = it->second;
         job.is_running = true;
@@ -149,16 +149,17 @@
                         static_cast<double>(queued_count_)};
     }
     if (model_.report_noise_sigma <= 0.0) return last_report_;
-    const double by = std::lognormal_distribution<>(0.0, model_.report_noise_sigma)(random_);
-    return {std::round(last_report_.outstanding * by), std::round(last_report_.backlog * by)};
+    const double noise_factor = std::lognormal_distribution<>(0.0, model_.report_noise_sigma)(random_);
+    return {std::round(last_report_.outstanding * noise_factor),
+            std::round(last_report_.backlog * noise_factor)};
 }
 
 void EmulatedServer::apply_fault(const Fault& f, bool begins) {
-    const double on = begins ? f.magnitude : 0.0;
+    const double probability = begins ? f.magnitude : 0.0;
     switch (f.kind) {
         case Fault::Kind::Slowdown: slowdown_ = begins ? std::max(1.0, f.magnitude) : 1.0; return;
-        case Fault::Kind::Errors: error_probability_ = on; return;
-        case Fault::Kind::LinkLoss: loss_probability_ = on; return;
+        case Fault::Kind::Errors: error_probability_ = probability; return;
+        case Fault::Kind::LinkLoss: loss_probability_ = probability; return;
         case Fault::Kind::HeavyRequests:
             heavy_fraction_ = begins ? f.request_fraction : 0.0;
             heavy_factor_ = f.magnitude;
@@ -169,7 +170,7 @@
             return;
         case Fault::Kind::Crash:
         case Fault::Kind::RoomLost: break;
-        default: return;    // what listens goes on: others have this trouble
+        default: return;    // faults of other components
     }
     is_down_ = begins || has_collapsed_;
     if (!begins) {
@@ -181,7 +182,7 @@
 }
 
 void EmulatedServer::end_all_jobs(decision::Outcome outcome) {
-    std::vector<std::uint64_t> numbers;    // in their order: a map's own is nobody's
+    std::vector<std::uint64_t> numbers;    // sorted, as the order of an unordered map is unspecified
     for (const auto& [number, job] : jobs_) numbers.push_back(number);
     std::sort(numbers.begin(), numbers.end());
     std::vector<JobId> ended;
--- a/src/simulator/server.h
+++ b/src/simulator/server.h
@@ -1,6 +1,6 @@
-// An emulated server: cores, a queue, work that grows slower when it is full or cold, and the troubles it can
-// have. The same for the world in virtual time and for the one on sockets; whoever holds it carries the
-// messages. Pure.
+// An emulated application server with cores and a queue. It works slower while its queue is full or while it
+// warms up, and simulates faults. Used in virtual time and on sockets; the owner transports the messages, and
+// the class does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace shaletray::testbed {
 
-// An attempt at a server, by whoever sent it.
+// Identifies an attempt at a server; request and attempt numbers are the sender's.
 struct JobId {
     std::uint64_t sender = 0;
     std::uint32_t request = 0;
@@ -25,35 +25,36 @@
 public:
     virtual ~ServerEnvironment() = default;
     virtual TimePoint current_time() const = 0;
-    // Calls Server::woken with that number then.
+    // Calls EmulatedServer::on_wakeup with that number at that time.
     virtual void schedule_wakeup(TimePoint at, std::uint64_t number) = 0;
     virtual void send_answer(const JobId& job, decision::Outcome outcome) = 0;
 };
 
 class EmulatedServer {
 public:
-    EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start, ServerEnvironment& world);
+    EmulatedServer(const Scenario& scenario, std::uint64_t seed, TimePoint start,
+                   ServerEnvironment& environment);
 
-    // `fresh`: the first on its connection, which costs work of its own. `cls`: of the request.
-    void on_request(const JobId& job, int cls, bool fresh);
+    // `new_connection`: the request is the first on its connection, which costs extra work.
+    void on_request(const JobId& job, int class_index, bool new_connection);
     void on_cancel(const JobId& job);
     void on_wakeup(std::uint64_t number);
-    // A trouble begins or ends. Crash and RoomLost: what it holds is answered Reset.
+    // Starts or ends a fault. Crash and RoomLost end all jobs with Outcome::Reset.
     void apply_fault(const Fault& fault, bool begins);
 
-    // When the scenario begins, where that was not known.
+    // Sets the start of the scenario if it was unknown at construction.
     void set_start(TimePoint start) { started_at_ = start; }
 
-    // What it says of itself: as it was a while ago, and not exactly so, where the model wants that.
+    // The load that the server reports; outdated and inexact as far as the model says.
     struct ReportedLoad {
         double outstanding = 0.0, backlog = 0.0;
     };
     ReportedLoad reported_load();
     bool is_down() const { return is_down_; }
     bool is_hung() const { return hung_until_ > environment_.current_time(); }
-    // What comes is swallowed on the way: nobody answers.
+    // Whether link loss drops a request, which then gets no response.
     bool drops_request() { return loss_probability_ > 0.0 && draw_fraction() < loss_probability_; }
-    // Work, its waste, both by second; the rule on cold servers.
+    // Work and wasted work, in total and by second; the rule on cold servers.
     RunStatistics statistics;
 
 private:
@@ -85,7 +86,7 @@
     ServerEnvironment& environment_;
     Jobs jobs_;
     std::unordered_map<JobId, std::uint64_t, JobIdHash> jobs_by_id_;
-    std::vector<std::uint64_t> queue_;    // from head_ on; some may be called off
+    std::vector<std::uint64_t> queue_;    // from queue_head_ on; some entries may be cancelled
     std::size_t queue_head_ = 0, queued_count_ = 0;
     int running_count_ = 0;
     std::uint64_t last_job_ = 0;
@@ -93,7 +94,7 @@
     double heavy_fraction_ = 0.0, heavy_factor_ = 1.0;
     int heavy_class_ = -1;
     bool is_down_ = false, has_collapsed_ = false, was_warming_up_ = false;
-    std::deque<std::pair<TimePoint, double>> offered_work_;    // seconds of work sent to it while cold
+    std::deque<std::pair<TimePoint, double>> offered_work_;    // seconds of work received while warming up
     double offered_work_total_ = 0.0;
     TimePoint started_at_;
     TimePoint hung_until_{}, up_since_{}, reported_at_{};
