--- a/cmake/dependencies.cmake
+++ b/cmake/dependencies.cmake
@@ -1,4 +1,4 @@
-# The libraries that are built on, each from a system package (Makefile, deploy/system.toml).
+# Third-party libraries, each installed from a system package (see Makefile and deploy/system.toml).
 if(SHALETRAY_WIRE_HOST OR SHALETRAY_BALANCER)
   find_package(nlohmann_json 3.11 REQUIRED)
 endif()
--- a/cmake/shaletray_library.cmake
+++ b/cmake/shaletray_library.cmake
@@ -1,10 +1,10 @@
-# How the project's libraries and generated sources are declared.
+# Functions that declare the project's libraries, programs and generated headers.
 
-# All headers that are generated: what a tool needs beside the sources to read them, without a build.
+# Builds all generated headers, which tools need to parse the sources without a full build.
 add_custom_target(generated_sources COMMENT "Generated all headers")
 
-# Has headers (the further arguments) generated before a target is compiled, and by generated_sources too,
-# which waits for none of the target's libraries.
+# generated_headers(TARGET HEADERS...): generates the headers before the target is compiled, and as part of
+# generated_sources, which does not wait for the target's libraries.
 function(generated_headers target)
   add_custom_target(${target}_headers DEPENDS ${ARGN} COMMENT "Generated the headers of ${target}")
   add_dependencies(${target} ${target}_headers)
