--- a/src/base/common/clock.h
+++ b/src/base/common/clock.h
@@ -1,5 +1,5 @@
 // The process's time: Unix microseconds, read once at the start and advanced by the steady clock from there,
-// so that a step of the system clock can neither turn it back nor make timers fire early.
+// so that a step of the system clock neither sets it back nor makes timers fire early.
 #pragma once
 
 #include <chrono>
--- a/src/base/common/log.cpp
+++ b/src/base/common/log.cpp
@@ -79,7 +79,7 @@
     return length;
 }
 
-// Values may contain what peers sent, which must neither end the line nor look like further fields.
+// Values may contain input from peers: quoting keeps it from ending the line or adding fields.
 std::string quote(std::string_view text) {
     std::string result = "\"";
     while (!text.empty()) {
--- a/src/base/common/log.h
+++ b/src/base/common/log.h
@@ -77,7 +77,7 @@
 
 // A line without time and level, in either format.
 std::string format_log_line(LogFormat log_format, Event event, std::initializer_list<LogField> fields);
-// The same for a program with its own list of events.
+// The same for programs that define their own events.
 std::string format_log_line(LogFormat log_format, std::string_view event,
                             std::initializer_list<LogField> fields);
 // Redirects lines, without time and level, from standard error to `sink`; an empty one restores the default.
--- a/src/base/common/metric_label.cpp
+++ b/src/base/common/metric_label.cpp
@@ -4,10 +4,10 @@
 
 std::string escape_label(std::string_view text) {
     std::string escaped;
-    for (const char c : text) {
-        if (c == '\\' || c == '"') escaped += '\\';
-        if (c == '\n') escaped += "\\n";
-        else escaped += c;
+    for (const char character : text) {
+        if (character == '\\' || character == '"') escaped += '\\';
+        if (character == '\n') escaped += "\\n";
+        else escaped += character;
     }
     return escaped;
 }
--- a/src/base/common/metric_label.h
+++ b/src/base/common/metric_label.h
@@ -6,7 +6,7 @@
 
 namespace shaletray {
 
-// A label's value, with what would end it escaped.
+// Escapes backslashes, double quotes and newlines in a label's value.
 std::string escape_label(std::string_view text);
 
 }    // namespace shaletray
--- a/src/base/http/answer.cpp
+++ b/src/base/http/answer.cpp
@@ -37,7 +37,8 @@
 
 std::string write_answer_head(int status, std::string_view headers, BodyFraming framing,
                               std::uint64_t content_length, bool keep_alive) {
-    const bool bodiless = status == 204 || status == 304;    // these have no body, whatever their headers say
+    const bool bodiless =
+        status == 204 || status == 304;    // never followed by a body, whatever their headers say
     const std::string framing_header = bodiless ? ""
                                        : framing == BodyFraming::ContentLength
                                            ? fmt::format("Content-Length: {}\r\n", content_length)
--- a/src/base/http/buffer.cpp
+++ b/src/base/http/buffer.cpp
@@ -6,8 +6,8 @@
 namespace shaletray::http {
 namespace {
 
-// Memory of a large message is released once it has been consumed, so that idle connections stay small.
-constexpr std::size_t kKept = 4 * 1024;
+// Bytes. A larger buffer is released once it is empty, so that idle connections need little memory.
+constexpr std::size_t kMaxRetainedCapacity = 4 * 1024;
 
 }    // namespace
 
@@ -30,12 +30,12 @@
     read_offset_ += std::min(count, size());
     if (!empty()) return;
     read_offset_ = write_offset_ = 0;
-    if (bytes_.size() > kKept) std::vector<char>().swap(bytes_);
+    if (bytes_.size() > kMaxRetainedCapacity) std::vector<char>().swap(bytes_);
 }
 
 void Buffer::erase(std::size_t offset, std::size_t count) {
-    char* const at = data() + offset;
-    std::memmove(at, at + count, size() - offset - count);
+    char* const position = data() + offset;
+    std::memmove(position, position + count, size() - offset - count);
     write_offset_ -= count;
 }
 
--- a/src/base/http/buffer.h
+++ b/src/base/http/buffer.h
@@ -1,5 +1,5 @@
-// A connection's one buffer: bytes are appended behind and consumed in front. It grows as needed and is
-// compacted in place.
+// A byte queue for one connection: bytes are appended at its end and consumed from its start. It grows as
+// needed and is compacted in place.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
     std::size_t size() const { return write_offset_ - read_offset_; }
     bool empty() const { return read_offset_ == write_offset_; }
 
-    // Makes room for at least `min_size` more bytes and returns where they go; unread bytes may move.
+    // Makes space for at least `min_size` more bytes and returns its address; unread bytes may move.
     char* reserve(std::size_t min_size);
     std::size_t writable_size() const { return bytes_.size() - write_offset_; }
     // Adds `count` bytes that were written at reserve()'s result.
--- a/src/base/http/message.h
+++ b/src/base/http/message.h
@@ -24,7 +24,7 @@
 enum class ParseStatus { Incomplete, Complete, Malformed };
 enum class ParseError { None, Malformed, HeadTooLarge, BodyTooLarge, Unsupported };
 
-// Decodes the chunked transfer coding in place, moving the payload together.
+// Decodes the chunked transfer coding in place; the payload is moved into one contiguous range.
 class ChunkDecoder {
 public:
     struct Step {
@@ -62,8 +62,8 @@
 
     // Parses what was added to the buffer since the last call.
     ParseStatus parse(Buffer& buffer);
-    // The peer has closed the connection in order, which ends a response without a stated length. Malformed
-    // if the message is incomplete.
+    // To be called when the peer has closed the connection in order, which ends a response without a
+    // Content-Length. Malformed if the message is incomplete.
     ParseStatus finish();
     // Begins a new message; the buffer must have been consumed up to it.
     void reset();
@@ -91,7 +91,7 @@
     bool is_complete() const { return is_complete_; }    // parsed to its end
     bool keep_alive() const { return keep_alive_; }
     bool is_http10() const { return is_http10_; }
-    // For a body with a stated length: how much of it is still in the buffer or to come.
+    // For a body with Content-Length: its bytes that are in the buffer or not received yet.
     std::optional<std::uint64_t> content_length() const {
         return framing_ == Framing::Length ? std::optional(content_length_) : std::nullopt;
     }
@@ -135,8 +135,8 @@
 };
 
 // Compares ASCII text regardless of case.
-bool equals_ignore_case(std::string_view a, std::string_view b);
-// Without leading and trailing spaces and tabs.
+bool equals_ignore_case(std::string_view left, std::string_view right);
+// Returns `text` without leading and trailing spaces and tabs.
 std::string_view trim(std::string_view text);
 
 }    // namespace shaletray::http
--- a/src/base/net/api_server.cpp
+++ b/src/base/net/api_server.cpp
@@ -18,8 +18,8 @@
 constexpr Duration kAcceptPause = 20ms;    // before accepting again when descriptors have run out
 constexpr Duration kLingerTimeout = 1s;    // for the peer to read the last response
 constexpr int kMaxAcceptsPerEvent = 16;
-constexpr std::size_t kAlwaysAllowedCallSize = 64 * 1024;    // bytes allowed whatever else is pending
-constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;    // bytes read ahead of a call that has no reply yet
+constexpr std::size_t kAlwaysAllowedCallSize = 64 * 1024;    // bytes, even beyond max_pending_bytes
+constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;        // read ahead while a call has no reply yet
 
 }    // namespace
 
@@ -39,9 +39,9 @@
     Stream stream;
     ConnectionList::iterator position;
     State state = State::Idle;
-    TimePoint state_since{};    // when the present state began
+    TimePoint state_since{};    // when the current state began
     std::size_t pending_bytes = 0;
-    std::size_t max_body_size = 0;    // bytes, for the present call
+    std::size_t max_body_size = 0;    // bytes, for the current call
     bool head_complete = false, keep_alive = true, is_processing = false, is_closed = false;
     std::shared_ptr<ApiCaller> caller;
 };
@@ -104,10 +104,10 @@
     });
 }
 
-// False if there was nothing more to accept.
+// Returns false if no further connection can be accepted now.
 bool ApiServer::accept_one() {
     if (busy_connections_.size() >=
-        limits_.max_connections) {    // all have a call in progress: new connections wait in the backlog
+        limits_.max_connections) {    // all have a call in progress: new ones wait in the backlog
         pause_accepting();
         return false;
     }
@@ -137,7 +137,7 @@
     http::Buffer& input = connection.stream.input_buffer();
     if (connection.state == Connection::State::Closing) return input.consume(input.size());
     if (connection.state == Connection::State::Handling) {
-        reserve_pending_bytes(connection);
+        update_pending_bytes(connection);
         if (input.size() > kMaxPipelinedBytes) connection.stream.set_reading(false);
         return;
     }
@@ -146,10 +146,10 @@
     while (!connection.is_closed && handle_next_call(connection)) {
     }
     connection.is_processing = false;
-    if (!connection.is_closed) reserve_pending_bytes(connection);
+    if (!connection.is_closed) update_pending_bytes(connection);
 }
 
-// True if the call got its reply at once, so that another one may be handled.
+// Returns true if the call was replied to at once, so that the next one may be handled.
 bool ApiServer::handle_next_call(Connection& connection) {
     http::Buffer& input = connection.stream.input_buffer();
     if (input.empty()) return false;
@@ -183,7 +183,7 @@
         return false;
     }
     if (status == http::ParseStatus::Incomplete) {
-        reserve_pending_bytes(connection);
+        update_pending_bytes(connection);
         if (pending_bytes_ > limits_.max_pending_bytes && input.size() > kAlwaysAllowedCallSize)
             reject_call(connection, 503, "too much is under way");
         return false;
@@ -203,7 +203,7 @@
     connection.parser.reset();
     connection.head_complete = false;
     if (connection.caller != nullptr) return false;    // the reply follows later
-    release_pending_bytes(connection);
+    finish_response(connection);
     return connection.state == Connection::State::Idle;
 }
 
@@ -212,18 +212,18 @@
     ++counters_.rejected;
     connection.keep_alive = false;
     connection.stream.input_buffer().consume(connection.stream.input_buffer().size());
-    reserve_pending_bytes(connection);
+    update_pending_bytes(connection);
     write_reply(connection, {status, std::string(reason) + "\n", "text/plain; charset=utf-8",
                              status == 503 ? "Retry-After: 0.2\r\n" : std::string()});
-    if (!connection.is_closed) release_pending_bytes(connection);
+    if (!connection.is_closed) finish_response(connection);
 }
 
 void ApiServer::send_reply(Connection& connection, ApiReply reply) {
     connection.caller->connection_ = nullptr;
     connection.caller.reset();
     write_reply(connection, reply);
-    if (connection.is_closed || connection.is_processing) return;    // process_input continues by itself
-    release_pending_bytes(connection);
+    if (connection.is_closed || connection.is_processing) return;    // process_input handles the next call
+    finish_response(connection);
     if (connection.state != Connection::State::Idle) return;
     process_input(connection);
     if (!connection.is_closed) connection.stream.set_reading(true);
@@ -239,8 +239,8 @@
         close_connection(connection);
 }
 
-// After a response: waits for the next call, or for the peer to read the last response.
-void ApiServer::release_pending_bytes(Connection& connection) {
+// Called after a response: waits for the next call, or for the peer to read the last response.
+void ApiServer::finish_response(Connection& connection) {
     connection.state_since = reactor_.clock().now();
     if (connection.keep_alive) {
         connection.state = Connection::State::Idle;
@@ -257,7 +257,7 @@
     if (connection.state == Connection::State::Closing) connection.stream.shutdown_sending();
 }
 
-void ApiServer::reserve_pending_bytes(Connection& connection) {
+void ApiServer::update_pending_bytes(Connection& connection) {
     pending_bytes_ = pending_bytes_ - connection.pending_bytes + connection.stream.input_buffer().size();
     connection.pending_bytes = connection.stream.input_buffer().size();
 }
@@ -324,8 +324,8 @@
     ApiServer::Limits limits;
     limits.max_connections = 16;
     limits.max_body_size = limits.max_pending_bytes = 4 * 1024;
-    const auto answer = [is_ready = std::move(is_ready), pages = std::move(pages)](
-                            const ApiCall& call, const std::shared_ptr<ApiCaller>& caller) {
+    const auto page_handler = [is_ready = std::move(is_ready), pages = std::move(pages)](
+                                  const ApiCall& call, const std::shared_ptr<ApiCaller>& caller) {
         const std::string_view path = call.target.substr(0, call.target.find('?'));
         const auto page = std::find_if(pages.begin(), pages.end(),
                                        [&](const StatusPage& candidate) { return candidate.path == path; });
@@ -334,7 +334,7 @@
         else if (page != pages.end()) caller->send_reply({200, page->render(), page->content_type});
         else caller->send_reply({is_ready() ? 200 : 503});
     };
-    return std::make_unique<ApiServer>(reactor, ApiServer::listen(address), limits, answer);
+    return std::make_unique<ApiServer>(reactor, ApiServer::listen(address), limits, page_handler);
 }
 
 std::unique_ptr<ApiServer> serve_status(Reactor& reactor, const std::string& address,
--- a/src/base/net/api_server.h
+++ b/src/base/net/api_server.h
@@ -33,7 +33,7 @@
 
 class ApiServer;
 
-// Reply handle of one call, kept by whoever is to reply. It may outlive the connection and the server. Only
+// Reply handle of one call, kept until the reply is sent. It may outlive the connection and the server. Only
 // for the reactor's thread.
 class ApiCaller {
 public:
@@ -54,7 +54,7 @@
 public:
     // Bounds that keep slow or hostile clients from exhausting memory and descriptors.
     struct Limits {
-        std::size_t max_connections = 256;               // the longest idle connection is closed to make room
+        std::size_t max_connections = 256;               // if reached, the longest idle connection is closed
         std::size_t max_head_size = 8 * 1024;            // bytes
         std::size_t max_body_size = 64 * 1024 * 1024;    // bytes, unless BodySizeLimit returns less
         // Bytes of all requests together that have not been passed to the handler yet.
@@ -104,9 +104,9 @@
     void reject_call(Connection& connection, int status, std::string_view reason);
     void send_reply(Connection& connection, ApiReply reply);
     void write_reply(Connection& connection, const ApiReply& reply);
-    void release_pending_bytes(Connection& connection);
+    void finish_response(Connection& connection);
     void on_all_sent(Connection& connection);
-    void reserve_pending_bytes(Connection& connection);
+    void update_pending_bytes(Connection& connection);
     void close_connection(Connection& connection);
     void close_stale_connections();
 
@@ -123,20 +123,20 @@
     Counters counters_;
 };
 
-// What GET of a path is answered with, for operators and for those who collect metrics.
+// A page served to GET requests, for operators and metrics collectors.
 struct StatusPage {
     std::string path, content_type;
     std::function<std::string()> render;
 };
-// GET /metrics, in the Prometheus text format.
+// The page /metrics, in the Prometheus text format.
 StatusPage metrics_page(std::function<std::string()> render);
 
 // Serves GET /readiness with 200 or 503, for load balancers, and the pages; every other request is rejected.
 std::unique_ptr<ApiServer> serve_readiness(Reactor& reactor, const std::string& address,
                                            std::function<bool()> is_ready,
                                            std::vector<StatusPage> pages = {});
-// The same at a further address, for operators. Null where the address is empty or cannot be used: a process
-// serves without it.
+// The same at a separate address, for operators. Returns null if the address is empty or cannot be bound: the
+// process runs without this server then.
 std::unique_ptr<ApiServer> serve_status(Reactor& reactor, const std::string& address,
                                         std::function<bool()> is_ready, std::vector<StatusPage> pages);
 
--- a/src/base/net/line_protocol_server.cpp
+++ b/src/base/net/line_protocol_server.cpp
@@ -51,7 +51,7 @@
         new_connection.stream.attach(accepted,
                                      accepted.address().family() == Poco::Net::SocketAddress::UNIX_LOCAL);
         return true;
-    } catch (const Poco::Exception&) {    // none is waiting, it was closed before, or no descriptor is left
+    } catch (const Poco::Exception&) {    // none waits, it was closed already, or descriptors ran out
         return false;
     }
 }
--- a/src/base/net/reactor.cpp
+++ b/src/base/net/reactor.cpp
@@ -10,20 +10,20 @@
 namespace {
 
 // Signals are checked once an iteration, and one may arrive just before the wait, which this bounds.
-constexpr Duration kLongestWait = std::chrono::milliseconds(100);
+constexpr Duration kMaxWait = std::chrono::milliseconds(100);
 
 // Logs exceptions that a socket's handler did not catch. The reactor continues with the next socket.
 class LoggingErrorHandler : public Poco::ErrorHandler {
 public:
-    void exception(const Poco::Exception& error) override { tell(error.displayText()); }
-    void exception(const std::exception& error) override { tell(error.what()); }
-    void exception() override { tell("unknown exception"); }
+    void exception(const Poco::Exception& error) override { log_error(error.displayText()); }
+    void exception(const std::exception& error) override { log_error(error.what()); }
+    void exception() override { log_error("unknown exception"); }
 
 private:
-    void tell(const std::string& text) {
-        if (gate_.try_acquire()) log(LogLevel::Error, Event::SocketFailed, {log_field("why", text)});
+    void log_error(const std::string& text) {
+        if (log_limiter_.try_acquire()) log(LogLevel::Error, Event::SocketFailed, {log_field("why", text)});
     }
-    LogRateLimiter gate_;
+    LogRateLimiter log_limiter_;
 };
 
 }    // namespace
@@ -43,11 +43,11 @@
 // POCO truncates the wait to whole milliseconds: it is rounded up here, so that the loop neither spins during
 // the last millisecond nor wakes before anything is due.
 void Reactor::update_poll_timeout() {
-    Duration wait = kLongestWait;
+    Duration wait = kMaxWait;
     if (const auto next = timers_.next_deadline()) wait = std::clamp(*next - clock_.now(), Duration(0), wait);
     if (busy_polling_) wait = Duration(0);
-    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(wait);
-    setTimeout(Poco::Timespan(ms.count() * 1000));
+    const auto rounded_wait = std::chrono::ceil<std::chrono::milliseconds>(wait);
+    setTimeout(Poco::Timespan(rounded_wait.count() * 1000));
 }
 
 void Reactor::run_once(bool poll_sockets) {
--- a/src/base/net/reactor.h
+++ b/src/base/net/reactor.h
@@ -20,7 +20,7 @@
     virtual ~RetiredObject() = default;
 };
 
-// Clock and timers are the caller's and outlive the reactor.
+// Does not own the clock and the timers, which must outlive it.
 class Reactor : public Poco::Net::SocketReactor {
 public:
     Reactor(const Clock& clock, Timers& timers);
--- a/src/base/net/stream.cpp
+++ b/src/base/net/stream.cpp
@@ -80,7 +80,7 @@
             socket_.receiveBytes(destination, static_cast<int>(input_buffer_.writable_size()));
         if (read_count < 0) return ReadResult::WouldBlock;
         if (read_count == 0) {
-            peer_ended_ = true;
+            peer_closed_ = true;
             return ReadResult::Ended;
         }
         input_buffer_.commit(static_cast<std::size_t>(read_count));
--- a/src/base/net/stream.h
+++ b/src/base/net/stream.h
@@ -1,5 +1,5 @@
-// A non-blocking stream connection: reads into its input buffer, writes what it is given and notifies its
-// owner. The owner interprets the bytes. Only for the reactor's thread.
+// A non-blocking stream connection: reads into its input buffer, buffers and writes output, and notifies its
+// owner, which interprets the bytes. Only for the reactor's thread.
 #pragma once
 
 #include <Poco/Net/SocketNotification.h>
@@ -17,13 +17,13 @@
 class StreamOwner {
 public:
     virtual ~StreamOwner() = default;
-    virtual void on_connected() {}         // connect() succeeded
-    virtual void on_input() = 0;           // the input buffer has more bytes
-    virtual void on_all_sent() {}          // the system has accepted all bytes that waited to be written
+    virtual void on_connected() {}    // connect() succeeded
+    virtual void on_input() = 0;      // the input buffer has more bytes
+    virtual void on_all_sent() {}     // the kernel has accepted all bytes that were waiting to be written
     virtual void on_disconnected() = 0;    // the peer closed the connection, or it failed
 };
 
-// One connection, accepted or opened by us. Destruction closes it.
+// One accepted or outgoing connection. Destruction closes it.
 class Stream {
 public:
     Stream(Reactor& reactor, StreamOwner& owner) : reactor_(reactor), owner_(owner) {}
@@ -35,7 +35,7 @@
     void attach(const Poco::Net::StreamSocket& accepted, bool is_local = false);
     // False if it failed at once; otherwise on_connected or on_disconnected follows.
     bool connect(const std::string& address);
-    // False if the connection failed. Bytes that the system does not accept now are written later, followed
+    // False if the connection failed. Bytes that the kernel does not accept now are written later, followed
     // by on_all_sent.
     bool write_bytes(std::string bytes);
     bool all_sent() const { return sent_bytes_ == unsent_buffer_.size(); }
@@ -56,7 +56,7 @@
     void close();
     bool is_open() const { return is_open_; }
     // The peer closed its sending direction in order, after all its bytes.
-    bool is_ended() const { return peer_ended_; }
+    bool is_ended() const { return peer_closed_; }
 
 private:
     enum class ReadResult { Data, WouldBlock, Ended };
@@ -72,7 +72,7 @@
     http::Buffer input_buffer_;
     std::string unsent_buffer_;    // bytes accepted by write_bytes and not entirely sent
     std::size_t sent_bytes_ = 0;
-    bool peer_ended_ = false;
+    bool peer_closed_ = false;
     bool is_open_ = false, is_connecting_ = false, watches_reads_ = false, watches_writes_ = false;
 };
 
--- a/src/base/net/unix_socket.cpp
+++ b/src/base/net/unix_socket.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-// A socket that a killed process left behind refuses connections.
-bool answered(const std::string& path) {
+// Whether a process listens at the socket: one left behind by a killed process refuses connections.
+bool accepts_connections(const std::string& path) {
     try {
         Poco::Net::StreamSocket probe;
         probe.connect(unix_address(path), Poco::Timespan(0, 200000));
@@ -30,25 +30,26 @@
 }    // namespace
 
 Poco::Net::ServerSocket listen_at(const std::string& path, int mode, int backlog) {
-    struct stat info {};
-    if (::lstat(path.c_str(), &info) == 0) {
-        if (!S_ISSOCK(info.st_mode))
-            throw std::runtime_error(path + " is there and is no socket: name another path");
-        if (answered(path)) throw std::runtime_error(path + ": another process listens there");
+    struct stat file_status {};
+    if (::lstat(path.c_str(), &file_status) == 0) {
+        if (!S_ISSOCK(file_status.st_mode))
+            throw std::runtime_error(path + " exists and is not a socket: choose another path");
+        if (accepts_connections(path))
+            throw std::runtime_error(path + ": another process is listening there");
         ::unlink(path.c_str());
     }
     // No peer may connect before the file mode is set.
     Poco::Net::ServerSocket socket;
-    const mode_t before = ::umask(0177);
+    const mode_t previous_umask = ::umask(0177);
     try {
         socket.bind(unix_address(path), false);
     } catch (...) {
-        ::umask(before);
+        ::umask(previous_umask);
         throw;
     }
-    ::umask(before);
+    ::umask(previous_umask);
     if (::chmod(path.c_str(), static_cast<mode_t>(mode)) != 0)
-        throw std::runtime_error(path + ": its mode cannot be set");
+        throw std::runtime_error(path + ": cannot set its file mode");
     socket.listen(backlog);
     return socket;
 }
--- a/src/base/net/waker.cpp
+++ b/src/base/net/waker.cpp
@@ -18,7 +18,7 @@
 
 Waker::Waker(Reactor& reactor, std::function<void()> task) : reactor_(reactor), task_(std::move(task)) {
     int ends[2];
-    if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("no pipe can be made");
+    if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
     read_descriptor_ = ends[0];
     write_descriptor_ = ends[1];
     poll_socket_ = PipeEnd(read_descriptor_);    // owns the descriptor from here on
@@ -35,7 +35,7 @@
 void Waker::wake() {
     if (wake_pending_.exchange(true)) return;
     const char byte = 0;
-    // A failed write to a full pipe is harmless: its bytes wake the reactor.
+    // Writing to a full pipe fails, which is harmless: the bytes in it wake the reactor.
     if (::write(write_descriptor_, &byte, 1) < 0) return;
 }
 
--- a/src/base/runtime/capnp_codec.h
+++ b/src/base/runtime/capnp_codec.h
@@ -1,6 +1,6 @@
 // Encoding and decoding of Cap'n Proto messages, in the packed form (`pack`, `unpack`) and in the plain one
-// (`serialize`, `deserialize`). Exceptions of Cap'n Proto become errors here and nowhere else. Bytes that are
-// decoded may come from anyone: whatever they are, the outcome is a message or an error.
+// (`serialize`, `deserialize`). Only this module turns exceptions of Cap'n Proto into errors. Input is
+// untrusted: decoding any bytes yields a message or an error.
 //
 // Header only: a library that includes it links Cap'n Proto through its schema.
 #pragma once
@@ -26,10 +26,10 @@
     std::string reason;
 };
 
-// How far a reader follows a message, so that a small message cannot cost much memory or time.
+// Limits on reading a message, so that a small message cannot cost much memory or time.
 struct ReadLimits {
-    std::uint64_t max_words = 0;    // read in all; a word counts each time that it is visited
-    int max_depth = 0;              // of structs and lists within each other
+    std::uint64_t max_words = 0;    // words read in total; a word counts each time it is visited
+    int max_depth = 0;              // of nested structs and lists
 };
 
 // Text and data are converted without a copy: the result is valid as long as the argument.
@@ -69,7 +69,7 @@
 
 }    // namespace detail
 
-// The message in the packed form, behind `header_bytes` zero bytes that the caller fills.
+// Returns the message in the packed form, after `header_bytes` zero bytes that the caller fills in.
 inline std::string pack(capnp::MessageBuilder& message, std::size_t header_bytes = 0) {
     std::string bytes;
     bytes.reserve(header_bytes + capnp::computeSerializedSizeInWords(message) * sizeof(capnp::word));
@@ -79,7 +79,7 @@
     return bytes;
 }
 
-// The message in the plain form, behind `header_bytes` zero bytes that the caller fills.
+// Returns the message in the plain form, after `header_bytes` zero bytes that the caller fills in.
 inline std::string serialize(capnp::MessageBuilder& message, std::size_t header_bytes = 0) {
     const auto segments = message.getSegmentsForOutput();
     const std::size_t size = capnp::computeSerializedSizeInWords(segments) * sizeof(capnp::word);
@@ -90,7 +90,7 @@
     return bytes;
 }
 
-// How many words a packed message has once unpacked. Errors: MalformedMessage.
+// The size of a packed message once unpacked, in words. Errors: MalformedMessage.
 inline boost::leaf::result<std::uint64_t> unpacked_word_count(std::string_view bytes) {
     try {
         return std::uint64_t{capnp::computeUnpackedSizeInWords(data_of(bytes))};
@@ -113,8 +113,8 @@
     }
 }
 
-// The same with limits that suit the system's messages: packing shortens them to a sixteenth at the most, so
-// a message that claims to unpack to more than that is rejected.
+// The same with limits that suit the system's messages: packing shortens them to a sixteenth at most, so a
+// message that claims to unpack to more than that is rejected.
 template <class Root, class Handler>
 auto unpack(std::string_view bytes, Handler&& handler)
     -> decltype(handler(std::declval<typename Root::Reader>())) {
@@ -128,14 +128,14 @@
 auto deserialize(std::string_view bytes, const ReadLimits& limits, Handler&& handler)
     -> decltype(handler(std::declval<typename Root::Reader>())) {
     if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
-        return boost::leaf::new_error(MalformedMessage{"not a number of whole words"});
+        return boost::leaf::new_error(MalformedMessage{"size is not a whole number of words"});
     // The reader needs words at their alignment, which `bytes` need not have.
     auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
     std::memcpy(words.asBytes().begin(), bytes.data(), bytes.size());
     try {
         capnp::FlatArrayMessageReader reader(words, detail::reader_options(limits));
         if (reader.getEnd() != words.end())
-            return boost::leaf::new_error(MalformedMessage{"bytes behind the message"});
+            return boost::leaf::new_error(MalformedMessage{"bytes after the message"});
         return handler(reader.getRoot<Root>());
     } catch (const kj::Exception& error) {
         return detail::malformed(error);
--- a/src/base/runtime/command_line.cpp
+++ b/src/base/runtime/command_line.cpp
@@ -24,18 +24,18 @@
 
 namespace {
 
-// The file is read every few seconds: while it is invalid, it is logged only so often.
+// Minimum interval between log lines about an invalid settings file, which is read again every few seconds.
 constexpr std::chrono::seconds kRejectionLogInterval(60);
 
 constexpr int kMaxPort = 65535;
 
-// Prints why the process cannot start; its exit status.
+// Prints why the process cannot start and returns its exit status.
 int report_failure(const std::string& reason) {
     std::fprintf(stderr, "%s\n", reason.c_str());
     return EXIT_FAILURE;
 }
 
-// The path that the command line or the environment names; empty where neither does.
+// The path given on the command line or in the environment; empty if neither is set.
 std::string settings_path() {
     if (!FLAGS_settings.empty()) return FLAGS_settings;
     const char* const environment_path = std::getenv("SHALETRAY_BOOT");
@@ -55,7 +55,7 @@
     gflags::SetUsageMessage(program + " [--settings FILE] [--log_level LEVEL] [--check]");
     gflags::SetVersionString(SHALETRAY_VERSION);
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    if (argc > 1) return report_failure(std::string("not understood: ") + argv[1]);
+    if (argc > 1) return report_failure(std::string("unexpected argument: ") + argv[1]);
     if (!set_log_level(std::string_view(FLAGS_log_level)))
         return report_failure("--log_level: must be error, warning, info or debug");
     if (FLAGS_metrics_port < 0 || FLAGS_metrics_port > kMaxPort)
--- a/src/base/runtime/command_line.h
+++ b/src/base/runtime/command_line.h
@@ -11,7 +11,7 @@
 
 namespace shaletray::runtime {
 
-// What a process starts with.
+// The settings of a process, and the file that they were read from.
 struct Startup {
     std::string settings_path;
     std::string settings_text;    // the file's content when it was last read
@@ -20,12 +20,12 @@
 
 // The content of a file. Errors: SettingsError.
 boost::leaf::result<std::string> read_file(const std::string& path);
-// Parses the command line, sets the log's level and reads the settings. The int is the status with which the
-// process has to exit, after one line that says why: the file was only to be checked (--check), or the
-// command line or the settings are invalid.
+// Parses the command line, sets the log level and reads the settings. An int is the process's exit status:
+// the file was only to be checked (--check), or the command line or the settings are invalid, which is
+// printed in one line.
 std::variant<Startup, int> parse_command_line(int argc, char** argv, const std::string& program);
-// Reads the settings file again. Its settings where its content has changed and is valid. An invalid file is
-// logged, at most once a minute, and changes nothing.
+// Reads the settings file again and returns its settings if its content has changed and is valid. An invalid
+// file is logged, at most once a minute, and changes nothing.
 std::optional<NodeSettings> reload_settings(Startup& startup);
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/lifecycle.cpp
+++ b/src/base/runtime/lifecycle.cpp
@@ -12,7 +12,7 @@
 // Set by the signal handler, which may do nothing else.
 volatile std::sig_atomic_t stop_requested = 0, reload_requested = 0;
 
-void on_signal(int number) { (number == SIGHUP ? reload_requested : stop_requested) = 1; }
+void on_signal(int signal_number) { (signal_number == SIGHUP ? reload_requested : stop_requested) = 1; }
 
 constexpr auto kReloadInterval = 2s;
 constexpr auto kCountersInterval = 10s;
@@ -20,7 +20,7 @@
 }    // namespace
 
 void catch_signals() {
-    for (const int number : {SIGTERM, SIGINT, SIGHUP}) std::signal(number, on_signal);
+    for (const int signal_number : {SIGTERM, SIGINT, SIGHUP}) std::signal(signal_number, on_signal);
     std::signal(SIGPIPE, SIG_IGN);
 }
 
--- a/src/base/runtime/lifecycle.h
+++ b/src/base/runtime/lifecycle.h
@@ -1,4 +1,4 @@
-// What both programs do besides their work: react to signals and to changes of the settings file.
+// Process lifecycle of the gateway and the controller: signals and changes of the settings file.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 namespace shaletray::runtime {
 
-// What a program does on events of its process. Called by the loop's thread.
+// Callbacks on process events, called on the event loop's thread.
 struct LifecycleHooks {
     std::function<void()> on_stop;
     std::function<void(const NodeSettings&)> on_settings_changed;
@@ -19,8 +19,8 @@
 // SIGPIPE. To be called once, before the loop.
 void catch_signals();
 bool is_stop_requested();
-// A function to be called once in each turn of the loop: it reacts to signals, reads the settings file every
-// 2 s and logs the counters every 10 s. `startup` has to outlive it.
+// Returns a function to be called once per iteration of the event loop: it handles signals, reads the
+// settings file again every 2 s and logs the counters every 10 s. `startup` must outlive it.
 std::function<void()> make_lifecycle_tick(Startup& startup, LifecycleHooks hooks);
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/log_sink.cpp
+++ b/src/base/runtime/log_sink.cpp
@@ -18,7 +18,7 @@
 namespace blog = boost::log;
 using Sink = blog::sinks::synchronous_sink<blog::sinks::text_ostream_backend>;
 
-constexpr std::string_view kLevels[] = {"error", "warning", "info", "debug"};
+constexpr std::string_view kLevelNames[] = {"error", "warning", "info", "debug"};
 
 void write_line(LogLevel level, std::string_view line) {
     thread_local blog::sources::severity_logger<LogLevel> logger;
@@ -42,7 +42,7 @@
             std::chrono::steady_clock::now().time_since_epoch());
         const auto level = blog::extract<LogLevel>("Severity", record);
         stream << fmt::format("time={}.{:03} level={} node={} ", now.count() / 1000, now.count() % 1000,
-                              kLevels[static_cast<std::size_t>(level ? *level : LogLevel::Info)], node)
+                              kLevelNames[static_cast<std::size_t>(level ? *level : LogLevel::Info)], node)
                << record[blog::expressions::smessage];
     });
     blog::core::get()->remove_all_sinks();
--- a/src/base/runtime/setting_fields.cpp
+++ b/src/base/runtime/setting_fields.cpp
@@ -19,7 +19,7 @@
 // Far beyond any sensible value, so that sums and products of settings stay finite.
 constexpr double kMaxNumber = 1e12;
 constexpr std::size_t kMaxCount = std::numeric_limits<std::uint32_t>::max();
-constexpr int kMaxTolerated = 1'000'000;
+constexpr int kMaxToleratedFailures = 1'000'000;
 
 constexpr std::string_view kZonePrefix = "zones.";
 
@@ -27,24 +27,24 @@
 using Setter = std::function<leaf::result<void>(NodeSettings& settings, const std::string& field,
                                                 const std::string& text)>;
 
-// ---- types of fields ----
+// ---- setters by type of field ----
 
 leaf::result<void> set_duration(Duration& target, const std::string& field, const std::string& text) {
     const auto value = parse_duration(text);
-    if (!value) return leaf::new_error(field_error(field, "not a time like 1500ms or 2.5s: " + text));
+    if (!value) return leaf::new_error(field_error(field, "not a duration like 1500ms or 2.5s: " + text));
     target = *value;
     return {};
 }
 
-Setter text(std::string NodeSettings::*member) {
+Setter text_field(std::string NodeSettings::*member) {
     return [member](NodeSettings& settings, const std::string&, const std::string& value) {
         settings.*member = value;
         return leaf::result<void>();
     };
 }
 
-// An address to listen on; empty where it is not served.
-Setter address(std::string NodeSettings::*member) {
+// An address to listen on; empty if nothing is served there.
+Setter address_field(std::string NodeSettings::*member) {
     return [member](NodeSettings& settings, const std::string& field,
                     const std::string& value) -> leaf::result<void> {
         (settings.*member).clear();
@@ -54,7 +54,7 @@
     };
 }
 
-Setter flag(bool NodeSettings::*member) {
+Setter flag_field(bool NodeSettings::*member) {
     return [member](NodeSettings& settings, const std::string& field,
                     const std::string& value) -> leaf::result<void> {
         BOOST_LEAF_ASSIGN(settings.*member, parse_bool(field, value));
@@ -62,14 +62,14 @@
     };
 }
 
-Setter duration(Duration NodeSettings::*member) {
+Setter duration_field(Duration NodeSettings::*member) {
     return [member](NodeSettings& settings, const std::string& field, const std::string& value) {
         return set_duration(settings.*member, field, value);
     };
 }
 
 template <class T>
-Setter number(T NodeSettings::*member, T min_value, T max_value) {
+Setter number_field(T NodeSettings::*member, T min_value, T max_value) {
     return [member, min_value, max_value](NodeSettings& settings, const std::string& field,
                                           const std::string& value) -> leaf::result<void> {
         BOOST_LEAF_ASSIGN(settings.*member, parse_number<T>(field, value, min_value, max_value));
@@ -77,13 +77,13 @@
     };
 }
 
-Setter bound(Duration Bounds::*member) {
+Setter bound_field(Duration Bounds::*member) {
     return [member](NodeSettings& settings, const std::string& field, const std::string& value) {
         return set_duration(settings.bounds.*member, field, value);
     };
 }
 
-Setter bound(double Bounds::*member) {
+Setter bound_field(double Bounds::*member) {
     return [member](NodeSettings& settings, const std::string& field,
                     const std::string& value) -> leaf::result<void> {
         BOOST_LEAF_ASSIGN(settings.bounds.*member, parse_number<double>(field, value, 0.0, kMaxNumber));
@@ -91,7 +91,7 @@
     };
 }
 
-Setter bound(bool Bounds::*member) {
+Setter bound_field(bool Bounds::*member) {
     return [member](NodeSettings& settings, const std::string& field,
                     const std::string& value) -> leaf::result<void> {
         BOOST_LEAF_ASSIGN(settings.bounds.*member, parse_bool(field, value));
@@ -107,11 +107,12 @@
 leaf::result<void> set_port_range(NodeSettings& settings, const std::string& field,
                                   const std::string& value) {
     const auto ports = split_list(value);
-    if (ports.size() != 2) return leaf::new_error(field_error(field, "not two ports: " + value));
+    if (ports.size() != 2)
+        return leaf::new_error(field_error(field, "not a range of two ports FIRST,LAST: " + value));
     BOOST_LEAF_ASSIGN(settings.first_port, parse_number<std::uint16_t>(field, ports[0], 1, 65535));
     BOOST_LEAF_ASSIGN(settings.last_port, parse_number<std::uint16_t>(field, ports[1], 1, 65535));
     if (settings.last_port <= settings.first_port)
-        return leaf::new_error(field_error(field, "fewer than two ports: " + value));
+        return leaf::new_error(field_error(field, "the last port must be greater than the first: " + value));
     return {};
 }
 
@@ -124,53 +125,53 @@
     return {};
 }
 
-// ---- names of fields ----
+// ---- setters by name of field ----
 
 const std::unordered_map<std::string_view, Setter>& setters() {
     using Node = NodeSettings;
     static const std::unordered_map<std::string_view, Setter> kSetters = {
-        {"node_name", text(&Node::node_name)},
-        {"role", text(&Node::role)},
-        {"zone", text(&Node::zone)},
-        {"region", text(&Node::region)},
-        {"data_directory", text(&Node::data_directory)},
+        {"node_name", text_field(&Node::node_name)},
+        {"role", text_field(&Node::role)},
+        {"zone", text_field(&Node::zone)},
+        {"region", text_field(&Node::region)},
+        {"data_directory", text_field(&Node::data_directory)},
         {"ip", set_ip},
-        {"bind_addresses.frontend", address(&Node::frontend_address)},
-        {"bind_addresses.readiness", address(&Node::readiness_address)},
-        {"bind_addresses.control", address(&Node::control_address)},
+        {"bind_addresses.frontend", address_field(&Node::frontend_address)},
+        {"bind_addresses.readiness", address_field(&Node::readiness_address)},
+        {"bind_addresses.control", address_field(&Node::control_address)},
         {"internal_port_range", set_port_range},
         {"seed_nodes", set_seeds},
-        {"bootstrap", flag(&Node::bootstrap)},
-        {"quorum_member", flag(&Node::quorum_member)},
-        {"limits.cpu_share", number(&Node::cpu_share, 0.0, kMaxNumber)},
-        {"limits.memory_mb", number(&Node::memory_mb, 1.0, kMaxNumber)},
-        {"limits.max_open_files", number(&Node::max_open_files, std::size_t{0}, kMaxCount)},
-        {"limits.disk_mb", number(&Node::disk_mb, std::size_t{0}, kMaxCount)},
-        {"heartbeat", duration(&Node::heartbeat)},
-        {"fault_tolerance.machines", number(&Node::tolerated_machines, 0, kMaxTolerated)},
-        {"fault_tolerance.zones", number(&Node::tolerated_zones, 0, kMaxTolerated)},
-        {"fault_tolerance.regions", number(&Node::tolerated_regions, 0, kMaxTolerated)},
-        {"bounds.seed_lag", bound(&Bounds::seed_lag)},
-        {"bounds.address_reuse", bound(&Bounds::address_reuse)},
-        {"bounds.contact", bound(&Bounds::contact)},
-        {"bounds.ack", bound(&Bounds::ack)},
-        {"bounds.catch_up", bound(&Bounds::catch_up)},
-        {"bounds.drain", bound(&Bounds::drain)},
-        {"bounds.grace", bound(&Bounds::grace)},
-        {"bounds.loss_slack", bound(&Bounds::loss_slack)},
-        {"bounds.config_apply", bound(&Bounds::config_apply)},
-        {"bounds.revert_slack", bound(&Bounds::revert_slack)},
-        {"bounds.max_stretch", bound(&Bounds::max_stretch)},
-        {"bounds.revoke", bound(&Bounds::revoke)},
-        {"bounds.retry_window", bound(&Bounds::retry_window)},
-        {"bounds.quota_window", bound(&Bounds::quota_window)},
-        {"bounds.recovery", bound(&Bounds::recovery)},
-        {"bounds.max_hold", bound(&Bounds::max_hold)},
-        {"bounds.retry_budget_ratio", bound(&Bounds::retry_budget_ratio)},
-        {"bounds.retry_slack", bound(&Bounds::retry_slack)},
-        {"bounds.quota_overshoot", bound(&Bounds::quota_overshoot)},
-        {"bounds.quota_slack", bound(&Bounds::quota_slack)},
-        {"bounds.revocation_global", bound(&Bounds::revocation_global)},
+        {"bootstrap", flag_field(&Node::bootstrap)},
+        {"quorum_member", flag_field(&Node::quorum_member)},
+        {"limits.cpu_share", number_field(&Node::cpu_share, 0.0, kMaxNumber)},
+        {"limits.memory_mb", number_field(&Node::memory_mb, 1.0, kMaxNumber)},
+        {"limits.max_open_files", number_field(&Node::max_open_files, std::size_t{0}, kMaxCount)},
+        {"limits.disk_mb", number_field(&Node::disk_mb, std::size_t{0}, kMaxCount)},
+        {"heartbeat", duration_field(&Node::heartbeat)},
+        {"fault_tolerance.machines", number_field(&Node::tolerated_machines, 0, kMaxToleratedFailures)},
+        {"fault_tolerance.zones", number_field(&Node::tolerated_zones, 0, kMaxToleratedFailures)},
+        {"fault_tolerance.regions", number_field(&Node::tolerated_regions, 0, kMaxToleratedFailures)},
+        {"bounds.seed_lag", bound_field(&Bounds::seed_lag)},
+        {"bounds.address_reuse", bound_field(&Bounds::address_reuse)},
+        {"bounds.contact", bound_field(&Bounds::contact)},
+        {"bounds.ack", bound_field(&Bounds::ack)},
+        {"bounds.catch_up", bound_field(&Bounds::catch_up)},
+        {"bounds.drain", bound_field(&Bounds::drain)},
+        {"bounds.grace", bound_field(&Bounds::grace)},
+        {"bounds.loss_slack", bound_field(&Bounds::loss_slack)},
+        {"bounds.config_apply", bound_field(&Bounds::config_apply)},
+        {"bounds.revert_slack", bound_field(&Bounds::revert_slack)},
+        {"bounds.max_stretch", bound_field(&Bounds::max_stretch)},
+        {"bounds.revoke", bound_field(&Bounds::revoke)},
+        {"bounds.retry_window", bound_field(&Bounds::retry_window)},
+        {"bounds.quota_window", bound_field(&Bounds::quota_window)},
+        {"bounds.recovery", bound_field(&Bounds::recovery)},
+        {"bounds.max_hold", bound_field(&Bounds::max_hold)},
+        {"bounds.retry_budget_ratio", bound_field(&Bounds::retry_budget_ratio)},
+        {"bounds.retry_slack", bound_field(&Bounds::retry_slack)},
+        {"bounds.quota_overshoot", bound_field(&Bounds::quota_overshoot)},
+        {"bounds.quota_slack", bound_field(&Bounds::quota_slack)},
+        {"bounds.revocation_global", bound_field(&Bounds::revocation_global)},
     };
     return kSetters;
 }
@@ -182,9 +183,9 @@
         settings.region_by_zone[field.substr(kZonePrefix.size())] = text;
         return {};
     }
-    const auto known = setters().find(field);
-    if (known == setters().end()) return {};
-    return known->second(settings, field, text);
+    const auto found = setters().find(field);
+    if (found == setters().end()) return {};
+    return found->second(settings, field, text);
 }
 
 }    // namespace shaletray::runtime
--- a/src/base/runtime/setting_fields.h
+++ b/src/base/runtime/setting_fields.h
@@ -1,4 +1,4 @@
-// The fields of the settings file by their names.
+// Assigns the fields of the settings file to NodeSettings by their names.
 #pragma once
 
 #include <boost/leaf/result.hpp>
@@ -8,8 +8,8 @@
 
 namespace shaletray::runtime {
 
-// Applies one line of the file. Unknown fields are ignored: a file may be meant for several programs and
-// versions. Errors: SettingsError.
+// Applies one line of the file. Unknown fields are ignored: a file may serve several programs and versions.
+// Errors: SettingsError.
 boost::leaf::result<void> apply_setting(NodeSettings& settings, const std::string& field,
                                         const std::string& text);
 
--- a/src/base/runtime/setting_values.cpp
+++ b/src/base/runtime/setting_values.cpp
@@ -16,7 +16,7 @@
 leaf::result<bool> parse_bool(std::string_view field, std::string_view text) {
     if (text == "true") return true;
     if (text == "false") return false;
-    return leaf::new_error(field_error(field, "neither true nor false: " + std::string(text)));
+    return leaf::new_error(field_error(field, "must be true or false: " + std::string(text)));
 }
 
 leaf::result<std::string> parse_ip(std::string_view field, std::string_view text) {
@@ -30,7 +30,7 @@
 leaf::result<std::string> parse_address(std::string_view field, std::string_view text) {
     const std::size_t colon = text.find(':');
     if (colon == std::string_view::npos)
-        return leaf::new_error(field_error(field, "not an address with its port: " + std::string(text)));
+        return leaf::new_error(field_error(field, "not an IPv4 address with a port: " + std::string(text)));
     BOOST_LEAF_CHECK(parse_ip(field, text.substr(0, colon)));
     BOOST_LEAF_CHECK((parse_number<std::uint16_t>(field, text.substr(colon + 1), 1, 65535)));
     return std::string(text);
--- a/src/base/runtime/setting_values.h
+++ b/src/base/runtime/setting_values.h
@@ -12,6 +12,7 @@
 
 namespace shaletray::runtime {
 
+// The error of one field: its name and what is wrong with it.
 SettingsError field_error(std::string_view field, std::string_view reason);
 
 // A number from `min_value` to `max_value`, without a sign. Errors: SettingsError.
@@ -31,7 +32,7 @@
 
 // "true" or "false". Errors: SettingsError.
 boost::leaf::result<bool> parse_bool(std::string_view field, std::string_view text);
-// An IPv4 address; with its port. The text is returned as it is. Errors: SettingsError.
+// An IPv4 address, without and with a port. The text is returned unchanged. Errors: SettingsError.
 boost::leaf::result<std::string> parse_ip(std::string_view field, std::string_view text);
 boost::leaf::result<std::string> parse_address(std::string_view field, std::string_view text);
 // The items between commas, without spaces around them and without empty ones. Refers to `list`.
--- a/src/base/runtime/settings_file.cpp
+++ b/src/base/runtime/settings_file.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr double kMaxSeconds = 1e9;    // thirty years; sums of a few times do not overflow
+constexpr double kMaxSeconds = 1e9;    // about thirty years; sums of a few durations do not overflow
 
 }    // namespace
 
 leaf::result<Duration> parse_duration(std::string_view text) {
     const bool in_milliseconds = text.ends_with("ms");
     if (!in_milliseconds && !text.ends_with("s"))
-        return leaf::new_error(field_error("time", "no unit: " + std::string(text)));
+        return leaf::new_error(field_error("time", "neither ends with ms nor with s: " + std::string(text)));
     const std::string_view unit = in_milliseconds ? "ms" : "s";
     const std::string_view digits = text.substr(0, text.size() - unit.size());
     if (digits.find_first_not_of("0123456789.") != std::string_view::npos)
@@ -45,8 +45,8 @@
         return leaf::new_error(SettingsError{error.what()});
     }
     for (const options::option& line : lines.options) {
-        const std::string text = line.value.empty() ? std::string() : line.value.front();
-        BOOST_LEAF_CHECK(apply_setting(settings, line.string_key, text));
+        const std::string field_value = line.value.empty() ? std::string() : line.value.front();
+        BOOST_LEAF_CHECK(apply_setting(settings, line.string_key, field_value));
     }
     if (settings.ip.empty()) return leaf::new_error(field_error("ip", "missing"));
     if (settings.first_port == 0) return leaf::new_error(field_error("internal_port_range", "missing"));
--- a/src/base/runtime/settings_file.h
+++ b/src/base/runtime/settings_file.h
@@ -14,8 +14,7 @@
 
 namespace shaletray::runtime {
 
-// How soon, and how far, the system promises to react; the `bounds.` fields. A field that the file leaves out
-// has the value given here.
+// Bounds on how soon and how far the system reacts; the `bounds.` fields. The values here are the defaults.
 struct Bounds {
     Duration seed_lag = std::chrono::seconds(3);
     Duration address_reuse = std::chrono::seconds(2);
@@ -53,7 +52,7 @@
     std::size_t max_open_files = 1024, disk_mb = 0;
     std::string data_directory;    // empty: nothing is kept on disk
     Duration heartbeat = std::chrono::milliseconds(1500);
-    // Failures that the system is to survive; the `fault_tolerance.` fields.
+    // Number of simultaneous failures that the system must survive; the `fault_tolerance.` fields.
     int tolerated_machines = 0, tolerated_zones = 0, tolerated_regions = 0;
     Bounds bounds;
 };
@@ -63,9 +62,9 @@
     std::string message;    // one line: the field, and what is wrong with it
 };
 
-// Parses a time as "1500ms" or "2.5s", from 0 to 10^9 seconds. Errors: SettingsError.
+// Parses a duration such as "1500ms" or "2.5s", from 0 to 10^9 seconds. Errors: SettingsError.
 boost::leaf::result<Duration> parse_duration(std::string_view text);
-// Parses the text of a settings file. Of several lines for a field the last one counts. `ip` and
+// Parses the text of a settings file. If a field has several lines, the last one applies. `ip` and
 // `internal_port_range` are required. Errors: SettingsError.
 boost::leaf::result<NodeSettings> parse_node_settings(std::string_view text);
 
