--- a/tests/base/net/api_server_test.cpp
+++ b/tests/base/net/api_server_test.cpp
@@ -1,4 +1,4 @@
-// The server of calls, over loopback, the reactor in a thread of its own.
+// Tests ApiServer over loopback connections, its reactor on a separate thread.
 #include "base/net/api_server.h"
 
 #include <criterion/criterion.h>
@@ -15,7 +15,8 @@
 
 namespace {
 
-// Answers "/now..." at once; others are kept until a call of "/release" answers the newest first.
+// Replies to "/now..." at once; other calls are held until a call of "/release" replies to them, the newest
+// first. "/kept" returns the number of held calls, "/gone" that of abandoned ones.
 struct TestServer {
     explicit TestServer(ApiServer::Limits limits = {}) {
         server = std::make_unique<ApiServer>(
@@ -24,14 +25,14 @@
                 const std::string body = std::string(call.method) + " " + std::string(call.target) + " " +
                                          std::to_string(call.body.size());
                 if (call.target == "/release") {
-                    int answered = 0;
-                    while (!held_calls.empty()) {    // an answer may bring its connection's next call
+                    int reply_count = 0;
+                    while (!held_calls.empty()) {    // a reply may start the next call of its connection
                         const auto [held_caller, text] = std::move(held_calls.back());
                         held_calls.pop_back();
-                        if (!held_caller->is_abandoned()) ++answered;
+                        if (!held_caller->is_abandoned()) ++reply_count;
                         held_caller->send_reply({200, text});
                     }
-                    caller->send_reply({200, std::to_string(answered)});
+                    caller->send_reply({200, std::to_string(reply_count)});
                 } else if (call.target == "/kept") {
                     caller->send_reply({200, std::to_string(held_calls.size())});
                 } else if (call.target == "/gone") {
@@ -68,7 +69,8 @@
 void send_text(Poco::Net::StreamSocket& socket, const std::string& text) {
     cr_assert(socket.sendBytes(text.data(), static_cast<int>(text.size())) == static_cast<int>(text.size()));
 }
-// Until so many answers' bodies are there, or the connection ends: the bodies, or "(status)" without one.
+// Reads `count` responses, or fewer if the connection ends. Returns their bodies, or "(STATUS)" if it is not
+// 200.
 std::vector<std::string> receive_responses(Poco::Net::StreamSocket& socket, std::size_t count,
                                            http::Buffer& buffer) {
     std::vector<std::string> bodies;
@@ -88,7 +90,7 @@
     return bodies;
 }
 using Texts = std::vector<std::string>;
-// The one that is given next: while it is the same, the same ones below it are in use.
+// The descriptor that is assigned next: while it stays the same, so does the set of lower ones in use.
 int lowest_free_descriptor() {
     const int lowest = dup(0);
     close(lowest);
@@ -97,14 +99,14 @@
 
 }    // namespace
 
-Test(call_server, answers_in_order_what_was_sent_ahead) {
+Test(api_server, answers_pipelined_requests_in_order) {
     TestServer test_server;
     auto client = test_server.connect(), other = test_server.connect();
     http::Buffer buffer, other_buffer;
     send_text(client,
               "GET /later/1 HTTP/1.1\r\n\r\nPOST /now/2 HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /now/3 "
               "HTTP/1.1\r\n\r\n");
-    // The first one is with the taker once it can be released.
+    // Waits until the handler holds the first call.
     Texts released;
     while (released != Texts{"1"}) {
         send_text(other, "GET /release HTTP/1.1\r\n\r\n");
@@ -115,10 +117,10 @@
     send_text(client,
               "POST /now/4 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: "
               "close\r\n\r\n2\r\nab\r\n0\r\n\r\n");
-    cr_assert(receive_responses(client, 2, buffer) == Texts{"POST /now/4 2"});    // and then the end
+    cr_assert(receive_responses(client, 2, buffer) == Texts{"POST /now/4 2"});    // then the connection ends
 }
 
-Test(call_server, refuses_what_is_too_large_or_no_call_and_ends_there) {
+Test(api_server, rejects_large_or_malformed_requests_and_closes_the_connection) {
     TestServer test_server;
     for (const auto& [text, status] :
          {std::pair("POST /now/small HTTP/1.1\r\nContent-Length: 11\r\n\r\n", "(413)"),
@@ -133,7 +135,7 @@
     }
 }
 
-Test(call_server, lets_the_idle_make_room_and_knows_who_has_gone) {
+Test(api_server, closes_an_idle_connection_for_a_new_one_and_detects_disconnected_clients) {
     ApiServer::Limits limits;
     limits.max_connections = 2;
     TestServer test_server(limits);
@@ -143,13 +145,13 @@
     cr_assert(receive_responses(idle, 1, idle_buffer) == Texts{"GET /now/1 0"});
     auto busy = test_server.connect();
     send_text(busy, "GET /later HTTP/1.1\r\n\r\n");
-    auto client = test_server.connect();    // instead of the idle one
+    auto client = test_server.connect();    // replaces the idle one
     send_text(client, "GET /now/2 HTTP/1.1\r\n\r\n");
     cr_assert(receive_responses(client, 1, buffer) == Texts{"GET /now/2 0"});
     cr_assert(receive_responses(idle, 1, idle_buffer) == Texts{});
     busy.close();
     Texts cancelled;
-    while (cancelled != Texts{"1"}) {    // its end is noticed in some turn
+    while (cancelled != Texts{"1"}) {    // the disconnect is noticed in a later iteration
         send_text(client, "GET /gone HTTP/1.1\r\n\r\n");
         cancelled = receive_responses(client, 1, buffer);
     }
@@ -157,8 +159,9 @@
     cr_assert(receive_responses(client, 1, buffer) == Texts{"0"});
 }
 
-// A descriptor is given again as soon as it is free: what was asked through the one before is nobody's then.
-Test(call_server, an_answer_goes_to_its_call_and_not_to_who_has_its_descriptor_now) {
+// A file descriptor is reused as soon as it is closed: the reply to a call of the previous connection must be
+// dropped, not sent to the connection that has its descriptor now.
+Test(api_server, drops_the_reply_to_a_closed_connection_whose_descriptor_was_reused) {
     TestServer test_server;
     auto control = test_server.connect();
     http::Buffer control_buffer, buffer;
@@ -184,9 +187,9 @@
     cr_assert(second.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ) == 0);
 }
 
-// Many connections, calls sent ahead, answered in any order of theirs, and some that end with calls under
-// way: each gets the answers to its own calls, in their order.
-Test(call_server, each_call_gets_its_own_answer_on_one_connection_of_many) {
+// Many connections with pipelined calls, replied to in any order, some of which close with calls in progress:
+// each connection gets the replies to its own calls, in their order.
+Test(api_server, sends_each_reply_to_the_connection_of_its_call_in_order) {
     for (const unsigned seed : {1U, 2U, 3U}) {
         TestServer test_server;
         std::mt19937 random(seed);
@@ -205,12 +208,12 @@
         auto control = test_server.connect();
         http::Buffer control_buffer;
         std::vector<ClientConnection> connections;
-        int number = 0, remaining = 0;
-        for (int turn = 0; turn < 300; ++turn) {
+        int number = 0, closed_with_pending_calls = 0;
+        for (int iteration = 0; iteration < 300; ++iteration) {
             if (connections.size() < 12) connections.push_back({test_server.connect(), {}, {}, {}});
             ClientConnection& connection = connections[random() % connections.size()];
             if (connection.expected.size() > 20 || random() % 12 == 0) {
-                remaining += connection.received.size() < connection.expected.size();
+                closed_with_pending_calls += connection.received.size() < connection.expected.size();
                 connection.socket.close();
                 std::swap(connection, connections.back());
                 connections.pop_back();
@@ -239,11 +242,11 @@
             }
             cr_assert(connection.received == connection.expected, "seed %u", seed);
         }
-        cr_assert(remaining > 0);
+        cr_assert(closed_with_pending_calls > 0);
     }
 }
 
-Test(call_server, ends_calls_that_do_not_get_on) {
+Test(api_server, times_out_incomplete_requests) {
     ApiServer::Limits limits;
     limits.read_timeout = 10ms;
     TestServer test_server(limits);
@@ -253,7 +256,7 @@
     cr_assert(receive_responses(client, 2, buffer) == Texts{"(408)"});
 }
 
-Test(status_server, answers_get_of_its_pages_and_nothing_else) {
+Test(status_server, serves_get_requests_for_its_pages_only) {
     SystemClock clock;
     Timers timers;
     Reactor reactor{clock, timers};
@@ -269,13 +272,13 @@
     for (const std::string call :
          {"GET /metrics?x=1", "GET /owners", "POST /owners", "GET /else", "GET /readiness"})
         send_text(socket, call + " HTTP/1.1\r\n\r\n");
-    const Texts answers = receive_responses(socket, 5, buffer);
+    const Texts responses = receive_responses(socket, 5, buffer);
     reactor.stop();
     thread.join();
-    cr_assert(answers == (Texts{"up 1", "{}", "(405)", "(404)", "(503)"}));
+    cr_assert(responses == (Texts{"up 1", "{}", "(405)", "(404)", "(503)"}));
 }
 
-Test(waker, runs_its_task_for_another_thread) {
+Test(waker, runs_its_task_when_another_thread_wakes_it) {
     SystemClock clock;
     Timers timers;
     Reactor reactor(clock, timers);
--- a/tests/base/net/loop.h
+++ b/tests/base/net/loop.h
@@ -1,4 +1,4 @@
-// A reactor that runs only while a test waits for something.
+// A reactor for tests, which runs only while the test waits for a condition.
 #pragma once
 
 #include <Poco/Thread.h>
@@ -14,60 +14,62 @@
 
 using namespace std::chrono_literals;
 
-// The reactor runs on a thread of its own, as POCO's can be run only once, and only while the test waits for
-// something: never both at a time.
+// POCO's reactor can be run only once, so it has a thread of its own. The two threads take turns: the reactor
+// runs only while the test waits in until().
 class Loop {
 public:
-    // Timers run as much faster than the system's.
-    struct FastClock : Clock {
-        int times = 1;
-        Duration ahead{0};    // for tests that step it
-        SystemClock real;
-        TimePoint begin = real.now();
-        TimePoint now() const override { return begin + (real.now() - begin) * times + ahead; }
+    // Time runs `speed` times as fast as the system's.
+    struct ScaledClock : Clock {
+        int speed = 1;
+        Duration ahead{0};    // added to the time; tests increase it to skip time
+        SystemClock system_clock;
+        TimePoint started_at = system_clock.now();
+        TimePoint now() const override {
+            return started_at + (system_clock.now() - started_at) * speed + ahead;
+        }
     };
-    FastClock clock;
+    ScaledClock clock;
     Timers timers;
     Reactor reactor{clock, timers};
 
-    explicit Loop(int times = 1) {
+    explicit Loop(int speed = 1) {
         std::signal(SIGPIPE, SIG_IGN);
-        clock.times = times;
+        clock.speed = speed;
     }
     ~Loop() {
         reactor.stop();
-        if (started_) go_.release();
+        if (is_started_) resume_.release();
         thread_.join();
     }
-    // False where it did not come true in time.
+    // Runs the reactor until the condition holds. False if it does not hold within 20 s.
     bool until(std::function<bool()> condition) {
         condition_ = std::move(condition);
-        end_ = clock.now() + 20s * clock.times;
-        if (std::exchange(started_, true)) go_.release();
-        else begin();
-        came_.acquire();
-        return held_;
+        deadline_ = clock.now() + 20s * clock.speed;
+        if (std::exchange(is_started_, true)) resume_.release();
+        else start();
+        wait_ended_.acquire();
+        return condition_met_;
     }
 
 private:
-    void begin() {
+    void start() {
         reactor.set_pre_poll_task([this](bool) {
-            held_ = condition_();
-            if (!held_ && clock.now() < end_) return;
-            came_.release();
-            go_.acquire();
+            condition_met_ = condition_();
+            if (!condition_met_ && clock.now() < deadline_) return;
+            wait_ended_.release();
+            resume_.acquire();
         });
-        tick();
+        schedule_tick();
         thread_.startFunc([this] { reactor.run(); });
     }
-    void tick() {
-        reactor.schedule_after(5ms, [this] { tick(); });
+    void schedule_tick() {
+        reactor.schedule_after(5ms, [this] { schedule_tick(); });
     }
 
     std::function<bool()> condition_;
-    TimePoint end_{};
-    bool held_ = false, started_ = false;
-    std::binary_semaphore go_{0}, came_{0};
+    TimePoint deadline_{};
+    bool condition_met_ = false, is_started_ = false;
+    std::binary_semaphore resume_{0}, wait_ended_{0};
     Poco::Thread thread_;
 };
 
--- a/tests/base/net/stream_test.cpp
+++ b/tests/base/net/stream_test.cpp
@@ -1,4 +1,5 @@
-// What a turn of the reactor still has for a connection that was closed in it.
+// Events pending in a reactor iteration for a connection that is closed in the same iteration: they must not
+// be delivered to a new connection that has got the same file descriptor.
 #include "base/net/stream.h"
 
 #include <Poco/Net/ServerSocket.h>
@@ -16,8 +17,7 @@
 
 namespace {
 
-// The first of two that comes up closes the other, and dials where nobody answers, with the other's
-// descriptor.
+// Counts the events of its stream.
 struct TestStreamOwner : StreamOwner {
     explicit TestStreamOwner(Reactor& reactor) : stream(reactor, *this) {}
     void on_connected() override {
@@ -34,10 +34,10 @@
 
 }    // namespace
 
-Test(stream, what_was_meant_for_a_closed_connection_is_not_told_to_its_descriptors_next_one) {
+Test(stream, does_not_deliver_events_of_a_closed_connection_to_the_next_user_of_its_descriptor) {
     Loop loop;
     Poco::Net::ServerSocket accepting_server(Poco::Net::SocketAddress("127.0.0.1", 0));
-    // A listener whose queue is full lets nobody come up.
+    // A listener whose backlog is full, so that further connects stay pending.
     Poco::Net::ServerSocket full_server;
     full_server.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
     full_server.listen(0);
@@ -48,6 +48,8 @@
     }
     loop.until([&] { return backlog_fillers.front()->connect_count > 0; });
 
+    // Two connects complete in one iteration. The first callback closes the other stream and starts a
+    // connect, which stays pending, on its descriptor.
     TestStreamOwner streams[2] = {TestStreamOwner(loop.reactor), TestStreamOwner(loop.reactor)},
                     next_stream(loop.reactor);
     bool descriptor_reused = false;
@@ -56,7 +58,8 @@
         current.connect_callback = [&] {
             TestStreamOwner& other = &current == &streams[0] ? streams[1] : streams[0];
             const int descriptor = static_cast<int>(other.stream.socket().impl()->sockfd());
-            std::vector<int> reserved_descriptors;    // so that no other descriptor is given next
+            // All lower descriptors are taken, so that the closed one is assigned next.
+            std::vector<int> reserved_descriptors;
             for (int duplicate = dup(0);; duplicate = dup(0)) {
                 reserved_descriptors.push_back(duplicate);
                 if (duplicate > descriptor) break;
@@ -67,8 +70,9 @@
             for (const int duplicate : reserved_descriptors) ::close(duplicate);
         };
     }
-    int turn_count = 0;
-    loop.until([&] { return streams[0].connect_count + streams[1].connect_count > 0 && ++turn_count > 20; });
+    int iteration_count = 0;
+    loop.until(
+        [&] { return streams[0].connect_count + streams[1].connect_count > 0 && ++iteration_count > 20; });
     cr_assert(descriptor_reused);
     cr_assert(streams[0].connect_count + streams[1].connect_count == 1);
     cr_assert(streams[0].event_count + streams[1].event_count == 0);
--- a/tests/base/runtime/capnp_codec_test.cpp
+++ b/tests/base/runtime/capnp_codec_test.cpp
@@ -15,7 +15,7 @@
 constexpr runtime::ReadLimits kLimits{.max_words = 4096, .max_depth = 8};
 constexpr std::size_t kHeaderBytes = 5;
 
-// A sample whose `inner` samples are `depth` deep.
+// Builds a sample with `depth` nested `inner` samples; the innermost one has the content.
 void fill(capnp::MessageBuilder& message, int depth = 0) {
     auto builder = message.initRoot<runtime::sample::Sample>();
     const std::string data(1000, 'd'), text = "text";
@@ -26,18 +26,18 @@
 }
 
 boost::leaf::result<std::string> read_sample(Reader sample) {
-    std::string read = std::to_string(sample.getNumber());
-    read += runtime::text_of(sample.getData());
-    read += runtime::text_of(sample.getText());
+    std::string content = std::to_string(sample.getNumber());
+    content += runtime::text_of(sample.getData());
+    content += runtime::text_of(sample.getText());
     if (sample.hasInner()) sample.getInner().getNumber();
-    return read;
+    return content;
 }
 
 const std::string kExpected = "7" + std::string(1000, 'd') + "text";
 
 }    // namespace
 
-Test(capnp_codec, reads_what_was_written_in_either_form) {
+Test(capnp_codec, round_trips_messages_in_both_forms) {
     capnp::MallocMessageBuilder message;
     fill(message);
     const std::string packed = runtime::pack(message), serialized = runtime::serialize(message);
@@ -48,7 +48,7 @@
     cr_assert(runtime::unpacked_word_count(packed).value() * sizeof(capnp::word) == serialized.size());
 }
 
-Test(capnp_codec, leaves_room_for_a_header) {
+Test(capnp_codec, reserves_space_for_a_header) {
     capnp::MallocMessageBuilder message;
     fill(message);
     const std::string header(kHeaderBytes, '\0');
@@ -71,7 +71,7 @@
     cr_assert(!read_within({.max_words = 2, .max_depth = kLimits.max_depth}));
 }
 
-Test(capnp_codec, damaged_bytes_are_an_error_or_a_message) {
+Test(capnp_codec, corrupt_bytes_give_an_error_or_a_message) {
     std::mt19937 random(3);
     capnp::MallocMessageBuilder message;
     fill(message);
@@ -81,11 +81,11 @@
                                                                  read_sample));
     cr_assert(!runtime::deserialize<runtime::sample::Sample>(serialized + std::string(8, '\0'), kLimits,
                                                              read_sample));
-    for (int i = 0; i < 5000; ++i) {
+    for (int iteration = 0; iteration < 5000; ++iteration) {
         std::string damaged_packed = packed, damaged_serialized = serialized;
         damaged_packed[random() % packed.size()] = static_cast<char>(random());
         damaged_serialized[random() % serialized.size()] = static_cast<char>(random());
-        // Under the sanitizers this shows that nothing is read out of bounds.
+        // With sanitizers enabled, this also detects reads out of bounds.
         const auto unpacked = runtime::unpack<runtime::sample::Sample>(damaged_packed, read_sample);
         const auto deserialized =
             runtime::deserialize<runtime::sample::Sample>(damaged_serialized, kLimits, read_sample);
--- a/tests/base/runtime/log_sink_test.cpp
+++ b/tests/base/runtime/log_sink_test.cpp
@@ -13,7 +13,8 @@
     runtime::log_event(LogLevel::Info, "consensus_committed",
                        {log_field("version", 7), log_field("why", "two\nlines")});
     runtime::log_event(LogLevel::Debug, "unseen");
-    log(LogLevel::Warning, Event::AcceptFailed, {log_field("why", "none left")});    // of the shared parts
+    // An event logged through base/common/log.h.
+    log(LogLevel::Warning, Event::AcceptFailed, {log_field("why", "none left")});
     std::string first;
     auto& stream = criterion::get_redirected_cerr();
     std::getline(stream, first);
--- a/tests/base/runtime/settings_file_test.cpp
+++ b/tests/base/runtime/settings_file_test.cpp
@@ -59,7 +59,7 @@
 
 }    // namespace
 
-Test(settings_file, reads_what_it_knows_and_leaves_the_rest) {
+Test(settings_file, reads_known_fields_and_ignores_others) {
     const auto settings = parse_valid(kExample);
     cr_assert(settings.node_name == "edge-santander-a-1" && settings.ip == "10.1.0.24" &&
               settings.region_by_zone.size() == 2);
@@ -71,20 +71,20 @@
     cr_assert(settings.tolerated_machines == 1 && settings.tolerated_zones == 0);
     cr_assert(settings.bounds.seed_lag == 3s && settings.bounds.revocation_global &&
               settings.bounds.retry_budget_ratio == 0.25);
-    cr_assert(settings.bounds.drain == 2s);    // left out
+    cr_assert(settings.bounds.drain == 2s);    // default
     cr_assert(runtime::controller_address("10.2.0.26", settings) == "10.2.0.26:7100");
     cr_assert(runtime::gateway_address(runtime::ip_of(settings.seed_addresses[1]), settings) ==
               "10.2.0.26:7101");
 }
 
-Test(settings_file, takes_the_later_of_two_lines) {
+Test(settings_file, last_line_of_a_field_applies) {
     const auto settings =
         parse_valid(std::string(kExample) + "zone=other\nseed_nodes=10.9.0.1:1\nbootstrap=false\n");
     cr_assert(settings.zone == "other" && settings.seed_addresses == std::vector<std::string>{"10.9.0.1:1"} &&
               !settings.bootstrap);
 }
 
-Test(settings_file, names_the_field_that_is_wrong) {
+Test(settings_file, errors_name_the_invalid_field) {
     for (const auto& [line, field] : {std::pair("bootstrap=yes", "bootstrap:"),
                                       {"heartbeat=1500", "heartbeat:"},
                                       {"heartbeat=-3s", "heartbeat:"},
@@ -104,7 +104,7 @@
     cr_assert(error_of(std::string(kExample) + "no sign of equality\n").find("no sign") != std::string::npos);
 }
 
-Test(settings_file, reads_times) {
+Test(settings_file, parses_durations) {
     const auto parse = [](std::string_view text) {
         const auto value = runtime::parse_duration(text);
         return value ? value->count() : -1;
