--- a/testbed/system/clients.cpp
+++ b/testbed/system/clients.cpp
@@ -15,17 +15,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kPollEvery = 1s, kPollPatience = 1s;
-constexpr Duration kDial = 1s;             // to establish a connection
-constexpr Duration kKept = 5s;             // idle connections are not reused after that
-constexpr Duration kKeptByCaller = 12s;    // the same of callers: four fifths of the gateways' idle timeout
-constexpr Duration kLeast = 20ms;          // remaining time that a retry needs
-constexpr Duration kPause = 10ms;          // before a retry without a stated retry time
-constexpr int kMostTries = 4;
-
-bool is_promise(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
+constexpr Duration kPollInterval = 1s, kPollTimeout = 1s;
+constexpr Duration kConnectTimeout = 1s;    // for establishing a connection
+constexpr Duration kMaxIdleTime = 5s;       // idle connections are not reused after this
+// The same for callers: four fifths of the gateways' idle timeout.
+constexpr Duration kMaxCallerIdleTime = 12s;
+constexpr Duration kMinRetryTime = 20ms;         // remaining time that a retry needs
+constexpr Duration kDefaultRetryDelay = 10ms;    // before a retry without a stated retry time
+constexpr int kMaxAttempts = 4;
+
+bool is_rejection(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
 // Status codes that are never retried.
-bool is_last(int status) {
+bool is_final(int status) {
     return status == 400 || status == 401 || status == 404 || status == 413 || status == 431 ||
            (status >= 200 && status < 300);
 }
@@ -35,56 +36,58 @@
 // ---- load balancer ----
 
 GatewaySelector::GatewaySelector(HttpCalls& calls, std::vector<GatewayEndpoint> endpoints) : calls_(calls) {
-    for (GatewayEndpoint& gate : endpoints) gateways_.push_back({std::move(gate)});
+    for (GatewayEndpoint& new_endpoint : endpoints) gateways_.push_back({std::move(new_endpoint)});
     poll_readiness();
 }
 
 GatewaySelector::~GatewaySelector() { calls_.reactor().cancel_timer(poll_timer_); }
 
 void GatewaySelector::poll_readiness() {
-    for (GatewayRecord& kept : gateways_) {
-        if (kept.is_removed) continue;
-        calls_.send_request(kept.endpoint.readiness_address, "GET", "/readiness", "", kPollPatience,
-                            [&kept](const HttpReply& a) {
-                                kept.missed_polls = a.status_code == 200 ? 0 : kept.missed_polls + 1;
+    for (GatewayRecord& record : gateways_) {
+        if (record.is_removed) continue;
+        calls_.send_request(record.endpoint.readiness_address, "GET", "/readiness", "", kPollTimeout,
+                            [&record](const HttpReply& reply) {
+                                record.missed_polls = reply.status_code == 200 ? 0 : record.missed_polls + 1;
                             });
     }
-    poll_timer_ = calls_.reactor().schedule_after(kPollEvery, [this] { poll_readiness(); });
+    poll_timer_ = calls_.reactor().schedule_after(kPollInterval, [this] { poll_readiness(); });
 }
 
 bool GatewaySelector::all_ready() const {
-    return std::all_of(gateways_.begin(), gateways_.end(),
-                       [](const GatewayRecord& k) { return k.is_removed || k.missed_polls == 0; });
+    return std::all_of(gateways_.begin(), gateways_.end(), [](const GatewayRecord& record) {
+        return record.is_removed || record.missed_polls == 0;
+    });
 }
 
 void GatewaySelector::remove_gateway(const std::string& frontend) {
-    for (GatewayRecord& kept : gateways_)
-        kept.is_removed = kept.is_removed || kept.endpoint.frontend_address == frontend;
+    for (GatewayRecord& record : gateways_)
+        record.is_removed = record.is_removed || record.endpoint.frontend_address == frontend;
 }
 
 // If fewer than half of the zone's gateways are ready, all of them are used; if none is, those of other
 // zones.
 std::vector<int> GatewaySelector::ready_gateways(const std::string& zone) const {
-    std::vector<int> in, here, anywhere;
+    std::vector<int> ready_in_zone, all_in_zone, ready_anywhere;
     for (std::size_t i = 0; i < gateways_.size(); ++i) {
         if (gateways_[i].is_removed) continue;
         const bool ready = gateways_[i].missed_polls < kMaxMissedPolls;
-        if (ready) anywhere.push_back(static_cast<int>(i));
+        if (ready) ready_anywhere.push_back(static_cast<int>(i));
         if (gateways_[i].endpoint.zone != zone) continue;
-        here.push_back(static_cast<int>(i));
-        if (ready) in.push_back(static_cast<int>(i));
+        all_in_zone.push_back(static_cast<int>(i));
+        if (ready) ready_in_zone.push_back(static_cast<int>(i));
     }
-    if (in.empty()) return anywhere;
-    return in.size() * 2 < here.size() ? here : in;
+    if (ready_in_zone.empty()) return ready_anywhere;
+    return ready_in_zone.size() * 2 < all_in_zone.size() ? all_in_zone : ready_in_zone;
 }
 
 int GatewaySelector::choose_gateway(const std::string& zone, int excluded, double random_value) const {
-    std::vector<int> from = ready_gateways(zone);
-    if (from.size() > 1) std::erase(from, excluded);
-    if (from.empty()) return -1;
-    // Uneven on purpose, like a hash over few clients.
-    return from[std::min(from.size() - 1, static_cast<std::size_t>(std::pow(random_value, 1.3) *
-                                                                   static_cast<double>(from.size())))];
+    std::vector<int> candidates = ready_gateways(zone);
+    if (candidates.size() > 1) std::erase(candidates, excluded);
+    if (candidates.empty()) return -1;
+    // Deliberately uneven, like a hash over few clients.
+    return candidates[std::min(
+        candidates.size() - 1,
+        static_cast<std::size_t>(std::pow(random_value, 1.3) * static_cast<double>(candidates.size())))];
 }
 
 // ---- statistics ----
@@ -115,18 +118,19 @@
 
 class Clients::Connection : public StreamOwner {
 public:
-    Connection(Clients& of, Reactor& reactor) : stream(reactor, *this), owner_(of) {}
-    ~Connection() override { owner_.reactor_.cancel_timer(dial_timer); }
-    void on_connected() override { owner_.reactor_.cancel_timer(dial_timer); }
+    Connection(Clients& owner, Reactor& reactor) : stream(reactor, *this), owner_(owner) {}
+    ~Connection() override { owner_.reactor_.cancel_timer(connect_timer); }
+    void on_connected() override { owner_.reactor_.cancel_timer(connect_timer); }
     void on_input() override {
         const http::ParseStatus status = parser.parse(stream.input_buffer());
-        if (status == http::ParseStatus::Malformed || ask == nullptr) return owner_.on_disconnected(*this);
-        if (status == http::ParseStatus::Complete) owner_.on_answer(*this);
+        if (status == http::ParseStatus::Malformed || request == nullptr)
+            return owner_.on_disconnected(*this);
+        if (status == http::ParseStatus::Complete) owner_.on_response(*this);
     }
     void on_disconnected() override {
-        if (ask != nullptr && stream.is_ended() && parser.head_complete() &&
+        if (request != nullptr && stream.is_ended() && parser.head_complete() &&
             parser.finish() == http::ParseStatus::Complete)
-            owner_.on_answer(*this);
+            owner_.on_response(*this);
         else owner_.on_disconnected(*this);
     }
 
@@ -134,19 +138,20 @@
     http::Parser parser{http::Parser::Kind::Response, {64 * 1024, 16 * 1024 * 1024, 200}};
     std::string zone;
     std::size_t caller = 0;
-    int gate = -1;
-    PendingRequest* ask = nullptr;    // none: idle
-    TimePoint used{};
-    Timers::Id dial_timer = 0;
+    int gateway_number = -1;
+    PendingRequest* request = nullptr;    // null while idle
+    TimePoint last_used_at{};
+    Timers::Id connect_timer = 0;
 
 private:
     Clients& owner_;
 };
 
-Clients::Clients(Reactor& reactor, Board& board, const GatewaySelector& front, Settings settings)
+Clients::Clients(Reactor& reactor, Scoreboard& scoreboard, const GatewaySelector& gateway_selector,
+                 Settings settings)
     : reactor_(reactor),
-      board_(board),
-      front_(front),
+      scoreboard_(scoreboard),
+      gateway_selector_(gateway_selector),
       settings_(std::move(settings)),
       random_(settings_.seed) {
     std::vector<double> weights;
@@ -160,9 +165,9 @@
 
 Clients::~Clients() {
     stop_load();
-    for (const auto& ask : pending_requests_) {
-        reactor_.cancel_timer(ask->retry_timer);
-        reactor_.cancel_timer(ask->deadline_timer);
+    for (const auto& request : pending_requests_) {
+        reactor_.cancel_timer(request->retry_timer);
+        reactor_.cancel_timer(request->deadline_timer);
     }
     connections_.clear();
     reactor_.destroy_retired();
@@ -179,7 +184,8 @@
     stop_load();
     load_factor_ = load_factor;
     arrival_timers_.resize(settings_.routes.size());
-    for (std::size_t r = 0; r < settings_.routes.size(); ++r) on_request_due(r);
+    for (std::size_t route_index = 0; route_index < settings_.routes.size(); ++route_index)
+        on_request_due(route_index);
 }
 
 void Clients::stop_load() {
@@ -189,34 +195,35 @@
 
 std::string Clients::make_request_id() { return fmt::format("{:016x}", random_()); }
 
-// Begins with a wait, so that the first request is not due at once.
-void Clients::on_request_due(std::size_t r) {
+// Schedules the next request; even the first one becomes due only after a random wait.
+void Clients::on_request_due(std::size_t route_index) {
     const double wait =
-        std::exponential_distribution<double>(settings_.routes[r].rate * load_factor_)(random_);
-    arrival_timers_[r] = reactor_.schedule_after(from_secs(wait), [this, r] {
-        const RoutePlan& route = settings_.routes[r];
+        std::exponential_distribution<double>(settings_.routes[route_index].rate * load_factor_)(random_);
+    arrival_timers_[route_index] = reactor_.schedule_after(from_secs(wait), [this, route_index] {
+        const RoutePlan& route = settings_.routes[route_index];
         pending_requests_.push_back(std::make_unique<PendingRequest>());
-        PendingRequest& ask = *pending_requests_.back();
-        ask.route = r;
-        draw_sender(ask);
-        ask.target = fmt::format("{}{:x}?n={}", route.prefix, random_() % 100000, ++last_request_number_);
-        ask.body.assign(route.body_size, static_cast<char>('A' + random_() % 26));
-        ask.due_at = reactor_.clock().now();
-        ask.deadline = ask.due_at + route.deadline;
-        ask.second_index = static_cast<std::size_t>(secs(ask.due_at - started_at_));
-        if (statistics_.by_second.size() <= ask.second_index)
-            statistics_.by_second.resize(ask.second_index + 1);
-        ++statistics_.by_second[ask.second_index].due;
-        ++statistics_.by_route[r].due;
-        ask.deadline_timer = reactor_.schedule_at(ask.deadline, [this, &ask] { finish_request(ask, false); });
-        const bool fresh =
+        PendingRequest& request = *pending_requests_.back();
+        request.route = route_index;
+        draw_sender(request);
+        request.target = fmt::format("{}{:x}?n={}", route.prefix, random_() % 100000, ++last_request_number_);
+        request.body.assign(route.body_size, static_cast<char>('A' + random_() % 26));
+        request.due_at = reactor_.clock().now();
+        request.deadline = request.due_at + route.deadline;
+        request.second_index = static_cast<std::size_t>(secs(request.due_at - started_at_));
+        if (statistics_.by_second.size() <= request.second_index)
+            statistics_.by_second.resize(request.second_index + 1);
+        ++statistics_.by_second[request.second_index].due;
+        ++statistics_.by_route[route_index].due;
+        request.deadline_timer =
+            reactor_.schedule_at(request.deadline, [this, &request] { finish_request(request, false); });
+        const bool uses_new_connection =
             std::uniform_real_distribution<double>()(random_) < settings_.new_connection_fraction;
-        on_request_due(r);
-        send_attempt(ask, fresh);
+        on_request_due(route_index);
+        send_attempt(request, uses_new_connection);
     });
 }
 
-// A tenant by its weight, and one of its callers, where there are any.
+// Draws a tenant by weight, then one of its callers if it has any.
 void Clients::draw_sender(PendingRequest& request) {
     request.tenant = tenant_distribution_(random_);
     request.zone = settings_.zones[random_() % settings_.zones.size()];
@@ -229,52 +236,55 @@
 
 Clients::Connection* Clients::find_idle_connection(const PendingRequest& request) {
     const TimePoint now = reactor_.clock().now();
-    const Duration kept = settings_.callers.empty() ? kKept : kKeptByCaller;
-    std::vector<Connection*> old;
+    const Duration max_idle_time = settings_.callers.empty() ? kMaxIdleTime : kMaxCallerIdleTime;
+    std::vector<Connection*> expired;
     Connection* found = nullptr;
-    for (const auto& line : connections_) {
-        if (line->ask != nullptr) continue;
-        const bool matches =
-            settings_.callers.empty() ? line->zone == request.zone : line->caller == request.caller;
-        if (now - line->used > kept || !line->stream.is_quiet()) old.push_back(line.get());
-        else if (matches) found = line.get();
+    for (const auto& connection : connections_) {
+        if (connection->request != nullptr) continue;
+        const bool matches = settings_.callers.empty() ? connection->zone == request.zone
+                                                       : connection->caller == request.caller;
+        if (now - connection->last_used_at > max_idle_time || !connection->stream.is_quiet())
+            expired.push_back(connection.get());
+        else if (matches) found = connection.get();
     }
-    for (Connection* line : old) remove_connection(*line);
+    for (Connection* connection : expired) remove_connection(*connection);
     return found;
 }
 
 Clients::Connection* Clients::open_connection(PendingRequest& request) {
-    // A caller's first try goes where its hash puts it, further ones to other gateways.
+    // A caller's first attempt goes to the gateway that its hash selects, later ones to others.
     const bool by_hash = !settings_.callers.empty() && request.attempts <= 1;
     const double draw = by_hash ? settings_.callers[request.caller].gateway_draw
                                 : std::uniform_real_distribution<double>()(random_);
-    const int gate = front_.choose_gateway(request.zone, request.gateway_index, draw);
-    if (gate < 0) return nullptr;
+    const int gateway_number = gateway_selector_.choose_gateway(request.zone, request.gateway_index, draw);
+    if (gateway_number < 0) return nullptr;
     connections_.push_back(std::make_unique<Connection>(*this, reactor_));
-    Connection& line = *connections_.back();
-    line.zone = request.zone;
-    line.caller = request.caller;
-    line.gate = gate;
+    Connection& connection = *connections_.back();
+    connection.zone = request.zone;
+    connection.caller = request.caller;
+    connection.gateway_number = gateway_number;
     ++statistics_.connections_opened;
-    if (!line.stream.connect(front_.endpoint_at(gate).frontend_address)) {
-        remove_connection(line);
+    if (!connection.stream.connect(gateway_selector_.endpoint_at(gateway_number).frontend_address)) {
+        remove_connection(connection);
         return nullptr;
     }
-    line.dial_timer = reactor_.schedule_after(kDial, [this, &line] { on_disconnected(line); });
-    return &line;
+    connection.connect_timer =
+        reactor_.schedule_after(kConnectTimeout, [this, &connection] { on_disconnected(connection); });
+    return &connection;
 }
 
 void Clients::send_attempt(PendingRequest& request, bool new_connection) {
     ++request.attempts;
     ++statistics_.by_route[request.route].attempts;
     request.was_rejected = false;
-    Connection* line = new_connection ? nullptr : find_idle_connection(request);
-    if (line == nullptr) line = open_connection(request);
-    if (line == nullptr) return retry_later(request, kPause * 5, true);    // nothing was sent
-    request.gateway_index = line->gate;
-    line->ask = &request;
-    request.connection = line;
-    write_request(request, *line);
+    Connection* connection = new_connection ? nullptr : find_idle_connection(request);
+    if (connection == nullptr) connection = open_connection(request);
+    if (connection == nullptr)
+        return retry_later(request, kDefaultRetryDelay * 5, true);    // nothing was sent
+    request.gateway_index = connection->gateway_number;
+    connection->request = &request;
+    request.connection = connection;
+    write_request(request, *connection);
 }
 
 void Clients::write_request(PendingRequest& request, Connection& connection) {
@@ -283,13 +293,13 @@
         route.is_public || settings_.tenants.empty() ? nullptr : &settings_.tenants[request.tenant];
     const char* const method = request.body.empty() ? "GET" : "POST";
     request.id = make_request_id();
-    board_.sent(request.id, {route.service, tenant ? tenant->name : "", method, request.target, request.body,
-                             route.is_repeatable});
-    const auto left =
+    scoreboard_.record_sent(request.id, {route.service, tenant ? tenant->name : "", method, request.target,
+                                         request.body, route.is_repeatable});
+    const auto time_left =
         std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - reactor_.clock().now());
     std::string out =
         fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\nX-Attempt-Id: {}\r\nX-Deadline-Remaining: {}\r\n", method,
-                    request.target, route.host, request.id, left.count());
+                    request.target, route.host, request.id, time_left.count());
     if (tenant) out += fmt::format("Authorization: Bearer {}\r\n", tenant->key);
     out += fmt::format("X-Shard-Key: {}\r\n", draw_shard_key(random_, reactor_.clock().now()));
     if (request.body.empty()) {
@@ -307,44 +317,44 @@
     if (!connection.stream.write_bytes(std::move(out))) on_disconnected(connection);
 }
 
-void Clients::on_answer(Connection& connection) {
-    PendingRequest& ask = *connection.ask;
-    const http::Buffer& in = connection.stream.input_buffer();
+void Clients::on_response(Connection& connection) {
+    PendingRequest& request = *connection.request;
+    const http::Buffer& input = connection.stream.input_buffer();
     const int status = connection.parser.status_code();
     ++statistics_.attempts_by_status[status];
-    const bool good = board_.heard(ask.id, status, connection.parser.header(in, "X-Server-Seal"),
-                                   connection.parser.body(in));
-    const double told =
-        std::strtod(std::string(connection.parser.header(in, "Retry-After")).c_str(), nullptr);
-    const bool keep = connection.parser.keep_alive() && connection.parser.message_size() == in.size();
+    const bool is_valid = scoreboard_.record_received(
+        request.id, status, connection.parser.header(input, "X-Server-Seal"), connection.parser.body(input));
+    const double retry_after =
+        std::strtod(std::string(connection.parser.header(input, "Retry-After")).c_str(), nullptr);
+    const bool keep = connection.parser.keep_alive() && connection.parser.message_size() == input.size();
     connection.stream.input_buffer().consume(connection.parser.message_size());
     connection.parser.reset();
-    connection.ask = nullptr;
-    ask.connection = nullptr;
-    connection.used = reactor_.clock().now();
+    connection.request = nullptr;
+    request.connection = nullptr;
+    connection.last_used_at = reactor_.clock().now();
     const auto it = std::find_if(connections_.begin(), connections_.end(),
-                                 [&](const auto& l) { return l.get() == &connection; });
+                                 [&](const auto& candidate) { return candidate.get() == &connection; });
     connections_.splice(connections_.end(), connections_, it);
     if (!keep) remove_connection(connection);
-    ask.was_rejected = is_promise(status);
-    if (is_last(status)) return finish_request(ask, good);
-    const Duration third = (ask.deadline - reactor_.clock().now()) / 3;
-    retry_later(ask, std::max(kPause, std::min(from_secs(told), third)),
-                is_promise(status) || settings_.routes[ask.route].is_repeatable);
+    request.was_rejected = is_rejection(status);
+    if (is_final(status)) return finish_request(request, is_valid);
+    const Duration max_delay = (request.deadline - reactor_.clock().now()) / 3;
+    retry_later(request, std::max(kDefaultRetryDelay, std::min(from_secs(retry_after), max_delay)),
+                is_rejection(status) || settings_.routes[request.route].is_repeatable);
 }
 
 void Clients::on_disconnected(Connection& connection) {
-    PendingRequest* const ask = std::exchange(connection.ask, nullptr);
+    PendingRequest* const request = std::exchange(connection.request, nullptr);
     remove_connection(connection);
-    if (ask == nullptr) return;
+    if (request == nullptr) return;
     ++statistics_.attempts_by_status[0];
-    ask->connection = nullptr;
-    retry_later(*ask, kPause, settings_.routes[ask->route].is_repeatable);
+    request->connection = nullptr;
+    retry_later(*request, kDefaultRetryDelay, settings_.routes[request->route].is_repeatable);
 }
 
 void Clients::retry_later(PendingRequest& request, Duration delay, bool may_retry) {
-    if (!may_retry || request.attempts >= kMostTries ||
-        reactor_.clock().now() + delay + kLeast > request.deadline)
+    if (!may_retry || request.attempts >= kMaxAttempts ||
+        reactor_.clock().now() + delay + kMinRetryTime > request.deadline)
         return finish_request(request, false);
     reactor_.cancel_timer(request.retry_timer);
     request.retry_timer = reactor_.schedule_after(delay, [this, &request] {
@@ -357,10 +367,10 @@
     reactor_.cancel_timer(request.retry_timer);
     reactor_.cancel_timer(request.deadline_timer);
     if (request.connection != nullptr) {
-        request.connection->ask = nullptr;
+        request.connection->request = nullptr;
         remove_connection(*request.connection);
     }
-    ClientStatistics::RouteCounters& r = statistics_.by_route[request.route];
+    ClientStatistics::RouteCounters& route_counters = statistics_.by_route[request.route];
     if (request.due_at >= started_at_) {
         if (!settings_.callers.empty()) {
             ClientStatistics::CallerCounters& caller = statistics_.by_caller[request.caller];
@@ -368,31 +378,31 @@
             caller.gateway = request.gateway_index;
         }
         ClientStatistics::SecondCounters& second = statistics_.by_second[request.second_index];
-        const Duration took = reactor_.clock().now() - request.due_at;
+        const Duration latency = reactor_.clock().now() - request.due_at;
         if (was_served) {
-            ++r.served;
+            ++route_counters.served;
             ++second.served;
-            r.within_target += took <= settings_.routes[request.route].latency_target;
-            r.latency_ms.push_back(static_cast<float>(secs(took) * 1e3));
+            route_counters.within_target += latency <= settings_.routes[request.route].latency_target;
+            route_counters.latency_ms.push_back(static_cast<float>(secs(latency) * 1e3));
         } else {
-            ++(request.was_rejected ? r.rejected : r.failed);
+            ++(request.was_rejected ? route_counters.rejected : route_counters.failed);
             ++(request.was_rejected ? second.rejected : second.failed);
         }
     }
-    std::erase_if(pending_requests_, [&](const auto& a) { return a.get() == &request; });
+    std::erase_if(pending_requests_, [&](const auto& pending) { return pending.get() == &request; });
 }
 
 void Clients::remove_connection(Connection& connection) {
-    struct Gone : RetiredObject {    // the connection may be on the call stack
-        explicit Gone(std::unique_ptr<Connection> of) : line(std::move(of)) {}
-        std::unique_ptr<Connection> line;
+    struct RetiredConnection : RetiredObject {    // the connection may be on the call stack
+        explicit RetiredConnection(std::unique_ptr<Connection> retired) : connection(std::move(retired)) {}
+        std::unique_ptr<Connection> connection;
     };
     connection.stream.close();
-    reactor_.cancel_timer(connection.dial_timer);
+    reactor_.cancel_timer(connection.connect_timer);
     const auto it = std::find_if(connections_.begin(), connections_.end(),
-                                 [&](const auto& l) { return l.get() == &connection; });
+                                 [&](const auto& candidate) { return candidate.get() == &connection; });
     if (it == connections_.end()) return;
-    reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+    reactor_.destroy_later(std::make_unique<RetiredConnection>(std::move(*it)));
     connections_.erase(it);
 }
 
--- a/testbed/system/clients.h
+++ b/testbed/system/clients.h
@@ -1,5 +1,5 @@
-// The load balancer before the gateways, and simulated clients: they use kept or new connections, give each
-// attempt its own id, and retry only as the responses allow. Everything runs on the reactor's thread.
+// The load balancer in front of the gateways, and simulated clients: they use idle or new connections, give
+// each attempt its own id, and retry only as the responses allow. Everything runs on the reactor's thread.
 #pragma once
 
 #include <deque>
@@ -29,13 +29,13 @@
     ~GatewaySelector();
     void add_gateway(GatewayEndpoint endpoint) { gateways_.push_back({std::move(endpoint)}); }
     void remove_gateway(const std::string& frontend);    // it is no longer chosen or polled
-    // The number of a gateway, below 0 if there is none; not `excluded` if there is another. `random_value`
-    // is uniform in 0 to 1.
+    // Returns the number of a gateway, or a negative value if there is none; avoids `excluded` if there is
+    // another. `random_value` is uniform in 0 to 1.
     int choose_gateway(const std::string& zone, int excluded, double random_value) const;
     const GatewayEndpoint& endpoint_at(int number) const {
         return gateways_[static_cast<std::size_t>(number)].endpoint;
     }
-    // Whether all that were not removed are ready.
+    // Whether all gateways that were not removed are ready.
     bool all_ready() const;
     bool is_ready(int number) const {
         return gateways_[static_cast<std::size_t>(number)].missed_polls < kMaxMissedPolls;
@@ -72,11 +72,11 @@
     int priority = 1;
 };
 
-// One client with a connection of its own, which it uses until the gateway's process is gone.
+// One client with its own connection, which it uses until the gateway's process ends.
 struct CallerPlan {
     std::size_t tenant = 0;    // index of its tenant
     std::string zone;
-    double gateway_draw = 0.0;    // from 0 to 1: where the load balancer's hash puts it
+    double gateway_draw = 0.0;    // from 0 to 1: selects its gateway, like the load balancer's hash
 };
 
 // Results of all clients since the last reset.
@@ -97,14 +97,14 @@
     struct SecondCounters {
         std::uint64_t due = 0, served = 0, rejected = 0, failed = 0;
     };
-    std::vector<SecondCounters> by_second;    // by the second in which they were due
+    std::vector<SecondCounters> by_second;    // by the second in which the requests were due
     std::uint64_t connections_opened = 0;
     RouteCounters totals() const;
 };
 // The quantile (0 to 1) of latencies; 0 if there are none.
 double latency_quantile(std::vector<float> latencies, double quantile);
 
-// Open-loop load: requests are due at random times, whatever happens to the earlier ones.
+// Open-loop load generator: requests are due at random times, independent of earlier ones.
 class Clients {
 public:
     // What the clients send, and how.
@@ -114,10 +114,11 @@
         std::vector<std::string> zones;
         // Empty: any request may use any idle connection in its zone.
         std::vector<CallerPlan> callers = {};
-        double new_connection_fraction = 0.2;    // part of the requests that open a connection
+        double new_connection_fraction = 0.2;    // share of the requests that open a connection
         std::uint64_t seed = 1;
     };
-    Clients(Reactor& reactor, Board& board, const GatewaySelector& front, Settings settings);
+    Clients(Reactor& reactor, Scoreboard& scoreboard, const GatewaySelector& gateway_selector,
+            Settings settings);
     ~Clients();
     void start_load(double load_factor = 1.0);    // multiplies all routes' rates
     void stop_load();                             // no more are due; pending ones go on
@@ -143,7 +144,7 @@
     Connection* find_idle_connection(const PendingRequest& request);
     Connection* open_connection(PendingRequest& request);
     void write_request(PendingRequest& request, Connection& connection);
-    void on_answer(Connection& connection);
+    void on_response(Connection& connection);
     void on_disconnected(Connection& connection);
     void retry_later(PendingRequest& request, Duration delay, bool may_retry);
     void finish_request(PendingRequest& request, bool was_served);
@@ -151,8 +152,8 @@
     std::string make_request_id();
 
     Reactor& reactor_;
-    Board& board_;
-    const GatewaySelector& front_;
+    Scoreboard& scoreboard_;
+    const GatewaySelector& gateway_selector_;
     Settings settings_;
     std::mt19937_64 random_;
     std::list<std::unique_ptr<Connection>> connections_;    // most recently used last
--- a/testbed/system/demo.cpp
+++ b/testbed/system/demo.cpp
@@ -1,7 +1,7 @@
 // Runs the entire system on this machine for twenty seconds: three gateways, controllers, emulated servers,
 // an operator and clients. Exits with 1 if a request that must not be repeated ran twice, another rule was
-// violated or less than 99% was served; the last line is JSON. Environment: SEED, SECONDS_PER_PHASE,
-// CONTROLLERS (the number of controllers, 1 to 3), LOAD (multiplies the usual load).
+// violated or less than 99% of the requests were served; the last line is JSON. Environment: SEED,
+// SECONDS_PER_PHASE, CONTROLLERS (the number of controllers, 1 to 3), LOAD (multiplies the usual load).
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -22,13 +22,13 @@
     std::fputs(text.substr(from).c_str(), stdout);
 }
 
-int report_failure(SystemFixture& rig, const std::string& why) {
-    fmt::print("{}\n", why);
-    for (const std::string& name : rig.node_names()) {
+int report_failure(SystemFixture& fixture, const std::string& reason) {
+    fmt::print("{}\n", reason);
+    for (const std::string& name : fixture.node_names()) {
         fmt::print("---- {} ----\n", name);
-        print_tail(rig.log_text(name));
+        print_tail(fixture.log_text(name));
     }
-    fmt::print("{}\n", Json{{"error", why}}.dump());
+    fmt::print("{}\n", Json{{"error", reason}}.dump());
     return 1;
 }
 
@@ -53,49 +53,52 @@
     install_signal_handlers();
     const int controllers = static_cast<int>(number_from_environment("CONTROLLERS", 3, 1, kMachineCount));
     const SystemPlan plan = make_small_system("demo", programs, seed, kMachineCount, controllers);
-    SystemFixture rig(plan);
+    SystemFixture fixture(plan);
     fmt::print("starting {} gateways and {} controllers\n", kMachineCount, controllers);
-    rig.start_all();
+    fixture.start_all();
     for (const ServicePlan& service : plan.services)
-        for (int i = 0; i < service.server_count; ++i) rig.add_server(service.name);
-    const Json first_configuration = rig.make_configuration(1);
-    const SystemFixture::CommandResult order = rig.replace_configuration(first_configuration, 20.0);
-    if (order.status_code != 200)
-        return report_failure(rig, fmt::format("configuration r1 got status {}", order.status_code));
-    fmt::print("configuration r1 was acknowledged after {:.2f} s\n", order.seconds_taken);
-    if (!rig.wait_servers_registered(20.0))
-        return report_failure(rig, "not every server's heartbeat was acknowledged");
-    if (!rig.wait_ready(20.0)) return report_failure(rig, "not every gateway says that it is ready");
-    rig.run_for(1.0);    // until the gateways know the last servers
-    fmt::print("all are ready; clients come for {:.0f} s\n", seconds);
+        for (int i = 0; i < service.server_count; ++i) fixture.add_server(service.name);
+    const Json first_configuration = fixture.make_configuration(1);
+    const SystemFixture::CommandResult result = fixture.replace_configuration(first_configuration, 20.0);
+    if (result.status_code != 200)
+        return report_failure(fixture, fmt::format("configuration r1 got status {}", result.status_code));
+    fmt::print("configuration r1 was acknowledged after {:.2f} s\n", result.seconds_taken);
+    if (!fixture.wait_servers_registered(20.0))
+        return report_failure(fixture, "not every server's heartbeat was acknowledged");
+    if (!fixture.wait_ready(20.0)) return report_failure(fixture, "not every gateway is ready");
+    fixture.run_for(1.0);    // until the gateways have received the last servers
+    fmt::print("all gateways are ready; sending load for {:.0f} s\n", seconds);
     std::fflush(stdout);
-    rig.start_load(number_from_environment("LOAD", 1.0, 0.01, 20.0));
+    fixture.start_load(number_from_environment("LOAD", 1.0, 0.01, 20.0));
     for (double t = 0.0; t < seconds; t += 5.0) {
-        rig.run_for(std::min(5.0, seconds - t));
-        const ClientStatistics::RouteCounters all = rig.client_statistics().totals();
+        fixture.run_for(std::min(5.0, seconds - t));
+        const ClientStatistics::RouteCounters all = fixture.client_statistics().totals();
         fmt::print("{:>4.0f} s: {} due, {} served, {} refused, {} failed\n", std::min(t + 5.0, seconds),
                    all.due, all.served, all.rejected, all.failed);
         std::fflush(stdout);
     }
-    rig.stop_load();
-    const SystemFixture::CommandResult read = rig.read_configuration();
-    Json figures = rig.make_report();
-    const std::vector<std::string> ended = rig.unexpectedly_ended();
+    fixture.stop_load();
+    const SystemFixture::CommandResult read = fixture.read_configuration();
+    Json figures = fixture.make_report();
+    const std::vector<std::string> ended = fixture.unexpectedly_ended();
     print_table(figures);
-    rig.stop_all();
+    fixture.stop_all();
 
-    Expectations bounds;
+    Expectations expectations;
     const double due = figures["due"], served = figures["served"];
-    bounds.expect(due > 0.0 && served >= kMinServedFraction * due,
-                  fmt::format("{:.2f}% was served", due > 0.0 ? served / due * 100.0 : 0.0));
-    bounds.expect_rules_kept(figures["rules"]);
-    bounds.expect(read.status_code == 200 && Json::parse(read.body, nullptr, false) == first_configuration,
-                  fmt::format("what was read back (status {}) is not what was sent", read.status_code));
+    expectations.expect(
+        due > 0.0 && served >= kMinServedFraction * due,
+        fmt::format("{:.2f}% of the requests were served", due > 0.0 ? served / due * 100.0 : 0.0));
+    expectations.expect_rules_kept(figures["rules"]);
+    expectations.expect(
+        read.status_code == 200 && Json::parse(read.body, nullptr, false) == first_configuration,
+        fmt::format("the configuration that was read (status {}) differs from the one that was sent",
+                    read.status_code));
     for (const std::string& name : ended) {
-        bounds.expect(false, name + " ended by itself");
-        print_tail(rig.log_text(name));
+        expectations.expect(false, name + " ended by itself");
+        print_tail(fixture.log_text(name));
     }
-    return bounds.print_report(figures);
+    return expectations.print_report(figures);
 }
 
 }    // namespace
--- a/testbed/system/fixture.cpp
+++ b/testbed/system/fixture.cpp
@@ -28,19 +28,19 @@
     : ExperimentHost(fmt::format("{}-{}", plan.name, plan.seed)),
       plan_(std::move(plan)),
       address_prefix_(10 + getpid() % 200) {
-    std::vector<GatewaySelector::GatewayEndpoint> gates;
-    for (const MachinePlan& of : plan_.machines) {
-        const Machine& machine = place_machine(of);
-        if (of.has_gateway) gates.push_back(endpoint_of(machine));
+    std::vector<GatewaySelector::GatewayEndpoint> endpoints;
+    for (const MachinePlan& machine_plan : plan_.machines) {
+        const Machine& machine = place_machine(machine_plan);
+        if (machine_plan.has_gateway) endpoints.push_back(endpoint_of(machine));
     }
-    if (control_addresses().empty()) throw std::runtime_error("no machine has a lighthouse");
+    if (control_addresses().empty()) throw std::runtime_error("no machine has a controller");
     std::vector<std::string> zones;
     for (const Machine& machine : machines_)
         if (machine.plan.has_gateway &&
             std::find(zones.begin(), zones.end(), machine.plan.zone) == zones.end())
             zones.push_back(machine.plan.zone);
     control_client_ = std::make_unique<ControlClient>(calls_, control_addresses(), plan_.seed + 1);
-    gateway_selector_ = std::make_unique<GatewaySelector>(calls_, std::move(gates));
+    gateway_selector_ = std::make_unique<GatewaySelector>(calls_, std::move(endpoints));
     clients_ = std::make_unique<Clients>(reactor_, scoreboard_, *gateway_selector_,
                                          Clients::Settings{plan_.routes, plan_.tenants, zones, plan_.callers,
                                                            plan_.new_connection_fraction, plan_.seed + 2});
@@ -62,9 +62,11 @@
 // ---- servers ----
 
 std::size_t SystemFixture::add_server(const std::string& service) {
-    const auto of = std::find_if(plan_.services.begin(), plan_.services.end(),
-                                 [&](const ServicePlan& s) { return s.name == service; });
-    if (of == plan_.services.end()) throw std::runtime_error(service + ": there is no such service");
+    const auto service_plan =
+        std::find_if(plan_.services.begin(), plan_.services.end(),
+                     [&](const ServicePlan& candidate) { return candidate.name == service; });
+    if (service_plan == plan_.services.end())
+        throw std::runtime_error(service + ": there is no such service");
     return run_on_reactor([&] {
         const std::size_t number = servers_.size();
         ServerPlan plan;
@@ -72,13 +74,13 @@
         plan.address = fmt::format("127.{}.{}.{}:{}", address_prefix_, 100 + number / kAddressesPerOctet,
                                    1 + number % kAddressesPerOctet, kServerPort);
         plan.zone = machines_[number % machines_.size()].plan.zone;
-        plan.concurrency_limit = of->concurrency_limit;
-        plan.max_connections = of->max_connections;
-        plan.mean_service_time = of->mean_service_time;
+        plan.concurrency_limit = service_plan->concurrency_limit;
+        plan.max_connections = service_plan->max_connections;
+        plan.mean_service_time = service_plan->mean_service_time;
         plan.seed = plan_.seed * 1000 + number;
         plan.speed = 0.8 + 0.1 * static_cast<double>(number % 5);
         plan.control_addresses = control_addresses();
-        if (of->is_sharded) plan.shard_judge = &shard_judge_;
+        if (service_plan->is_sharded) plan.shard_checker = &shard_checker_;
         servers_.push_back(std::make_unique<ApplicationServer>(reactor_, calls_, scoreboard_, plan));
         return number;
     });
@@ -146,53 +148,55 @@
     return run_on_reactor([this] { return executions_by_tenant_; });
 }
 
-Board::Breaches SystemFixture::violations() {
-    return run_on_reactor([this] { return scoreboard_.breaches(); });
+Scoreboard::Violations SystemFixture::violations() {
+    return run_on_reactor([this] { return scoreboard_.count_violations(); });
 }
 
 SystemFixture::ShardStatistics SystemFixture::shard_statistics() {
     return run_on_reactor([this] {
-        return ShardStatistics{shard_judge_.begun(), shard_judge_.refusals(), shard_judge_.double_owners()};
+        return ShardStatistics{shard_checker_.begun(), shard_checker_.refusals(),
+                               shard_checker_.double_owners()};
     });
 }
 
 Json SystemFixture::make_report() {
-    const ClientStatistics f = client_statistics();
-    const auto part = [](const ClientStatistics::RouteCounters& r) {
-        return Json{{"due", r.due},
-                    {"served", r.served},
-                    {"in_aim", r.within_target},
-                    {"refused", r.rejected},
-                    {"failed", r.failed},
-                    {"tries", r.attempts},
-                    {"p50_ms", latency_quantile(r.latency_ms, 0.5)},
-                    {"p90_ms", latency_quantile(r.latency_ms, 0.9)},
-                    {"p99_ms", latency_quantile(r.latency_ms, 0.99)}};
+    const ClientStatistics statistics = client_statistics();
+    const auto route_report = [](const ClientStatistics::RouteCounters& counters) {
+        return Json{{"due", counters.due},
+                    {"served", counters.served},
+                    {"in_aim", counters.within_target},
+                    {"refused", counters.rejected},
+                    {"failed", counters.failed},
+                    {"tries", counters.attempts},
+                    {"p50_ms", latency_quantile(counters.latency_ms, 0.5)},
+                    {"p90_ms", latency_quantile(counters.latency_ms, 0.9)},
+                    {"p99_ms", latency_quantile(counters.latency_ms, 0.99)}};
     };
-    Json out = part(f.totals());
-    for (std::size_t i = 0; i < f.by_route.size(); ++i)
-        out["routes"][plan_.routes[i].name] = part(f.by_route[i]);
-    out["connections"] = f.connections_opened;
-    out["rules"] = to_json(violations());
-    out["run_twice"] = out["rules"]["run_twice"];
+    Json report = route_report(statistics.totals());
+    for (std::size_t i = 0; i < statistics.by_route.size(); ++i)
+        report["routes"][plan_.routes[i].name] = route_report(statistics.by_route[i]);
+    report["connections"] = statistics.connections_opened;
+    report["rules"] = to_json(violations());
+    report["run_twice"] = report["rules"]["run_twice"];
     run_task_on_reactor([&] {
-        out["runs"] = scoreboard_.runs();
-        out["repeats"] = scoreboard_.repeats();
+        report["runs"] = scoreboard_.execution_count();
+        report["repeats"] = scoreboard_.repeat_count();
     });
-    for (const auto& [name, of] : nodes_) {
-        const ResourceUsage u = resource_usage(name);
-        out["nodes"][name] = {{"starts", of.start_count}, {"cpu_s", u.cpu_seconds}, {"peak_mb", u.peak_mb}};
+    for (const auto& [name, node] : nodes_) {
+        const ResourceUsage usage = resource_usage(name);
+        report["nodes"][name] = {
+            {"starts", node.start_count}, {"cpu_s", usage.cpu_seconds}, {"peak_mb", usage.peak_mb}};
     }
-    return out;
+    return report;
 }
 
 void SystemFixture::run_for(double seconds) {
     const TimePoint until = clock_.now() + from_secs(seconds);
     while (true) {
-        if (stop_requested) throw std::runtime_error("asked to end");
-        const double left = secs(until - clock_.now());
-        if (left <= 0.0) return;
-        sleep_for(std::min(left, kPollInterval));
+        if (stop_requested) throw std::runtime_error("stopped by SIGINT or SIGTERM");
+        const double remaining = secs(until - clock_.now());
+        if (remaining <= 0.0) return;
+        sleep_for(std::min(remaining, kPollInterval));
     }
 }
 
--- a/testbed/system/fixture.h
+++ b/testbed/system/fixture.h
@@ -1,5 +1,5 @@
-// The entire system on loopback: gateways and controllers as processes, each machine with an address of its
-// own, a settings file and a disk in the fixture's directory; emulated servers, operators and clients. An
+// The entire system on loopback: gateways and controllers as processes, each machine with its own address, a
+// settings file and a disk in the fixture's directory; emulated servers, operators and clients. An
 // experiment calls the functions from its own thread, one at a time; everything else runs on the fixture's
 // reactor thread.
 #pragma once
@@ -32,7 +32,7 @@
     int server_count = 4, concurrency_limit = 6;
     std::size_t max_connections = 130;
     Duration mean_service_time{0};
-    bool is_sharded = false;    // its servers run only requests whose keys they hold
+    bool is_sharded = false;    // its servers execute only requests whose keys they hold
 };
 // Everything that a fixture starts with.
 struct SystemPlan {
@@ -47,7 +47,7 @@
     std::map<std::string, std::string> extra_settings = {};    // override lines of the settings file
     std::string log_level = "info";                            // of the system's programs
 };
-// A route of its own host and path prefix, whose attempts may take twice as long as its clients wait.
+// A route with its own host and path prefix; its attempt timeout is twice the clients' deadline.
 RoutePlan make_route(const std::string& name, const std::string& service, bool is_repeatable, double rate,
                      Duration latency_target, Duration deadline, std::size_t body_size);
 // Three zones and four services; the first `controller_count` machines have a controller, all have a gateway.
@@ -70,14 +70,14 @@
     bool is_gateway_ready(const std::string& gateway_name);
     void start_node(const std::string& node);
     void kill_node(const std::string& node);    // SIGKILL
-    // SIGTERM with the grace period; the exit status, or -1 if it had to be killed.
+    // Sends SIGTERM and waits for the grace period. Returns the exit status, or -1 if the node was killed.
     int stop_node(const std::string& node);
     void freeze_node(const std::string& node);      // SIGSTOP
     void unfreeze_node(const std::string& node);    // SIGCONT
     void wipe_disk(const std::string& node);        // of a node that does not run
-    // SIGTERM, without a wait for the end: is_running() tells.
+    // Sends SIGTERM without waiting for the end; is_running() tells when the node has ended.
     void signal_stop(const std::string& node);
-    // SIGHUP, after the settings file was written anew.
+    // Rewrites the settings file, then sends SIGHUP.
     void reload_settings(const std::string& node);
     void restart_node(const std::string& node) {
         kill_node(node);
@@ -86,22 +86,22 @@
     bool is_running(const std::string& node);
     // Nodes that ended by themselves since the start.
     std::vector<std::string> unexpectedly_ended();
-    std::string log_text(const std::string& node) const;    // of all its processes so far
-    // A status page, as "/metrics", of all nodes of a role that answer in time, by node.
+    std::string log_text(const std::string& node) const;    // of all the node's processes so far
+    // A status page, for example "/metrics", of all nodes of a role that respond in time, by node.
     std::map<std::string, std::string> status_pages(const std::string& role, const std::string& path,
                                                     double timeout_seconds = 2.0);
-    // Of all processes of a node so far; the memory is the largest peak.
+    // Usage of all processes of a node so far; the memory is the largest peak.
     struct ResourceUsage {
         double cpu_seconds = 0.0, peak_mb = 0.0;
     };
     ResourceUsage resource_usage(const std::string& node) const;
-    // Stops all nodes in an orderly way.
+    // Stops all nodes gracefully.
     void stop_all();
 
     // ---- machines, during a run ----
     // Adds a machine with empty disks at its own address and returns its name; start_node starts its nodes.
     // Settings written later name the first three existing machines with a controller as seeds; servers and
-    // operators learn of it after a delay.
+    // operators use it after a delay.
     std::string add_machine(const MachinePlan& plan);
     // Removes a machine for good; its nodes must not run.
     void remove_machine(const std::string& name);
@@ -134,7 +134,7 @@
     void start_operators(int count);
     void stop_operators();    // returns when all their calls are over
     // Seconds until a change newer than all others was acknowledged to a caller that waits for each reply;
-    // below 0 if it was not in time.
+    // negative after a timeout.
     double measure_acknowledgement(double timeout_seconds);
     bool verify_operator_read(double timeout_seconds);    // recorded in the history
     OperatorGroup::Statistics operator_statistics();
@@ -144,8 +144,8 @@
     void start_load(double load_factor = 1.0);
     void stop_load(double timeout_seconds = 12.0);    // returns when all requests are answered
     ClientStatistics client_statistics();
-    Board::Breaches violations();
-    // What the servers of services whose keys are divided saw.
+    Scoreboard::Violations violations();
+    // Results of the servers of sharded services.
     struct ShardStatistics {
         std::uint64_t begun = 0, refused = 0, double_owners = 0;
     };
@@ -154,7 +154,7 @@
     std::map<std::string, std::vector<TimePoint>> executions_by_tenant();
     // Statistics since the load began, violations of the rules, and resources of the processes.
     nlohmann::json make_report();
-    // Where all disks and logs are.
+    // The directory of all disks and logs.
     const std::filesystem::path& directory() const { return directory_; }
     // Waits; throws std::runtime_error after SIGINT or SIGTERM.
     void run_for(double seconds);
@@ -194,8 +194,8 @@
     bool needs_bootstrap_ = true;
     // Used on the reactor's thread only; in the order of their dependencies.
     HttpCalls calls_{reactor_};
-    Board scoreboard_;
-    ShardJudge shard_judge_;
+    Scoreboard scoreboard_;
+    ShardOwnershipChecker shard_checker_;
     std::map<std::string, std::vector<TimePoint>> executions_by_tenant_;
     std::unique_ptr<ControlClient> control_client_;
     std::unique_ptr<OperatorGroup> operators_;
@@ -204,7 +204,7 @@
     std::unique_ptr<Clients> clients_;
 };
 
-// From now on SIGINT and SIGTERM end run_for() and other waits.
+// Makes SIGINT and SIGTERM end run_for() and other waits.
 void install_signal_handlers();
 
 }    // namespace shaletray::testbed
--- a/testbed/system/fixture_operators.cpp
+++ b/testbed/system/fixture_operators.cpp
@@ -46,20 +46,20 @@
                                                              double timeout_seconds) {
     struct Shared {
         bool done = false;
-        CommandResult order;
+        CommandResult result;
     };
     const auto shared = std::make_shared<Shared>();
-    const TimePoint began = clock_.now();
+    const TimePoint started_at = clock_.now();
     run_task_on_reactor([&] {
         control_client_->start_call(
             method, path, [body] { return body; }, from_secs(timeout_seconds),
-            [this, shared, began](const HttpReply& a) {
-                shared->order = {a.status_code, secs(clock_.now() - began), a.body};
+            [this, shared, started_at](const HttpReply& reply) {
+                shared->result = {reply.status_code, secs(clock_.now() - started_at), reply.body};
                 shared->done = true;
             });
     });
     while (!run_on_reactor([&] { return shared->done; })) run_for(0.005);
-    return shared->order;
+    return shared->result;
 }
 
 SystemFixture::CommandResult SystemFixture::replace_configuration(const Json& new_configuration,
@@ -93,18 +93,18 @@
 
 double SystemFixture::run_until_done(const std::function<void(std::function<void(bool)>)>& begin) {
     struct Shared {
-        bool done = false, good = false;
+        bool done = false, succeeded = false;
     };
     const auto shared = std::make_shared<Shared>();
-    const TimePoint began = clock_.now();
+    const TimePoint started_at = clock_.now();
     run_task_on_reactor([&] {
-        begin([shared](bool good) {
-            shared->good = good;
+        begin([shared](bool succeeded) {
+            shared->succeeded = succeeded;
             shared->done = true;
         });
     });
     while (!run_on_reactor([&] { return shared->done; })) run_for(0.005);
-    return shared->good ? secs(clock_.now() - began) : -1.0;
+    return shared->succeeded ? secs(clock_.now() - started_at) : -1.0;
 }
 
 double SystemFixture::measure_acknowledgement(double timeout_seconds) {
--- a/testbed/system/fixture_processes.cpp
+++ b/testbed/system/fixture_processes.cpp
@@ -14,20 +14,20 @@
 
 // ---- machines ----
 
-SystemFixture::Machine& SystemFixture::place_machine(const MachinePlan& of) {
-    const std::size_t m = machines_.size();
-    machines_.push_back({of, fmt::format("{}-{}", of.zone, ++machines_by_zone_[of.zone]),
-                         fmt::format("127.{}.{}.{}", address_prefix_, 1 + m / kAddressesPerOctet,
-                                     1 + m % kAddressesPerOctet)});
+SystemFixture::Machine& SystemFixture::place_machine(const MachinePlan& plan) {
+    const std::size_t machine_number = machines_.size();
+    machines_.push_back({plan, fmt::format("{}-{}", plan.zone, ++machines_by_zone_[plan.zone]),
+                         fmt::format("127.{}.{}.{}", address_prefix_, 1 + machine_number / kAddressesPerOctet,
+                                     1 + machine_number % kAddressesPerOctet)});
     const Machine& machine = machines_.back();
     for (const char* role : {"controller", "gateway"}) {
-        if (!(role == std::string_view("gateway") ? of.has_gateway : of.has_controller)) continue;
+        if (!(role == std::string_view("gateway") ? plan.has_gateway : plan.has_controller)) continue;
         Node node;
         node.role = role;
-        node.zone = of.zone;
+        node.zone = plan.zone;
         node.ip = machine.ip;
-        node.machine_index = m;
-        if (of.has_disk) node.directory = (directory_ / machine.name / role).string();
+        node.machine_index = machine_number;
+        if (plan.has_disk) node.directory = (directory_ / machine.name / role).string();
         node.log_path = (directory_ / fmt::format("{}.{}.log", machine.name, role)).string();
         nodes_.emplace(fmt::format("{}/{}", machine.name, role), std::move(node));
     }
@@ -78,10 +78,10 @@
 
 void SystemFixture::update_control_addresses() {
     schedule_after(kSeedUpdateDelay, [this] {
-        const std::vector<std::string> now = control_addresses();
-        control_client_->set_gateways(now);
-        if (operators_) operators_->set_gateways(now);
-        for (const auto& server : servers_) server->set_control_addresses(now);
+        const std::vector<std::string> addresses = control_addresses();
+        control_client_->set_gateways(addresses);
+        if (operators_) operators_->set_gateways(addresses);
+        for (const auto& server : servers_) server->set_control_addresses(addresses);
     });
 }
 
@@ -190,7 +190,7 @@
 void SystemFixture::launch_process(Node& target_node) {
     if (!target_node.directory.empty()) std::filesystem::create_directories(target_node.directory);
     const std::filesystem::path file = write_settings(target_node);
-    // The build puts a program into its package's directory, or beside this one.
+    // A build puts a program into the directory of its package, or next to this program.
     std::filesystem::path program = std::filesystem::path(plan_.program_directory) / target_node.role;
     if (!std::filesystem::is_regular_file(program))
         program =
@@ -205,7 +205,7 @@
 }
 
 void SystemFixture::start_all() {
-    for (auto& [name, of] : nodes_) launch_process(of);
+    for (auto& [name, target_node] : nodes_) launch_process(target_node);
     needs_bootstrap_ = false;
 }
 
@@ -225,80 +225,80 @@
             return run_on_reactor([&] { return gateway_selector_->is_ready(number); });
         ++number;
     }
-    throw std::runtime_error(gateway_name + ": there is no such pilot");
+    throw std::runtime_error(gateway_name + ": there is no such gateway");
 }
 
 SystemFixture::ResourceUsage SystemFixture::resource_usage(const std::string& name) const {
-    const Node& of = node(name);
-    if (!of.process || of.process->pid() <= 0) return of.earlier_usage;
-    return {of.earlier_usage.cpu_seconds + of.process->cpu_seconds(),
-            std::max(of.earlier_usage.peak_mb, of.process->peak_mb())};
+    const Node& target_node = node(name);
+    if (!target_node.process || target_node.process->pid() <= 0) return target_node.earlier_usage;
+    return {target_node.earlier_usage.cpu_seconds + target_node.process->cpu_seconds(),
+            std::max(target_node.earlier_usage.peak_mb, target_node.process->peak_mb())};
 }
 
 void SystemFixture::start_node(const std::string& name) {
-    Node& of = node(name);
+    Node& target_node = node(name);
     if (is_running(name)) throw std::runtime_error(name + " runs already");
-    launch_process(of);
+    launch_process(target_node);
 }
 
 void SystemFixture::kill_node(const std::string& name) {
-    Node& of = node(name);
-    of.earlier_usage = resource_usage(name);
-    of.should_run = false;
-    if (of.process) of.process->kill();
+    Node& target_node = node(name);
+    target_node.earlier_usage = resource_usage(name);
+    target_node.should_run = false;
+    if (target_node.process) target_node.process->kill();
 }
 
 int SystemFixture::stop_node(const std::string& name) {
-    Node& of = node(name);
-    if (!of.process || of.process->pid() <= 0) return -1;
-    if (of.is_frozen) unfreeze_node(name);
-    of.earlier_usage = resource_usage(name);
-    of.should_run = false;
-    return of.process->terminate();
+    Node& target_node = node(name);
+    if (!target_node.process || target_node.process->pid() <= 0) return -1;
+    if (target_node.is_frozen) unfreeze_node(name);
+    target_node.earlier_usage = resource_usage(name);
+    target_node.should_run = false;
+    return target_node.process->terminate();
 }
 
 void SystemFixture::signal_stop(const std::string& name) {
-    Node& of = node(name);
-    if (!of.process || of.process->pid() <= 0) return;
-    of.earlier_usage = resource_usage(name);
-    of.should_run = false;
-    of.process->send_signal(SIGTERM);
+    Node& target_node = node(name);
+    if (!target_node.process || target_node.process->pid() <= 0) return;
+    target_node.earlier_usage = resource_usage(name);
+    target_node.should_run = false;
+    target_node.process->send_signal(SIGTERM);
 }
 
 void SystemFixture::reload_settings(const std::string& name) {
-    Node& of = node(name);
-    if (!of.process || of.process->pid() <= 0) return;
-    write_settings(of);
-    of.process->send_signal(SIGHUP);
+    Node& target_node = node(name);
+    if (!target_node.process || target_node.process->pid() <= 0) return;
+    write_settings(target_node);
+    target_node.process->send_signal(SIGHUP);
 }
 
 void SystemFixture::freeze_node(const std::string& name) {
-    Node& of = node(name);
-    of.is_frozen = true;
-    if (of.process) of.process->send_signal(SIGSTOP);
+    Node& target_node = node(name);
+    target_node.is_frozen = true;
+    if (target_node.process) target_node.process->send_signal(SIGSTOP);
 }
 
 void SystemFixture::unfreeze_node(const std::string& name) {
-    Node& of = node(name);
-    of.is_frozen = false;
-    if (of.process) of.process->send_signal(SIGCONT);
+    Node& target_node = node(name);
+    target_node.is_frozen = false;
+    if (target_node.process) target_node.process->send_signal(SIGCONT);
 }
 
 void SystemFixture::wipe_disk(const std::string& name) {
-    Node& of = node(name);
+    Node& target_node = node(name);
     if (is_running(name)) throw std::runtime_error(name + " runs: its disk cannot be emptied");
-    if (!of.directory.empty()) std::filesystem::remove_all(of.directory);
+    if (!target_node.directory.empty()) std::filesystem::remove_all(target_node.directory);
 }
 
 bool SystemFixture::is_running(const std::string& name) {
-    const Node& of = node(name);
-    return of.process && of.process->is_alive();
+    const Node& target_node = node(name);
+    return target_node.process && target_node.process->is_alive();
 }
 
 std::vector<std::string> SystemFixture::unexpectedly_ended() {
     std::vector<std::string> names;
-    for (const auto& [name, of] : nodes_)
-        if (of.should_run && !is_running(name)) names.push_back(name);
+    for (const auto& [name, target_node] : nodes_)
+        if (target_node.should_run && !is_running(name)) names.push_back(name);
     return names;
 }
 
@@ -316,10 +316,10 @@
     };
     const auto replies = std::make_shared<Replies>();
     run_task_on_reactor([&] {
-        for (const auto& [name, of] : nodes_) {
-            if (of.role != role || !is_running(name)) continue;
+        for (const auto& [name, target_node] : nodes_) {
+            if (target_node.role != role || !is_running(name)) continue;
             ++replies->expected;
-            calls_.send_request(fmt::format("{}:{}", of.ip, status_port_of(role)), "GET", path, "",
+            calls_.send_request(fmt::format("{}:{}", target_node.ip, status_port_of(role)), "GET", path, "",
                                 from_secs(timeout_seconds), [replies, name = name](const HttpReply& reply) {
                                     ++replies->arrived;
                                     if (reply.status_code == 200) replies->text_by_node[name] = reply.body;
@@ -332,15 +332,15 @@
 
 void SystemFixture::stop_all() {
     // All are signalled first, so that the waits do not add up.
-    for (auto& [name, of] : nodes_) {
-        if (!of.process || of.process->pid() <= 0) continue;
-        if (of.is_frozen) unfreeze_node(name);
-        of.earlier_usage = resource_usage(name);
-        of.process->send_signal(SIGTERM);
+    for (auto& [name, target_node] : nodes_) {
+        if (!target_node.process || target_node.process->pid() <= 0) continue;
+        if (target_node.is_frozen) unfreeze_node(name);
+        target_node.earlier_usage = resource_usage(name);
+        target_node.process->send_signal(SIGTERM);
     }
-    for (auto& [name, of] : nodes_) {
-        if (of.process && of.process->pid() > 0) of.process->terminate();
-        of.should_run = false;
+    for (auto& [name, target_node] : nodes_) {
+        if (target_node.process && target_node.process->pid() > 0) target_node.process->terminate();
+        target_node.should_run = false;
     }
 }
 
--- a/testbed/system/http_calls.cpp
+++ b/testbed/system/http_calls.cpp
@@ -18,7 +18,7 @@
 
 class HttpCalls::Call : public StreamOwner {
 public:
-    Call(HttpCalls& of, Reactor& reactor) : stream(reactor, *this), calls_(of) {}
+    Call(HttpCalls& owner, Reactor& reactor) : stream(reactor, *this), calls_(owner) {}
     ~Call() override { calls_.reactor_.cancel_timer(timer); }
     void on_input() override {
         const http::ParseStatus status = parser.parse(stream.input_buffer());
@@ -80,27 +80,28 @@
     call.timer = reactor_.schedule_after(Duration(0), [this, &call] { on_call_ended(call, {}); });
 }
 
-void HttpCalls::on_call_ended(Call& call, const HttpReply& answer) {
-    struct Gone : RetiredObject {    // the call may be on the call stack
-        explicit Gone(std::unique_ptr<Call> of) : call(std::move(of)) {}
+void HttpCalls::on_call_ended(Call& call, const HttpReply& reply) {
+    struct RetiredCall : RetiredObject {    // the call may be on the call stack
+        explicit RetiredCall(std::unique_ptr<Call> retired) : call(std::move(retired)) {}
         std::unique_ptr<Call> call;
     };
     call.stream.close();
     reactor_.cancel_timer(call.timer);
     const auto it = std::find_if(active_calls_.begin(), active_calls_.end(),
-                                 [&](const auto& c) { return c.get() == &call; });
-    reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+                                 [&](const auto& active) { return active.get() == &call; });
+    reactor_.destroy_later(std::make_unique<RetiredCall>(std::move(*it)));
     active_calls_.erase(it);
     constexpr std::string_view kScheme = "http://";
-    const std::string_view to = answer.location;
-    if (answer.status_code == 307 && call.redirects > 0 && to.starts_with(kScheme)) {
-        const std::size_t slash = to.find('/', kScheme.size());
-        const std::string address(to.substr(kScheme.size(), slash - kScheme.size()));
-        return start_call(address, call.method, slash == to.npos ? "/" : std::string(to.substr(slash)),
+    const std::string_view redirect_target = reply.location;
+    if (reply.status_code == 307 && call.redirects > 0 && redirect_target.starts_with(kScheme)) {
+        const std::size_t slash = redirect_target.find('/', kScheme.size());
+        const std::string address(redirect_target.substr(kScheme.size(), slash - kScheme.size()));
+        return start_call(address, call.method,
+                          slash == redirect_target.npos ? "/" : std::string(redirect_target.substr(slash)),
                           call.body, call.deadline - reactor_.clock().now(), call.redirects - 1,
                           std::move(call.on_reply));
     }
-    call.on_reply(answer);
+    call.on_reply(reply);
 }
 
 ControlClient::ControlClient(HttpCalls& calls, std::vector<std::string> gateways, std::uint64_t seed)
@@ -133,26 +134,27 @@
 void ControlClient::start_attempt() {
     attempted_address_ = preferred_.empty() ? gateways_[next_gateway_++ % gateways_.size()] : preferred_;
     const std::string body = make_body_();
-    const Duration patience =
+    const Duration attempt_timeout =
         kAttemptTimeout + std::chrono::milliseconds(body.size() / kMinBytesPerMillisecond);
     current_call_ = std::make_shared<int>(0);
-    calls_.send_request(attempted_address_, method_, path_, body, patience,
-                        [this, mine = std::weak_ptr<int>(current_call_)](const HttpReply& answer) {
-                            if (!mine.expired()) on_reply(answer);
+    calls_.send_request(attempted_address_, method_, path_, body, attempt_timeout,
+                        [this, call_token = std::weak_ptr<int>(current_call_)](const HttpReply& reply) {
+                            if (!call_token.expired()) on_reply(reply);
                         });
 }
 
-void ControlClient::on_reply(const HttpReply& answer) {
-    const int s = answer.status_code;
-    const bool denied = s >= 400 && s < 500 && s != 408 && s != 429;
-    const bool clear = (s >= 200 && s < 300) || s == 400 || s == 409 || s == 412 || s == 413 || s == 422 ||
-                       (denied && ++denial_count_ >= kMaxDenials);
-    if (!clear && attempted_address_ == preferred_) preferred_.clear();
+void ControlClient::on_reply(const HttpReply& reply) {
+    const int status = reply.status_code;
+    const bool is_denied = status >= 400 && status < 500 && status != 408 && status != 429;
+    const bool is_definite = (status >= 200 && status < 300) || status == 400 || status == 409 ||
+                             status == 412 || status == 413 || status == 422 ||
+                             (is_denied && ++denial_count_ >= kMaxDenials);
+    if (!is_definite && attempted_address_ == preferred_) preferred_.clear();
     Reactor& reactor = calls_.reactor();
-    if (clear || reactor.clock().now() + retry_delay_ >= deadline_) {
+    if (is_definite || reactor.clock().now() + retry_delay_ >= deadline_) {
         current_call_.reset();
-        const ReplyCallback done = on_done_;    // a copy, since it may start another call
-        return done(answer);
+        const ReplyCallback callback = on_done_;    // a copy, since it may start another call
+        return callback(reply);
     }
     retry_timer_ = reactor.schedule_after(retry_delay_, [this] {
         retry_timer_ = 0;
--- a/testbed/system/http_calls.h
+++ b/testbed/system/http_calls.h
@@ -15,7 +15,7 @@
 
 namespace shaletray::testbed {
 
-// A response, as far as the testbed needs it.
+// The parts of a response that the testbed needs.
 struct HttpReply {
     int status_code = 0;    // 0: none arrived in time
     std::string location, body;
@@ -37,7 +37,7 @@
     class Call;
     void start_call(const std::string& address, const std::string& method, const std::string& path,
                     const std::string& body, Duration timeout, int redirects, ReplyCallback on_reply);
-    void on_call_ended(Call& call, const HttpReply& answer);
+    void on_call_ended(Call& call, const HttpReply& reply);
 
     Reactor& reactor_;
     std::list<std::unique_ptr<Call>> active_calls_;
@@ -52,19 +52,19 @@
     ControlClient(const ControlClient&) = delete;
     ControlClient& operator=(const ControlClient&) = delete;
 
-    // `make_body` is called for each attempt. Ends with a 2xx, 400, 409, 412, 413 or 422, with any other 4xx
-    // at the third attempt, or with the last response after `timeout`. One call at a time: a new call
-    // replaces the one in progress.
+    // `make_body` is called for each attempt. The call ends with a 2xx, 400, 409, 412, 413 or 422, with any
+    // other 4xx at the third attempt, or with the last response after `timeout`. One call at a time: a new
+    // call replaces the one in progress.
     void start_call(const std::string& method, const std::string& path,
                     std::function<std::string()> make_body, Duration timeout, ReplyCallback on_done);
     void cancel_call();
     void set_gateways(std::vector<std::string> addresses) { gateways_ = std::move(addresses); }
-    // Called first from now on, until it fails once. Empty: none.
+    // The address that is tried first until it fails once. Empty: none.
     void set_preferred(std::string address) { preferred_ = std::move(address); }
 
 private:
     void start_attempt();
-    void on_reply(const HttpReply& answer);
+    void on_reply(const HttpReply& reply);
 
     HttpCalls& calls_;
     std::vector<std::string> gateways_;
--- a/testbed/system/operators.h
+++ b/testbed/system/operators.h
@@ -1,5 +1,5 @@
-// Concurrent operators, each with one call at a time: changes that race under one version or are stale,
-// reads, lost responses, and changes that are repeated at another gateway. They reach each gateway through a
+// Concurrent operators, each with one call at a time: concurrent changes with the same version, stale
+// changes, reads, lost responses, and changes repeated at another gateway. They reach each gateway through a
 // fault proxy. The calls are recorded for the check of testbed/operation_history.h. Everything runs on the
 // reactor's thread.
 #pragma once
@@ -29,7 +29,7 @@
         // The text of a configuration; it differs for each body.
         std::function<std::string(std::uint64_t version, std::uint64_t body)> make_configuration_text;
     };
-    // Results of the calls; resets count injected faults.
+    // Results of the calls; `resets` counts injected faults.
     struct Statistics {
         std::uint64_t changes = 0, acknowledged = 0, conflicts = 0, rejected = 0, indeterminate = 0;
         std::uint64_t reads = 0, attempts = 0, abandoned_replies = 0, resets = 0;
@@ -45,9 +45,9 @@
     void stop_operators();    // no further calls; those in progress go on
     bool is_quiet() const { return active_calls_ == 0; }
     // Submits a change with a new highest version that no other change uses, and waits for each response.
-    // `on_done` gets whether it was acknowledged within `timeout`.
+    // `on_done` receives whether it was acknowledged within `timeout`.
     void submit_change(Duration timeout, std::function<void(bool)> on_done);
-    // Reads once; `on_done` gets whether that succeeded.
+    // Reads once; `on_done` receives whether that succeeded.
     void read_configuration(Duration timeout, std::function<void(bool)> on_done);
     const Statistics& statistics() const { return statistics_; }
     const std::vector<history::Operation>& history() const { return history_; }
--- a/testbed/system/scoreboard.cpp
+++ b/testbed/system/scoreboard.cpp
@@ -4,70 +4,74 @@
 
 namespace shaletray::testbed {
 
-void Board::sent(const std::string& id, Try what) { tries_[id].what = std::move(what); }
+void Scoreboard::record_sent(const std::string& id, Attempt attempt) {
+    attempts_[id].attempt = std::move(attempt);
+}
 
-bool Board::heard(const std::string& id, int status, std::string_view seal, std::string_view body) {
-    Known& known = tries_.at(id);
+bool Scoreboard::record_received(const std::string& id, int status, std::string_view seal,
+                                 std::string_view body) {
+    AttemptRecord& record = attempts_.at(id);
     if (status == 429 || status == 503 || status == 408 || status == 421) {
-        known.refused = true;
+        record.is_rejected = true;
         return false;
     }
-    if (status >= 300 && status < 500) ++seen_.denied;
+    if (status >= 300 && status < 500) ++violations_.denied_requests;
     if (status < 200 || status >= 300) return false;
-    const auto it = known.seals.find(std::string(seal));
-    const bool good = it != known.seals.end() && it->second == std::hash<std::string_view>()(body);
-    if (!good) ++seen_.mixed;
-    return good;
+    const auto it = record.seals.find(std::string(seal));
+    const bool is_valid = it != record.seals.end() && it->second == std::hash<std::string_view>()(body);
+    if (!is_valid) ++violations_.mismatched_responses;
+    return is_valid;
 }
 
-void Board::ran(const std::string& id, const std::string& service, std::string_view tenant,
-                std::string_view method, std::string_view target, std::string_view body) {
-    ++runs_;
-    const auto it = tries_.find(id);
-    if (it == tries_.end()) {
-        ++seen_.unasked;
+void Scoreboard::record_execution(const std::string& id, const std::string& service, std::string_view tenant,
+                                  std::string_view method, std::string_view target, std::string_view body) {
+    ++execution_count_;
+    const auto it = attempts_.find(id);
+    if (it == attempts_.end()) {
+        ++violations_.unknown_requests;
         return;
     }
-    Known& known = it->second;
-    ++known.runs;
+    AttemptRecord& record = it->second;
+    ++record.execution_count;
     if (on_execution_) on_execution_(std::string(tenant));
-    const Try& t = known.what;
-    if (t.method != method || t.target != target || t.body != body) ++seen_.unasked;
-    if (t.tenant != tenant) ++seen_.wrong_tenant;
-    const auto others = allowed_.find(t.service);
-    if (t.service != service && (others == allowed_.end() || !others->second.contains(service)))
-        ++seen_.wrong_service;
+    const Attempt& sent = record.attempt;
+    if (sent.method != method || sent.target != target || sent.body != body) ++violations_.unknown_requests;
+    if (sent.tenant != tenant) ++violations_.wrong_tenant;
+    const auto substitutes = substitute_services_.find(sent.service);
+    if (sent.service != service &&
+        (substitutes == substitute_services_.end() || !substitutes->second.contains(service)))
+        ++violations_.wrong_service;
 }
 
-void Board::answered(const std::string& id, const std::string& seal, const std::string& body) {
-    const auto it = tries_.find(id);
-    if (it != tries_.end()) it->second.seals[seal] = std::hash<std::string_view>()(body);
+void Scoreboard::record_response(const std::string& id, const std::string& seal, const std::string& body) {
+    const auto it = attempts_.find(id);
+    if (it != attempts_.end()) it->second.seals[seal] = std::hash<std::string_view>()(body);
 }
 
-Board::Breaches Board::breaches() const {
-    Breaches all = seen_;
-    for (const auto& [id, known] : tries_) {
-        if (known.what.repeatable) continue;
-        all.twice += known.runs > 1;
-        all.refused_ran += known.refused && known.runs > 0;
+Scoreboard::Violations Scoreboard::count_violations() const {
+    Violations total = violations_;
+    for (const auto& [id, record] : attempts_) {
+        if (record.attempt.is_idempotent) continue;
+        total.repeated_executions += record.execution_count > 1;
+        total.executed_after_rejection += record.is_rejected && record.execution_count > 0;
     }
-    return all;
+    return total;
 }
 
-std::uint64_t Board::repeats() const {
-    std::uint64_t all = 0;
-    for (const auto& [id, count] : arrivals_) all += count - 1;
-    return all;
+std::uint64_t Scoreboard::repeat_count() const {
+    std::uint64_t total = 0;
+    for (const auto& [id, count] : arrivals_) total += count - 1;
+    return total;
 }
 
-nlohmann::json to_json(const Board::Breaches& violations) {
-    return {{"run_twice", violations.twice},
-            {"refused_yet_run", violations.refused_ran},
-            {"unasked", violations.unasked},
+nlohmann::json to_json(const Scoreboard::Violations& violations) {
+    return {{"run_twice", violations.repeated_executions},
+            {"refused_yet_run", violations.executed_after_rejection},
+            {"unasked", violations.unknown_requests},
             {"wrong_service", violations.wrong_service},
             {"wrong_tenant", violations.wrong_tenant},
-            {"mixed", violations.mixed},
-            {"denied", violations.denied}};
+            {"mixed", violations.mismatched_responses},
+            {"denied", violations.denied_requests}};
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/system/server.cpp
+++ b/testbed/system/server.cpp
@@ -17,13 +17,13 @@
 using Json = nlohmann::json;
 
 constexpr Duration kIdleTimeout = 10s, kLingerTimeout = 1s, kSweepInterval = 500ms, kMaxServiceTime = 20s;
-constexpr Duration kUnacknowledgedTimeout = 6s;    // it ends without an acknowledgement after this
-constexpr Duration kReleasingInterval = 100ms;     // between heartbeats while keys are being let go
-constexpr int kMaxClockLagParts = 20;              // a server's clock is slow by up to this many thousandths
+constexpr Duration kUnacknowledgedTimeout = 6s;    // the server ends after this without an acknowledgement
+constexpr Duration kReleasingInterval = 100ms;     // between heartbeats while keys are being released
+constexpr int kMaxClockLagThousandths = 20;        // a server's clock is slow by up to this share
 constexpr double kColdShardSpeed = 0.5;
 constexpr Duration kDrainMargin = 300ms;    // beyond `drain_time`
 constexpr double kSlowStartSpeed = 0.4;
-constexpr int kAnswersPerClose = 200;
+constexpr int kResponsesPerClose = 200;
 constexpr std::size_t kMinBodySize = 100, kMaxBodySize = 3000, kMaxAcknowledgementSize = 4096;
 
 std::string format_duration(Duration d) {
@@ -34,7 +34,7 @@
 
 class ApplicationServer::Connection : public StreamOwner {
 public:
-    Connection(ApplicationServer& of, Reactor& reactor) : stream(reactor, *this), owner_(of) {}
+    Connection(ApplicationServer& owner, Reactor& reactor) : stream(reactor, *this), owner_(owner) {}
     ~Connection() override { owner_.reactor_.cancel_timer(work_timer); }
     void on_input() override { owner_.read_request(*this); }
     void on_disconnected() override { owner_.remove_connection(*this); }
@@ -53,9 +53,10 @@
     ApplicationServer& owner_;
 };
 
-ApplicationServer::ApplicationServer(Reactor& reactor, HttpCalls& calls, Board& board, ServerPlan plan)
+ApplicationServer::ApplicationServer(Reactor& reactor, HttpCalls& calls, Scoreboard& scoreboard,
+                                     ServerPlan plan)
     : reactor_(reactor),
-      board_(board),
+      scoreboard_(scoreboard),
       plan_(std::move(plan)),
       random_(plan_.seed),
       id_(fmt::format("i-{:08x}", random_() & 0xffffffff)),
@@ -63,10 +64,10 @@
       listener_(std::make_unique<TestListener>(reactor, plan_.address,
                                                [this](const auto& s) { accept_connection(s); })),
       control_client_(calls, plan_.control_addresses, random_()) {
-    if (plan_.shard_judge != nullptr) {
-        shard_holds_.emplace(1.0 - 1e-3 * static_cast<double>(random_() % (kMaxClockLagParts + 1)),
+    if (plan_.shard_checker != nullptr) {
+        shard_holds_.emplace(1.0 - 1e-3 * static_cast<double>(random_() % (kMaxClockLagThousandths + 1)),
                              random_());
-        plan_.shard_judge->add_server(plan_.service, id_, *shard_holds_);
+        plan_.shard_checker->add_server(plan_.service, id_, *shard_holds_);
     }
     sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_idle_connections(); });
     send_heartbeat();
@@ -81,7 +82,7 @@
 
 void ApplicationServer::stop_server() {
     if (std::exchange(is_ended_, true)) return;
-    if (shard_holds_) plan_.shard_judge->remove_server(plan_.service, id_);
+    if (shard_holds_) plan_.shard_checker->remove_server(plan_.service, id_);
     control_client_.cancel_call();
     for (Timers::Id* timer : {&heartbeat_timer_, &end_timer_, &sweep_timer_}) reactor_.cancel_timer(*timer);
     listener_.reset();
@@ -108,7 +109,7 @@
 // ---- heartbeats ----
 
 std::string ApplicationServer::heartbeat_body() {
-    const Duration left = std::max(Duration(0), started_at_ + plan_.slow_start - reactor_.clock().now());
+    const Duration time_left = std::max(Duration(0), started_at_ + plan_.slow_start - reactor_.clock().now());
     heartbeat_sent_at_ = reactor_.clock().now();
     Json body = {{"address", plan_.address},
                  {"system_info",
@@ -119,7 +120,7 @@
                  {"status",
                   {{"state", is_draining_ ? "draining" : "in_service"},
                    {"call_count", ++heartbeats_sent_},
-                   {"ramp_left", format_duration(left)}}}};
+                   {"ramp_left", format_duration(time_left)}}}};
     if (shard_holds_) {
         body["held_duties"] = shard_holds_->held_duties(heartbeat_sent_at_);
         body["released"] = shard_holds_->released();
@@ -135,21 +136,21 @@
     }
     control_client_.start_call(
         "POST", fmt::format("/members/{}/heartbeat", id_), [this] { return heartbeat_body(); },
-        plan_.heartbeat_interval * 2, [this](const HttpReply& answer) { on_heartbeat_reply(answer); });
+        plan_.heartbeat_interval * 2, [this](const HttpReply& reply) { on_heartbeat_reply(reply); });
 }
 
-void ApplicationServer::on_heartbeat_reply(const HttpReply& answer) {
-    const bool good = answer.status_code >= 200 && answer.status_code < 300 &&
-                      answer.body.size() <= kMaxAcknowledgementSize;
+void ApplicationServer::on_heartbeat_reply(const HttpReply& reply) {
+    const bool is_acknowledged =
+        reply.status_code >= 200 && reply.status_code < 300 && reply.body.size() <= kMaxAcknowledgementSize;
     Duration interval = plan_.heartbeat_interval;
-    if (good) {
+    if (is_acknowledged) {
         is_registered_ = true;
-        const Json body = Json::parse(answer.body, nullptr, false);
+        const Json body = Json::parse(reply.body, nullptr, false);
         if (body.is_object() && body.contains("heartbeat_target") && body["heartbeat_target"].is_string())
             control_client_.set_preferred(body["heartbeat_target"]);
         if (shard_holds_) {
             shard_holds_->on_acknowledged();
-            if (!shard_holds_->on_answer(body, heartbeat_sent_at_, reactor_.clock().now()))
+            if (!shard_holds_->apply_heartbeat_response(body, heartbeat_sent_at_, reactor_.clock().now()))
                 interval = kReleasingInterval;
         }
         if (is_draining_ && !std::exchange(is_deregistered_, true)) {
@@ -159,9 +160,9 @@
         }
     }
     // With jitter, so that the servers' heartbeats do not stay synchronized.
-    const auto spread = static_cast<Duration::rep>(random_() % 100) - 50;
+    const auto jitter = static_cast<Duration::rep>(random_() % 100) - 50;
     heartbeat_timer_ =
-        reactor_.schedule_after(interval + interval * spread / 1000, [this] { send_heartbeat(); });
+        reactor_.schedule_after(interval + interval * jitter / 1000, [this] { send_heartbeat(); });
 }
 
 void ApplicationServer::start_drain() {
@@ -182,9 +183,9 @@
 
 void ApplicationServer::accept_connection(const Poco::Net::StreamSocket& socket) {
     if (connections_.size() >= plan_.max_connections) {
-        Poco::Net::StreamSocket beyond = socket;
-        beyond.setLinger(true, 0);
-        beyond.close();
+        Poco::Net::StreamSocket excess_socket = socket;
+        excess_socket.setLinger(true, 0);
+        excess_socket.close();
         return;
     }
     connections_.push_back(std::make_unique<Connection>(*this, reactor_));
@@ -193,21 +194,21 @@
 }
 
 void ApplicationServer::remove_connection(Connection& connection) {
-    struct Gone : RetiredObject {    // the connection may be on the call stack
-        explicit Gone(std::unique_ptr<Connection> of) : peer(std::move(of)) {}
+    struct RetiredConnection : RetiredObject {    // the connection may be on the call stack
+        explicit RetiredConnection(std::unique_ptr<Connection> retired) : peer(std::move(retired)) {}
         std::unique_ptr<Connection> peer;
     };
     connection.stream.close();
     reactor_.cancel_timer(connection.work_timer);
-    const bool ran = connection.state == Connection::State::Running;
+    const bool was_running = connection.state == Connection::State::Running;
     if (connection.state == Connection::State::Queued) std::erase(queue_, &connection);
     connection.state = Connection::State::Idle;
     const auto it = std::find_if(connections_.begin(), connections_.end(),
                                  [&](const auto& p) { return p.get() == &connection; });
     if (it == connections_.end()) return;
-    reactor_.destroy_later(std::make_unique<Gone>(std::move(*it)));
+    reactor_.destroy_later(std::make_unique<RetiredConnection>(std::move(*it)));
     connections_.erase(it);
-    if (!ran) return;
+    if (!was_running) return;
     if (shard_holds_ && !connection.is_health_check && connection.shard_key)
         shard_holds_->end_work(*connection.shard_key);
     --running_requests_;
@@ -232,18 +233,19 @@
         connection.parser.method(in) == "GET" && connection.parser.target(in) == "/health";
     connection.request_id = connection.parser.header(in, "X-Attempt-Id");
     connection.deadline = now + kMaxServiceTime;
-    const std::string_view left = connection.parser.header(in, "X-Deadline-Remaining");
-    double ms = 0.0;
-    if (const auto [end, error] = std::from_chars(left.data(), left.data() + left.size(), ms);
-        error == std::errc{} && end != left.data())
-        connection.deadline = now + from_secs(ms / 1e3);
+    const std::string_view time_left = connection.parser.header(in, "X-Deadline-Remaining");
+    double remaining_ms = 0.0;
+    if (const auto [end, error] =
+            std::from_chars(time_left.data(), time_left.data() + time_left.size(), remaining_ms);
+        error == std::errc{} && end != time_left.data())
+        connection.deadline = now + from_secs(remaining_ms / 1e3);
     if (!connection.is_health_check) {
         if (connection.request_id.empty()) return reject_request(connection, 400);
-        board_.arrived(connection.request_id);
+        scoreboard_.record_arrival(connection.request_id);
         const std::string_view target = connection.parser.header(in, "X-Target-Instance");
         if (!target.empty() && target != id_) return reject_request(connection, 421);
         connection.shard_key = parse_shard_key(connection.parser.header(in, "X-Shard-Key"));
-        if (!may_run(connection)) return reject_request(connection, 421);
+        if (!may_execute(connection)) return reject_request(connection, 421);
     }
     if (running_requests_ < plan_.concurrency_limit) return start_request(connection);
     if (queue_.size() >= static_cast<std::size_t>(plan_.concurrency_limit))
@@ -252,12 +254,12 @@
     queue_.push_back(&connection);
 }
 
-// Whether it holds the request's key, where the keys of its service are divided.
-bool ApplicationServer::may_run(const Connection& connection) const {
+// Whether the server holds the request's key; always true for services without sharding.
+bool ApplicationServer::may_execute(const Connection& connection) const {
     if (!shard_holds_) return true;
     const bool is_held =
         connection.shard_key && shard_holds_->holds(*connection.shard_key, reactor_.clock().now());
-    if (!is_held) plan_.shard_judge->record_refusal();
+    if (!is_held) plan_.shard_checker->record_refusal();
     return is_held;
 }
 
@@ -273,12 +275,13 @@
     Duration work(0);
     if (!connection.is_health_check) {
         if (now >= connection.deadline) return reject_request(connection, 503);
-        if (!may_run(connection)) return reject_request(connection, 421);
-        board_.ran(connection.request_id, plan_.service, connection.parser.header(in, "X-Tenant"),
-                   connection.parser.method(in), connection.parser.target(in), connection.parser.body(in));
+        if (!may_execute(connection)) return reject_request(connection, 421);
+        scoreboard_.record_execution(connection.request_id, plan_.service,
+                                     connection.parser.header(in, "X-Tenant"), connection.parser.method(in),
+                                     connection.parser.target(in), connection.parser.body(in));
         work = draw_service_time();
         if (shard_holds_) {
-            plan_.shard_judge->record_begin(plan_.service, id_, *connection.shard_key, now);
+            plan_.shard_checker->record_begin(plan_.service, id_, *connection.shard_key, now);
             shard_holds_->begin_work(*connection.shard_key);
             if (shard_holds_->is_cold(*connection.shard_key, now))
                 work = from_secs(secs(work) / kColdShardSpeed);
@@ -300,21 +303,22 @@
     const bool is_sharded = shard_holds_ && !connection.is_health_check;
     if (is_sharded) shard_holds_->end_work(*connection.shard_key);
     if (connection.is_health_check) {
-        send_answer(connection, is_draining_ ? 503 : 200, fmt::format("X-Instance-Id: {}\r\n", id_), "well");
+        send_response(connection, is_draining_ ? 503 : 200, fmt::format("X-Instance-Id: {}\r\n", id_),
+                      "well");
     } else if (is_sharded && !shard_holds_->holds(*connection.shard_key, reactor_.clock().now())) {
-        send_answer(connection, 500, fmt::format("X-Attempt-Id: {}\r\n", connection.request_id), "");
+        send_response(connection, 500, fmt::format("X-Attempt-Id: {}\r\n", connection.request_id), "");
     } else if (connection.closes_early) {
-        send_answer(connection, 504, fmt::format("X-Attempt-Id: {}\r\n", connection.request_id), "");
+        send_response(connection, 504, fmt::format("X-Attempt-Id: {}\r\n", connection.request_id), "");
     } else {
         const std::size_t size = kMinBodySize + random_() % (kMaxBodySize - kMinBodySize);
         std::string body(size, static_cast<char>('a' + random_() % 26));
         body += connection.request_id;
         const std::string seal =
-            fmt::format("{}.{:x}.{:x}", id_.substr(2), ++answers_sent_, random_() & 0xffffff);
-        board_.answered(connection.request_id, seal, body);
-        send_answer(connection, 200,
-                    fmt::format("X-Attempt-Id: {}\r\nX-Server-Seal: {}\r\n", connection.request_id, seal),
-                    body);
+            fmt::format("{}.{:x}.{:x}", id_.substr(2), ++responses_sent_, random_() & 0xffffff);
+        scoreboard_.record_response(connection.request_id, seal, body);
+        send_response(connection, 200,
+                      fmt::format("X-Attempt-Id: {}\r\nX-Server-Seal: {}\r\n", connection.request_id, seal),
+                      body);
     }
     start_next_queued();
 }
@@ -329,27 +333,29 @@
 }
 
 void ApplicationServer::reject_request(Connection& connection, int status) {
-    send_answer(connection, status,
-                fmt::format("X-Attempt-Id: {}\r\nX-Not-Executed: 1\r\n", connection.request_id), "");
+    send_response(connection, status,
+                  fmt::format("X-Attempt-Id: {}\r\nX-Not-Executed: 1\r\n", connection.request_id), "");
 }
 
-void ApplicationServer::send_answer(Connection& connection, int status, const std::string& headers,
-                                    const std::string& body) {
-    const bool closes = is_draining_ || !connection.parser.keep_alive() || random_() % kAnswersPerClose == 0;
+void ApplicationServer::send_response(Connection& connection, int status, const std::string& headers,
+                                      const std::string& body) {
+    const bool closes_connection =
+        is_draining_ || !connection.parser.keep_alive() || random_() % kResponsesPerClose == 0;
     connection.stream.input_buffer().consume(connection.parser.message_size());
     connection.parser.reset();
-    const std::string out = fmt::format(
-        "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n{}{}\r\n{}", status, status == 200 ? "OK" : "No",
-        body.size(), headers,
-        closes ? std::string("Connection: close\r\n")
-               : fmt::format("Keep-Alive: timeout={}\r\n",
-                             std::chrono::duration_cast<std::chrono::seconds>(kIdleTimeout).count()),
-        body);
+    const std::string out =
+        fmt::format("HTTP/1.1 {} {}\r\nContent-Length: {}\r\n{}{}\r\n{}", status, status == 200 ? "OK" : "No",
+                    body.size(), headers,
+                    closes_connection
+                        ? std::string("Connection: close\r\n")
+                        : fmt::format("Keep-Alive: timeout={}\r\n",
+                                      std::chrono::duration_cast<std::chrono::seconds>(kIdleTimeout).count()),
+                    body);
     if (!connection.stream.write_bytes(out)) return remove_connection(connection);
-    if (closes) {
+    if (closes_connection) {
         connection.is_closing = true;
         connection.last_used_at = reactor_.clock().now() + kLingerTimeout -
-                                  kIdleTimeout;    // closed by a sweep if the caller does not
+                                  kIdleTimeout;    // closed by a sweep if the caller does not close it
         connection.stream.shutdown_sending();
         return;
     }
@@ -358,11 +364,11 @@
 
 void ApplicationServer::close_idle_connections() {
     const TimePoint now = reactor_.clock().now();
-    std::vector<Connection*> old;
+    std::vector<Connection*> expired;
     for (const auto& peer : connections_)
         if (!is_frozen_ && peer->state == Connection::State::Idle && now - peer->last_used_at > kIdleTimeout)
-            old.push_back(peer.get());
-    for (Connection* peer : old) remove_connection(*peer);
+            expired.push_back(peer.get());
+    for (Connection* peer : expired) remove_connection(*peer);
     sweep_timer_ = reactor_.schedule_after(kSweepInterval, [this] { close_idle_connections(); });
 }
 
--- a/testbed/system/server.h
+++ b/testbed/system/server.h
@@ -1,4 +1,4 @@
-// An emulated application server: the server's side of PROTOCOL, with heartbeats to the control API.
+// An emulated application server: the server's side of the protocol, with heartbeats to the control API.
 // Everything runs on the reactor's thread.
 #pragma once
 
@@ -22,33 +22,33 @@
 // How a server behaves.
 struct ServerPlan {
     std::string service, address, zone, revision = "v1";
-    int concurrency_limit = 6;            // concurrent requests; as many more are queued
+    int concurrency_limit = 6;            // concurrent requests; the same number is queued
     std::size_t max_connections = 130;    // from all callers; further ones are reset
     Duration mean_service_time{0};
     double speed = 1.0;        // service times are divided by this
-    Duration slow_start{0};    // how long it is slow after its start
+    Duration slow_start{0};    // slow phase after the start
     Duration heartbeat_interval{1'500'000};
-    Duration drain_time{2'000'000};                // how long it serves after its draining was acknowledged
+    Duration drain_time{2'000'000};                // time of serving after the drain was acknowledged
     std::vector<std::string> control_addresses;    // where heartbeats go
     std::uint64_t seed = 1;
-    ShardJudge* shard_judge = nullptr;    // where the service's keys are divided; else it runs any request
+    ShardOwnershipChecker* shard_checker = nullptr;    // for sharded services; null: executes any request
 };
 
 // One server instance with an id of its own; a restart is a new object.
 class ApplicationServer {
 public:
-    ApplicationServer(Reactor& reactor, HttpCalls& calls, Board& board, ServerPlan plan);
+    ApplicationServer(Reactor& reactor, HttpCalls& calls, Scoreboard& scoreboard, ServerPlan plan);
     ~ApplicationServer();
     ApplicationServer(const ApplicationServer&) = delete;
     ApplicationServer& operator=(const ApplicationServer&) = delete;
 
     const std::string& id() const { return id_; }
     const ServerPlan& plan() const { return plan_; }
-    // Graceful shutdown: announces it, serves on for `drain_time`, deregisters and ends.
+    // Graceful shutdown: announces the drain, keeps serving for `drain_time`, deregisters and ends.
     void start_drain();
     // Ends at once without an announcement.
     void crash_now();
-    // While frozen it accepts connections and answers nothing, like a suspended machine.
+    // While frozen it accepts connections but sends no responses, like a suspended machine.
     void set_frozen(bool frozen);
     void set_speed(double speed) { plan_.speed = speed; }
     void set_control_addresses(std::vector<std::string> addresses);
@@ -65,19 +65,20 @@
     void finish_request(Connection& connection);
     void start_next_queued();
     void reject_request(Connection& connection, int status);
-    void send_answer(Connection& connection, int status, const std::string& headers, const std::string& body);
+    void send_response(Connection& connection, int status, const std::string& headers,
+                       const std::string& body);
     void remove_connection(Connection& connection);
     void close_idle_connections();
     std::string heartbeat_body();
     void send_heartbeat();
-    void on_heartbeat_reply(const HttpReply& answer);
-    bool may_run(const Connection& connection) const;
+    void on_heartbeat_reply(const HttpReply& reply);
+    bool may_execute(const Connection& connection) const;
     void send_deregistration();
     void stop_server();
     Duration draw_service_time();
 
     Reactor& reactor_;
-    Board& board_;
+    Scoreboard& scoreboard_;
     ServerPlan plan_;
     std::mt19937_64 random_;
     std::string id_;
@@ -86,7 +87,7 @@
     std::list<std::unique_ptr<Connection>> connections_;
     std::deque<Connection*> queue_;
     int running_requests_ = 0;
-    std::uint64_t heartbeats_sent_ = 0, answers_sent_ = 0;
+    std::uint64_t heartbeats_sent_ = 0, responses_sent_ = 0;
     bool is_registered_ = false, is_draining_ = false, is_deregistered_ = false, is_ended_ = false,
          is_frozen_ = false;
     std::optional<ShardHolds> shard_holds_;
--- a/testbed/system/shard_holds.cpp
+++ b/testbed/system/shard_holds.cpp
@@ -29,9 +29,9 @@
     }
 }
 
-Duration hold_of(const Json& answer) {
-    if (!answer.contains("hold") || !answer["hold"].is_string()) return Duration(0);
-    const auto text = answer["hold"].get<std::string>();
+Duration parse_hold(const Json& response) {
+    if (!response.contains("hold") || !response["hold"].is_string()) return Duration(0);
+    const auto text = response["hold"].get<std::string>();
     double value = 0.0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || value < 0.0) return Duration(0);
@@ -56,39 +56,39 @@
       fence_(kShardKeyCount),
       running_(kShardKeyCount) {}
 
-bool ShardHolds::on_answer(const Json& answer, TimePoint sent_at, TimePoint now) {
-    if (!answer.is_object() || !answer.contains("held_duties")) return true;
-    const auto hold = static_cast<double>(hold_of(answer).count());
+bool ShardHolds::apply_heartbeat_response(const Json& response, TimePoint sent_at, TimePoint now) {
+    if (!response.is_object() || !response.contains("held_duties")) return true;
+    const auto hold = static_cast<double>(parse_hold(response).count());
     const TimePoint until = sent_at + Duration(static_cast<Duration::rep>(hold / clock_rate_));
-    std::vector<bool> wanted(kShardKeyCount, false);
-    for (const Json& row : answer["held_duties"]) take_row(row, until, now, wanted);
-    release_rest(wanted, now);
+    std::vector<bool> is_granted(kShardKeyCount, false);
+    for (const Json& row : response["held_duties"]) apply_row(row, until, now, is_granted);
+    release_omitted(is_granted, now);
     if (!released_.empty()) return false;
     for (std::size_t key = 0; key < kShardKeyCount; ++key)
-        if (!wanted[key] && running_[key] > 0) return false;
+        if (!is_granted[key] && running_[key] > 0) return false;
     return true;
 }
 
-void ShardHolds::take_row(const Json& row, TimePoint until, TimePoint now, std::vector<bool>& wanted) {
+void ShardHolds::apply_row(const Json& row, TimePoint until, TimePoint now, std::vector<bool>& is_granted) {
     const auto first = row.at(0).get<std::size_t>(), last = row.at(1).get<std::size_t>();
     const auto fence = row.at(2).get<std::uint64_t>();
     const bool is_warm = !row.at(3).get<std::string>().empty();
     for (std::size_t key = first; key <= last; ++key) {
         if (fence_[key] <= fence) continue;
-        ++refused_rows_;
+        ++rejected_rows_;
         return;
     }
     for (std::size_t key = first; key <= last; ++key) {
-        wanted[key] = true;
+        is_granted[key] = true;
         if (!holds(key, now) && !is_warm && fence_[key] != fence) cold_until_[key] = now + kWarmup;
         fence_[key] = fence;
         held_until_[key] = std::max(held_until_[key], until);
     }
 }
 
-// Keys that are left out of an answer take no new work from then on.
-void ShardHolds::release_rest(const std::vector<bool>& wanted, TimePoint now) {
-    const auto is_released = [&](std::size_t key) { return !wanted[key] && holds(key, now); };
+// Keys that a response omits accept no new requests from then on.
+void ShardHolds::release_omitted(const std::vector<bool>& is_granted, TimePoint now) {
+    const auto is_released = [&](std::size_t key) { return !is_granted[key] && holds(key, now); };
     for_each_run(is_released, [&](std::size_t first, std::size_t last) {
         released_.push_back({first, last, next_handover()});
     });
@@ -109,7 +109,7 @@
     return rows;
 }
 
-// Ranges on which requests still run are reported once these have ended.
+// Ranges on which requests still run are reported after these requests have ended.
 Json ShardHolds::released() const {
     Json rows = Json::array();
     for (const ReleasedRange& range : released_) {
@@ -121,16 +121,17 @@
     return rows;
 }
 
-void ShardJudge::add_server(const std::string& service, const std::string& id, const ShardHolds& holds) {
+void ShardOwnershipChecker::add_server(const std::string& service, const std::string& id,
+                                       const ShardHolds& holds) {
     servers_[service][id] = &holds;
 }
 
-void ShardJudge::remove_server(const std::string& service, const std::string& id) {
+void ShardOwnershipChecker::remove_server(const std::string& service, const std::string& id) {
     servers_[service].erase(id);
 }
 
-void ShardJudge::record_begin(const std::string& service, const std::string& id, std::size_t key,
-                              TimePoint now) {
+void ShardOwnershipChecker::record_begin(const std::string& service, const std::string& id, std::size_t key,
+                                         TimePoint now) {
     ++begun_;
     for (const auto& [other, holds] : servers_[service])
         if (other != id && holds->holds(key, now)) ++double_owners_;
--- a/testbed/system/shard_holds.h
+++ b/testbed/system/shard_holds.h
@@ -1,7 +1,7 @@
-// The shard keys that an emulated server may run requests on: granted by answers to its heartbeats, for a
-// limited time, fenced; see "Keys that servers hold" in the users' protocol. And the judge of a whole
-// service: no two of its servers may hold a key while requests begin on it. Everything runs on the reactor's
-// thread.
+// The shard keys for which an emulated server may execute requests: granted for a limited time by responses
+// to its heartbeats, with fencing tokens; see "Keys that servers hold" in the users' protocol. Also a checker
+// for whole services: no two servers may hold a key while a request on it begins. Everything runs on the
+// reactor's thread.
 #pragma once
 
 #include <cstddef>
@@ -20,58 +20,58 @@
 
 constexpr std::size_t kShardKeyCount = 65536;
 
-// The shard key of a request; none where the text is not a number from 0 to 65535.
+// The shard key of a request; nullopt if the text is not a number from 0 to 65535.
 std::optional<std::size_t> parse_shard_key(std::string_view text);
 
-// The holds of one server. A server that has just started holds nothing.
+// The keys held by one server. A newly started server holds none.
 class ShardHolds {
 public:
-    // `clock_rate`: the time that its clock shows for a second, at least 0.98.
+    // `clock_rate`: seconds that the server's clock advances per second, at least 0.98.
     ShardHolds(double clock_rate, std::uint64_t seed);
 
-    // Takes over the answer to a heartbeat that was sent at `sent_at`. False where keys were left out of it
-    // that are still worked on or still have to be reported: the next heartbeat is due within 100 ms.
-    bool on_answer(const nlohmann::json& answer, TimePoint sent_at, TimePoint now);
+    // Applies the response to a heartbeat that was sent at `sent_at`. Returns false if it omits keys on which
+    // requests still run or whose release must still be reported: the next heartbeat is due within 100 ms.
+    bool apply_heartbeat_response(const nlohmann::json& response, TimePoint sent_at, TimePoint now);
     // The fields of the next heartbeat: "held_duties" and "released".
     nlohmann::json held_duties(TimePoint now) const;
     nlohmann::json released() const;
-    // The last heartbeat was acknowledged: what it reported as released needs no further report.
+    // Called when the last heartbeat was acknowledged: its released ranges need no further report.
     void on_acknowledged() { released_.clear(); }
 
     bool holds(std::size_t key, TimePoint now) const { return held_until_[key] > now; }
-    // Whether the key came without the handover of its last holder, `warmup` ago at most.
+    // Whether the key was granted without a handover from its last holder, within the last `warmup`.
     bool is_cold(std::size_t key, TimePoint now) const { return cold_until_[key] > now; }
     void begin_work(std::size_t key) { ++running_[key]; }
     void end_work(std::size_t key) { --running_[key]; }
-    std::size_t refused_rows() const { return refused_rows_; }
+    std::size_t rejected_rows() const { return rejected_rows_; }
 
 private:
     struct ReleasedRange {
         std::size_t first = 0, last = 0;
         std::string handover;
     };
-    void take_row(const nlohmann::json& row, TimePoint until, TimePoint now, std::vector<bool>& wanted);
-    void release_rest(const std::vector<bool>& wanted, TimePoint now);
+    void apply_row(const nlohmann::json& row, TimePoint until, TimePoint now, std::vector<bool>& is_granted);
+    void release_omitted(const std::vector<bool>& is_granted, TimePoint now);
     std::string next_handover();
 
     double clock_rate_;
     std::uint64_t next_handover_;
     std::vector<TimePoint> held_until_, cold_until_;
-    std::vector<std::uint64_t> fence_;    // the highest that was seen
+    std::vector<std::uint64_t> fence_;    // highest fencing token seen, by key
     std::vector<int> running_;
     std::vector<ReleasedRange> released_;
-    std::size_t refused_rows_ = 0;
+    std::size_t rejected_rows_ = 0;
 };
 
-// Looks at all servers of all services whose keys are divided.
-class ShardJudge {
+// Checks the key ownership of all servers of all sharded services.
+class ShardOwnershipChecker {
 public:
     void add_server(const std::string& service, const std::string& id, const ShardHolds& holds);
     void remove_server(const std::string& service, const std::string& id);
-    // A server begins a request on a key that it holds.
+    // Called when a server begins a request on a key that it holds.
     void record_begin(const std::string& service, const std::string& id, std::size_t key, TimePoint now);
     void record_refusal() { ++refusals_; }
-    // Requests that began on a key while another server that is up held it. 0 in a correct system.
+    // Requests that began on a key while another live server held it. 0 in a correct system.
     std::uint64_t double_owners() const { return double_owners_; }
     std::uint64_t begun() const { return begun_; }
     std::uint64_t refusals() const { return refusals_; }
--- a/testbed/system/shard_key_load.h
+++ b/testbed/system/shard_key_load.h
@@ -1,4 +1,4 @@
-// Which shard keys callers ask for.
+// The distribution of shard keys over the callers' requests.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace shaletray::testbed {
 
-// Most requests ask for keys that lie near one another; where, changes every few seconds.
+// Most requests use keys from a small busy range, which moves every few seconds.
 std::size_t draw_shard_key(std::mt19937_64& random, TimePoint now);
 
 }    // namespace shaletray::testbed
