--- a/testbed/stand_ins/billing.cpp
+++ b/testbed/stand_ins/billing.cpp
@@ -19,49 +19,50 @@
 
 using namespace Poco::Net;
 
-class Handler : public HTTPRequestHandler {
+class BatchHandler : public HTTPRequestHandler {
 public:
-    explicit Handler(StandInBilling& of) : owner_(of) {}
+    explicit BatchHandler(StandInBilling& owner) : owner_(owner) {}
     void handleRequest(HTTPServerRequest& request, HTTPServerResponse& response) override {
         std::string body, exporter = request.get("X-Exporter", "");
         Poco::StreamCopier::copyToString(request.stream(), body);
         std::uint64_t batch = 0;
-        const std::string number = request.get("X-Batch", "0");
-        std::from_chars(number.data(), number.data() + number.size(), batch);
-        const bool asks = request.getMethod() == HTTPRequest::HTTP_GET;
-        if (!asks && request.get("Idempotency-Key", "") != fmt::format("{}:{}", exporter, batch)) {
+        const std::string batch_text = request.get("X-Batch", "0");
+        std::from_chars(batch_text.data(), batch_text.data() + batch_text.size(), batch);
+        const bool is_query = request.getMethod() == HTTPRequest::HTTP_GET;
+        if (!is_query && request.get("Idempotency-Key", "") != fmt::format("{}:{}", exporter, batch)) {
             response.setStatus(HTTPResponse::HTTP_BAD_REQUEST);
             response.send();
             return;
         }
-        const StandInBilling::Answer a = owner_.answer(exporter, asks ? 0 : batch, std::move(body));
-        if (a.wait_ms > 0) std::this_thread::sleep_for(std::chrono::milliseconds(a.wait_ms));
-        if (a.cut) {
+        const StandInBilling::Reply reply =
+            owner_.handle_batch(exporter, is_query ? 0 : batch, std::move(body));
+        if (reply.delay_ms > 0) std::this_thread::sleep_for(std::chrono::milliseconds(reply.delay_ms));
+        if (reply.closes_connection) {
             static_cast<HTTPServerRequestImpl&>(request).socket().shutdown();
             return;
         }
-        response.setStatus(static_cast<HTTPResponse::HTTPStatus>(a.status));
+        response.setStatus(static_cast<HTTPResponse::HTTPStatus>(reply.status));
         response.setKeepAlive(false);
-        response.setContentLength(static_cast<int>(a.body.size()));
+        response.setContentLength(static_cast<int>(reply.body.size()));
         std::ostream& out = response.send();
-        out << a.body;
+        out << reply.body;
         out.flush();
-        if (!a.twice) return;
-        const std::string again =
-            fmt::format("HTTP/1.1 {} Again\r\nContent-Length: {}\r\n\r\n{}", a.status, a.body.size(), a.body);
-        static_cast<HTTPServerRequestImpl&>(request).socket().sendBytes(again.data(),
-                                                                        static_cast<int>(again.size()));
+        if (!reply.sends_twice) return;
+        const std::string repeated_response = fmt::format("HTTP/1.1 {} Again\r\nContent-Length: {}\r\n\r\n{}",
+                                                          reply.status, reply.body.size(), reply.body);
+        static_cast<HTTPServerRequestImpl&>(request).socket().sendBytes(
+            repeated_response.data(), static_cast<int>(repeated_response.size()));
     }
 
 private:
     StandInBilling& owner_;
 };
 
-class Factory : public HTTPRequestHandlerFactory {
+class BatchHandlerFactory : public HTTPRequestHandlerFactory {
 public:
-    explicit Factory(StandInBilling& of) : owner_(of) {}
+    explicit BatchHandlerFactory(StandInBilling& owner) : owner_(owner) {}
     HTTPRequestHandler* createRequestHandler(const HTTPServerRequest&) override {
-        return new Handler(owner_);
+        return new BatchHandler(owner_);
     }
 
 private:
@@ -71,11 +72,11 @@
 }    // namespace
 
 StandInBilling::StandInBilling(std::uint64_t seed) : random_(seed) {
-    auto* params = new HTTPServerParams;    // the server counts its owners
+    auto* params = new HTTPServerParams;    // reference-counted and owned by the server
     params->setKeepAlive(false);
     params->setMaxThreads(4);
-    server_ =
-        std::make_unique<HTTPServer>(new Factory(*this), ServerSocket(SocketAddress("127.0.0.1", 0)), params);
+    server_ = std::make_unique<HTTPServer>(new BatchHandlerFactory(*this),
+                                           ServerSocket(SocketAddress("127.0.0.1", 0)), params);
     server_->start();
 }
 
@@ -92,17 +93,17 @@
 
 void StandInBilling::copy() {
     const std::lock_guard lock(mutex_);
-    copy_ = kept_;
+    snapshot_ = batches_;
 }
 
 void StandInBilling::replace() {
     const std::lock_guard lock(mutex_);
-    kept_ = copy_;
+    batches_ = snapshot_;
 }
 
 std::map<std::string, StandInBilling::Batches> StandInBilling::batches() const {
     const std::lock_guard lock(mutex_);
-    return kept_;
+    return batches_;
 }
 
 std::uint64_t StandInBilling::posts() const {
@@ -110,23 +111,26 @@
     return posts_;
 }
 
-StandInBilling::Answer StandInBilling::answer(const std::string& exporter, std::uint64_t batch,
-                                              std::string body) {
+StandInBilling::Reply StandInBilling::handle_batch(const std::string& exporter, std::uint64_t batch,
+                                                   std::string body) {
     const std::lock_guard lock(mutex_);
     ++posts_;
-    const auto chance = [&](double p) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < p; };
-    Batches& own = kept_[exporter];
-    const auto have = [&] { return own.empty() ? 0 : own.rbegin()->first; };
-    if (chance(faults_.forgets) && !own.empty()) own.erase(std::prev(own.end()));
-    Answer a;
-    if (chance(faults_.refused)) return {500, "{}", false, false, 0};
-    if (batch > 0 && batch == have() + 1) own[batch] = std::move(body);
-    a.body = fmt::format("{{\"have\": {}}}", have());
-    a.cut = chance(faults_.lost);
-    if (chance(faults_.failed)) a.status = 500;
-    if (chance(faults_.late)) a.wait_ms = 500;
-    a.twice = chance(faults_.twice);
-    return a;
+    const auto draw_fault = [&](double probability) {
+        return std::uniform_real_distribution<>(0.0, 1.0)(random_) < probability;
+    };
+    Batches& exporter_batches = batches_[exporter];
+    const auto last_batch = [&] { return exporter_batches.empty() ? 0 : exporter_batches.rbegin()->first; };
+    if (draw_fault(faults_.forgets) && !exporter_batches.empty())
+        exporter_batches.erase(std::prev(exporter_batches.end()));
+    Reply reply;
+    if (draw_fault(faults_.refused)) return {500, "{}", false, false, 0};
+    if (batch > 0 && batch == last_batch() + 1) exporter_batches[batch] = std::move(body);
+    reply.body = fmt::format("{{\"have\": {}}}", last_batch());
+    reply.closes_connection = draw_fault(faults_.lost);
+    if (draw_fault(faults_.failed)) reply.status = 500;
+    if (draw_fault(faults_.late)) reply.delay_ms = 500;
+    reply.sends_twice = draw_fault(faults_.twice);
+    return reply;
 }
 
 }    // namespace shaletray::testbed
--- a/testbed/stand_ins/counter.h
+++ b/testbed/stand_ins/counter.h
@@ -1,18 +1,18 @@
-// A stand-in for a store that speaks the Redis protocol (RESP2), on loopback only, for tests and experiments.
-// It keeps hashes with an expiry, and misbehaves as it is told: by calls, or over the wire by FAULT commands.
+// A fake store that speaks the Redis protocol (RESP2), on loopback only, for tests and experiments. It keeps
+// hashes with an expiry, and injects faults on request: by calls, or over the wire by FAULT commands.
 //
-//   FAULT SLOW ms            each answer comes so much later
-//   FAULT SILENT 0|1         connections are accepted, what comes is read, and nothing is said
-//   FAULT PAUSE ms           nothing is read or said for so long, then all at once
-//   FAULT ERROR text|-       each command but FAULT is answered by this error
-//   FAULT BABBLE 0|1         answers are not RESP at all
-//   FAULT SPOIL 0|1          values that are read come back spoilt
-//   FAULT WIPE               all it holds is gone, and it is another process by its run id
-//   FAULT KEEP | FALLBACK    remembers what it holds now | holds again what it remembered
-//   FAULT CLOCK s            its clock jumps (expiry goes by it)
-//   FAULT REPLICA host:port  writes are passed on there, until FAULT SPLIT; a replica refuses other writes
-//   FAULT SPLIT | PROMOTE    passes on no more | takes writes itself
-//   FAULT DROP               ends all connections
+//   FAULT SLOW ms            delays each reply by this time
+//   FAULT SILENT 0|1         accepts connections and reads commands, but sends no replies
+//   FAULT PAUSE ms           reads and sends nothing for this time
+//   FAULT ERROR text|-       replies to each command but FAULT with this error; -: ends this
+//   FAULT BABBLE 0|1         replies are not RESP
+//   FAULT SPOIL 0|1          values that are read are corrupt
+//   FAULT WIPE               deletes all data and changes the run id, like a restarted process
+//   FAULT KEEP | FALLBACK    saves all data | restores the saved data
+//   FAULT CLOCK s            moves its clock by this time (it determines expiry)
+//   FAULT REPLICA host:port  replicates writes to there until FAULT SPLIT; a replica rejects other writes
+//   FAULT SPLIT | PROMOTE    stops replication | accepts writes as a primary
+//   FAULT DROP               closes all connections
 #pragma once
 
 #include <atomic>
@@ -31,9 +31,10 @@
 
 namespace shaletray::testbed {
 
+// The server, on its own thread. All public functions are thread-safe.
 class StandInCounter {
 public:
-    // Port 0: any that is free. Throws std::runtime_error where it cannot listen.
+    // Port 0: any free port. Throws std::runtime_error if it cannot listen.
     explicit StandInCounter(int port = 0, std::string password = {});
     ~StandInCounter();
     StandInCounter(const StandInCounter&) = delete;
@@ -41,7 +42,7 @@
 
     std::string address() const;
     int port() const { return port_; }
-    // As a FAULT command does; what it answers. Safe from any thread.
+    // Executes a FAULT command, without the word FAULT, and returns its reply. Thread-safe.
     std::string fault(const std::vector<std::string>& words);
     std::uint64_t commands() const { return commands_; }
 
@@ -49,42 +50,43 @@
     using Clock = std::chrono::steady_clock;
     struct Hash {
         std::map<std::string, std::string> fields;
-        Clock::time_point expires = Clock::time_point::max();
+        Clock::time_point expires_at = Clock::time_point::max();
     };
     struct Connection {
         int fd = -1;
         shared_counter::RespReader commands;
-        bool trusted = false, replica_link = false;
-        std::string out;
-        std::deque<std::pair<Clock::time_point, std::string>> waiting;    // answers that are held back
-        bool dead = false;
+        bool is_authenticated = false, is_replication_link = false;
+        std::string output;
+        // Replies with the time when each is due.
+        std::deque<std::pair<Clock::time_point, std::string>> delayed_replies;
+        bool should_close = false;
     };
 
     void serve();
     void accept_one();
-    void read_from(Connection& c);
-    void write_to(Connection& c);
-    std::string answer(Connection& c, const std::vector<std::string>& words);
-    std::string store(Connection& c, const std::vector<std::string>& words);
-    std::string do_fault(const std::vector<std::string>& words);
-    void pass_on(const std::vector<std::string>& words);
-    void expire();
+    void read_from(Connection& connection);
+    void write_to(Connection& connection);
+    std::string execute_command(Connection& connection, const std::vector<std::string>& words);
+    std::string execute_store_command(Connection& connection, const std::vector<std::string>& words);
+    std::string execute_fault(const std::vector<std::string>& words);
+    void replicate(const std::vector<std::string>& words);
+    void remove_expired();
     Clock::time_point now() const { return Clock::now() + clock_step_; }
 
     int listener_ = -1, port_ = 0, replica_ = -1;
     std::string password_, run_id_;
     std::thread thread_;
-    std::atomic<bool> over_{false};
+    std::atomic<bool> stopping_{false};
     std::atomic<std::uint64_t> commands_{0};
-    std::mutex mutex_;    // guards all below, against fault() from other threads
+    std::mutex mutex_;    // guards all members below
     std::vector<std::unique_ptr<Connection>> connections_;
-    std::map<std::string, Hash> data_, kept_;
-    std::chrono::milliseconds slow_{0};
+    std::map<std::string, Hash> data_, saved_data_;
+    std::chrono::milliseconds reply_delay_{0};
     Clock::time_point paused_until_{};
     std::chrono::seconds clock_step_{0};
-    std::string error_;
-    bool silent_ = false, babble_ = false, spoil_ = false, is_replica_ = false;
-    std::uint64_t lives_ = 0;
+    std::string forced_error_;
+    bool is_silent_ = false, sends_garbage_ = false, corrupts_values_ = false, is_replica_ = false;
+    std::uint64_t wipe_count_ = 0;
 };
 
 }    // namespace shaletray::testbed
--- a/testbed/stand_ins/counter_main.cpp
+++ b/testbed/stand_ins/counter_main.cpp
@@ -1,4 +1,4 @@
-// The stand-in counter as a program: prints its port, then serves until it is killed.
+// The fake store as a program: prints its port, then serves until it is killed.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -10,13 +10,13 @@
 
 int main(int argc, char** argv) {
     CLI::App app{
-        "A stand-in for a store that speaks the Redis protocol; loopback only. See "
+        "A fake store that speaks the Redis protocol; loopback only. See "
         "testbed/stand_ins/counter.h."};
     int port = 0;
     std::string password;
-    app.add_option("--port", port, "Where it listens on 127.0.0.1; 0: any free port")
+    app.add_option("--port", port, "The port to listen on at 127.0.0.1; 0: any free port")
         ->check(CLI::Range(0, 65535));
-    app.add_option("--password", password, "What AUTH must say");
+    app.add_option("--password", password, "The password that AUTH requires");
     CLI11_PARSE(app, argc, argv);
     try {
         const shaletray::testbed::StandInCounter counter(port, password);
